--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -70,7 +70,10 @@
 impl Node {
     /// Begins the log, where one is asked for.
     pub fn log(&self) {
-        let lines = tracing_subscriber::fmt().with_writer(io::stderr).with_ansi(false).with_target(false);
+        let lines = tracing_subscriber::fmt()
+            .with_writer(io::stderr)
+            .with_ansi(false)
+            .with_target(false);
         match self.log_format {
             None => {}
             Some(LogFormat::Text) => lines.init(),
@@ -84,8 +87,10 @@
     }
 
     fn of(&self, binary: PathBuf) -> Program {
-        let features =
-            self.features.iter().flat_map(|file| ["--features".to_owned(), file.display().to_string()]);
+        let features = self
+            .features
+            .iter()
+            .flat_map(|file| ["--features".to_owned(), file.display().to_string()]);
         Program::Binary(binary, features.collect())
     }
 }
@@ -141,14 +146,23 @@
         match self {
             Self::Run(run) => run.run(),
             Self::Compare(compare) => compare.run(),
-            Self::Idle { connections, batch, node } => {
+            Self::Idle {
+                connections,
+                batch,
+                node,
+            } => {
                 node.log();
                 if node.features.is_some() {
-                    return unusable("lab idle writes the node's section front itself: --features must go");
+                    return unusable(
+                        "lab idle writes the node's section front itself: --features must go",
+                    );
                 }
                 let most = connections as usize;
-                let sizes: Vec<_> =
-                    [0, 1_000, 10_000].into_iter().filter(|&size| size < most).chain([most]).collect();
+                let sizes: Vec<_> = [0, 1_000, 10_000]
+                    .into_iter()
+                    .filter(|&size| size < most)
+                    .chain([most])
+                    .collect();
                 let it = idle::measure(node.program()?, &sizes, batch as usize)?;
                 let mut out = io::stdout().lock();
                 writeln!(
@@ -157,13 +171,23 @@
                     "idle", "KiB", "bytes each", "look-up p50 ms", "p99 ms"
                 )?;
                 for crowd in &it.crowds {
-                    let idle::Crowd { held, resident_kib, bytes_each, p50_ms, p99_ms } = crowd;
+                    let idle::Crowd {
+                        held,
+                        resident_kib,
+                        bytes_each,
+                        p50_ms,
+                        p99_ms,
+                    } = crowd;
                     writeln!(
                         out,
                         "{held:>8} {resident_kib:>10} {bytes_each:>11.0} {p50_ms:>14.2} {p99_ms:>14.2}"
                     )?;
                 }
-                writeln!(out, "{} were closed by the node with their first answer", it.closed)?;
+                writeln!(
+                    out,
+                    "{} were closed by the node with their first answer",
+                    it.closed
+                )?;
                 writeln!(
                     out,
                     "all spoke at once: {} answered, the last after {:.0} ms; the node took {} KiB at most",
@@ -189,7 +213,10 @@
 }
 
 fn name(path: &Path) -> String {
-    path.file_stem().map_or_else(|| path.display().to_string(), |stem| stem.to_string_lossy().into_owned())
+    path.file_stem().map_or_else(
+        || path.display().to_string(),
+        |stem| stem.to_string_lossy().into_owned(),
+    )
 }
 
 impl Run {
@@ -213,7 +240,11 @@
             }
         }
         self.node.log();
-        let program = if self.direct { Program::Nothing } else { self.node.program()? };
+        let program = if self.direct {
+            Program::Nothing
+        } else {
+            self.node.program()?
+        };
         let stop = crate::stop_at_interrupt()?;
         let mut hold = true;
         for (name, scenario) in &scenarios {
@@ -226,7 +257,10 @@
                 hold &= report.holds;
                 if let Some(out) = &self.out {
                     let path = out.join(format!("{name}-{seed}"));
-                    std::fs::write(path.with_extension("json"), serde_json::to_vec_pretty(&report)?)?;
+                    std::fs::write(
+                        path.with_extension("json"),
+                        serde_json::to_vec_pretty(&report)?,
+                    )?;
                     std::fs::write(path.with_extension("html"), report.html()?)?;
                 }
                 let mut out = io::stdout().lock();
@@ -236,7 +270,11 @@
                 }
             }
         }
-        Ok(if hold { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) })
+        Ok(if hold {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::from(BROKEN)
+        })
     }
 }
 
@@ -248,7 +286,10 @@
     seed: u64,
     stop: &Arc<AtomicBool>,
 ) -> Result<Option<Report>, Box<dyn Error>> {
-    let options = Options { stop: stop.clone(), ..Options::new(program, seed) };
+    let options = Options {
+        stop: stop.clone(),
+        ..Options::new(program, seed)
+    };
     let seconds = scenario.seconds.get();
     // Where no terminal is there the bar draws nothing.
     let bar = ProgressBar::new((seconds * 10.0) as u64);
@@ -281,7 +322,9 @@
     fn run(self) -> Code {
         let report = |path: &Path| path.extension().is_some_and(|end| end == "json");
         if report(&self.a) != report(&self.b) {
-            return unusable("one is a report and the other is not: compare two reports, or two binaries");
+            return unusable(
+                "one is a report and the other is not: compare two reports, or two binaries",
+            );
         }
         if report(&self.a) {
             let read = |path: &Path| -> Result<Measured, String> {
@@ -308,11 +351,16 @@
                 Err(error) => return unusable(error),
             };
             let name = name(file);
-            let node = Node { node: None, features: self.features.clone(), log_format: None };
+            let node = Node {
+                node: None,
+                features: self.features.clone(),
+                log_format: None,
+            };
             let mut pairs = Vec::new();
             for i in 0..self.seeds {
                 let seed = scenario.seed.wrapping_add(i);
-                let measure = |binary: &Path| one(&name, &scenario, node.of(binary.to_owned()), seed, &stop);
+                let measure =
+                    |binary: &Path| one(&name, &scenario, node.of(binary.to_owned()), seed, &stop);
                 // In turn, so that what the machine does besides falls on both.
                 let both = if i % 2 == 0 {
                     let a = measure(&self.a)?;
@@ -338,7 +386,9 @@
         Ok(entries) => entries,
         Err(error) => return unusable(format!("cannot read {}: {error}", folder.display())),
     };
-    let mut files: Vec<_> = entries.filter_map(|entry| Some(entry.ok()?.path())).collect();
+    let mut files: Vec<_> = entries
+        .filter_map(|entry| Some(entry.ok()?.path()))
+        .collect();
     files.retain(|path| path.extension().is_some_and(|end| end == "toml"));
     files.sort();
     let mut well = true;
@@ -346,7 +396,13 @@
     for file in files {
         match Scenario::load(&file) {
             Ok(it) => {
-                let Scenario { about, fleet, load, seconds, .. } = it;
+                let Scenario {
+                    about,
+                    fleet,
+                    load,
+                    seconds,
+                    ..
+                } = it;
                 writeln!(
                     out,
                     "{:<22} {:>3.0} s, {} nodes, {} servers, {:.0} requests/s: {about}",
@@ -363,5 +419,9 @@
             }
         }
     }
-    Ok(if well { ExitCode::SUCCESS } else { ExitCode::from(UNUSABLE) })
+    Ok(if well {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(UNUSABLE)
+    })
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -87,7 +87,9 @@
         Some(Command::Up(up)) => up.run(),
         Some(Command::Lab(lab)) => lab.run(),
         Some(Command::Relay(relay)) => relay.run(),
-        Some(Command::MultiGet(command)) => one_thread().and_then(|one| one.block_on(command.run())),
+        Some(Command::MultiGet(command)) => {
+            one_thread().and_then(|one| one.block_on(command.run()))
+        }
     };
     match ended {
         Ok(code) => code,
@@ -103,7 +105,11 @@
     match verdict {
         Ok(verdict) => {
             writeln!(io::stdout(), "{verdict}")?;
-            Ok(if matches!(verdict, Verdict::Ok(_)) { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+            Ok(if matches!(verdict, Verdict::Ok(_)) {
+                ExitCode::SUCCESS
+            } else {
+                ExitCode::FAILURE
+            })
         }
         // Not what a broken trail ends with.
         Err(error) => {
@@ -114,32 +120,50 @@
 }
 
 fn start(features: Option<PathBuf>, format: LogFormat) -> Result<ExitCode, Box<dyn Error>> {
-    let features = features.map(operators::load).transpose()?.unwrap_or_default();
+    let features = features
+        .map(operators::load)
+        .transpose()?
+        .unwrap_or_default();
     let config = platform::load(|name| std::env::var(name).ok())?;
     // A node has one core: one thread, and no locks between its parts.
-    LocalSet::new().block_on(&one_thread()?, slatelink_node::run(config, features, format.into()))
+    LocalSet::new().block_on(
+        &one_thread()?,
+        slatelink_node::run(config, features, format.into()),
+    )
 }
 
 /// A flag that Ctrl-C or SIGTERM raises: what runs then ends in order, and leaves nothing behind.
 fn stop_at_interrupt() -> io::Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
-    let (one, raised) = (runtime::Builder::new_current_thread().enable_all().build()?, stop.clone());
+    let (one, raised) = (
+        runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?,
+        stop.clone(),
+    );
     let (mut interrupt, mut terminate) = {
         let _within = one.enter();
-        (signal(SignalKind::interrupt())?, signal(SignalKind::terminate())?)
+        (
+            signal(SignalKind::interrupt())?,
+            signal(SignalKind::terminate())?,
+        )
     };
-    thread::Builder::new().name("signals".to_owned()).spawn(move || {
-        one.block_on(async {
-            tokio::select! {
-                _ = interrupt.recv() => {}
-                _ = terminate.recv() => {}
-            }
-        });
-        raised.store(true, Ordering::Relaxed);
-    })?;
+    thread::Builder::new()
+        .name("signals".to_owned())
+        .spawn(move || {
+            one.block_on(async {
+                tokio::select! {
+                    _ = interrupt.recv() => {}
+                    _ = terminate.recv() => {}
+                }
+            });
+            raised.store(true, Ordering::Relaxed);
+        })?;
     Ok(stop)
 }
 
 fn one_thread() -> Result<Runtime, Box<dyn Error>> {
-    Ok(runtime::Builder::new_current_thread().enable_all().build()?)
+    Ok(runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?)
 }
--- a/crates/cli/src/multiget.rs
+++ b/crates/cli/src/multiget.rs
@@ -60,17 +60,32 @@
     /// Prints a line for each key.
     pub async fn run(self) -> Result<ExitCode, Box<dyn Error>> {
         if self.keys.len() > self.max_items {
-            eprintln!("slatelink: {} keys are more than {}", self.keys.len(), self.max_items);
+            eprintln!(
+                "slatelink: {} keys are more than {}",
+                self.keys.len(),
+                self.max_items
+            );
             return Ok(ExitCode::from(2));
         }
         let until = Instant::now() + Duration::from_millis(self.deadline_ms.into());
-        let mut ordered = Ordered { next: 0, lines: vec![None; self.keys.len()] };
+        let mut ordered = Ordered {
+            next: 0,
+            lines: vec![None; self.keys.len()],
+        };
         let asked = timeout_at(until, self.ask(until, &mut ordered)).await;
         let mut out = io::stdout().lock();
         for (i, key) in self.keys.iter().enumerate().skip(ordered.next) {
             match ordered.lines[i].take() {
                 Some(line) => out.write_all(&line)?,
-                None => writeln!(out, "{}", serde_json::to_string(&Partial { i, key, partial: true })?)?,
+                None => writeln!(
+                    out,
+                    "{}",
+                    serde_json::to_string(&Partial {
+                        i,
+                        key,
+                        partial: true
+                    })?
+                )?,
             }
         }
         out.flush()?;
@@ -92,7 +107,11 @@
         while ids.len() < self.keys.len() {
             ids.insert(format!("{:016x}", fastrand::u64(..)));
         }
-        let items = self.keys.iter().zip(ids).map(|(key, req_id)| Item { key, req_id });
+        let items = self
+            .keys
+            .iter()
+            .zip(ids)
+            .map(|(key, req_id)| Item { key, req_id });
         let body = serde_json::to_vec(&items.collect::<Vec<_>>())?;
         let left = until.saturating_duration_since(Instant::now()).as_millis();
         let request = Request::post("/multi")
@@ -134,7 +153,10 @@
             i: usize,
         }
         let Place { i } = serde_json::from_slice(&line)?;
-        let place = self.lines.get_mut(i).filter(|place| place.is_none() && i >= self.next);
+        let place = self
+            .lines
+            .get_mut(i)
+            .filter(|place| place.is_none() && i >= self.next);
         *place.ok_or("a line of an item that was not asked for")? = Some(line);
         let mut out = io::stdout().lock();
         while let Some(line) = self.lines.get_mut(self.next).and_then(Option::take) {
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -35,7 +35,10 @@
     pub fn run(self) -> Result<ExitCode, Box<dyn Error>> {
         let format = self.log_format;
         let settings = self.settings()?;
-        LocalSet::new().block_on(&one_thread()?, slatelink_node::relay::run(settings, format.into()))?;
+        LocalSet::new().block_on(
+            &one_thread()?,
+            slatelink_node::relay::run(settings, format.into()),
+        )?;
         Ok(ExitCode::SUCCESS)
     }
 
@@ -44,8 +47,18 @@
             return Ok(RelaySettings::load(&path)?);
         }
         let listen = self.listen.ok_or("--listen is missing")?;
-        let Self { upstream, lease_ms, callers, .. } = self;
-        let settings = RelaySettings { upstream, listen, lease_ms, callers };
+        let Self {
+            upstream,
+            lease_ms,
+            callers,
+            ..
+        } = self;
+        let settings = RelaySettings {
+            upstream,
+            listen,
+            lease_ms,
+            callers,
+        };
         settings.check()?;
         Ok(settings)
     }
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -73,10 +73,20 @@
     #[arg(long, value_enum)]
     trouble: Option<TroubleName>,
     /// When it does
-    #[arg(long, value_name = "SECONDS", default_value_t = 5.0, requires = "trouble")]
+    #[arg(
+        long,
+        value_name = "SECONDS",
+        default_value_t = 5.0,
+        requires = "trouble"
+    )]
     trouble_at: f64,
     /// For how long; a restart takes none
-    #[arg(long, value_name = "SECONDS", default_value_t = 10.0, requires = "trouble")]
+    #[arg(
+        long,
+        value_name = "SECONDS",
+        default_value_t = 10.0,
+        requires = "trouble"
+    )]
     trouble_for: f64,
     /// Write the report there, as JSON
     #[arg(long, value_name = "FILE")]
@@ -138,7 +148,11 @@
                     serde_json::to_writer_pretty(file, &report)?;
                 }
                 write!(io::stdout().lock(), "{report}")?;
-                Ok(if report.behind_at_end == 0 { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) })
+                Ok(if report.behind_at_end == 0 {
+                    ExitCode::SUCCESS
+                } else {
+                    ExitCode::from(BROKEN)
+                })
             }
             Err(error) => refused(&error),
         }
@@ -147,8 +161,16 @@
     fn options(&self) -> Options {
         let trouble = self.trouble.map(|name| {
             let kind = TroubleKind::from(name);
-            let for_s = if kind == TroubleKind::RestartTenth { 0.0 } else { self.trouble_for };
-            Trouble { kind, at_s: self.trouble_at, for_s }
+            let for_s = if kind == TroubleKind::RestartTenth {
+                0.0
+            } else {
+                self.trouble_for
+            };
+            Trouble {
+                kind,
+                at_s: self.trouble_at,
+                for_s,
+            }
         });
         Options {
             real: self.real,
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -45,10 +45,14 @@
             "h" => 3600,
             _ => return None,
         };
-        Some(Duration::from_secs(number.parse::<u64>().ok()?.checked_mul(factor)?))
+        Some(Duration::from_secs(
+            number.parse::<u64>().ok()?.checked_mul(factor)?,
+        ))
     };
     let in_range = |time: &Duration| (Duration::from_secs(1)..=LONGEST).contains(time);
-    read().filter(in_range).ok_or_else(|| "a time from 1s to 1h was expected, as 30s or 5m".to_owned())
+    read()
+        .filter(in_range)
+        .ok_or_else(|| "a time from 1s to 1h was expected, as 30s or 5m".to_owned())
 }
 
 impl Up {
@@ -62,8 +66,12 @@
         self.node.log();
         let (ready, told) = mpsc::channel();
         let stop = crate::stop_at_interrupt()?;
-        let options =
-            Options { by_hand: true, ready: Some(ready), stop, ..Options::new(self.node.program()?, 1) };
+        let options = Options {
+            by_hand: true,
+            ready: Some(ready),
+            stop,
+            ..Options::new(self.node.program()?, 1)
+        };
         let live = options.live.clone();
         let playing = {
             let scenario = scenario.clone();
@@ -79,21 +87,33 @@
             if let Some((address, _)) = nodes.first() {
                 writeln!(out, "ask it yourself:\n  curl -i -H 'Req-Id: by-hand-1' -H 'Req-Kind: lookup' -H 'Req-Deadline-Ms: 500' http://{address}/api/7f3a9c21e0b4d655")?;
             }
-            writeln!(out, "{} cache servers, {} requests a second; Ctrl-C ends it", self.servers, self.rate)?;
+            writeln!(
+                out,
+                "{} cache servers, {} requests a second; Ctrl-C ends it",
+                self.servers, self.rate
+            )?;
             out.flush()?;
         }
         watch(&live, || playing.is_finished());
         let played = playing.join().map_err(|_| "the run ended in a panic")??;
         let report = Report::new("up", &scenario, 1, &played);
         print!("{}", report.text());
-        Ok(if report.holds { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if report.holds {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 }
 
 /// A table that is drawn anew each second where a terminal is there, and a line a second where not.
 fn watch(live: &Live, over: impl Fn() -> bool) {
     let terminal = io::stdout().is_terminal();
-    let target = if terminal { ProgressDrawTarget::stdout() } else { ProgressDrawTarget::hidden() };
+    let target = if terminal {
+        ProgressDrawTarget::stdout()
+    } else {
+        ProgressDrawTarget::hidden()
+    };
     let table = ProgressBar::with_draw_target(None, target);
     table.set_style(
         ProgressStyle::with_template("{msg}").unwrap_or_else(|_| ProgressStyle::default_spinner()),
@@ -105,7 +125,11 @@
         if at.elapsed() < Duration::from_secs(1) {
             continue;
         }
-        let now = [count(&live.begun), count(&live.in_time), count(&live.refused)];
+        let now = [
+            count(&live.begun),
+            count(&live.in_time),
+            count(&live.refused),
+        ];
         let rate = |i: usize| (now[i] - before[i]) as f64 / at.elapsed().as_secs_f64();
         let (p50, p99) = live.percentiles();
         let tripped = live.tripped_within(Duration::from_secs(6));
--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -7,7 +7,10 @@
 use std::process::{Command, Output, Stdio};
 
 fn slatelink(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_slatelink")).args(arguments).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_slatelink"))
+        .args(arguments)
+        .output()
+        .unwrap()
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -19,7 +22,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("slatelink-test-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("slatelink-test-{}-{name}", std::process::id()));
         fs::create_dir_all(&path).unwrap();
         Self(path)
     }
@@ -37,15 +41,18 @@
     }
 }
 
-const DAY: &str = "about = \"short\"\nseconds = 2\nseed = 5\n[load]\nrate = 80\n[expect]\nserved = 0.3\n";
+const DAY: &str =
+    "about = \"short\"\nseconds = 2\nseed = 5\n[load]\nrate = 80\n[expect]\nserved = 0.3\n";
 
 // Guards against nodes that break a rule when servers, nodes and discovery fail under load.
 #[test]
 fn rules_hold_on_short_days_of_trouble() {
     let folder = Folder::new("trouble");
-    let day =
-        |name: &str, faults: &str| folder.write(name, &format!("{}{faults}", DAY.replace("= 2\n", "= 4\n")));
-    let fault = |kind: &str, rest: &str| format!("[[fault]]\nat_s = 0.6\nkind = \"{kind}\"\n{rest}\n");
+    let day = |name: &str, faults: &str| {
+        folder.write(name, &format!("{}{faults}", DAY.replace("= 2\n", "= 4\n")))
+    };
+    let fault =
+        |kind: &str, rest: &str| format!("[[fault]]\nat_s = 0.6\nkind = \"{kind}\"\n{rest}\n");
     let files = [
         day(
             "servers.toml",
@@ -70,13 +77,28 @@
         ),
         day(
             "nodes.toml",
-            &[fault("node_kill", "for_s = 1\nnodes = [0]"), fault("node_hup", "nodes = [1]")].concat(),
+            &[
+                fault("node_kill", "for_s = 1\nnodes = [0]"),
+                fault("node_hup", "nodes = [1]"),
+            ]
+            .concat(),
+        ),
+        day(
+            "restart.toml",
+            &fault("node_term", "nodes = [0, 1]\napart_s = 0.8"),
         ),
-        day("restart.toml", &fault("node_term", "nodes = [0, 1]\napart_s = 0.8")),
     ];
-    let files: Vec<_> = ["lab", "run"].into_iter().chain(files.iter().map(String::as_str)).collect();
+    let files: Vec<_> = ["lab", "run"]
+        .into_iter()
+        .chain(files.iter().map(String::as_str))
+        .collect();
     let run = slatelink(&files);
-    assert!(run.status.success(), "{}{}", text(&run.stdout), text(&run.stderr));
+    assert!(
+        run.status.success(),
+        "{}{}",
+        text(&run.stdout),
+        text(&run.stderr)
+    );
 }
 
 // Guards against reports that cannot be read back, and a seed that plays another day.
@@ -85,16 +107,30 @@
     let folder = Folder::new("reports");
     let day = folder.write("day.toml", DAY);
     let out = folder.0.join("out");
-    let run =
-        slatelink(&["lab", "run", &day, "--json", "--repeat", "2", "--out", &out.display().to_string()]);
+    let run = slatelink(&[
+        "lab",
+        "run",
+        &day,
+        "--json",
+        "--repeat",
+        "2",
+        "--out",
+        &out.display().to_string(),
+    ]);
     assert!(run.status.success(), "{}", text(&run.stderr));
     let printed = text(&run.stdout);
-    let reports: Vec<Value> = printed.lines().map(|line| serde_json::from_str(line).unwrap()).collect();
+    let reports: Vec<Value> = printed
+        .lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect();
     assert_eq!(reports.len(), 2);
     assert_ne!(reports[0]["all"]["asked"], 0);
     let again = slatelink(&["lab", "run", &day, "--json", "--log-format", "json"]);
     let logged: Value = serde_json::from_str(text(&again.stderr).lines().next().unwrap()).unwrap();
-    assert_eq!((&logged["message"], &logged["life"]), (&"a node".into(), &"Ready".into()));
+    assert_eq!(
+        (&logged["message"], &logged["life"]),
+        (&"a node".into(), &"Ready".into())
+    );
     let again: Value = serde_json::from_str(text(&again.stdout).trim()).unwrap();
     assert_eq!(again["all"]["asked"], reports[0]["all"]["asked"]);
     let page = fs::read_to_string(out.join("day-5.html")).unwrap();
@@ -111,23 +147,40 @@
     let folder = Folder::new("codes");
     let hopeless = folder.write(
         "hopeless.toml",
-        &DAY.replace("seconds = 2", "seconds = 1").replace("served = 0.3", "p99_ms = 0.01"),
+        &DAY.replace("seconds = 2", "seconds = 1")
+            .replace("served = 0.3", "p99_ms = 0.01"),
     );
     let run = slatelink(&["lab", "run", &hopeless]);
     assert_eq!(run.status.code(), Some(1));
-    assert!(text(&run.stdout).contains("not as expected: p99_ms is"), "{}", text(&run.stdout));
+    assert!(
+        text(&run.stdout).contains("not as expected: p99_ms is"),
+        "{}",
+        text(&run.stdout)
+    );
     let wrong = folder.write("wrong.toml", &DAY.replace("rate", "rat"));
     let run = slatelink(&["lab", "run", &wrong]);
     assert_eq!(run.status.code(), Some(2));
-    assert!(text(&run.stderr).contains("wrong.toml line 5: unknown field `rat`"), "{}", text(&run.stderr));
+    assert!(
+        text(&run.stderr).contains("wrong.toml line 5: unknown field `rat`"),
+        "{}",
+        text(&run.stderr)
+    );
     let run = slatelink(&["lab", "run", "no-such.toml"]);
     assert_eq!(run.status.code(), Some(2));
     let day = folder.write("day.toml", DAY);
     let run = slatelink(&["lab", "run", &day, "--node", "/no/such/binary"]);
-    assert!(text(&run.stderr).contains("cannot start /no/such/binary"), "{}", text(&run.stderr));
+    assert!(
+        text(&run.stderr).contains("cannot start /no/such/binary"),
+        "{}",
+        text(&run.stderr)
+    );
     // A node that ends at once is told of, and nothing hangs.
     let run = slatelink(&["lab", "run", &day, "--node", "/bin/false"]);
-    assert!(text(&run.stderr).contains("did not become ready"), "{}", text(&run.stderr));
+    assert!(
+        text(&run.stderr).contains("did not become ready"),
+        "{}",
+        text(&run.stderr)
+    );
 }
 
 #[test]
@@ -144,10 +197,16 @@
     let up = slatelink(&["up", "--servers", "3", "--nodes", "2", "--for", "2s"]);
     let told = text(&up.stdout);
     assert!(up.status.success(), "{told}{}", text(&up.stderr));
-    assert!(told.contains("curl -i -H 'Req-Id: by-hand-1'") && told.contains("up: holds"), "{told}");
+    assert!(
+        told.contains("curl -i -H 'Req-Id: by-hand-1'") && told.contains("up: holds"),
+        "{told}"
+    );
     for line in told.lines().filter(|line| line.starts_with("node n")) {
         let pid = line.rsplit(' ').next().unwrap();
-        assert!(!PathBuf::from(format!("/proc/{pid}")).exists(), "process {pid} is left behind");
+        assert!(
+            !PathBuf::from(format!("/proc/{pid}")).exists(),
+            "process {pid} is left behind"
+        );
     }
     let bad = slatelink(&["up", "--for", "3 days"]);
     assert_eq!(bad.status.code(), Some(2));
@@ -157,18 +216,27 @@
 // Guards against processes that outlive the run which started them.
 #[test]
 fn an_interrupt_ends_a_fleet_in_order_and_leaves_nothing() {
-    let mut up =
-        Command::new(env!("CARGO_BIN_EXE_slatelink")).arg("up").stdout(Stdio::piped()).spawn().unwrap();
+    let mut up = Command::new(env!("CARGO_BIN_EXE_slatelink"))
+        .arg("up")
+        .stdout(Stdio::piped())
+        .spawn()
+        .unwrap();
     let mut lines = BufReader::new(up.stdout.take().unwrap()).lines();
     let first = lines.next().unwrap().unwrap();
     let node = PathBuf::from(format!("/proc/{}", first.rsplit(' ').next().unwrap()));
     assert!(node.exists(), "{first}");
-    let sent = Command::new("kill").args(["-INT", &up.id().to_string()]).status().unwrap();
+    let sent = Command::new("kill")
+        .args(["-INT", &up.id().to_string()])
+        .status()
+        .unwrap();
     assert!(sent.success());
     let rest: Vec<_> = lines.map_while(Result::ok).collect();
     assert!(up.wait().unwrap().success(), "{rest:?}");
     assert!(!node.exists(), "the node lives on");
-    assert!(rest.iter().any(|line| line.starts_with("up: holds")), "a summary: {rest:?}");
+    assert!(
+        rest.iter().any(|line| line.starts_with("up: holds")),
+        "a summary: {rest:?}"
+    );
 }
 
 // Guards against a node's death that goes unnoticed, or that a run waits for in vain.
@@ -181,12 +249,16 @@
         .unwrap();
     let mut lines = BufReader::new(up.stdout.take().unwrap()).lines();
     let first = lines.next().unwrap().unwrap();
-    let killed = Command::new("kill").args(["-KILL", first.rsplit(' ').next().unwrap()]).status().unwrap();
+    let killed = Command::new("kill")
+        .args(["-KILL", first.rsplit(' ').next().unwrap()])
+        .status()
+        .unwrap();
     assert!(killed.success());
     let rest: Vec<_> = lines.map_while(Result::ok).collect();
     assert_eq!(up.wait().unwrap().code(), Some(1), "{rest:?}");
     assert!(
-        rest.iter().any(|line| line.contains("node 0 ended at") && line.contains("signal: 9")),
+        rest.iter()
+            .any(|line| line.contains("node 0 ended at") && line.contains("signal: 9")),
         "{rest:?}"
     );
 }
--- a/crates/cli/tests/node_clients.rs
+++ b/crates/cli/tests/node_clients.rs
@@ -9,8 +9,13 @@
 // Guards against rewriting what only the client and the cache server may read.
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
-    let server =
-        CacheServer::start(|_| Does::Answer(answer("200 OK", "Srv-Load: queue=2\r\n", "the\r\n\r\nvalue")));
+    let server = CacheServer::start(|_| {
+        Does::Answer(answer(
+            "200 OK",
+            "Srv-Load: queue=2\r\n",
+            "the\r\n\r\nvalue",
+        ))
+    });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let body = "v".repeat(64 << 10);
@@ -20,7 +25,10 @@
         body.len()
     );
     let served = node.client().ask(&put);
-    assert_eq!((served.status(), &served.body[..]), (200, &b"the\r\n\r\nvalue"[..]));
+    assert_eq!(
+        (served.status(), &served.body[..]),
+        (200, &b"the\r\n\r\nvalue"[..])
+    );
     let asked = server.asked.lock().unwrap();
     assert_eq!(asked.len(), 1);
     assert_eq!(asked[0].start, "PUT /api/users/7f3a?x=1&y=%20z HTTP/1.1");
@@ -45,16 +53,36 @@
         ("GET /api/1", format!("{id}{time}"), 400),
         ("GET /api/1", format!("{id}{kind}"), 400),
         ("GET /api/1", format!("{id}{time}Req-Kind: other\r\n"), 400),
-        ("GET /api/1", format!("{id}{kind}Req-Deadline-Ms: soon\r\n"), 400),
-        ("GET /api/1", format!("{id}{kind}Req-Deadline-Ms: -1\r\n"), 400),
-        ("GET /api/1", format!("{id}{kind}Req-Deadline-Ms: 99999999999999999999\r\n"), 400),
-        ("GET /api/1", format!("{id}{kind}{time}Req-Cost: much\r\n"), 400),
+        (
+            "GET /api/1",
+            format!("{id}{kind}Req-Deadline-Ms: soon\r\n"),
+            400,
+        ),
+        (
+            "GET /api/1",
+            format!("{id}{kind}Req-Deadline-Ms: -1\r\n"),
+            400,
+        ),
+        (
+            "GET /api/1",
+            format!("{id}{kind}Req-Deadline-Ms: 99999999999999999999\r\n"),
+            400,
+        ),
+        (
+            "GET /api/1",
+            format!("{id}{kind}{time}Req-Cost: much\r\n"),
+            400,
+        ),
         ("GET /api/1", format!("{id}{time}Req-Kind: \u{e9}\r\n"), 400),
         ("DELETE /api/1", format!("{id}{kind}{time}"), 405),
         ("POST /healthz", String::new(), 405),
         ("GET /api/", format!("{id}{kind}{time}"), 404),
         ("GET /other", format!("{id}{kind}{time}"), 404),
-        ("PUT /api/1", format!("{id}{kind}{time}Content-Length: 65537\r\n"), 413),
+        (
+            "PUT /api/1",
+            format!("{id}{kind}{time}Content-Length: 65537\r\n"),
+            413,
+        ),
         ("G\u{1}T /api/1", String::new(), 400),
     ];
     for (start, headers, status) in cases {
@@ -65,7 +93,11 @@
     let text = format!(
         "PUT /api/1 HTTP/1.1\r\nHost: s\r\n{id}{kind}{time}Transfer-Encoding: chunked\r\n\r\n{chunks}"
     );
-    assert_eq!(node.client().ask(&text).status(), 411, "a body of unstated length");
+    assert_eq!(
+        node.client().ask(&text).status(),
+        411,
+        "a body of unstated length"
+    );
     assert_eq!(server.count(), 0);
     assert_eq!(node.read("read", 1).status(), 200);
 }
@@ -102,7 +134,11 @@
     // The client would wait for an hour: an answer at all is one that was not held until its time was up.
     let refused = client.ask(&read("read", 1, 3_600_000));
     assert_eq!(refused.status(), 503);
-    let after: f64 = refused.header("retry-after").expect("Retry-After").parse().unwrap();
+    let after: f64 = refused
+        .header("retry-after")
+        .expect("Retry-After")
+        .parse()
+        .unwrap();
     assert!(after > 0.0 && after <= 2.0, "{after}");
     assert_eq!(server.count(), 0);
 }
@@ -122,7 +158,9 @@
     // The same connection goes on, and what it answers belongs to the next request.
     assert_eq!(client.ask(&read("read", 2, 20_000)).body, b"value");
     // The attempt was given up: its connection is closed.
-    wait_for("the given-up connection's end", || server.closed.load(Ordering::SeqCst) == 1);
+    wait_for("the given-up connection's end", || {
+        server.closed.load(Ordering::SeqCst) == 1
+    });
 }
 
 // Guards against clients that hold idle connections and keep all others out of a full table.
@@ -182,8 +220,16 @@
     let hidden = read("read", 99, 20_000);
     let length = format!("Content-Length: {}\r\n", hidden.len() + 5);
     let cases = [
-        odd(1, &format!("{length}Transfer-Encoding: chunked\r\n"), &format!("0\r\n\r\n{hidden}")),
-        odd(2, &format!("Transfer-Encoding: chunked\r\n{length}"), &format!("0\r\n\r\n{hidden}")),
+        odd(
+            1,
+            &format!("{length}Transfer-Encoding: chunked\r\n"),
+            &format!("0\r\n\r\n{hidden}"),
+        ),
+        odd(
+            2,
+            &format!("Transfer-Encoding: chunked\r\n{length}"),
+            &format!("0\r\n\r\n{hidden}"),
+        ),
         odd(3, "Transfer-Encoding: chunked\r\n", "1\r\nv\r\n0\r\n\r\n"),
         odd(4, "Content-Length: 1\r\nContent-Length: 2\r\n", "vv"),
         odd(5, "Content-Length: -1\r\n", ""),
@@ -197,7 +243,11 @@
     for text in cases {
         let mut client = node.client();
         let answered = client.ask(&text);
-        assert!((400..500).contains(&answered.status()), "{} to {text}", answered.status());
+        assert!(
+            (400..500).contains(&answered.status()),
+            "{} to {text}",
+            answered.status()
+        );
         assert_eq!(client.answer(), None, "still open after {text}");
     }
     assert_eq!(server.count(), 0);
@@ -218,7 +268,11 @@
     first.send(&read("read", 1, 20_000));
     wait_for("the attempt", || server.count() == 1);
     let answered = node.read("read", 1);
-    assert!((400..500).contains(&answered.status()), "{}", answered.status());
+    assert!(
+        (400..500).contains(&answered.status()),
+        "{}",
+        answered.status()
+    );
     gate.open();
     assert_eq!(first.answer().expect("an answer").status(), 200);
     assert_eq!(node.read("read", 1).status(), 200);
@@ -232,7 +286,11 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let start = std::time::Instant::now();
-    let texts = ["", "GET /api/1 HTTP/1.1\r\nHost:", &odd(1, "Content-Length: 10\r\n", "half")];
+    let texts = [
+        "",
+        "GET /api/1 HTTP/1.1\r\nHost:",
+        &odd(1, "Content-Length: 10\r\n", "half"),
+    ];
     let mut clients: Vec<_> = texts.iter().map(|_| node.client()).collect();
     for (client, text) in clients.iter_mut().zip(texts) {
         client.send(text);
@@ -272,12 +330,17 @@
     small["limits"]["sockets"] = json!(40);
     let node = Node::ready(&small);
     let mut roomy = node.client();
-    assert_eq!(roomy.ask(&read("read", 0, 20_000)).header("connection"), None);
+    assert_eq!(
+        roomy.ask(&read("read", 0, 20_000)).header("connection"),
+        None
+    );
     let (mut held, mut key) = (Vec::new(), 0);
     wait_for("an answer that closes its connection", || {
         key += 1;
         held.push(node.client());
-        let answered = held.last_mut().and_then(|client| client.try_ask(&read("read", key, 20_000)));
+        let answered = held
+            .last_mut()
+            .and_then(|client| client.try_ask(&read("read", key, 20_000)));
         answered.is_some_and(|answered| answered.header("connection") == Some("close"))
     });
 }
@@ -294,7 +357,10 @@
     let node = Node::ready(&small);
     let mut kept = std::collections::VecDeque::new();
     for key in 0..2 * SOCKETS as u64 {
-        assert!(kept.len() < SOCKETS / 3, "client {key} cannot connect: idle connections hold the third");
+        assert!(
+            kept.len() < SOCKETS / 3,
+            "client {key} cannot connect: idle connections hold the third"
+        );
         let mut client = node.client();
         let served = client.ask(&read("read", key, 20_000));
         assert_eq!(served.status(), 200);
@@ -312,7 +378,11 @@
         node.read("read", 1).header("connection") != Some("close")
     });
     let mut oldest = kept.pop_front().unwrap();
-    assert_eq!(oldest.answer(), None, "the oldest idle connection is closed in its place");
+    assert_eq!(
+        oldest.answer(),
+        None,
+        "the oldest idle connection is closed in its place"
+    );
 }
 
 // Guards against a connection that was idle for a while and lost its place, its bytes or its end.
@@ -324,7 +394,10 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut usual, mut halting, mut left) = (node.client(), node.client(), node.client());
-    for (key, client) in [&mut usual, &mut halting, &mut left].into_iter().enumerate() {
+    for (key, client) in [&mut usual, &mut halting, &mut left]
+        .into_iter()
+        .enumerate()
+    {
         assert_eq!(client.ask(&read("read", key as u64, 20_000)).status(), 200);
     }
     for key in 10..12 {
@@ -339,7 +412,13 @@
     assert_eq!(halting.ask(&text[10..]).status(), 200);
     std::thread::sleep(REST);
     halting.send(&[read("read", 21, 20_000), read("read", 22, 20_000)].concat());
-    assert_eq!((halting.answer().unwrap().status(), halting.answer().unwrap().status()), (200, 200));
+    assert_eq!(
+        (
+            halting.answer().unwrap().status(),
+            halting.answer().unwrap().status()
+        ),
+        (200, 200)
+    );
     left.leave();
     assert_eq!(left.answer(), None);
     std::thread::sleep(REST);
--- a/crates/cli/tests/node_common/manual_discovery.rs
+++ b/crates/cli/tests/node_common/manual_discovery.rs
@@ -21,11 +21,15 @@
 
 impl Call {
     pub fn answer(&mut self, list: &str) {
-        self.stream.write_all(answer("200 OK", "", list).as_bytes()).unwrap();
+        self.stream
+            .write_all(answer("200 OK", "", list).as_bytes())
+            .unwrap();
     }
 
     pub fn refuse(&mut self) {
-        self.stream.write_all(answer("503 Service Unavailable", "", "").as_bytes()).unwrap();
+        self.stream
+            .write_all(answer("503 Service Unavailable", "", "").as_bytes())
+            .unwrap();
     }
 
     pub fn reset(self) {
@@ -45,7 +49,13 @@
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Ok(Some(message)) = Message::read(&mut reader) {
                         let path = message.start.split(' ').nth(1).unwrap().to_owned();
-                        if came.send(Call { path, stream: stream.try_clone().unwrap() }).is_err() {
+                        if came
+                            .send(Call {
+                                path,
+                                stream: stream.try_clone().unwrap(),
+                            })
+                            .is_err()
+                        {
                             return;
                         }
                     }
@@ -56,7 +66,9 @@
     }
 
     pub fn next_call(&self) -> Call {
-        self.calls.recv_timeout(PATIENCE).expect("a call of the node's")
+        self.calls
+            .recv_timeout(PATIENCE)
+            .expect("a call of the node's")
     }
 }
 
--- a/crates/cli/tests/node_common/mod.rs
+++ b/crates/cli/tests/node_common/mod.rs
@@ -49,11 +49,15 @@
                 line if message.start.is_empty() => message.start = line.to_owned(),
                 line => {
                     let (name, value) = line.split_once(':').unwrap();
-                    message.headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
+                    message
+                        .headers
+                        .insert(name.to_ascii_lowercase(), value.trim().to_owned());
                 }
             }
         }
-        let length = message.header("content-length").map_or(0, |length| length.parse().unwrap());
+        let length = message
+            .header("content-length")
+            .map_or(0, |length| length.parse().unwrap());
         message.body = vec![0; length];
         stream.read_exact(&mut message.body)?;
         Ok(Some(message))
@@ -69,7 +73,10 @@
 }
 
 pub fn answer(status: &str, headers: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// What a cache server does with a request.
@@ -97,13 +104,18 @@
     }
 
     /// The same, with the address of who asks.
-    pub fn start_knowing_peers(does: impl Fn(&Message, SocketAddr) -> Does + Send + Sync + 'static) -> Self {
+    pub fn start_knowing_peers(
+        does: impl Fn(&Message, SocketAddr) -> Does + Send + Sync + 'static,
+    ) -> Self {
         Self::start_with(does, None)
     }
 
     /// One that serves, but for requests on connections that have stood idle for longer: those it drops.
     pub fn dropping_idle(after: Duration) -> Self {
-        Self::start_with(|_, _| Does::Answer(answer("200 OK", "", "value")), Some(after))
+        Self::start_with(
+            |_, _| Does::Answer(answer("200 OK", "", "value")),
+            Some(after),
+        )
     }
 
     fn start_with(
@@ -117,8 +129,11 @@
             connections: Arc::default(),
             closed: Arc::default(),
         };
-        let (asked, connections, closed) =
-            (server.asked.clone(), server.connections.clone(), server.closed.clone());
+        let (asked, connections, closed) = (
+            server.asked.clone(),
+            server.connections.clone(),
+            server.closed.clone(),
+        );
         let does = Arc::new(does);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -130,7 +145,10 @@
                     let mut stream = stream;
                     let mut answered: Option<Instant> = None;
                     while let Ok(Some(message)) = Message::read(&mut reader) {
-                        if answered.zip(drops_after).is_some_and(|(at, after)| at.elapsed() > after) {
+                        if answered
+                            .zip(drops_after)
+                            .is_some_and(|(at, after)| at.elapsed() > after)
+                        {
                             return;
                         }
                         answered = Some(Instant::now());
@@ -197,7 +215,12 @@
     /// Waits until it is open.
     pub fn pass(&self) {
         let open = self.0 .0.lock().unwrap();
-        drop(self.0 .1.wait_timeout_while(open, PATIENCE, |open| !*open).unwrap());
+        drop(
+            self.0
+                 .1
+                .wait_timeout_while(open, PATIENCE, |open| !*open)
+                .unwrap(),
+        );
     }
 }
 
@@ -213,7 +236,9 @@
     pub fn start() -> Self {
         // With its queue full a listener lets no connection come up; with room, the next try does, some time later.
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
@@ -221,16 +246,29 @@
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
             filling.push(stream);
         }
-        Self { address, listener, filling: Mutex::new(filling), asked: Arc::default() }
+        Self {
+            address,
+            listener,
+            filling: Mutex::new(filling),
+            asked: Arc::default(),
+        }
     }
 
     /// Connections that are on their way to it.
     pub fn waited_for(&self) -> usize {
-        let address = format!("{:08X}:{:04X}", u32::from_le_bytes([127, 0, 0, 1]), self.address.port());
+        let address = format!(
+            "{:08X}:{:04X}",
+            u32::from_le_bytes([127, 0, 0, 1]),
+            self.address.port()
+        );
         let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
-        let fields = sockets.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
+        let fields = sockets
+            .lines()
+            .map(|line| line.split_whitespace().collect::<Vec<_>>());
         // Of state 2, which has sent its first packet.
-        fields.filter(|fields| fields[2] == address && fields[3] == "02").count()
+        fields
+            .filter(|fields| fields[2] == address && fields[3] == "02")
+            .count()
     }
 
     /// What was asked of it, one text a connection: head and body as they came.
@@ -241,7 +279,10 @@
     /// Lets connections come up, and gives the first that the node makes.
     pub fn accept_one(&self) -> TcpStream {
         let filling = std::mem::take(&mut *self.filling.lock().unwrap());
-        let own: Vec<_> = filling.iter().map(|stream| stream.local_addr().unwrap()).collect();
+        let own: Vec<_> = filling
+            .iter()
+            .map(|stream| stream.local_addr().unwrap())
+            .collect();
         loop {
             let (stream, from) = self.listener.accept().unwrap();
             if !own.contains(&from) {
@@ -261,7 +302,10 @@
                     let mut buffer = [0; 4096];
                     let read = stream.read(&mut buffer).unwrap_or(0);
                     if read > 0 {
-                        asked.lock().unwrap().push(String::from_utf8_lossy(&buffer[..read]).into_owned());
+                        asked
+                            .lock()
+                            .unwrap()
+                            .push(String::from_utf8_lossy(&buffer[..read]).into_owned());
                         drop(stream.write_all(answer("200 OK", "", "value").as_bytes()));
                     }
                 });
@@ -299,23 +343,33 @@
                     let mut stream = stream;
                     while let Ok(Some(message)) = Message::read(&mut reader) {
                         let path = message.start.split(' ').nth(1).unwrap().to_owned();
-                        let after =
-                            path.split_once("after=").map(|(_, rest)| rest.split('&').next().unwrap());
+                        let after = path
+                            .split_once("after=")
+                            .map(|(_, rest)| rest.split('&').next().unwrap());
                         let after = after.map_or(0, |after| after.parse().unwrap());
                         asked.lock().unwrap().push(path);
                         let (list, news) = &*lists;
                         let list = news
-                            .wait_timeout_while(list.lock().unwrap(), PATIENCE, |list| list.seq <= after)
+                            .wait_timeout_while(list.lock().unwrap(), PATIENCE, |list| {
+                                list.seq <= after
+                            })
                             .unwrap()
                             .0;
-                        if stream.write_all(answer("200 OK", "", &list.body).as_bytes()).is_err() {
+                        if stream
+                            .write_all(answer("200 OK", "", &list.body).as_bytes())
+                            .is_err()
+                        {
                             return;
                         }
                     }
                 });
             }
         });
-        Self { address, asked, lists }
+        Self {
+            address,
+            asked,
+            lists,
+        }
     }
 
     /// Tells of a whole list, or of changes, with the next version.
@@ -327,7 +381,10 @@
     /// Answers what is out, and what comes until the next word, with this text.
     pub fn tell_text(&self, body: String) {
         let mut lists = self.lists.0.lock().unwrap();
-        *lists = Lists { seq: lists.seq + 1, body };
+        *lists = Lists {
+            seq: lists.seq + 1,
+            body,
+        };
         self.lists.1.notify_all();
     }
 
@@ -338,7 +395,13 @@
     /// Waits until the node has taken in the list of this version: it then watches for what comes after.
     pub fn wait_until_told(&self, seq: u64) {
         let next = format!("after={seq}&");
-        wait_for("the next watch", || self.asked.lock().unwrap().iter().any(|path| path.contains(&next)));
+        wait_for("the next watch", || {
+            self.asked
+                .lock()
+                .unwrap()
+                .iter()
+                .any(|path| path.contains(&next))
+        });
     }
 }
 
@@ -398,7 +461,9 @@
     /// Starts a node with this text as its features' settings and waits until it is ready for clients.
     pub fn with_features(config: &Value, features: &str) -> Self {
         let node = Self::start_with(config, Some(features));
-        wait_for("the node's readiness", || node.get("/healthz").status() == 200);
+        wait_for("the node's readiness", || {
+            node.get("/healthz").status() == 200
+        });
         node
     }
 
@@ -407,7 +472,9 @@
         // The platform sets this one beside the configuration.
         let discovery = config["discovery"].as_str().unwrap();
         let mut command = command();
-        command.env("LB_CONFIG", &path).env("LB_DISCOVERY", discovery);
+        command
+            .env("LB_CONFIG", &path)
+            .env("LB_DISCOVERY", discovery);
         let features = features.map(write_config);
         if let Some(features) = &features {
             command.arg("--features").arg(features);
@@ -421,24 +488,54 @@
         // The rest of its log must not fill the pipe.
         let lines: Arc<Mutex<Vec<String>>> = Arc::default();
         let kept = lines.clone();
-        thread::spawn(move || log.lines().map_while(Result::ok).for_each(|l| kept.lock().unwrap().push(l)));
-        Self { address, child, log: lines, config: path, features }
+        thread::spawn(move || {
+            log.lines()
+                .map_while(Result::ok)
+                .for_each(|l| kept.lock().unwrap().push(l))
+        });
+        Self {
+            address,
+            child,
+            log: lines,
+            config: path,
+            features,
+        }
     }
 
     /// Starts a node and waits until it is ready for clients.
     pub fn ready(config: &Value) -> Self {
         let node = Self::start(config);
-        wait_for("the node's readiness", || node.get("/healthz").status() == 200);
+        wait_for("the node's readiness", || {
+            node.get("/healthz").status() == 200
+        });
         node
     }
 
     /// Starts a node whose standard error goes there, where its first line is then read, and waits until it is ready.
     pub fn silent(config: &Value, stderr: Stdio, first: impl FnOnce() -> String) -> Self {
         let path = write_config(&config.to_string());
-        let child = command().env("LB_CONFIG", &path).stderr(stderr).spawn().unwrap();
-        let address = first().trim_end().rsplit(' ').next().unwrap().parse().unwrap();
-        let node = Self { address, child, log: Arc::default(), config: path, features: None };
-        wait_for("the node's readiness", || node.get("/healthz").status() == 200);
+        let child = command()
+            .env("LB_CONFIG", &path)
+            .stderr(stderr)
+            .spawn()
+            .unwrap();
+        let address = first()
+            .trim_end()
+            .rsplit(' ')
+            .next()
+            .unwrap()
+            .parse()
+            .unwrap();
+        let node = Self {
+            address,
+            child,
+            log: Arc::default(),
+            config: path,
+            features: None,
+        };
+        wait_for("the node's readiness", || {
+            node.get("/healthz").status() == 200
+        });
         node
     }
 
@@ -449,7 +546,8 @@
     }
 
     pub fn get(&self, path: &str) -> Message {
-        self.client().ask(&format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n"))
+        self.client()
+            .ask(&format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n"))
     }
 
     /// One read on a connection of its own.
@@ -466,7 +564,10 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status().unwrap();
+        let sent = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status()
+            .unwrap();
         assert!(sent.success());
     }
 
@@ -525,7 +626,10 @@
 
     /// Sends no more: the node sees that the client has gone.
     pub fn leave(&self) {
-        self.0.get_ref().shutdown(std::net::Shutdown::Write).unwrap();
+        self.0
+            .get_ref()
+            .shutdown(std::net::Shutdown::Write)
+            .unwrap();
     }
 
     /// The next answer; `None` where the node closes the connection first.
--- a/crates/cli/tests/node_common/pair.rs
+++ b/crates/cli/tests/node_common/pair.rs
@@ -11,12 +11,18 @@
 
 impl Pair {
     pub fn start() -> Self {
-        Self { leaving: CacheServer::serving("leaving"), staying: CacheServer::serving("staying") }
+        Self {
+            leaving: CacheServer::serving("leaving"),
+            staying: CacheServer::serving("staying"),
+        }
     }
 
     /// Their entries, the first one in this state.
     pub fn entries(&self, health: &str) -> [Value; 2] {
-        [self.leaving.entry("s-1", health), self.staying.entry("s-2", "ready")]
+        [
+            self.leaving.entry("s-1", health),
+            self.staying.entry("s-2", "ready"),
+        ]
     }
 
     /// Waits until requests have reached both.
@@ -41,8 +47,15 @@
     pub fn assert_left_alone(&self, node: &Node) {
         let before = self.leaving.count();
         let answers: Vec<_> = (20..60).map(|key| node.read("read", key)).collect();
-        assert_eq!(self.leaving.count(), before, "requests went to a server after its drain was told");
-        assert!(answers.iter().all(|answer| answer.body == b"staying"), "{answers:?}");
+        assert_eq!(
+            self.leaving.count(),
+            before,
+            "requests went to a server after its drain was told"
+        );
+        assert!(
+            answers.iter().all(|answer| answer.body == b"staying"),
+            "{answers:?}"
+        );
     }
 }
 
--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -76,7 +76,12 @@
         assert_eq!(client.answer(), None, "the node has seen it leave");
         gate.open();
         assert!((10..20).all(|key| node.read("read", key).status() == 200));
-        assert_eq!(one.count() + two.count(), 11, "{} bytes behind", further.len());
+        assert_eq!(
+            one.count() + two.count(),
+            11,
+            "{} bytes behind",
+            further.len()
+        );
     }
 }
 
@@ -91,7 +96,10 @@
         held.pass();
         Does::Close(String::new())
     });
-    let discovery = Discovery::start(&[broken.entry("s-1", "ready"), host("s-2", slow.address, "ready")]);
+    let discovery = Discovery::start(&[
+        broken.entry("s-1", "ready"),
+        host("s-2", slow.address, "ready"),
+    ]);
     let mut config = config(discovery.address);
     config["settings"]["lanes"][2]["repeat_window_us"] = json!(2_000_000);
     // The first attempts at the slow one outlast the window.
@@ -99,12 +107,21 @@
     let node = Node::ready(&config);
     // Each is asked of one of the two first; those of the slow one wait there.
     let mut clients: Vec<_> = (1..=REQUESTS).map(|key| (key, node.client())).collect();
-    clients.iter_mut().for_each(|(key, client)| client.send(&read("keyed", *key, 20_000)));
+    clients
+        .iter_mut()
+        .for_each(|(key, client)| client.send(&read("keyed", *key, 20_000)));
     // None can be repeated before the gate opens: each stands for one first attempt.
-    wait_for("all first attempts", || slow.waited_for() + broken.count() >= clients.len());
+    wait_for("all first attempts", || {
+        slow.waited_for() + broken.count() >= clients.len()
+    });
     let first_at_slow = slow.waited_for();
-    let repeated: Vec<_> =
-        broken.asked.lock().unwrap().iter().map(|asked| asked.header("req-id").unwrap().to_owned()).collect();
+    let repeated: Vec<_> = broken
+        .asked
+        .lock()
+        .unwrap()
+        .iter()
+        .map(|asked| asked.header("req-id").unwrap().to_owned())
+        .collect();
     assert!(
         !repeated.is_empty() && first_at_slow > 0,
         "{repeated:?} at the broken one, {first_at_slow} at the slow one"
@@ -131,10 +148,22 @@
     let asked = slow.asked();
     assert_eq!(asked.len(), first_at_slow, "{asked:?}");
     for id in &repeated {
-        assert!(!asked.iter().any(|asked| asked.contains(&format!("req-id: {id}\r\n"))), "{id}: {asked:?}");
+        assert!(
+            !asked
+                .iter()
+                .any(|asked| asked.contains(&format!("req-id: {id}\r\n"))),
+            "{id}: {asked:?}"
+        );
     }
-    assert_eq!(broken.count(), repeated.len(), "none was asked of the broken one again");
-    assert_eq!(broken.connections.load(Ordering::SeqCst) as usize, broken.count());
+    assert_eq!(
+        broken.count(),
+        repeated.len(),
+        "none was asked of the broken one again"
+    );
+    assert_eq!(
+        broken.connections.load(Ordering::SeqCst) as usize,
+        broken.count()
+    );
 }
 
 // Guards against half a request that is dropped as if nothing had come, when the node closes at that moment.
@@ -155,8 +184,13 @@
     used.send(&one[40..]);
     fresh.send(&two[40..]);
     for client in [&mut used, &mut fresh] {
-        let served = client.answer().expect("an answer to what the node has read half of");
-        assert_eq!((served.status(), served.header("connection")), (200, Some("close")));
+        let served = client
+            .answer()
+            .expect("an answer to what the node has read half of");
+        assert_eq!(
+            (served.status(), served.header("connection")),
+            (200, Some("close"))
+        );
     }
     assert!(node.exit().success());
 }
@@ -204,7 +238,10 @@
     let server = CacheServer::start_knowing_peers(move |asked, peer| {
         let own = answer("200 OK", "", asked.header("req-id").unwrap());
         // On its way when the next request came: the client reads it first.
-        let before = answered.lock().unwrap().insert(peer, (Instant::now(), own.clone()));
+        let before = answered
+            .lock()
+            .unwrap()
+            .insert(peer, (Instant::now(), own.clone()));
         let late = before.filter(|(at, _)| at.elapsed() < Duration::from_millis(10));
         Does::Answer(late.map_or(String::new(), |(_, copy)| copy) + &own)
     });
@@ -213,7 +250,10 @@
     let mut client = node.client();
     for key in 1..60 {
         let served = client.ask(&read("once", key, 20_000));
-        assert_eq!((served.status(), served.body), (200, format!("{key:x}").into_bytes()));
+        assert_eq!(
+            (served.status(), served.body),
+            (200, format!("{key:x}").into_bytes())
+        );
     }
     assert_eq!(server.count(), 59);
     // Rested, connections are used again.
@@ -239,15 +279,51 @@
 #[test]
 fn an_answer_that_breaks_off_or_never_ends_is_one_failure_and_one_run() {
     let cases = [
-        ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue", Ends::Closed, 200),
-        ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nval", Ends::Reset, 502),
-        ("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nval", Ends::Never, 502),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nval", Ends::Closed, 502),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nval", Ends::Reset, 502),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nval", Ends::Never, 502),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nval", Ends::Closed, 502),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nvalue\r\n", Ends::Reset, 502),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nf000\r\nval", Ends::Never, 502),
+        (
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue",
+            Ends::Closed,
+            200,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nval",
+            Ends::Reset,
+            502,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nval",
+            Ends::Never,
+            502,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nval",
+            Ends::Closed,
+            502,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nval",
+            Ends::Reset,
+            502,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nval",
+            Ends::Never,
+            502,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nval",
+            Ends::Closed,
+            502,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nvalue\r\n",
+            Ends::Reset,
+            502,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nf000\r\nval",
+            Ends::Never,
+            502,
+        ),
         ("HTTP/1.1 200 OK\r\nX-Long: val", Ends::Never, 502),
         ("HTTP/1.1 200 OK\r\nX-Long: val", Ends::Reset, 502),
         ("HTT", Ends::Closed, 502),
@@ -267,7 +343,9 @@
                 stream.write_all(text.as_bytes()).unwrap();
                 match ends {
                     Ends::Closed => {}
-                    Ends::Reset => SockRef::from(&stream).set_linger(Some(Duration::ZERO)).unwrap(),
+                    Ends::Reset => SockRef::from(&stream)
+                        .set_linger(Some(Duration::ZERO))
+                        .unwrap(),
                     // Until the node gives it up.
                     Ends::Never => {
                         while stream.write_all(b"v").is_ok() {
@@ -281,13 +359,19 @@
         let node = Node::ready(&config(discovery.address));
         let patience = Duration::from_millis(600);
         let asked = Instant::now();
-        let served = node.client().ask(&read("once", 1, patience.as_millis() as u64));
+        let served = node
+            .client()
+            .ask(&read("once", 1, patience.as_millis() as u64));
         assert_eq!(served.status(), status, "{text:?} {ends:?}");
         if status == 200 {
             assert_eq!(served.body, b"value", "{text:?}");
         }
         // The node answers by itself; the rest is for a machine that does other things too.
-        assert!(asked.elapsed() < patience * 5, "{text:?} {ends:?}: {:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() < patience * 5,
+            "{text:?} {ends:?}: {:?}",
+            asked.elapsed()
+        );
         assert_eq!(runs.load(Ordering::SeqCst), 1, "{text:?} {ends:?}");
     }
 }
@@ -308,12 +392,17 @@
     // Both are there when the node runs again: a whole answer that nobody asked for, and the next request.
     std::thread::sleep(Duration::from_millis(50));
     node.signal("-STOP");
-    kept.write_all(answer("200 OK", "", "stray").as_bytes()).unwrap();
+    kept.write_all(answer("200 OK", "", "stray").as_bytes())
+        .unwrap();
     let mut next = node.client();
     next.send(&read("once", 2, 20_000));
     slow.accept();
     node.signal("-CONT");
     assert_eq!(next.answer().unwrap().body, b"value");
-    assert_eq!(kept.read(&mut [0]).unwrap_or(0), 0, "nothing was sent there");
+    assert_eq!(
+        kept.read(&mut [0]).unwrap_or(0),
+        0,
+        "nothing was sent there"
+    );
     assert_eq!(slow.asked().len(), 1);
 }
--- a/crates/cli/tests/node_exhaustion.rs
+++ b/crates/cli/tests/node_exhaustion.rs
@@ -17,7 +17,10 @@
 fn limit(node: &Node, what: Resource, most: Option<u64>) {
     // The node has this process's limits from its start. The hard one stays, or it could not be raised again.
     let held = getrlimit(what);
-    let new = Rlimit { current: most.or(held.current), maximum: held.maximum };
+    let new = Rlimit {
+        current: most.or(held.current),
+        maximum: held.maximum,
+    };
     prlimit(Some(Pid::from_child(&node.child)), what, new).unwrap();
 }
 
@@ -27,24 +30,50 @@
 /// Seconds on a core so far; a tick is a hundredth.
 fn cpu(node: &Node) -> f64 {
     let stat = fs::read_to_string(format!("/proc/{}/stat", node.child.id())).unwrap();
-    let ticks = stat.rsplit(") ").next().unwrap().split(' ').skip(11).take(2);
-    ticks.map(|ticks| ticks.parse::<f64>().unwrap()).sum::<f64>() / 100.0
+    let ticks = stat
+        .rsplit(") ")
+        .next()
+        .unwrap()
+        .split(' ')
+        .skip(11)
+        .take(2);
+    ticks
+        .map(|ticks| ticks.parse::<f64>().unwrap())
+        .sum::<f64>()
+        / 100.0
 }
 
 /// The most memory that it has held so far, in kB.
 fn peak(node: &Node) -> u64 {
     let status = fs::read_to_string(format!("/proc/{}/status", node.child.id())).unwrap();
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap().trim();
+    let peak = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .unwrap()
+        .trim();
     peak.split(' ').next().unwrap().parse().unwrap()
 }
 
 fn lines(node: &Node, start: &str) -> Vec<String> {
-    node.log.lock().unwrap().iter().filter(|line| line.starts_with(start)).cloned().collect()
+    node.log
+        .lock()
+        .unwrap()
+        .iter()
+        .filter(|line| line.starts_with(start))
+        .cloned()
+        .collect()
 }
 
 fn refused_for_now(answer: &Message) {
     assert_eq!(answer.status(), 503, "{answer:?}");
-    assert!(answer.header("retry-after").unwrap().parse::<f64>().unwrap() > 0.0);
+    assert!(
+        answer
+            .header("retry-after")
+            .unwrap()
+            .parse::<f64>()
+            .unwrap()
+            > 0.0
+    );
 }
 
 // Guards against an accept loop that spins or floods the log, a request that is lost for want of a descriptor, and a
@@ -63,12 +92,17 @@
     refused_for_now(&taken.ask(&read("once", 1, 20_000)));
     // At accept: these wait in the machine's own queue.
     let mut outside: Vec<_> = (2..40).map(|key| (key, node.client())).collect();
-    outside.iter_mut().for_each(|(key, client)| client.send(&read("read", *key, 50_000)));
+    outside
+        .iter_mut()
+        .for_each(|(key, client)| client.send(&read("read", *key, 50_000)));
     sleep(Duration::from_secs(3));
     let (used, took) = (cpu(&node) - used, start.elapsed().as_secs_f64());
     assert!(used < took / 4.0, "{used} s of {took} s on a core");
     let said = lines(&node, "accept: ").len();
-    assert!((1..=10).contains(&said), "{said} lines of {took:.1} s without a descriptor");
+    assert!(
+        (1..=10).contains(&said),
+        "{said} lines of {took:.1} s without a descriptor"
+    );
     assert_eq!(server.count(), 0);
     limit(&node, Resource::Nofile, None);
     let mut served = 0;
@@ -81,11 +115,19 @@
         }
     }
     assert!(served > 10, "{served}");
-    assert_eq!(taken.try_ask(&read("once", 1, 20_000)).unwrap_or_else(|| node.read("once", 1)).status(), 200);
+    assert_eq!(
+        taken
+            .try_ask(&read("once", 1, 20_000))
+            .unwrap_or_else(|| node.read("once", 1))
+            .status(),
+        200
+    );
     // The log tells afterwards how long it was, and how often.
     wait_for("what was left out", || {
         let told = lines(&node, "accept: ");
-        told.iter().any(|line| line.contains("more lines left out, ") && line.contains("Too many open files"))
+        told.iter().any(|line| {
+            line.contains("more lines left out, ") && line.contains("Too many open files")
+        })
     });
 }
 
@@ -93,12 +135,16 @@
 #[test]
 fn a_reload_without_descriptors_is_made_once_there_are_some() {
     let servers = [CacheServer::serving("0"), CacheServer::serving("1")];
-    let lists = servers.each_ref().map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
+    let lists = servers
+        .each_ref()
+        .map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
     let node = Node::ready(&config(lists[0].address));
     lists[0].wait_until_told(1);
     limit(&node, Resource::Nofile, NO_MORE);
     node.reload(&config(lists[1].address).to_string());
-    wait_for("a line", || !lines(&node, "configuration not taken: ").is_empty());
+    wait_for("a line", || {
+        !lines(&node, "configuration not taken: ").is_empty()
+    });
     assert_eq!(lists[1].calls(), 0);
     limit(&node, Resource::Nofile, None);
     lists[1].wait_until_told(1);
@@ -121,27 +167,48 @@
     let node = Node::with_features(&config(discovery.address), &settings);
     discovery.wait_until_told(1);
     let len = |path| fs::metadata(path).map_or(0, |file| file.len());
-    wait_for("the start's records", || fs::read_to_string(&trail).unwrap().contains("\"s-1\""));
+    wait_for("the start's records", || {
+        fs::read_to_string(&trail).unwrap().contains("\"s-1\"")
+    });
     wait_for("as many figures", || len(&figures) > len(&trail) + 40);
     // A record breaks off in the middle of its line.
     limit(&node, Resource::Fsize, Some(len(&trail) + 40));
     for seq in 2..5 {
-        discovery.tell(false, &[server.entry("s-1", ["ready", "odd"][seq as usize % 2])]);
+        discovery.tell(
+            false,
+            &[server.entry("s-1", ["ready", "odd"][seq as usize % 2])],
+        );
         discovery.wait_until_told(seq);
     }
-    wait_for("word of a record", || lines(&node, "audit: a record is not written").len() >= 2);
+    wait_for("word of a record", || {
+        lines(&node, "audit: a record is not written").len() >= 2
+    });
     let verdict = || {
-        let ended = command().args(["audit", "verify"]).arg(&trail).output().unwrap();
+        let ended = command()
+            .args(["audit", "verify"])
+            .arg(&trail)
+            .output()
+            .unwrap();
         String::from_utf8(ended.stdout).unwrap()
     };
-    assert!(verdict().starts_with("ok "), "half a record is cut off again: {}", verdict());
+    assert!(
+        verdict().starts_with("ok "),
+        "half a record is cut off again: {}",
+        verdict()
+    );
     discovery.tell(false, &[server.entry("s-1", "ready")]);
     discovery.wait_until_told(5);
     assert_eq!(node.read("read", 1).status(), 200);
     limit(&node, Resource::Fsize, None);
     discovery.tell(false, &[server.entry("s-2", "ready")]);
-    wait_for("the gap", || fs::read_to_string(&trail).unwrap().contains("\"event\":\"lost\""));
-    wait_for("the next record", || fs::read_to_string(&trail).unwrap().contains("\"s-2\""));
+    wait_for("the gap", || {
+        fs::read_to_string(&trail)
+            .unwrap()
+            .contains("\"event\":\"lost\"")
+    });
+    wait_for("the next record", || {
+        fs::read_to_string(&trail).unwrap().contains("\"s-2\"")
+    });
     assert!(verdict().starts_with("ok "), "{}", verdict());
     wait_for("figures again", || {
         fs::read_to_string(&figures)
@@ -171,7 +238,13 @@
     let mut client = node.client();
     for key in 0..300 {
         node.reload("not a configuration");
-        assert_eq!(client.try_ask(&read("read", key, 20_000)).expect("an answer").status(), 200);
+        assert_eq!(
+            client
+                .try_ask(&read("read", key, 20_000))
+                .expect("an answer")
+                .status(),
+            200
+        );
     }
     node.terminate();
     assert!(node.exit().success());
@@ -189,12 +262,22 @@
         wait_for("the first line", || log().ends_with('\n'));
         log()
     };
-    let node = Node::silent(&config(discovery.address), File::create(&path).unwrap().into(), first);
+    let node = Node::silent(
+        &config(discovery.address),
+        File::create(&path).unwrap().into(),
+        first,
+    );
     let mut client = node.client();
     limit(&node, Resource::Fsize, Some(0));
     for key in 0..20 {
         node.reload("not a configuration");
-        assert_eq!(client.try_ask(&read("read", key, 20_000)).expect("an answer").status(), 200);
+        assert_eq!(
+            client
+                .try_ask(&read("read", key, 20_000))
+                .expect("an answer")
+                .status(),
+            200
+        );
     }
     limit(&node, Resource::Fsize, None);
     node.reload("not a configuration");
@@ -224,12 +307,17 @@
         key += 1;
         let answer = node.read("read", key);
         assert!(matches!(answer.status(), 200 | 503), "{answer:?}");
-        assert!(answer.status() != 200 || answer.body == b"value", "{answer:?}");
+        assert!(
+            answer.status() != 200 || answer.body == b"value",
+            "{answer:?}"
+        );
         // It starts anew, cold, under its id.
         if key == 60 {
             left.store(0, Ordering::SeqCst);
             let mut entry = poor.entry("s-1", "ready");
-            let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
+            let now = std::time::SystemTime::now()
+                .duration_since(std::time::UNIX_EPOCH)
+                .unwrap();
             entry["born_ms"] = json!(now.as_millis() as u64);
             discovery.tell(false, &[entry]);
             discovery.wait_until_told(2);
@@ -251,8 +339,13 @@
     let mut clients: Vec<_> = (0..300u64)
         .map(|key| {
             let mut client = node.client();
-            let head = read("keyed", key, 20_000).replace("GET", "PUT").replace("\r\n\r\n", "\r\n");
-            client.try_send(&format!("{head}Content-Length: 65536\r\n\r\n{}", "b".repeat(64 << 10)));
+            let head = read("keyed", key, 20_000)
+                .replace("GET", "PUT")
+                .replace("\r\n\r\n", "\r\n");
+            client.try_send(&format!(
+                "{head}Content-Length: 65536\r\n\r\n{}",
+                "b".repeat(64 << 10)
+            ));
             client
         })
         .collect();
@@ -284,9 +377,14 @@
     // As on the platform: a descriptor more than its limit is refused.
     limit(&node, Resource::Nofile, Some(64));
     // It is told of a discovery that is down: nobody listens there yet.
-    let address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let address = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     node.reload(&config(address).to_string());
-    wait_for("a call that fails", || !lines(&node, "discovery: ").is_empty());
+    wait_for("a call that fails", || {
+        !lines(&node, "discovery: ").is_empty()
+    });
     // Twice as many as it has places: the others wait unaccepted.
     let mut idle: Vec<_> = (0..100).map(|_| node.client()).collect();
     let (used, start) = (cpu(&node), Instant::now());
@@ -299,12 +397,18 @@
     let back = Discovery::start_at(address, &[servers[1].entry("s-1", "ready")]);
     let start = Instant::now();
     back.wait_until_told(1);
-    assert!(start.elapsed() < Duration::from_secs(6), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(6),
+        "{:?}",
+        start.elapsed()
+    );
     // A server that it has no connection to, for a client that had to wait for a place.
     let mut late = node.client();
     assert_eq!(late.ask(&read("once", 1_000, 20_000)).body, b"1");
     drop(idle);
-    wait_for("the room that they leave", || node.read("read", 1_001).status() == 200);
+    wait_for("the room that they leave", || {
+        node.read("read", 1_001).status() == 200
+    });
 }
 
 // Guards against clients that send much behind a request and go: what is read ahead of their requests, in search of their
@@ -324,7 +428,10 @@
             })
         })
         .collect();
-    let names = servers.iter().enumerate().map(|(i, server)| server.entry(&format!("s-{i}"), "ready"));
+    let names = servers
+        .iter()
+        .enumerate()
+        .map(|(i, server)| server.entry(&format!("s-{i}"), "ready"));
     let discovery = Discovery::start(&names.collect::<Vec<_>>());
     let mut told = config(discovery.address);
     told["limits"]["memory_mb"] = json!(32);
@@ -342,10 +449,17 @@
         servers.iter().map(CacheServer::count).sum::<usize>() == flood.len()
     });
     flood.iter_mut().for_each(|client| client.try_send(&much));
-    assert_eq!(node.read("read", 0xffff).status(), 200, "others are served meanwhile");
+    assert_eq!(
+        node.read("read", 0xffff).status(),
+        200,
+        "others are served meanwhile"
+    );
     // What the budget counts: 40 KiB for a client at work, 10 KiB for a connection to a server; 500 kB each would be 60,000.
     let used = peak(&node) - before;
-    assert!(used < 120 * (40 + 10) + 500, "{used} kB for 120 that sent 500 kB each");
+    assert!(
+        used < 120 * (40 + 10) + 500,
+        "{used} kB for 120 that sent 500 kB each"
+    );
     for client in &flood {
         client.leave();
     }
--- a/crates/cli/tests/node_front.rs
+++ b/crates/cli/tests/node_front.rs
@@ -35,14 +35,23 @@
         assert_eq!(served.unwrap().status(), 200);
         kept.push(client);
     }
-    assert_eq!(node.read("read", 9).status(), 200, "its own oldest idle connection goes for it");
+    assert_eq!(
+        node.read("read", 9).status(),
+        200,
+        "its own oldest idle connection goes for it"
+    );
     assert_eq!(kept[0].answer(), None);
     // Now two that are held, and another idle one: with all in use the next gets no place.
     let held = [0xdead_0001u64, 0xdead_0002].map(|key| {
         let mut client = node.client();
         client.send(&read("read", key, 20_000));
         wait_for("the attempt", || {
-            server.asked.lock().unwrap().iter().any(|m| m.header("req-id") == Some(&format!("{key:x}")))
+            server
+                .asked
+                .lock()
+                .unwrap()
+                .iter()
+                .any(|m| m.header("req-id") == Some(&format!("{key:x}")))
         });
         client
     });
@@ -50,10 +59,15 @@
     third.send(&read("read", 0xdead_0003, 20_000));
     wait_for("the third attempt", || server.count() == 4 + 3);
     let mut fourth = node.client();
-    assert_eq!(fourth.try_ask(&read("read", 4, 20_000)), None, "closed without a word: it is no request yet");
+    assert_eq!(
+        fourth.try_ask(&read("read", 4, 20_000)),
+        None,
+        "closed without a word: it is no request yet"
+    );
     let told = |name: &str, tag: &str| {
         let log = node.log.lock().unwrap();
-        log.iter().any(|line| line.starts_with(&format!("slatelink.{name}:")) && line.ends_with(tag))
+        log.iter()
+            .any(|line| line.starts_with(&format!("slatelink.{name}:")) && line.ends_with(tag))
     };
     wait_for("the figures", || {
         told("conn.closed", "#cause:address") && told("conn.refused", "#cause:address")
@@ -69,7 +83,10 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut small = config(discovery.address);
     small["limits"]["sockets"] = json!(120);
-    let node = Node::with_features(&small, "[front.per_class]\nonce = 5\n[figures]\nflush_ms = 20\n");
+    let node = Node::with_features(
+        &small,
+        "[front.per_class]\nonce = 5\n[figures]\nflush_ms = 20\n",
+    );
     // Of the third of 120 that clients use, 5 % are two.
     let held = [0xdead_0001u64, 0xdead_0002].map(|key| {
         let mut client = node.client();
@@ -83,10 +100,14 @@
     assert_eq!(node.read("read", 2).status(), 200);
     wait_for("the figure", || {
         let log = node.log.lock().unwrap();
-        log.iter().any(|line| line.starts_with("slatelink.conn.refused:1|") && line.ends_with("#cause:class"))
+        log.iter().any(|line| {
+            line.starts_with("slatelink.conn.refused:1|") && line.ends_with("#cause:class")
+        })
     });
     drop(held);
-    wait_for("a place in the share", || node.read("once", 3).status() == 200);
+    wait_for("a place in the share", || {
+        node.read("once", 3).status() == 200
+    });
 }
 
 // Guards against a crowd that speaks at once and takes more memory than the node has, or is forgotten.
@@ -106,7 +127,10 @@
         for client in &mut crowd {
             // One server has no room for all at once: the decision module may refuse some, and tells when to come again.
             let answer = client.answer().expect("an answer");
-            assert!(answer.status() == 200 || answer.header("retry-after").is_some(), "{answer:?}");
+            assert!(
+                answer.status() == 200 || answer.header("retry-after").is_some(),
+                "{answer:?}"
+            );
         }
     }
     // Some are parked by now, some not: a stop closes all.
@@ -128,8 +152,11 @@
             })
         })
         .collect();
-    let entries: Vec<_> =
-        servers.iter().enumerate().map(|(i, s)| s.entry(&format!("s-{i}"), "ready")).collect();
+    let entries: Vec<_> = servers
+        .iter()
+        .enumerate()
+        .map(|(i, s)| s.entry(&format!("s-{i}"), "ready"))
+        .collect();
     let discovery = Discovery::start(&entries);
     let mut small = config(discovery.address);
     // Ten places for clients, and enough for connections to servers.
@@ -170,10 +197,18 @@
         ("[front.per_class]\nnobody = 5", "read, once, keyed"),
     ] {
         let path = write_config(text);
-        let ended = command().env("LB_CONFIG", &told).arg("--features").arg(&path).output().unwrap();
+        let ended = command()
+            .env("LB_CONFIG", &told)
+            .arg("--features")
+            .arg(&path)
+            .output()
+            .unwrap();
         let error = String::from_utf8(ended.stderr).unwrap();
         assert_eq!(ended.status.code(), Some(1), "{text}: {error}");
         assert_eq!(error.lines().count(), 1, "{error}");
-        assert!(error.starts_with("slatelink: ") && error.contains(word), "{text}: {error}");
+        assert!(
+            error.starts_with("slatelink: ") && error.contains(word),
+            "{text}: {error}"
+        );
     }
 }
--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -49,7 +49,11 @@
                 while !stop.load(Ordering::SeqCst) {
                     turn += 1;
                     for (i, client) in clients.iter_mut().enumerate() {
-                        client.try_send(&read("read", thread << 48 | turn << 16 | i as u64, 20_000));
+                        client.try_send(&read(
+                            "read",
+                            thread << 48 | turn << 16 | i as u64,
+                            20_000,
+                        ));
                     }
                     for client in &mut clients {
                         let answer = client.answer();
@@ -57,7 +61,8 @@
                             Some(200) => served += 1,
                             _ => others += 1,
                         }
-                        if answer.is_none_or(|answer| answer.header("connection") == Some("close")) {
+                        if answer.is_none_or(|answer| answer.header("connection") == Some("close"))
+                        {
                             *client = connect();
                         }
                     }
@@ -72,7 +77,10 @@
     /// Requests that were served, and those that were not.
     fn stop(self) -> (u64, u64) {
         self.stop.store(true, Ordering::SeqCst);
-        let ends = self.threads.into_iter().map(|thread| thread.join().unwrap());
+        let ends = self
+            .threads
+            .into_iter()
+            .map(|thread| thread.join().unwrap());
         ends.fold((0, 0), |all, end| (all.0 + end.0, all.1 + end.1))
     }
 }
@@ -88,13 +96,16 @@
     fn entries(&self, leaves: impl Fn(usize) -> bool) -> Vec<Value> {
         let health = |i| if leaves(i) { "draining" } else { "ready" };
         let all = self.0.iter().enumerate();
-        all.map(|(i, (server, _))| server.entry(&format!("s-{i}"), health(i))).collect()
+        all.map(|(i, (server, _))| server.entry(&format!("s-{i}"), health(i)))
+            .collect()
     }
 
     /// When those that leave were asked.
     fn asked(&self, leaves: impl Fn(usize) -> bool) -> Vec<Instant> {
         let leaving = self.0.iter().enumerate().filter(|(i, _)| leaves(*i));
-        leaving.flat_map(|(_, (_, times))| times.lock().unwrap().clone()).collect()
+        leaving
+            .flat_map(|(_, (_, times))| times.lock().unwrap().clone())
+            .collect()
     }
 }
 
@@ -104,7 +115,9 @@
     config["limits"]["sockets"] = json!(8192);
     let node = Node::start(&config);
     discovery.next_call().answer(first);
-    wait_for("the node's readiness", || node.get("/healthz").status() == 200);
+    wait_for("the node's readiness", || {
+        node.get("/healthz").status() == 200
+    });
     node
 }
 
@@ -128,7 +141,10 @@
             told.elapsed() > 2 * GRACE && fleet.asked(|i| !leaves(i)).len() > before + 200
         });
         let asked = fleet.asked(leaves);
-        worst = asked.iter().map(|at| at.saturating_duration_since(told)).fold(worst, Duration::max);
+        worst = asked
+            .iter()
+            .map(|at| at.saturating_duration_since(told))
+            .fold(worst, Duration::max);
         heeded += 1;
     }
     let (served, _) = crowd.stop();
@@ -163,8 +179,14 @@
         }
     }
     let asked = fleet.asked(leaves);
-    let worst = asked.iter().map(|at| at.saturating_duration_since(told)).max();
-    println!("{served} served, {} to the leaving, the last {worst:?} after", asked.len() - before);
+    let worst = asked
+        .iter()
+        .map(|at| at.saturating_duration_since(told))
+        .max();
+    println!(
+        "{served} served, {} to the leaving, the last {worst:?} after",
+        asked.len() - before
+    );
     asked.len() - before
 }
 
@@ -190,9 +212,19 @@
         usual > 100
     });
     let drain = list(2, true, &fleet.entries(leaves));
-    let leaked = burst(&node, &mut clients, &fleet, leaves, || watch.answer(&drain), 2_000);
+    let leaked = burst(
+        &node,
+        &mut clients,
+        &fleet,
+        leaves,
+        || watch.answer(&drain),
+        2_000,
+    );
     // Those that the node has begun to read by then may go out.
-    assert!(leaked * 4 <= usual, "{leaked} of a burst of 600 after the drain was told, {usual} without one");
+    assert!(
+        leaked * 4 <= usual,
+        "{leaked} of a burst of 600 after the drain was told, {usual} without one"
+    );
 }
 
 // Guards against a request that goes out on a connection which was begun before its server was told to leave, was forgotten
@@ -206,21 +238,36 @@
         &[("gone", false, 0), ("draining", false, 0)],
         &[("draining", false, 0), ("draining", true, 0)],
         &[("draining", false, 0), ("draining", false, 9)],
-        &[("gone", false, 0), ("ready", false, 9), ("draining", false, 9)],
+        &[
+            ("gone", false, 0),
+            ("ready", false, 9),
+            ("draining", false, 9),
+        ],
         &[("gone", false, 0), ("ready", true, 9)],
     ];
     for day in days {
         let slow = SlowServer::start();
         let (other, moved) = (CacheServer::serving("value"), CacheServer::serving("moved"));
-        let discovery = Discovery::start(&[host("s-1", slow.address, "ready"), other.entry("s-2", "ready")]);
+        let discovery = Discovery::start(&[
+            host("s-1", slow.address, "ready"),
+            other.entry("s-2", "ready"),
+        ]);
         let node = Node::ready(&config(discovery.address));
         let mut clients: Vec<_> = (1..16).map(|key| (key, node.client())).collect();
-        clients.iter_mut().for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
+        clients
+            .iter_mut()
+            .for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
         wait_for("those of the other server", || other.count() > 0);
-        wait_for("those of the slow one", || slow.waited_for() + other.count() >= clients.len());
+        wait_for("those of the slow one", || {
+            slow.waited_for() + other.count() >= clients.len()
+        });
         assert!(slow.waited_for() > 0);
         for (i, (health, at_new_address, start)) in day.iter().enumerate() {
-            let dial = if *at_new_address { moved.address } else { slow.address };
+            let dial = if *at_new_address {
+                moved.address
+            } else {
+                slow.address
+            };
             discovery.tell(false, &[born(host("s-1", dial, health), *start)]);
             discovery.wait_until_told(i as u64 + 2);
         }
@@ -270,7 +317,10 @@
         println!("{grace:?}: {pauses:?}");
         let (shortest, quarter) = (pauses[0], pauses[pauses.len() / 4]);
         assert!(quarter <= grace, "{quarter:?} of {grace:?}");
-        assert!(shortest >= grace / 10, "asked without end: {shortest:?} of {grace:?}");
+        assert!(
+            shortest >= grace / 10,
+            "asked without end: {shortest:?} of {grace:?}"
+        );
     }
 }
 
@@ -296,7 +346,9 @@
 fn unread(server: SocketAddr) -> usize {
     let port = format!("0100007F:{:04X}", server.port());
     let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
-    let fields = sockets.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
+    let fields = sockets
+        .lines()
+        .map(|line| line.split_whitespace().collect::<Vec<_>>());
     // Of state 1, which stands; the queues are of bytes to be sent and to be read, in hexadecimal.
     let standing = fields.filter(|fields| fields[3] == "01");
     let queues = standing.filter_map(|fields| {
@@ -349,7 +401,9 @@
                 break false;
             }
         };
-        server.write_all(answer("200 OK", "", "early").as_bytes()).unwrap();
+        server
+            .write_all(answer("200 OK", "", "early").as_bytes())
+            .unwrap();
         assert_eq!(client.answer().unwrap().body, b"early", "request {id}");
         // Connections rest between two requests.
         thread::sleep(Duration::from_millis(40));
@@ -368,11 +422,18 @@
     thread::sleep(GRACE);
     let mut seen = String::new();
     let mut reader = BufReader::new(server);
-    reader.get_mut().set_read_timeout(Some(Duration::from_millis(1_500))).unwrap();
+    reader
+        .get_mut()
+        .set_read_timeout(Some(Duration::from_millis(1_500)))
+        .unwrap();
     while let Ok(Some(message)) = Message::read(&mut reader) {
         seen = message.header("req-id").unwrap().to_owned();
     }
-    assert_ne!(seen, format!("{id:x}"), "its first byte went out after the drain's time");
+    assert_ne!(
+        seen,
+        format!("{id:x}"),
+        "its first byte went out after the drain's time"
+    );
     // It was not on its way to the one that leaves, by another connection.
     assert_eq!(client.answer().unwrap().body, b"staying");
 }
--- a/crates/cli/tests/node_lifecycle.rs
+++ b/crates/cli/tests/node_lifecycle.rs
@@ -61,7 +61,10 @@
         Some(changed("/settings/lanes/0/promise_us", "soon".into())),
         Some(changed("/known/hosts", "none".into())),
     ];
-    let mut paths: Vec<_> = texts.iter().map(|text| text.as_ref().map(|text| write_config(text))).collect();
+    let mut paths: Vec<_> = texts
+        .iter()
+        .map(|text| text.as_ref().map(|text| write_config(text)))
+        .collect();
     paths.push(Some("no/such/file.json".into()));
     for path in paths {
         let mut command = command();
@@ -80,18 +83,30 @@
 // came after a version of the old one's.
 #[test]
 fn a_reload_moves_the_watch_to_the_new_discovery_and_starts_from_its_whole_list() {
-    let servers = [CacheServer::serving("0"), CacheServer::serving("1"), CacheServer::serving("2")];
-    let lists = servers.each_ref().map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
+    let servers = [
+        CacheServer::serving("0"),
+        CacheServer::serving("1"),
+        CacheServer::serving("2"),
+    ];
+    let lists = servers
+        .each_ref()
+        .map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
     let node = Node::ready(&config(lists[0].address));
     lists[0].wait_until_told(1);
     // Under way, it stays on its server and is finished.
     let mut client = node.client();
     for (i, list) in lists.iter().enumerate().skip(1) {
-        assert_eq!(client.ask(&read("read", 1, 20_000)).body, (i - 1).to_string().as_bytes());
+        assert_eq!(
+            client.ask(&read("read", 1, 20_000)).body,
+            (i - 1).to_string().as_bytes()
+        );
         node.reload(&config(list.address).to_string());
         list.wait_until_told(1);
         assert_eq!(list.asked.lock().unwrap()[0], "/v1/servers");
-        assert_eq!(client.ask(&read("read", 1, 20_000)).body, i.to_string().as_bytes());
+        assert_eq!(
+            client.ask(&read("read", 1, 20_000)).body,
+            i.to_string().as_bytes()
+        );
     }
     // What the old ones say means nothing any more.
     lists[0].tell(true, &[servers[0].entry("s-1", "ready")]);
@@ -110,13 +125,21 @@
     let good = config(discovery.address);
     let node = Node::ready(&good);
     discovery.wait_until_told(1);
-    for (i, text) in
-        ["", "{\"name\":", "{}", &good.to_string().replace("8c1f30d27a5be964", "-")].iter().enumerate()
+    for (i, text) in [
+        "",
+        "{\"name\":",
+        "{}",
+        &good.to_string().replace("8c1f30d27a5be964", "-"),
+    ]
+    .iter()
+    .enumerate()
     {
         node.reload(text);
         let said = || {
             let log = node.log.lock().unwrap();
-            log.iter().filter(|line| line.starts_with("configuration not taken: ")).count()
+            log.iter()
+                .filter(|line| line.starts_with("configuration not taken: "))
+                .count()
         };
         wait_for("a line in the log", || said() == i + 1);
         assert_eq!(node.read("read", 1).status(), 200);
@@ -149,13 +172,22 @@
         .spawn()
         .unwrap();
     let mut line = String::new();
-    std::io::BufRead::read_line(&mut std::io::BufReader::new(child.stderr.take().unwrap()), &mut line)
-        .unwrap();
+    std::io::BufRead::read_line(
+        &mut std::io::BufReader::new(child.stderr.take().unwrap()),
+        &mut line,
+    )
+    .unwrap();
     child.kill().unwrap();
     child.wait().unwrap();
     std::fs::remove_file(path).unwrap();
     let line: serde_json::Value = serde_json::from_str(&line).unwrap();
-    assert!(line["message"].as_str().unwrap().starts_with("node n0 listens on 127.0.0.1:"), "{line}");
+    assert!(
+        line["message"]
+            .as_str()
+            .unwrap()
+            .starts_with("node n0 listens on 127.0.0.1:"),
+        "{line}"
+    );
     assert_eq!(line["level"], "INFO");
 }
 
@@ -172,8 +204,14 @@
     assert_eq!(idle.ask(&read("read", 2, 20_000)).status(), 200);
     node.terminate();
     // While it still accepts, and once it does no more.
-    let told =
-        || node.log.lock().unwrap().iter().filter(|line| line.contains("configuration read again")).count();
+    let told = || {
+        node.log
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(|line| line.contains("configuration read again"))
+            .count()
+    };
     node.terminate();
     node.signal("-HUP");
     wait_for("the reload", || told() == 1);
@@ -182,7 +220,13 @@
     node.signal("-HUP");
     wait_for("the reload", || told() == 2);
     gate.open();
-    assert_eq!(waiting.answer().expect("the answer to what was taken").status(), 200);
+    assert_eq!(
+        waiting
+            .answer()
+            .expect("the answer to what was taken")
+            .status(),
+        200
+    );
     assert_eq!(server.count(), 2);
     assert!(node.exit().success());
 }
@@ -193,7 +237,8 @@
 fn thirty_processes_started_together_are_ready_within_their_time() {
     const NODES: usize = 30;
     let server = CacheServer::serving("value");
-    let (address, refused) = busy_discovery(Duration::from_millis(100), &server.entry("s-1", "ready"));
+    let (address, refused) =
+        busy_discovery(Duration::from_millis(100), &server.entry("s-1", "ready"));
     // They know servers that are no more, or none at all.
     let mut config = config(address);
     config["known"]["hosts"] = serde_json::json!([server.entry("s-0", "gone")]);
@@ -204,31 +249,55 @@
             Node::start(&config)
         })
         .collect();
-    assert_eq!(nodes[NODES - 1].get("/healthz").status(), 503, "it knows no server yet");
+    assert_eq!(
+        nodes[NODES - 1].get("/healthz").status(),
+        503,
+        "it knows no server yet"
+    );
     let mut ready = Vec::new();
     let mut left: Vec<_> = nodes.iter().collect();
     while !left.is_empty() {
-        assert!(start.elapsed() < PATIENCE, "{} of them are not ready", left.len());
+        assert!(
+            start.elapsed() < PATIENCE,
+            "{} of them are not ready",
+            left.len()
+        );
         left.retain(|node| {
             let is_ready = node.get("/healthz").status() == 200;
             if is_ready {
                 ready.push(start.elapsed());
-                assert_eq!(node.read("once", 1).status(), 200, "what it takes it can place");
+                assert_eq!(
+                    node.read("once", 1).status(),
+                    200,
+                    "what it takes it can place"
+                );
             }
             !is_ready
         });
         std::thread::sleep(Duration::from_millis(10));
     }
-    assert!(ready[NODES * 9 / 10 - 1] < Duration::from_secs(10), "{ready:?}");
-    assert!(*refused.lock().unwrap() > 0, "it had more calls than it takes");
+    assert!(
+        ready[NODES * 9 / 10 - 1] < Duration::from_secs(10),
+        "{ready:?}"
+    );
+    assert!(
+        *refused.lock().unwrap() > 0,
+        "it had more calls than it takes"
+    );
 }
 
 /// Discovery that takes so long for each call, one after the other, and refuses those that would wait for over half a second.
-fn busy_discovery(turn: Duration, entry: &serde_json::Value) -> (std::net::SocketAddr, Arc<Mutex<u32>>) {
+fn busy_discovery(
+    turn: Duration,
+    entry: &serde_json::Value,
+) -> (std::net::SocketAddr, Arc<Mutex<u32>>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let list = serde_json::json!({"seq": 1, "whole": true, "hosts": [entry]}).to_string();
-    let (free, refused) = (Arc::new(Mutex::new(Instant::now())), Arc::new(Mutex::new(0)));
+    let (free, refused) = (
+        Arc::new(Mutex::new(Instant::now())),
+        Arc::new(Mutex::new(0)),
+    );
     let count = refused.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
@@ -248,7 +317,9 @@
                             answer("503 Service Unavailable", "", "")
                         }
                         Some(before) => {
-                            std::thread::sleep((before + turn).saturating_duration_since(Instant::now()));
+                            std::thread::sleep(
+                                (before + turn).saturating_duration_since(Instant::now()),
+                            );
                             // A watch for what comes after it waits for good.
                             if asked.start.contains("after=1&wait_ms=60000") {
                                 continue;
--- a/crates/cli/tests/node_lists.rs
+++ b/crates/cli/tests/node_lists.rs
@@ -15,7 +15,10 @@
 fn gated(name: &'static str, gate: &Gate) -> CacheServer {
     let gate = gate.clone();
     CacheServer::start(move |asked| {
-        if asked.header("req-id").is_some_and(|id| id.ends_with(['1', '3', '5', '7'])) {
+        if asked
+            .header("req-id")
+            .is_some_and(|id| id.ends_with(['1', '3', '5', '7']))
+        {
             gate.pass();
         }
         Does::Answer(answer("200 OK", "", name))
@@ -40,7 +43,11 @@
     discovery.tell(false, &[new.entry("s-1", "ready")]);
     discovery.wait_until_told(2);
     gate.open();
-    assert_eq!(waiting.answer().unwrap().body, b"old", "an attempt under way is finished");
+    assert_eq!(
+        waiting.answer().unwrap().body,
+        b"old",
+        "an attempt under way is finished"
+    );
     for key in [2, 4, 6] {
         assert_eq!(node.read("read", key).body, b"new", "{key}");
     }
@@ -61,10 +68,14 @@
     assert_eq!(server.connections.load(Ordering::SeqCst), 2);
     discovery.tell(false, &[born(server.entry("s-1", "ready"), 2)]);
     discovery.wait_until_told(2);
-    wait_for("the idle connection's end", || server.closed.load(Ordering::SeqCst) == 1);
+    wait_for("the idle connection's end", || {
+        server.closed.load(Ordering::SeqCst) == 1
+    });
     gate.open();
     assert_eq!(waiting.answer().unwrap().status(), 200);
-    wait_for("the other one's end", || server.closed.load(Ordering::SeqCst) == 2);
+    wait_for("the other one's end", || {
+        server.closed.load(Ordering::SeqCst) == 2
+    });
     assert_eq!(node.read("read", 4).status(), 200);
     assert_eq!(server.connections.load(Ordering::SeqCst), 3);
 }
@@ -95,7 +106,9 @@
                 let (mut connection, mut answers) = (Client::on(stream), 0);
                 while stop.load(Ordering::SeqCst) == 0 {
                     let key = client << 32 | answers;
-                    let Some(answer) = connection.try_ask(&read("once", key, 20_000)) else { break };
+                    let Some(answer) = connection.try_ask(&read("once", key, 20_000)) else {
+                        break;
+                    };
                     // Some server is ready all the time.
                     assert_eq!(answer.status(), 200, "{key:x}");
                     answers += 1;
@@ -121,9 +134,15 @@
         assert_eq!(servers[gone].count(), count, "turn {turn}");
     }
     stop.store(1, Ordering::SeqCst);
-    let answers: u64 = clients.into_iter().map(|client| client.join().unwrap()).sum();
+    let answers: u64 = clients
+        .into_iter()
+        .map(|client| client.join().unwrap())
+        .sum();
     let asked: usize = servers.iter().map(CacheServer::count).sum();
-    assert_eq!(answers as usize, asked, "each ran once and was answered once");
+    assert_eq!(
+        answers as usize, asked,
+        "each ran once and was answered once"
+    );
     assert!(asked > 100, "{asked}");
 }
 
@@ -132,15 +151,27 @@
 fn a_drain_told_while_a_connection_is_being_made_keeps_the_request_from_it() {
     let slow = SlowServer::start();
     let other = CacheServer::serving("value");
-    let entries = |health: &str| [host("s-1", slow.address, health), other.entry("s-2", "ready")];
+    let entries = |health: &str| {
+        [
+            host("s-1", slow.address, health),
+            other.entry("s-2", "ready"),
+        ]
+    };
     let discovery = Discovery::start(&entries("ready"));
     let node = Node::ready(&config(discovery.address));
     let mut clients: Vec<_> = (1..16).map(|key| (key, node.client())).collect();
-    clients.iter_mut().for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
+    clients
+        .iter_mut()
+        .for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
     // Each stands for one attempt: those of the other server are answered, those of the slow one wait for it.
-    wait_for("an attempt of each", || slow.waited_for() + other.count() >= clients.len());
+    wait_for("an attempt of each", || {
+        slow.waited_for() + other.count() >= clients.len()
+    });
     let on_their_way = slow.waited_for();
-    assert!(on_their_way > 0 && other.count() > 0, "{on_their_way} on their way to the slow one");
+    assert!(
+        on_their_way > 0 && other.count() > 0,
+        "{on_their_way} on their way to the slow one"
+    );
     assert_eq!(on_their_way + other.count(), clients.len());
     discovery.tell(true, &entries("draining"));
     discovery.wait_until_told(2);
@@ -161,7 +192,14 @@
     discovery.wait_until_told(2);
     let refused = node.read("once", 1);
     assert_eq!(refused.status(), 503);
-    assert!(refused.header("retry-after").unwrap().parse::<f64>().unwrap() > 0.0);
+    assert!(
+        refused
+            .header("retry-after")
+            .unwrap()
+            .parse::<f64>()
+            .unwrap()
+            > 0.0
+    );
     discovery.tell(true, &[server.entry("s-2", "ready")]);
     discovery.wait_until_told(3);
     assert_eq!(node.read("once", 1).status(), 200);
@@ -183,7 +221,10 @@
                     log.push(message.start.split(' ').nth(1).unwrap().to_owned());
                     let list = &lists[(log.len() - 1).min(lists.len() - 1)];
                     drop(log);
-                    if stream.write_all(answer("200 OK", "", list).as_bytes()).is_err() {
+                    if stream
+                        .write_all(answer("200 OK", "", list).as_bytes())
+                        .is_err()
+                    {
                         return;
                     }
                 }
@@ -213,7 +254,11 @@
     assert!((1..20).all(|key| node.read("read", key).body == b"value"));
     assert_eq!(gone.count(), 0);
     wait_for("a line", || {
-        node.log.lock().unwrap().iter().any(|line| line.contains("list 3 is older than 5"))
+        node.log
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|line| line.contains("list 3 is older than 5"))
     });
 }
 
@@ -221,8 +266,10 @@
 #[test]
 fn a_watch_that_is_answered_at_once_with_nothing_new_is_not_spun_on() {
     let server = CacheServer::serving("value");
-    let (address, asked) =
-        scripted(vec![list(5, true, &[server.entry("s-1", "ready")]), list(5, false, &[])]);
+    let (address, asked) = scripted(vec![
+        list(5, true, &[server.entry("s-1", "ready")]),
+        list(5, false, &[]),
+    ]);
     let node = Node::ready(&config(address));
     let (before, start) = (asked.lock().unwrap().len(), Instant::now());
     thread::sleep(Duration::from_secs(1));
@@ -259,7 +306,10 @@
 // told.
 #[test]
 fn pushed_lists_are_watched_and_a_drain_is_heeded() {
-    let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
+    let (leaving, staying) = (
+        CacheServer::serving("leaving"),
+        CacheServer::serving("staying"),
+    );
     let entries = |health: &str| [leaving.entry("s-1", health), staying.entry("s-2", "ready")];
     let discovery = Discovery::start(&entries("ready"));
     let node = Node::ready(&pushed(discovery.address, &entries("ready")));
@@ -273,21 +323,41 @@
 // from its first moment. An agent that has nothing to say keeps it from service for a moment only.
 #[test]
 fn a_new_process_with_pushed_lists_is_ready_when_it_has_its_first_one() {
-    let (gone, staying) = (CacheServer::serving("gone"), CacheServer::serving("staying"));
+    let (gone, staying) = (
+        CacheServer::serving("gone"),
+        CacheServer::serving("staying"),
+    );
     let known = [gone.entry("s-1", "ready"), staying.entry("s-2", "ready")];
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
     let node = Node::start(&pushed(agent.local_addr().unwrap(), &known));
-    assert_eq!(node.get("/healthz").status(), 503, "it knows old servers only");
+    assert_eq!(
+        node.get("/healthz").status(),
+        503,
+        "it knows old servers only"
+    );
     let (mut stream, _) = agent.accept().unwrap();
-    let asked = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap().unwrap();
-    assert!(asked.start.starts_with("GET /v1/servers "), "{}", asked.start);
+    let asked = Message::read(&mut BufReader::new(stream.try_clone().unwrap()))
+        .unwrap()
+        .unwrap();
+    assert!(
+        asked.start.starts_with("GET /v1/servers "),
+        "{}",
+        asked.start
+    );
     let list = list(7, true, &[staying.entry("s-2", "ready")]);
-    stream.write_all(answer("200 OK", "", &list).as_bytes()).unwrap();
-    wait_for("the node's readiness", || node.get("/healthz").status() == 200);
+    stream
+        .write_all(answer("200 OK", "", &list).as_bytes())
+        .unwrap();
+    wait_for("the node's readiness", || {
+        node.get("/healthz").status() == 200
+    });
     assert!((1..20).all(|key| node.read("read", key).body == b"staying"));
     assert_eq!(gone.count(), 0);
 
-    let refusing = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let refusing = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let alone = Node::ready(&pushed(refusing, &known));
     assert_eq!(alone.read("read", 1).status(), 200);
 }
@@ -296,7 +366,10 @@
 // list has come: what was written was told.
 #[test]
 fn a_list_that_is_too_old_is_heeded_where_it_tells_of_servers_that_leave() {
-    let (leaving, staying) = (CacheServer::serving("leaving"), CacheServer::serving("staying"));
+    let (leaving, staying) = (
+        CacheServer::serving("leaving"),
+        CacheServer::serving("staying"),
+    );
     let entries = |health: &str| [leaving.entry("s-1", health), staying.entry("s-2", "ready")];
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = silent.local_addr().unwrap();
@@ -309,7 +382,9 @@
         while let Ok(Some(message)) = Message::read(&mut reader) {
             calls.lock().unwrap().push(message.start);
             let Ok(text) = heard.recv() else { return };
-            stream.write_all(answer("200 OK", "", &text).as_bytes()).unwrap();
+            stream
+                .write_all(answer("200 OK", "", &text).as_bytes())
+                .unwrap();
         }
     });
     say.send(list(5, true, &entries("ready"))).unwrap();
@@ -326,7 +401,9 @@
 #[test]
 fn a_thousand_servers_at_one_of_a_thousand_nodes_are_listed_asked_and_left() {
     const SERVERS: usize = 1024;
-    let servers: Vec<_> = (0..SERVERS).map(|_| CacheServer::serving("value")).collect();
+    let servers: Vec<_> = (0..SERVERS)
+        .map(|_| CacheServer::serving("value"))
+        .collect();
     let entry = |i: usize, health: &str| servers[i].entry(&format!("s-{i:04}"), health);
     let discovery = Discovery::start(&[]);
     let mut config = config(discovery.address);
@@ -337,7 +414,9 @@
     let all: Vec<_> = (0..SERVERS).map(|i| entry(i, "ready")).collect();
     let whole = json!({"seq": 2, "whole": true, "hosts": all});
     discovery.tell_text(serde_json::to_string_pretty(&whole).unwrap());
-    wait_for("the node's readiness", || node.get("/healthz").status() == 200);
+    wait_for("the node's readiness", || {
+        node.get("/healthz").status() == 200
+    });
     let mut keys = 1..;
     let mut ask = |requests: usize| {
         let before: Vec<_> = servers.iter().map(CacheServer::count).collect();
@@ -349,20 +428,37 @@
                 client = node.client();
             }
         }
-        servers.iter().zip(before).map(|(server, before)| server.count() - before).collect::<Vec<_>>()
+        servers
+            .iter()
+            .zip(before)
+            .map(|(server, before)| server.count() - before)
+            .collect::<Vec<_>>()
     };
     // Of so many draws with replacement 982 are expected to be met.
-    let met = ask(3 * SERVERS + 100).iter().filter(|asked| **asked > 0).count();
+    let met = ask(3 * SERVERS + 100)
+        .iter()
+        .filter(|asked| **asked > 0)
+        .count();
     assert!(met > SERVERS * 9 / 10, "{met} of {SERVERS} were asked");
-    let leaving: Vec<_> = (0..SERVERS).step_by(2).map(|i| entry(i, "draining")).collect();
+    let leaving: Vec<_> = (0..SERVERS)
+        .step_by(2)
+        .map(|i| entry(i, "draining"))
+        .collect();
     discovery.tell(false, &leaving);
     discovery.wait_until_told(3);
     let asked = ask(SERVERS);
-    assert!(asked.iter().step_by(2).all(|asked| *asked == 0), "to servers that drain");
+    assert!(
+        asked.iter().step_by(2).all(|asked| *asked == 0),
+        "to servers that drain"
+    );
     // Every fourth is left; what a whole list lacks is gone.
     let left: Vec<_> = (1..SERVERS).step_by(4).map(|i| entry(i, "ready")).collect();
     discovery.tell(true, &left);
     discovery.wait_until_told(4);
     let asked = ask(SERVERS);
-    assert_eq!(asked.iter().skip(1).step_by(4).sum::<usize>(), SERVERS, "none but those left");
+    assert_eq!(
+        asked.iter().skip(1).step_by(4).sum::<usize>(),
+        SERVERS,
+        "none but those left"
+    );
 }
--- a/crates/cli/tests/node_multiget.rs
+++ b/crates/cli/tests/node_multiget.rs
@@ -42,13 +42,17 @@
 fn multi_get(node: SocketAddr, deadline_ms: u64, keys: &[String]) -> Command {
     let mut command = command();
     command.args(["multi-get", "--node", &node.to_string(), "--kind", "read"]);
-    command.args(["--deadline-ms", &deadline_ms.to_string()]).args(keys);
+    command
+        .args(["--deadline-ms", &deadline_ms.to_string()])
+        .args(keys);
     command
 }
 
 fn lines(output: &Output) -> Vec<Value> {
     let text = std::str::from_utf8(&output.stdout).unwrap();
-    text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
+    text.lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect()
 }
 
 fn keys(count: usize) -> Vec<String> {
@@ -69,8 +73,10 @@
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let path = std::env::temp_dir().join(format!("slatelink-{}-multi", std::process::id()));
-    let features =
-        format!("{SIDE}[figures]\ntarget = \"file:{}\"\nflush_ms = 20\n[hotlist]\n", path.display());
+    let features = format!(
+        "{SIDE}[figures]\ntarget = \"file:{}\"\nflush_ms = 20\n[hotlist]\n",
+        path.display()
+    );
     let node = Node::with_features(&config(discovery.address), &features);
     let keys = keys(32);
     let output = multi_get(side(&node), 20_000, &keys).output().unwrap();
@@ -78,7 +84,10 @@
     let text = String::from_utf8(output.stdout.clone()).unwrap();
     assert_eq!(
         text.lines().next().unwrap(),
-        format!("{{\"i\":0,\"key\":\"{0}\",\"status\":200,\"body\":\"/api/{0}\"}}", keys[0])
+        format!(
+            "{{\"i\":0,\"key\":\"{0}\",\"status\":200,\"body\":\"/api/{0}\"}}",
+            keys[0]
+        )
     );
     for (i, (line, key)) in lines(&output).iter().zip(&keys).enumerate() {
         // A server's error may be the class's to send again or not: here there is no other server.
@@ -88,17 +97,32 @@
         };
         assert_eq!(*line, expected);
     }
-    assert!([502, 503].map(Value::from).contains(&lines(&output)[2]["status"]), "{:?}", lines(&output)[2]);
+    assert!(
+        [502, 503]
+            .map(Value::from)
+            .contains(&lines(&output)[2]["status"]),
+        "{:?}",
+        lines(&output)[2]
+    );
     assert_eq!(lines(&output).len(), 32);
     let asked = server.asked.lock().unwrap();
-    assert!(asked.iter().all(|message| message.start.starts_with("GET /api/")));
-    let ids: HashSet<_> = asked.iter().map(|message| message.header("req-id").unwrap().to_owned()).collect();
+    assert!(asked
+        .iter()
+        .all(|message| message.start.starts_with("GET /api/")));
+    let ids: HashSet<_> = asked
+        .iter()
+        .map(|message| message.header("req-id").unwrap().to_owned())
+        .collect();
     assert_eq!(ids.len(), 32, "a fresh id each");
-    assert!(asked.iter().all(|m| m.header("req-deadline-ms").unwrap().parse::<u64>().unwrap() < 20_000));
+    assert!(asked
+        .iter()
+        .all(|m| m.header("req-deadline-ms").unwrap().parse::<u64>().unwrap() < 20_000));
     drop(asked);
     let counted = || -> u64 {
         let text = std::fs::read_to_string(&path).unwrap();
-        let counts = text.lines().filter_map(|line| line.strip_prefix("slatelink.req.count:"));
+        let counts = text
+            .lines()
+            .filter_map(|line| line.strip_prefix("slatelink.req.count:"));
         let ours = counts.filter_map(|rest| rest.split_once("|c|#kind:read,"));
         ours.map(|(count, _)| count.parse::<u64>().unwrap()).sum()
     };
@@ -106,7 +130,10 @@
     node.signal("-USR1");
     wait_for("the hot list", || {
         let log = node.log.lock().unwrap();
-        log.iter().filter(|line| line.starts_with("hot read 0")).count() == 32
+        log.iter()
+            .filter(|line| line.starts_with("hot read 0"))
+            .count()
+            == 32
     });
     std::fs::remove_file(path).unwrap();
 }
@@ -121,7 +148,10 @@
         echo(asked)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::with_features(&config(discovery.address), "[multiget]\nport = 0\nparallel = 3\n");
+    let node = Node::with_features(
+        &config(discovery.address),
+        "[multiget]\nport = 0\nparallel = 3\n",
+    );
     let mut asking = multi_get(side(&node), 20_000, &keys(9));
     let asked = std::thread::spawn(move || asking.output().unwrap());
     wait_for("the first items", || server.count() == 3);
@@ -131,7 +161,9 @@
     }
     assert_eq!(server.count(), 3);
     gate.open();
-    assert!(lines(&asked.join().unwrap()).iter().all(|line| line["status"] == 200));
+    assert!(lines(&asked.join().unwrap())
+        .iter()
+        .all(|line| line["status"] == 200));
     assert_eq!(server.count(), 9);
 }
 
@@ -142,8 +174,13 @@
     let stopped = Arc::new(AtomicBool::new(false));
     let off = stopped.clone();
     let one = CacheServer::start(echo);
-    let two =
-        CacheServer::start(move |asked| if off.load(Ordering::SeqCst) { Does::Nothing } else { echo(asked) });
+    let two = CacheServer::start(move |asked| {
+        if off.load(Ordering::SeqCst) {
+            Does::Nothing
+        } else {
+            echo(asked)
+        }
+    });
     let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
     let node = Node::with_features(&config(discovery.address), SIDE);
     let node_side = side(&node);
@@ -157,7 +194,10 @@
         .iter()
         .map(|m| m.start.split(['/', ' ']).nth(3).unwrap().to_owned())
         .collect();
-    assert!(!of_two.is_empty() && of_two.len() < 12, "both have keys: {of_two:?}");
+    assert!(
+        !of_two.is_empty() && of_two.len() < 12,
+        "both have keys: {of_two:?}"
+    );
     stopped.store(true, Ordering::SeqCst);
     let start = Instant::now();
     let output = multi_get(node_side, 1_500, &keys).output().unwrap();
@@ -211,7 +251,11 @@
     let output = multi_get(node_side, 60_000, &keys(2)).output().unwrap();
     assert_eq!(output.status.code(), Some(1));
     assert!(lines(&output).iter().all(|line| line["partial"] == true) && lines(&output).len() == 2);
-    assert_eq!(std::str::from_utf8(&output.stderr).unwrap().lines().count(), 1, "{output:?}");
+    assert_eq!(
+        std::str::from_utf8(&output.stderr).unwrap().lines().count(),
+        1,
+        "{output:?}"
+    );
 }
 
 // Guards against a call with more keys than allowed, of which some are sent.
@@ -222,7 +266,10 @@
     let output = multi_get(address, 1_000, &keys(33)).output().unwrap();
     assert_eq!((output.status.code(), output.stdout.len()), (Some(2), 0));
     listener.set_nonblocking(true).unwrap();
-    assert_eq!(listener.accept().unwrap_err().kind(), std::io::ErrorKind::WouldBlock);
+    assert_eq!(
+        listener.accept().unwrap_err().kind(),
+        std::io::ErrorKind::WouldBlock
+    );
 }
 
 // Guards against input that takes the side port down or reaches a cache server.
@@ -241,14 +288,26 @@
         (post("[1]", 900), 400),
         (post("[{\"key\":\"1\"}]", 900), 400),
         (post("[{\"key\":\"1\",\"req_id\":1}]", 900), 400),
-        (post(&json!([{"key": "1", "req_id": "1", "more": 1}]).to_string(), 900), 400),
+        (
+            post(
+                &json!([{"key": "1", "req_id": "1", "more": 1}]).to_string(),
+                900,
+            ),
+            400,
+        ),
         (post(&json!([item("1", "")]).to_string(), 900), 400),
         (post(&json!([item("", "1")]).to_string(), 900), 400),
         (post(&json!([item("1", "a\r\nb: c")]).to_string(), 900), 400),
-        (post(&json!([item("1 HTTP/1.1", "1")]).to_string(), 900), 400),
+        (
+            post(&json!([item("1 HTTP/1.1", "1")]).to_string(), 900),
+            400,
+        ),
         (post(&json!([item("../1", "1")]).to_string(), 900), 400),
         (post(&json!([item("1?x", "1")]).to_string(), 900), 400),
-        (post(&json!([item("1", "1"), item("2", "1")]).to_string(), 900), 400),
+        (
+            post(&json!([item("1", "1"), item("2", "1")]).to_string(), 900),
+            400,
+        ),
         (post("[]", 900).replace("read", "other"), 400),
         (post("[]", 900).replace("Req-Kind: read\r\n", ""), 400),
         (post("[]", 900).replace("900", "soon"), 400),
@@ -285,20 +344,34 @@
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let path = std::env::temp_dir().join(format!("slatelink-{}-left", std::process::id()));
-    let features =
-        format!("{SIDE}parallel = 1\n[figures]\ntarget = \"file:{}\"\nflush_ms = 20\n", path.display());
+    let features = format!(
+        "{SIDE}parallel = 1\n[figures]\ntarget = \"file:{}\"\nflush_ms = 20\n",
+        path.display()
+    );
     let node = Node::with_features(&config(discovery.address), &features);
     let side = side(&node);
-    let items = json!([{"key": "1", "req_id": "held"}, {"key": "2", "req_id": "later"}]).to_string();
+    let items =
+        json!([{"key": "1", "req_id": "held"}, {"key": "2", "req_id": "later"}]).to_string();
     let mut leaver = client(side);
     leaver.send(&post(&items, 20_000));
     wait_for("the first item", || server.count() == 1);
     let mut second = client(side);
-    second.send(&post(&json!([{"key": "1", "req_id": "held"}]).to_string(), 20_000));
+    second.send(&post(
+        &json!([{"key": "1", "req_id": "held"}]).to_string(),
+        20_000,
+    ));
     let taken = second.rest();
-    assert!(taken.contains("{\"i\":0,\"key\":\"1\",\"status\":409}\n"), "{taken}");
+    assert!(
+        taken.contains("{\"i\":0,\"key\":\"1\",\"status\":409}\n"),
+        "{taken}"
+    );
     drop(leaver);
-    let left = || std::fs::read_to_string(&path).unwrap().matches("status:left").count();
+    let left = || {
+        std::fs::read_to_string(&path)
+            .unwrap()
+            .matches("status:left")
+            .count()
+    };
     wait_for("the item's end", || left() == 1);
     assert_eq!(node.read("read", 3).status(), 200);
     assert_eq!(server.count(), 2, "the second item is never sent");
@@ -324,11 +397,16 @@
         })
         .collect();
     let mut calls: Vec<_> = (0..3).map(|_| multi_get(side, 20_000, &keys(12))).collect();
-    let calls: Vec<_> =
-        calls.iter_mut().map(|call| call.stdout(std::process::Stdio::piped()).spawn().unwrap()).collect();
+    let calls: Vec<_> = calls
+        .iter_mut()
+        .map(|call| call.stdout(std::process::Stdio::piped()).spawn().unwrap())
+        .collect();
     for call in calls {
         let output = call.wait_with_output().unwrap();
-        assert!(lines(&output).iter().all(|line| line["status"] == 200), "{output:?}");
+        assert!(
+            lines(&output).iter().all(|line| line["status"] == 200),
+            "{output:?}"
+        );
     }
     assert_eq!(node.read("read", 2_000).status(), 200);
     drop(idle);
@@ -350,10 +428,15 @@
     let asked = std::thread::spawn(move || asking.output().unwrap());
     wait_for("the first items", || server.count() == 8);
     node.terminate();
-    wait_for("a closed side port", || std::net::TcpStream::connect(side).is_err());
+    wait_for("a closed side port", || {
+        std::net::TcpStream::connect(side).is_err()
+    });
     gate.open();
     let output = asked.join().unwrap();
-    assert!(lines(&output).iter().all(|line| line["status"] == 200), "{output:?}");
+    assert!(
+        lines(&output).iter().all(|line| line["status"] == 200),
+        "{output:?}"
+    );
     assert!(node.exit().success());
 }
 
@@ -364,12 +447,29 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let told = config(discovery.address);
     let node = Node::with_features(&told, "[multiget]\nparallel = 2\n");
-    assert!(!node.log.lock().unwrap().iter().any(|line| line.contains("multi-get")));
+    assert!(!node
+        .log
+        .lock()
+        .unwrap()
+        .iter()
+        .any(|line| line.contains("multi-get")));
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let settings = write_config(&format!("[multiget]\nport = {}\n", taken.local_addr().unwrap().port()));
+    let settings = write_config(&format!(
+        "[multiget]\nport = {}\n",
+        taken.local_addr().unwrap().port()
+    ));
     let told = write_config(&told.to_string());
-    let ended = command().env("LB_CONFIG", told).arg("--features").arg(settings).output().unwrap();
+    let ended = command()
+        .env("LB_CONFIG", told)
+        .arg("--features")
+        .arg(settings)
+        .output()
+        .unwrap();
     let error = String::from_utf8(ended.stderr).unwrap();
-    assert_eq!((ended.status.code(), error.lines().count()), (Some(1), 1), "{error}");
+    assert_eq!(
+        (ended.status.code(), error.lines().count()),
+        (Some(1), 1),
+        "{error}"
+    );
     assert!(error.starts_with("slatelink: multiget: "), "{error}");
 }
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -59,23 +59,39 @@
 fn play(steps: &[Step]) -> (BTreeMap<String, Got>, Vec<Asked>, Vec<Shut>) {
     let script: VecDeque<_> = steps
         .iter()
-        .filter_map(|step| if let Step::End { how, .. } = step { Some(*how) } else { None })
+        .filter_map(|step| {
+            if let Step::End { how, .. } = step {
+                Some(*how)
+            } else {
+                None
+            }
+        })
         .collect();
-    let (script, asked) = (Arc::new(Mutex::new(script)), Arc::new(Mutex::new(Vec::new())));
+    let (script, asked) = (
+        Arc::new(Mutex::new(script)),
+        Arc::new(Mutex::new(Vec::new())),
+    );
     let servers: Vec<_> = (0..SERVERS)
         .map(|server| {
             let (script, asked) = (script.clone(), asked.clone());
             CacheServer::start(move |message| {
                 let status = script.lock().unwrap().pop_front().unwrap_or(Status::Ok);
                 let id = message.header("req-id").unwrap().to_owned();
-                asked.lock().unwrap().push(Asked { server, id, status, at: Instant::now() });
+                asked.lock().unwrap().push(Asked {
+                    server,
+                    id,
+                    status,
+                    at: Instant::now(),
+                });
                 does(status)
             })
         })
         .collect();
     let name = |i: usize| format!("s-{i}");
     let mut states = [Some("ready"); SERVERS];
-    let entries: Vec<_> = (0..SERVERS).map(|i| servers[i].entry(&name(i), "ready")).collect();
+    let entries: Vec<_> = (0..SERVERS)
+        .map(|i| servers[i].entry(&name(i), "ready"))
+        .collect();
     let discovery = Discovery::start(&entries);
     let node = Node::ready(&config(discovery.address));
     discovery.wait_until_told(1);
@@ -83,7 +99,12 @@
     let (mut seq, mut shut, mut closed) = (1, [None; SERVERS], Vec::new());
     for step in steps {
         match step {
-            Step::Ask { class, key, patience_ms, .. } => {
+            Step::Ask {
+                class,
+                key,
+                patience_ms,
+                ..
+            } => {
                 let (id, class) = (format!("{:x}", clients.len() + 1), CLASSES[class % 3]);
                 let patience = Duration::from_millis(2_000 + patience_ms);
                 let stream = std::net::TcpStream::connect(node.address).unwrap();
@@ -96,13 +117,25 @@
                     let answer = node_common::Client::on(stream).try_ask(&text);
                     (answer, at.elapsed())
                 });
-                clients.push((id, Client { left, gone: false, thread, class, patience }));
+                clients.push((
+                    id,
+                    Client {
+                        left,
+                        gone: false,
+                        thread,
+                        class,
+                        patience,
+                    },
+                ));
             }
             Step::Leave { which } if !clients.is_empty() => {
                 let place = which % clients.len();
                 let client = &mut clients[place].1;
                 client.gone = true;
-                client.left.shutdown(std::net::Shutdown::Both).unwrap_or_default();
+                client
+                    .left
+                    .shutdown(std::net::Shutdown::Both)
+                    .unwrap_or_default();
             }
             Step::Change { .. } | Step::Whole { .. } => {
                 match step {
@@ -120,7 +153,8 @@
                     }
                     _ => {}
                 }
-                let listed = (0..SERVERS).filter_map(|i| Some(servers[i].entry(&name(i), states[i]?)));
+                let listed =
+                    (0..SERVERS).filter_map(|i| Some(servers[i].entry(&name(i), states[i]?)));
                 // From before it is told, a server may be used again; from after it, one must not be.
                 let before = Instant::now();
                 discovery.tell(true, &listed.collect::<Vec<_>>());
@@ -142,10 +176,25 @@
         }
     }
     let got = clients.into_iter().map(|(id, client)| {
-        let Client { class, patience, gone: left, thread, .. } = client;
+        let Client {
+            class,
+            patience,
+            gone: left,
+            thread,
+            ..
+        } = client;
         // One that left may have broken off.
         let (answer, took) = thread.join().unwrap_or_default();
-        (id, Got { class, answer, took, patience, left })
+        (
+            id,
+            Got {
+                class,
+                answer,
+                took,
+                patience,
+                left,
+            },
+        )
     });
     let got = got.collect();
     // It is as good as ever afterwards.
@@ -154,7 +203,11 @@
     discovery.wait_until_told(seq + 1);
     script.lock().unwrap().clear();
     wait_for("service", || node.read("read", 0xfff).status() == 200);
-    closed.extend(shut.iter().enumerate().filter_map(|(i, from)| Some((i, (*from)?, end))));
+    closed.extend(
+        shut.iter()
+            .enumerate()
+            .filter_map(|(i, from)| Some((i, (*from)?, end))),
+    );
     drop(node);
     let asked = std::mem::take(&mut *asked.lock().unwrap());
     (got, asked, closed)
@@ -165,19 +218,35 @@
     check_once(0..6, 120, |_, steps| {
         let (got, asked, closed) = play(steps);
         let mut tries = BTreeMap::<&str, Vec<Status>>::new();
-        asked.iter().for_each(|one| tries.entry(&one.id).or_default().push(one.status));
+        asked
+            .iter()
+            .for_each(|one| tries.entry(&one.id).or_default().push(one.status));
         for (id, got) in got.iter().filter(|(_, got)| !got.left) {
             // One final answer, before the client gives up; a second one would be the next answer on its connection.
-            let answer = got.answer.as_ref().unwrap_or_else(|| panic!("no answer to {id}"));
+            let answer = got
+                .answer
+                .as_ref()
+                .unwrap_or_else(|| panic!("no answer to {id}"));
             let grace = Duration::from_secs(2);
-            assert!(got.took <= got.patience + grace, "{id} is answered after {:?}", got.took);
+            assert!(
+                got.took <= got.patience + grace,
+                "{id} is answered after {:?}",
+                got.took
+            );
             let tries = tries.get(id.as_str()).map_or(&[][..], Vec::as_slice);
             let declined = |status: &Status| *status == Status::QueueFull;
             // Resends only as the class allows.
             let again = tries.len().max(1) - 1;
-            assert!(got.class != "once" || tries.iter().take(again).all(declined), "{id}: {tries:?}");
+            assert!(
+                got.class != "once" || tries.iter().take(again).all(declined),
+                "{id}: {tries:?}"
+            );
             match answer.status() {
-                200 => assert_eq!((answer.body.as_slice(), tries.is_empty()), (&b"value"[..], false), "{id}"),
+                200 => assert_eq!(
+                    (answer.body.as_slice(), tries.is_empty()),
+                    (&b"value"[..], false),
+                    "{id}"
+                ),
                 // A refusal is harmless, and says when to come back.
                 503 => {
                     assert!(
@@ -185,7 +254,12 @@
                         "{id} refused after {tries:?}"
                     );
                     assert!(
-                        answer.header("retry-after").unwrap().parse::<f64>().unwrap() > 0.0,
+                        answer
+                            .header("retry-after")
+                            .unwrap()
+                            .parse::<f64>()
+                            .unwrap()
+                            > 0.0,
                         "{answer:?}"
                     );
                 }
@@ -201,9 +275,16 @@
         }
         // A drain or end that was told.
         for (server, from, to) in closed {
-            let late = asked.iter().filter(|one| one.server == server && one.at > from + STOP && one.at < to);
-            let late: Vec<_> = late.map(|one| (&one.id, one.at - from, to - one.at)).collect();
-            assert!(late.is_empty(), "{late:?} reached s-{server} long after its end was told");
+            let late = asked
+                .iter()
+                .filter(|one| one.server == server && one.at > from + STOP && one.at < to);
+            let late: Vec<_> = late
+                .map(|one| (&one.id, one.at - from, to - one.at))
+                .collect();
+            assert!(
+                late.is_empty(),
+                "{late:?} reached s-{server} long after its end was told"
+            );
         }
     });
 }
--- a/crates/cli/tests/node_servers.rs
+++ b/crates/cli/tests/node_servers.rs
@@ -13,9 +13,14 @@
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     assert_eq!(node.read("read", 1).body, b"old");
-    discovery.tell(false, &[old.entry("s-1", "draining"), new.entry("s-2", "ready")]);
+    discovery.tell(
+        false,
+        &[old.entry("s-1", "draining"), new.entry("s-2", "ready")],
+    );
     discovery.wait_until_told(2);
-    wait_for("the idle connection's end", || old.closed.load(Ordering::SeqCst) == 1);
+    wait_for("the idle connection's end", || {
+        old.closed.load(Ordering::SeqCst) == 1
+    });
     for key in 0..20 {
         assert_eq!(node.read("read", key).body, b"new");
     }
@@ -31,7 +36,9 @@
     assert_eq!(node.read("read", 1).body, b"old");
     discovery.tell(true, &[new.entry("s-2", "ready")]);
     discovery.wait_until_told(2);
-    wait_for("the idle connection's end", || old.closed.load(Ordering::SeqCst) == 1);
+    wait_for("the idle connection's end", || {
+        old.closed.load(Ordering::SeqCst) == 1
+    });
     assert_eq!(node.read("read", 1).body, b"new");
     assert_eq!(old.count(), 1);
 }
@@ -47,7 +54,10 @@
         assert_eq!(node.read("once", key).status(), 200);
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
-    assert_eq!((server.count(), server.connections.load(Ordering::SeqCst)), (10, 10));
+    assert_eq!(
+        (server.count(), server.connections.load(Ordering::SeqCst)),
+        (10, 10)
+    );
 }
 
 // Guards against requests lost on idle connections that a server drops long before the time it states: one of an
@@ -60,18 +70,21 @@
     let node = Node::ready(&config(discovery.address));
     let (mut key, mut served) = (0, 0);
     // Each round shows what a connection in use is good for, then lets the next one stand.
-    wait_for("unsafe requests served after a pause, one after another", || {
-        let mut ask = |class| {
-            key += 1;
-            node.read(class, key).status()
-        };
-        for _ in 0..4 {
-            ask("read");
-        }
-        std::thread::sleep(idle);
-        served = if ask("once") == 200 { served + 1 } else { 0 };
-        served == 5
-    });
+    wait_for(
+        "unsafe requests served after a pause, one after another",
+        || {
+            let mut ask = |class| {
+                key += 1;
+                node.read(class, key).status()
+            };
+            for _ in 0..4 {
+                ask("read");
+            }
+            std::thread::sleep(idle);
+            served = if ask("once") == 200 { served + 1 } else { 0 };
+            served == 5
+        },
+    );
 }
 
 // Guards against a new connection, and its handshake, for each request.
@@ -85,7 +98,10 @@
         std::thread::sleep(std::time::Duration::from_millis(30));
         assert_eq!(node.read("read", key).status(), 200);
     }
-    assert_eq!((server.count(), server.connections.load(Ordering::SeqCst)), (10, 1));
+    assert_eq!(
+        (server.count(), server.connections.load(Ordering::SeqCst)),
+        (10, 1)
+    );
     // Requests without a pause use as many as rest meanwhile, over and over: those of any 20 ms, and of a turn.
     let (mut client, mut asked) = (node.client(), Vec::new());
     for key in 10..1_010 {
@@ -93,10 +109,20 @@
         assert_eq!(client.ask(&read("read", key, 20_000)).status(), 200);
     }
     let rest = std::time::Duration::from_millis(20 + 10);
-    let most =
-        asked.iter().map(|from| asked.iter().filter(|at| **at >= *from && **at - *from < rest).count());
-    let (made, most) = (server.connections.load(Ordering::SeqCst) as usize, most.max().unwrap());
-    assert!(made <= 1 + most, "{made} connections, {most} requests in a rest");
+    let most = asked.iter().map(|from| {
+        asked
+            .iter()
+            .filter(|at| **at >= *from && **at - *from < rest)
+            .count()
+    });
+    let (made, most) = (
+        server.connections.load(Ordering::SeqCst) as usize,
+        most.max().unwrap(),
+    );
+    assert!(
+        made <= 1 + most,
+        "{made} connections, {most} requests in a rest"
+    );
 }
 
 /// Two servers, of which the first to be asked does as told and the other one serves.
@@ -132,7 +158,10 @@
     ];
     for (i, end) in ends.into_iter().enumerate() {
         let (status, sent) = after_one(end, "once");
-        assert!(status >= 500 && status != 503 && sent == 1, "end {i}: {status} after {sent}");
+        assert!(
+            status >= 500 && status != 503 && sent == 1,
+            "end {i}: {status} after {sent}"
+        );
     }
 }
 
@@ -146,7 +175,10 @@
 // Guards against a refused connection that is taken for a request that may have run.
 #[test]
 fn an_unsafe_request_goes_on_after_a_refused_connection() {
-    let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let closed = std::net::TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[host("s-1", closed, "ready"), server.entry("s-2", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -168,7 +200,9 @@
     wait_for("another call", || discovery.calls() > calls);
     assert_eq!(node.read("read", 1).status(), 200);
     // The version held has not moved.
-    assert!(discovery.asked.lock().unwrap()[calls..].iter().all(|path| path.contains("after=1&")));
+    assert!(discovery.asked.lock().unwrap()[calls..]
+        .iter()
+        .all(|path| path.contains("after=1&")));
     let new = CacheServer::serving("new");
     discovery.tell(true, &[new.entry("s-2", "ready")]);
     discovery.wait_until_told(3);
@@ -188,7 +222,10 @@
     let mut client = node.client();
     for key in 1..200_u64 {
         let served = client.ask(&read("read", key, 20_000));
-        assert_eq!((served.status(), served.body), (200, format!("{key:x}").into_bytes()));
+        assert_eq!(
+            (served.status(), served.body),
+            (200, format!("{key:x}").into_bytes())
+        );
     }
     assert_eq!(server.count(), 199);
 }
@@ -196,14 +233,20 @@
 // Guards against waiting for an answer that is said to be larger than any may be: the time is the repeat's.
 #[test]
 fn an_answer_of_a_stated_length_over_the_limit_ends_its_attempt_at_once() {
-    let huge = || Does::Answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
+    let huge =
+        || Does::Answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
     assert_eq!(after_one(huge, "read"), (200, 2));
 }
 
 // Guards against a head without end that fills memory, and against taking a 1xx answer for the final one.
 #[test]
 fn an_endless_head_fails_its_attempt_and_interim_answers_are_passed_over() {
-    let endless = || Does::Answer(format!("HTTP/1.1 200 OK\r\n{}", "X-Noise: noise\r\n".repeat(2_000)));
+    let endless = || {
+        Does::Answer(format!(
+            "HTTP/1.1 200 OK\r\n{}",
+            "X-Noise: noise\r\n".repeat(2_000)
+        ))
+    };
     assert_eq!(after_one(endless, "read"), (200, 2));
     let switched = || Does::Answer("HTTP/1.1 101 Switching Protocols\r\n\r\n".to_owned());
     assert_eq!(after_one(switched, "read"), (200, 2));
@@ -219,15 +262,20 @@
 #[test]
 fn a_class_that_a_server_turns_away_leaves_its_other_keys_there() {
     let picky = CacheServer::start(|asked| match asked.header("idempotency-key") {
-        Some(_) => {
-            Does::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\nSrv-Load: waiting=0\r\n", ""))
-        }
+        Some(_) => Does::Answer(answer(
+            "503 Service Unavailable",
+            "Srv-Declined: 1\r\nSrv-Load: waiting=0\r\n",
+            "",
+        )),
         None => Does::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "picky")),
     });
-    let other = CacheServer::start(|_| Does::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "other")));
+    let other =
+        CacheServer::start(|_| Does::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "other")));
     let discovery = Discovery::start(&[picky.entry("s-1", "ready"), other.entry("s-2", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    let own: Vec<u64> = (0..60).filter(|&key| node.read("read", key).body == b"picky").collect();
+    let own: Vec<u64> = (0..60)
+        .filter(|&key| node.read("read", key).body == b"picky")
+        .collect();
     assert!(own.len() >= 10, "{} of 60 keys", own.len());
     let mut client = node.client();
     let mut keyed = |key| {
@@ -237,7 +285,11 @@
     (0..2).for_each(|_| own.iter().for_each(|&key| keyed(key)));
     let before = picky.count();
     own.iter().for_each(|&key| keyed(key));
-    assert!(picky.count() - before <= 3, "{} more of that class went there", picky.count() - before);
+    assert!(
+        picky.count() - before <= 3,
+        "{} more of that class went there",
+        picky.count() - before
+    );
     for &key in &own {
         assert_eq!(node.read("read", key).body, b"picky", "key {key}");
     }
@@ -284,7 +336,11 @@
     fn pass(&self) {
         self.reached.fetch_add(1, Ordering::SeqCst);
         let held = self.held.lock().unwrap();
-        drop(self.opened.wait_timeout_while(held, PATIENCE, |held| *held).unwrap());
+        drop(
+            self.opened
+                .wait_timeout_while(held, PATIENCE, |held| *held)
+                .unwrap(),
+        );
     }
 }
 
@@ -298,7 +354,9 @@
         let (gate, down) = (gate.clone(), down.clone());
         // Keys under 1000 it holds, all others it has to fetch.
         CacheServer::start(move |asked| {
-            let key = asked.header("req-id").and_then(|id| u64::from_str_radix(id, 16).ok());
+            let key = asked
+                .header("req-id")
+                .and_then(|id| u64::from_str_radix(id, 16).ok());
             if key.is_some_and(|key| key < 1000) {
                 return Does::Answer(answer("200 OK", "", "held"));
             }
@@ -311,7 +369,11 @@
     };
     let servers = [server(), server(), server()];
     let names = ["s-1", "s-2", "s-3"];
-    let hosts: Vec<_> = servers.iter().zip(names).map(|(server, name)| server.entry(name, "ready")).collect();
+    let hosts: Vec<_> = servers
+        .iter()
+        .zip(names)
+        .map(|(server, name)| server.entry(name, "ready"))
+        .collect();
     let node = Node::ready(&config(Discovery::start(&hosts).address));
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"held"));
     let mut keys = (1..).map(|round| round * 1000..round * 1000 + 20);
@@ -321,8 +383,16 @@
     down.store(true, Ordering::SeqCst);
     wait_for("a limit", || ask().0 <= 3);
     let (_, answers) = ask();
-    let refused = answers.iter().filter(|answer| answer.status() == 503).collect::<Vec<_>>();
-    assert!(refused.len() >= 17 && refused.iter().all(|answer| answer.header("retry-after").is_some()));
+    let refused = answers
+        .iter()
+        .filter(|answer| answer.status() == 503)
+        .collect::<Vec<_>>();
+    assert!(
+        refused.len() >= 17
+            && refused
+                .iter()
+                .all(|answer| answer.header("retry-after").is_some())
+    );
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"held", "key {key}"));
     down.store(false, Ordering::SeqCst);
     wait_for("the limit's end", || ask().0 == 20);
--- a/crates/cli/tests/node_stale_lists.rs
+++ b/crates/cli/tests/node_stale_lists.rs
@@ -23,8 +23,11 @@
     let (old, new) = (ManualDiscovery::start(), ManualDiscovery::start());
     let config = config(old.address);
     let node = Node::start(&config);
-    old.next_call().answer(&list(5, true, &pair.entries("ready")));
-    wait_for("the node's readiness", || node.get("/healthz").status() == 200);
+    old.next_call()
+        .answer(&list(5, true, &pair.entries("ready")));
+    wait_for("the node's readiness", || {
+        node.get("/healthz").status() == 200
+    });
     pair.wait_for_both(&node);
     let mut watch = old.next_call();
     node.reload(&moved_to(&config, new.address));
@@ -36,7 +39,11 @@
     let mut next = new.next_call();
     pair.assert_left_alone(&node);
     // A later word that it is ready again counts.
-    next.answer(&list(7, false, &[born(pair.entries("ready")[0].clone(), 1_000)]));
+    next.answer(&list(
+        7,
+        false,
+        &[born(pair.entries("ready")[0].clone(), 1_000)],
+    ));
     pair.wait_for_both(&node);
 }
 
@@ -60,8 +67,12 @@
             let pair = Pair::start();
             let discovery = ManualDiscovery::start();
             let node = Node::start(&config(discovery.address));
-            discovery.next_call().answer(&list(5, true, &pair.entries("ready")));
-            wait_for("the node's readiness", || node.get("/healthz").status() == 200);
+            discovery
+                .next_call()
+                .answer(&list(5, true, &pair.entries("ready")));
+            wait_for("the node's readiness", || {
+                node.get("/healthz").status() == 200
+            });
             pair.wait_for_both(&node);
             discovery.next_call().answer(&match leaves {
                 Leaves::Draining => list(6, false, &pair.entries("draining")[..1]),
@@ -83,11 +94,18 @@
                 undone.push((leaves, seq, sent));
             }
             // Started anew, it is ready.
-            next.answer(&list(7, false, &[born(pair.entries("ready")[0].clone(), 1_000)]));
+            next.answer(&list(
+                7,
+                false,
+                &[born(pair.entries("ready")[0].clone(), 1_000)],
+            ));
             pair.wait_for_both(&node);
         }
     }
-    assert!(undone.is_empty(), "how it left, the version that undid it, sends after that: {undone:?}");
+    assert!(
+        undone.is_empty(),
+        "how it left, the version that undid it, sends after that: {undone:?}"
+    );
 }
 
 // Guards against a node that serves from the list it knew and whose first call is refused, or waits for its turn, as a drain is
@@ -107,7 +125,11 @@
             let since = Instant::now();
             call = discovery.next_call();
             // The module's pause is 0.84 s at most; the rest is for a machine that does other things too.
-            assert!(since.elapsed() < Duration::from_secs(3), "{:?}", since.elapsed());
+            assert!(
+                since.elapsed() < Duration::from_secs(3),
+                "{:?}",
+                since.elapsed()
+            );
         }
         assert!(call.path.contains("after=1&"), "{}", call.path);
         call.answer(&list(2, false, &pair.entries("draining")[..1]));
--- a/crates/cli/tests/relay.rs
+++ b/crates/cli/tests/relay.rs
@@ -51,8 +51,18 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (open, asked, changes) = (Vec::new(), Vec::new(), Vec::new());
-        let lists = Lists { mode, version: FIRST_VERSION, servers: by_name(hosts), changes, open, asked };
-        let source = Self { address, lists: Arc::new((Mutex::new(lists), Condvar::new())) };
+        let lists = Lists {
+            mode,
+            version: FIRST_VERSION,
+            servers: by_name(hosts),
+            changes,
+            open,
+            asked,
+        };
+        let source = Self {
+            address,
+            lists: Arc::new((Mutex::new(lists), Condvar::new())),
+        };
         let accepting = source.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
@@ -72,8 +82,13 @@
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Ok(Some(message)) = Message::read(&mut reader) {
             let path = message.start.split(' ').nth(1).unwrap().to_owned();
-            let Some(body) = self.answer(&path) else { break };
-            if stream.write_all(answer("200 OK", "", &body.to_string()).as_bytes()).is_err() {
+            let Some(body) = self.answer(&path) else {
+                break;
+            };
+            if stream
+                .write_all(answer("200 OK", "", &body.to_string()).as_bytes())
+                .is_err()
+            {
                 break;
             }
         }
@@ -137,7 +152,11 @@
     }
 
     fn asked(&self, text: &str) -> usize {
-        self.lock().asked.iter().filter(|path| path.contains(text)).count()
+        self.lock()
+            .asked
+            .iter()
+            .filter(|path| path.contains(text))
+            .count()
     }
 }
 
@@ -157,7 +176,10 @@
 }
 
 fn by_name(hosts: &[Value]) -> BTreeMap<String, Value> {
-    hosts.iter().map(|host| (host["host"].as_str().unwrap().to_owned(), host.clone())).collect()
+    hosts
+        .iter()
+        .map(|host| (host["host"].as_str().unwrap().to_owned(), host.clone()))
+        .collect()
 }
 
 fn entry(name: &str, health: &str) -> Value {
@@ -182,7 +204,11 @@
     fn start_at(listen: SocketAddr, upstream: &[SocketAddr], more: &[&str]) -> Self {
         let mut command = command();
         command.args(["relay", "--listen", &listen.to_string(), "--upstream"]);
-        Self::spawn(command.args(upstream.iter().map(SocketAddr::to_string)).args(more))
+        Self::spawn(
+            command
+                .args(upstream.iter().map(SocketAddr::to_string))
+                .args(more),
+        )
     }
 
     fn spawn(command: &mut Command) -> Self {
@@ -233,7 +259,9 @@
         let waiting = || self.status()["waiting"].as_u64().unwrap();
         let before = waiting();
         let mut client = self.client();
-        client.send(&request(&format!("/v1/servers?after={after}&wait_ms=60000")));
+        client.send(&request(&format!(
+            "/v1/servers?after={after}&wait_ms=60000"
+        )));
         wait_for("a caller that waits", || waiting() > before);
         client
     }
@@ -261,7 +289,14 @@
 
 fn health(list: &Value) -> Vec<(&str, &str)> {
     let hosts = list["hosts"].as_array().unwrap().iter();
-    hosts.map(|host| (host["host"].as_str().unwrap(), host["health"].as_str().unwrap())).collect()
+    hosts
+        .map(|host| {
+            (
+                host["host"].as_str().unwrap(),
+                host["health"].as_str().unwrap(),
+            )
+        })
+        .collect()
 }
 
 fn fails(relay: &Relay, path: &str, why: &str) {
@@ -280,18 +315,36 @@
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &["--lease-ms", LONG_LEASE]);
     assert_eq!(relay.list("/v1/servers"), source.lock().told(None));
-    assert_eq!(relay.list("/v1/servers?after=50&wait_ms=1"), json!({"seq": 50, "whole": false, "hosts": []}));
+    assert_eq!(
+        relay.list("/v1/servers?after=50&wait_ms=1"),
+        json!({"seq": 50, "whole": false, "hosts": []})
+    );
     let mut watching: Vec<_> = (0..20).map(|_| relay.watching(50)).collect();
     source.tell(entry("s-1", "draining"));
     let change = source.lock().told(Some(50));
     for client in &mut watching {
         assert_eq!(body(&client.answer().unwrap()), change);
     }
-    assert_eq!(relay.list("/v1/servers?after=50"), change, "also to one that comes later");
-    assert_eq!(relay.list("/v1/servers?after=7")["whole"], true, "of an unknown version nothing is known");
+    assert_eq!(
+        relay.list("/v1/servers?after=50"),
+        change,
+        "also to one that comes later"
+    );
+    assert_eq!(
+        relay.list("/v1/servers?after=7")["whole"],
+        true,
+        "of an unknown version nothing is known"
+    );
     let counts = relay.status()["callers"].clone();
-    assert_eq!((&counts["change_answers"], &counts["whole_answers"]), (&json!(21), &json!(2)));
-    assert_eq!(source.asked("/v1/servers"), 3, "upstream sees one caller: a whole list and two watches");
+    assert_eq!(
+        (&counts["change_answers"], &counts["whole_answers"]),
+        (&json!(21), &json!(2))
+    );
+    assert_eq!(
+        source.asked("/v1/servers"),
+        3,
+        "upstream sees one caller: a whole list and two watches"
+    );
 }
 
 // Guards against requests that are guessed at.
@@ -301,49 +354,105 @@
     let relay = Relay::ready(&[source.address], &[]);
     let refused = |request: &str, status: u16, why: &str| {
         let message = relay.client().ask(request);
-        assert!(message.status() == status && text(&message).contains(why), "{request}: {}", text(&message));
+        assert!(
+            message.status() == status && text(&message).contains(why),
+            "{request}: {}",
+            text(&message)
+        );
     };
     refused(
         &request("/v1/servers?after=1&wait_ms=60001"),
         400,
         "wait_ms is 60001: at most 60000 is possible",
     );
-    refused(&request("/v1/servers?after=x"), 400, "after is \"x\": a whole number is expected");
+    refused(
+        &request("/v1/servers?after=x"),
+        400,
+        "after is \"x\": a whole number is expected",
+    );
     refused(&request("/v1/hosts"), 404, "there is nothing at /v1/hosts");
-    refused("PUT /v1/servers HTTP/1.1\r\nHost: r\r\nContent-Length: 0\r\n\r\n", 405, "GET is expected");
+    refused(
+        "PUT /v1/servers HTTP/1.1\r\nHost: r\r\nContent-Length: 0\r\n\r\n",
+        405,
+        "GET is expected",
+    );
     for (arguments, why) in [
         (&["--listen", "127.0.0.1:0"][..], "--upstream"),
-        (&["--upstream", "127.0.0.1:1", "--listen", "127.0.0.1:0", "--lease-ms", "9"], "lease_ms is 9"),
-        (&["--upstream", "127.0.0.1:1", "--listen", "127.0.0.1:0", "--callers", "0"], "callers is 0"),
         (
-            &["--upstream", "127.0.0.1:1", "--listen", "127.0.0.1:0", "--callers", "999999"],
+            &[
+                "--upstream",
+                "127.0.0.1:1",
+                "--listen",
+                "127.0.0.1:0",
+                "--lease-ms",
+                "9",
+            ],
+            "lease_ms is 9",
+        ),
+        (
+            &[
+                "--upstream",
+                "127.0.0.1:1",
+                "--listen",
+                "127.0.0.1:0",
+                "--callers",
+                "0",
+            ],
+            "callers is 0",
+        ),
+        (
+            &[
+                "--upstream",
+                "127.0.0.1:1",
+                "--listen",
+                "127.0.0.1:0",
+                "--callers",
+                "999999",
+            ],
             "descriptors leaves no room",
         ),
-        (&["--config", "/nowhere/relay.toml"], "cannot read /nowhere/relay.toml"),
+        (
+            &["--config", "/nowhere/relay.toml"],
+            "cannot read /nowhere/relay.toml",
+        ),
     ] {
         let output = command().arg("relay").args(arguments).output().unwrap();
         let said = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success() && said.contains(why), "{arguments:?}: {said}");
+        assert!(
+            !output.status.success() && said.contains(why),
+            "{arguments:?}: {said}"
+        );
     }
 }
 
 // Guards against settings that a file has and that are not read, or are read wrongly without a word.
 #[test]
 fn a_relay_reads_its_settings_from_a_file() {
-    let (dead, source) = (Source::start(Mode::Dead, &two()), Source::start(Mode::Serves, &two()));
+    let (dead, source) = (
+        Source::start(Mode::Dead, &two()),
+        Source::start(Mode::Serves, &two()),
+    );
     let upstream = [dead.address, source.address].map(|address| address.to_string());
     let file = |more: &str| {
-        write_config(&format!("upstream = {upstream:?}\nlisten = \"127.0.0.1:0\"\ncallers = 7\n{more}"))
+        write_config(&format!(
+            "upstream = {upstream:?}\nlisten = \"127.0.0.1:0\"\ncallers = 7\n{more}"
+        ))
     };
     let (good, bad) = (file("lease_ms = 700"), file("leese_ms = 700"));
     let relay = Relay::spawn(command().args(["relay", "--config"]).arg(&good));
     relay.until_answering();
     assert_eq!(relay.status()["most_open"], 7);
     assert!(relay.status()["lease_left_ms"].as_u64() <= Some(700));
-    let output = command().args(["relay", "--config"]).arg(&bad).output().unwrap();
+    let output = command()
+        .args(["relay", "--config"])
+        .arg(&bad)
+        .output()
+        .unwrap();
     let said = String::from_utf8(output.stderr).unwrap();
     assert!(said.contains("line 4: unknown field `leese_ms`"), "{said}");
-    [good, bad].iter().for_each(|path| std::fs::remove_file(path).unwrap());
+    [good, bad]
+        .iter()
+        .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
 // Guards against an old list that is told as if it were new, and against a relay that does not come back.
@@ -354,21 +463,31 @@
     let mut waiting = relay.watching(50);
     source.set(Mode::Dead);
     let failed = waiting.answer().unwrap();
-    assert!(failed.status() == 503 && text(&failed).contains("the lease is 1500 ms"), "{}", text(&failed));
+    assert!(
+        failed.status() == 503 && text(&failed).contains("the lease is 1500 ms"),
+        "{}",
+        text(&failed)
+    );
     fails(&relay, "/v1/servers", "nothing was heard from upstream");
     fails(&relay, "/healthz", "nothing was heard from upstream");
     assert_eq!(relay.status()["lease_left_ms"], 0);
     source.tell(entry("s-2", "gone"));
     source.set(Mode::Serves);
     relay.until_answering();
-    assert_eq!(health(&relay.list("/v1/servers?after=50")), [("s-2", "gone")]);
+    assert_eq!(
+        health(&relay.list("/v1/servers?after=50")),
+        [("s-2", "gone")]
+    );
 }
 
 // Guards against a relay that waits for ever on an upstream that a cut keeps silent.
 #[test]
 fn when_upstream_falls_silent_the_next_one_is_asked() {
     let hosts = two();
-    let (first, second) = (Source::start(Mode::Serves, &hosts), Source::start(Mode::Serves, &hosts));
+    let (first, second) = (
+        Source::start(Mode::Serves, &hosts),
+        Source::start(Mode::Serves, &hosts),
+    );
     let relay = Relay::ready(&[first.address, second.address], &["--lease-ms", "4500"]);
     let mut waiting = relay.watching(50);
     first.set(Mode::Silent);
@@ -396,7 +515,11 @@
     let source = Source::start(Mode::Silent, &two());
     let relay = Relay::start(&[source.address], &["--lease-ms", LONG_LEASE]);
     wait_for("its call", || source.asked("/v1/servers") > 0);
-    for path in ["/v1/servers", "/v1/servers?after=50&wait_ms=60000", "/healthz"] {
+    for path in [
+        "/v1/servers",
+        "/v1/servers?after=50&wait_ms=60000",
+        "/healthz",
+    ] {
         fails(&relay, path, "no list has come from upstream yet");
     }
     source.set(Mode::Serves);
@@ -411,7 +534,11 @@
     let relay = Relay::ready(&[source.address], &["--lease-ms", LONG_LEASE]);
     wait_for("its watch", || source.asked("after=50&") == 1);
     source.set(Mode::Silent);
-    fails(&relay, "/v1/servers?after=52&wait_ms=1000", "upstream has not answered for it");
+    fails(
+        &relay,
+        "/v1/servers?after=52&wait_ms=1000",
+        "upstream has not answered for it",
+    );
     let mut newer = relay.client();
     newer.send(&request("/v1/servers?after=52&wait_ms=60000"));
     source.tell(entry("s-1", "draining"));
@@ -421,7 +548,11 @@
     wait_for("a caller that waits", || relay.status()["waiting"] == 1);
     source.tell(entry("s-1", "gone"));
     let told = newer.answer().unwrap();
-    assert_eq!(health(&body(&told)), [("s-1", "gone")], "nothing older came before");
+    assert_eq!(
+        health(&body(&told)),
+        [("s-1", "gone")],
+        "nothing older came before"
+    );
 }
 
 // Guards against servers that are back by an old delta, and against callers that stay at versions of before.
@@ -432,10 +563,21 @@
     let mut waiting = relay.watching(50);
     wait_for("its watch", || source.asked("after=50&") == 1);
     source.set(Mode::SilentOnWhole);
-    source.restart(3, &[entry("s-1", "gone"), entry("s-2", "ready"), entry("s-3", "ready")]);
+    source.restart(
+        3,
+        &[
+            entry("s-1", "gone"),
+            entry("s-2", "ready"),
+            entry("s-3", "ready"),
+        ],
+    );
     source.tell(entry("s-2", "draining"));
-    wait_for("the call for the whole list", || source.asked("/v1/servers") > source.asked("after="));
-    wait_for("its rejection", || relay.status()["upstream"]["rejected"] == 1);
+    wait_for("the call for the whole list", || {
+        source.asked("/v1/servers") > source.asked("after=")
+    });
+    wait_for("its rejection", || {
+        relay.status()["upstream"]["rejected"] == 1
+    });
     assert_eq!(relay.list("/v1/servers")["seq"], 50);
     assert_eq!(health(&relay.list("/v1/servers?after=50")), []);
     source.set(Mode::Serves);
@@ -462,10 +604,18 @@
     });
     let refused = relay.get("/v1/servers");
     assert_eq!(refused.status(), 503);
-    assert!(text(&refused).contains("there are 3 connections already"), "{}", text(&refused));
+    assert!(
+        text(&refused).contains("there are 3 connections already"),
+        "{}",
+        text(&refused)
+    );
     assert_eq!(refused.header("connection"), Some("close"));
     let kept = held.pop().unwrap();
-    assert_eq!(held[0].ask(&request("/v1/servers")).status(), 200, "those that are in stay");
+    assert_eq!(
+        held[0].ask(&request("/v1/servers")).status(),
+        200,
+        "those that are in stay"
+    );
     drop(kept);
     wait_for("a place", || relay.get("/v1/servers").status() == 200);
 }
@@ -477,9 +627,17 @@
     let mut relay = Relay::ready(&[source.address], &["--lease-ms", LONG_LEASE]);
     let mut waiting = relay.watching(50);
     let pid = relay.child.id().to_string();
-    assert!(Command::new("kill").args(["-TERM", &pid]).status().unwrap().success());
+    assert!(Command::new("kill")
+        .args(["-TERM", &pid])
+        .status()
+        .unwrap()
+        .success());
     let told = waiting.answer().unwrap();
-    assert!(told.status() == 503 && text(&told).contains("the relay stops"), "{}", text(&told));
+    assert!(
+        told.status() == 503 && text(&told).contains("the relay stops"),
+        "{}",
+        text(&told)
+    );
     assert_eq!(relay.child.wait().unwrap().code(), Some(0));
 }
 
@@ -487,7 +645,10 @@
 #[test]
 fn a_node_whose_relay_dies_serves_on_and_follows_the_next_one() {
     let servers = [CacheServer::serving("one"), CacheServer::serving("two")];
-    let hosts = [servers[0].entry("s-1", "ready"), servers[1].entry("s-2", "ready")];
+    let hosts = [
+        servers[0].entry("s-1", "ready"),
+        servers[1].entry("s-2", "ready"),
+    ];
     let source = Source::start(Mode::Serves, &hosts);
     let relay = Relay::ready(&[source.address], &[]);
     let address = relay.address;
@@ -519,15 +680,24 @@
 #[test]
 fn a_drain_goes_through_two_tiers_to_a_real_node_at_once() {
     let servers = [CacheServer::serving("one"), CacheServer::serving("two")];
-    let hosts = [servers[0].entry("s-1", "ready"), servers[1].entry("s-2", "ready")];
+    let hosts = [
+        servers[0].entry("s-1", "ready"),
+        servers[1].entry("s-2", "ready"),
+    ];
     let source = Source::start(Mode::Serves, &hosts);
     let lease = ["--lease-ms", "3600000"];
     let region = Relay::ready(&[source.address], &lease);
     let site = Relay::ready(&[region.address], &lease);
     let node = Node::ready(&config(site.address));
-    wait_for("the watches", || [&region, &site].iter().all(|relay| relay.status()["waiting"] == 1));
+    wait_for("the watches", || {
+        [&region, &site]
+            .iter()
+            .all(|relay| relay.status()["waiting"] == 1)
+    });
     source.tell(servers[0].entry("s-1", "draining"));
-    wait_for("the node's next watch", || site.status()["version"] == 51 && site.status()["waiting"] == 1);
+    wait_for("the node's next watch", || {
+        site.status()["version"] == 51 && site.status()["waiting"] == 1
+    });
     serves_without(&node, &servers);
     assert_eq!(site.status()["callers"]["change_answers"], 1);
     assert_eq!(region.status()["callers"]["change_answers"], 1);
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -79,8 +79,14 @@
 /// A run of its own, with so many processes up.
 fn begun(arguments: &[&str], processes: usize) -> (Child, BTreeSet<u32>) {
     let mut command = scale(arguments);
-    let run = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn().unwrap();
-    eventually("the start of all processes", || children(run.id()).len() == processes);
+    let run = command
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap();
+    eventually("the start of all processes", || {
+        children(run.id()).len() == processes
+    });
     let started = children(run.id());
     (run, started)
 }
@@ -123,7 +129,9 @@
     let commas = entries.saturating_sub(1);
     let list = format!("{{\"seq\":1,\"whole\":{whole},\"hosts\":[]}}");
     let body = list.len() as u64 + entries * entry.len() as u64 + commas;
-    let head = format!("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {body}\r\n\r\n");
+    let head = format!(
+        "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {body}\r\n\r\n"
+    );
     head.len() as u64 + body
 }
 
@@ -132,13 +140,23 @@
 #[test]
 fn a_step_wise_run_has_exact_counts_and_leaves_nothing() {
     let file = Report::new("exact");
-    let arguments =
-        ["--real=1", "--simulated=6", "--workers=2", "--servers=20", "--length=3", "--list-changes=1"];
+    let arguments = [
+        "--real=1",
+        "--simulated=6",
+        "--workers=2",
+        "--servers=20",
+        "--length=3",
+        "--list-changes=1",
+    ];
     let more = ["--step-wise", "--seed=7", "--json", file.path()];
     let (run, started) = begun(&[&arguments[..], &more[..]].concat(), 3);
     let output = run.wait_with_output().unwrap();
     assert!(output.status.success(), "{}", text(&output.stderr));
-    assert_eq!(started.into_iter().filter(|pid| runs(*pid)).count(), 0, "its processes have ended");
+    assert_eq!(
+        started.into_iter().filter(|pid| runs(*pid)).count(),
+        0,
+        "its processes have ended"
+    );
     let report = file.read();
     assert_eq!(report["behind_at_end"], 0);
     assert_eq!(report["counts"]["list_changes"], 3);
@@ -147,11 +165,20 @@
     let answer_bytes = answer(true, 20, "ready") + 3 * answer(false, 1, "draining");
     let node = [1, 4, call_bytes, 1, 3, answer_bytes, 23, 1];
     assert_eq!(counted(&report, "real", NAMES), node);
-    assert_eq!(counted(&report, "simulated", NAMES), node.map(|count| 6 * count));
+    assert_eq!(
+        counted(&report, "simulated", NAMES),
+        node.map(|count| 6 * count)
+    );
     let table = text(&output.stdout);
-    assert!(table.contains("a real node ") && table.contains("a simulated node "), "{table}");
+    assert!(
+        table.contains("a real node ") && table.contains("a simulated node "),
+        "{table}"
+    );
     let said = text(&output.stderr);
-    assert!(said.starts_with("estimated: 4 processes, "), "the bounds are stated first: {said}");
+    assert!(
+        said.starts_with("estimated: 4 processes, "),
+        "the bounds are stated first: {said}"
+    );
 }
 
 // Guards against relays that pass calls through, ask for more than one caller would, or change what an answer says; and
@@ -159,14 +186,31 @@
 #[test]
 fn relays_between_are_one_caller_each_and_nodes_get_what_discovery_would_say() {
     let file = Report::new("relays");
-    let arguments =
-        ["--real=0", "--simulated=6", "--workers=2", "--servers=20", "--length=3", "--list-changes=1"];
+    let arguments = [
+        "--real=0",
+        "--simulated=6",
+        "--workers=2",
+        "--servers=20",
+        "--length=3",
+        "--list-changes=1",
+    ];
     // A watch of 60 s, so that none ends within the run.
-    let more = ["--relays=2,3", "--relay-lease-ms=180000", "--step-wise", "--seed=7", "--json", file.path()];
+    let more = [
+        "--relays=2,3",
+        "--relay-lease-ms=180000",
+        "--step-wise",
+        "--seed=7",
+        "--json",
+        file.path(),
+    ];
     let (run, started) = begun(&[&arguments[..], &more[..]].concat(), 7);
     let output = run.wait_with_output().unwrap();
     assert!(output.status.success(), "{}", text(&output.stderr));
-    assert_eq!(started.into_iter().filter(|pid| runs(*pid)).count(), 0, "its processes have ended");
+    assert_eq!(
+        started.into_iter().filter(|pid| runs(*pid)).count(),
+        0,
+        "its processes have ended"
+    );
     let report = file.read();
     assert_eq!(report["behind_at_end"], 0);
     // A caller at any place: one whole list, three changes, and a watch that waits at the end.
@@ -174,7 +218,10 @@
     let answer_bytes = answer(true, 20, "ready") + 3 * answer(false, 1, "draining");
     let caller = [1, 4, call_bytes, 1, 3, answer_bytes, 23, 1];
     let at_tier = |tier: usize| figures(&report["relays"][tier]["callers"], NAMES);
-    assert_eq!(counted(&report, "discovery", NAMES), caller.map(|count| 2 * count));
+    assert_eq!(
+        counted(&report, "discovery", NAMES),
+        caller.map(|count| 2 * count)
+    );
     assert_eq!(at_tier(0), caller.map(|count| 3 * count));
     assert_eq!(at_tier(1), caller.map(|count| 6 * count));
     assert_eq!(counted(&report, "simulated", NAMES), at_tier(1));
@@ -182,31 +229,73 @@
         assert_eq!(report["relays"][tier]["upstream_failed"], 0);
     }
     let table = text(&output.stdout);
-    assert!(table.contains("a relay, tier 2 ") && table.contains("relays by tier"), "{table}");
+    assert!(
+        table.contains("a relay, tier 2 ") && table.contains("relays by tier"),
+        "{table}"
+    );
 }
 
 // Guards against nodes behind relays that do not come back after discovery was away.
 #[test]
 fn all_nodes_behind_relays_are_up_to_date_after_discovery_was_away() {
     let file = Report::new("relays-discovery-down");
-    let arguments = ["--real=0", "--simulated=9", "--workers=2", "--servers=9", "--length=4", "--seed=2"];
-    let trouble = ["--trouble=discovery-down", "--trouble-at=0.5", "--trouble-for=2.5"];
+    let arguments = [
+        "--real=0",
+        "--simulated=9",
+        "--workers=2",
+        "--servers=9",
+        "--length=4",
+        "--seed=2",
+    ];
+    let trouble = [
+        "--trouble=discovery-down",
+        "--trouble-at=0.5",
+        "--trouble-for=2.5",
+    ];
     // Shorter than discovery is away.
-    let more = ["--relays=2,3", "--relay-lease-ms=600", "--json", file.path()];
-    let output = scale(&[&arguments[..], &trouble[..], &more[..]].concat()).output().unwrap();
+    let more = [
+        "--relays=2,3",
+        "--relay-lease-ms=600",
+        "--json",
+        file.path(),
+    ];
+    let output = scale(&[&arguments[..], &trouble[..], &more[..]].concat())
+        .output()
+        .unwrap();
     assert!(output.status.success(), "{}", text(&output.stderr));
     let report = file.read();
-    assert!(report["behind_at_end"] == 0 && recovered(&report), "{report}");
-    assert!(report["relays"][1]["callers"]["refused"].as_u64() > Some(0), "leases ran out: {report}");
+    assert!(
+        report["behind_at_end"] == 0 && recovered(&report),
+        "{report}"
+    );
+    assert!(
+        report["relays"][1]["callers"]["refused"].as_u64() > Some(0),
+        "leases ran out: {report}"
+    );
 }
 
 // Guards against a restart or a new configuration that asks discovery more than once.
 #[test]
 fn a_new_configuration_is_one_whole_list_for_each_node() {
     let file = Report::new("configuration");
-    let arguments = ["--real=1", "--simulated=4", "--workers=1", "--servers=10", "--length=2", "--seed=3"];
-    let more = ["--list-changes=0", "--configurations=0.5", "--step-wise", "--json", file.path()];
-    let output = scale(&[&arguments[..], &more[..]].concat()).output().unwrap();
+    let arguments = [
+        "--real=1",
+        "--simulated=4",
+        "--workers=1",
+        "--servers=10",
+        "--length=2",
+        "--seed=3",
+    ];
+    let more = [
+        "--list-changes=0",
+        "--configurations=0.5",
+        "--step-wise",
+        "--json",
+        file.path(),
+    ];
+    let output = scale(&[&arguments[..], &more[..]].concat())
+        .output()
+        .unwrap();
     assert!(output.status.success(), "{}", text(&output.stderr));
     let report = file.read();
     assert_eq!(report["counts"]["configurations"], 1);
@@ -214,15 +303,35 @@
     let call_bytes = 2 * (call("/v1/servers") + call("/v1/servers?after=1&wait_ms=60000"));
     let node = [2, 2, call_bytes, 2, 0, 2 * answer(true, 10, "ready"), 20, 2];
     assert_eq!(counted(&report, "real", NAMES), node);
-    assert_eq!(counted(&report, "simulated", NAMES), node.map(|count| 4 * count));
+    assert_eq!(
+        counted(&report, "simulated", NAMES),
+        node.map(|count| 4 * count)
+    );
 }
 
 /// A short run with a trouble; its report.
 fn with_trouble(name: &str, lasts: &str) -> Value {
     let file = Report::new(name);
-    let arguments = ["--real=2", "--simulated=9", "--workers=2", "--servers=9", "--length=3", "--seed=2"];
-    let more = ["--trouble", name, "--trouble-at=0.5", "--trouble-for", lasts, "--json", file.path()];
-    let output = scale(&[&arguments[..], &more[..]].concat()).output().unwrap();
+    let arguments = [
+        "--real=2",
+        "--simulated=9",
+        "--workers=2",
+        "--servers=9",
+        "--length=3",
+        "--seed=2",
+    ];
+    let more = [
+        "--trouble",
+        name,
+        "--trouble-at=0.5",
+        "--trouble-for",
+        lasts,
+        "--json",
+        file.path(),
+    ];
+    let output = scale(&[&arguments[..], &more[..]].concat())
+        .output()
+        .unwrap();
     assert!(output.status.success(), "{name}: {}", text(&output.stderr));
     let report = file.read();
     assert_eq!(report["behind_at_end"], 0, "{name}");
@@ -232,7 +341,9 @@
 
 /// Whether all nodes had the change that ends the trouble.
 fn recovered(report: &Value) -> bool {
-    report["trouble"]["recovered_ms"].as_f64().is_some_and(|ms| ms > 0.0)
+    report["trouble"]["recovered_ms"]
+        .as_f64()
+        .is_some_and(|ms| ms > 0.0)
 }
 
 // Guards against a fleet that does not come back after discovery was away.
@@ -241,8 +352,14 @@
     let report = with_trouble("discovery-down", "1.5");
     assert!(recovered(&report), "{report}");
     // Each node's watch at least.
-    assert!(report["trouble"]["counts"]["resets"].as_u64() >= Some(11), "{report}");
-    assert!(report["trouble"]["failed_calls"].as_u64() >= Some(9), "{report}");
+    assert!(
+        report["trouble"]["counts"]["resets"].as_u64() >= Some(11),
+        "{report}"
+    );
+    assert!(
+        report["trouble"]["failed_calls"].as_u64() >= Some(9),
+        "{report}"
+    );
 }
 
 // Guards against nodes that stay with what they had when they were cut off.
@@ -251,7 +368,10 @@
     let report = with_trouble("split", "1.5");
     assert!(recovered(&report), "{report}");
     // Nodes 1, 3, 5, 7 and 9, whose watches come to nothing.
-    assert!(report["trouble"]["counts"]["resets"].as_u64() >= Some(5), "{report}");
+    assert!(
+        report["trouble"]["counts"]["resets"].as_u64() >= Some(5),
+        "{report}"
+    );
 }
 
 // Guards against a lost zone that nodes learn of in part, or not of its return.
@@ -259,8 +379,16 @@
 fn all_nodes_hear_that_a_zone_is_lost_and_back() {
     let report = with_trouble("zone-lost", "1");
     assert!(recovered(&report), "{report}");
-    assert!(report["trouble"]["to_last_node_ms"].as_f64().is_some_and(|ms| ms > 0.0), "{report}");
-    assert_eq!(report["counts"]["list_changes"], 5, "three planned, lost, back");
+    assert!(
+        report["trouble"]["to_last_node_ms"]
+            .as_f64()
+            .is_some_and(|ms| ms > 0.0),
+        "{report}"
+    );
+    assert_eq!(
+        report["counts"]["list_changes"], 5,
+        "three planned, lost, back"
+    );
 }
 
 // Guards against restarted nodes that come back without a list.
@@ -278,20 +406,41 @@
 #[test]
 fn requests_reach_the_decision_modules_and_the_real_nodes() {
     let file = Report::new("requests");
-    let arguments = ["--real=1", "--simulated=4", "--workers=1", "--servers=6", "--length=3", "--seed=5"];
+    let arguments = [
+        "--real=1",
+        "--simulated=4",
+        "--workers=1",
+        "--servers=6",
+        "--length=3",
+        "--seed=5",
+    ];
     let more = ["--requests=20", "--json", file.path()];
-    let output = scale(&[&arguments[..], &more[..]].concat()).output().unwrap();
+    let output = scale(&[&arguments[..], &more[..]].concat())
+        .output()
+        .unwrap();
     assert!(output.status.success(), "{}", text(&output.stderr));
     let report = file.read();
     let rate = |name: &str| report["simulated_node"][name].as_f64().unwrap();
     assert!(rate("requests_per_s") > 0.0, "{report}");
-    assert_eq!(rate("sent_per_s"), rate("requests_per_s"), "all servers are ready: none is refused");
+    assert_eq!(
+        rate("sent_per_s"),
+        rate("requests_per_s"),
+        "all servers are ready: none is refused"
+    );
     assert!(report["clients"]["served"].as_u64() > Some(0), "{report}");
-    assert_eq!(report["real_node"]["control_processor_us_per_s"], Value::Null, "it cannot be told apart");
+    assert_eq!(
+        report["real_node"]["control_processor_us_per_s"],
+        Value::Null,
+        "it cannot be told apart"
+    );
 }
 
 fn refused(arguments: &[&str], why: &str) {
-    let Output { status, stdout, stderr } = scale(arguments).output().unwrap();
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = scale(arguments).output().unwrap();
     let said = text(&stderr);
     assert_eq!(status.code(), UNUSABLE, "{arguments:?}: {said}");
     assert!(said.contains(why), "{arguments:?}: {said}");
@@ -301,38 +450,77 @@
 // Guards against a run that takes more than the machine has.
 #[test]
 fn a_run_that_is_too_large_is_refused_before_it_starts() {
-    refused(&["--simulated=90000", "--servers=90000"], "MiB of memory: half of this machine's is ");
-    refused(&["--real=300"], "the run would take 305 processes: 300 are the most");
+    refused(
+        &["--simulated=90000", "--servers=90000"],
+        "MiB of memory: half of this machine's is ",
+    );
+    refused(
+        &["--real=300"],
+        "the run would take 305 processes: 300 are the most",
+    );
 }
 
 // Guards against figures that make no sense, and that would show as a run that measures nothing.
 #[test]
 fn arguments_that_make_no_sense_are_refused_in_a_sentence() {
     refused(&["--real=0", "--simulated=0"], "there are no nodes");
-    refused(&["--servers=2", "--zones=3"], "2 servers cannot be dealt out over 3 zones");
-    refused(&["--length=0"], "--length is 0: a number from 1 to 86400 is wanted");
+    refused(
+        &["--servers=2", "--zones=3"],
+        "2 servers cannot be dealt out over 3 zones",
+    );
+    refused(
+        &["--length=0"],
+        "--length is 0: a number from 1 to 86400 is wanted",
+    );
     refused(&["--list-changes=NaN"], "--list-changes is NaN");
     refused(&["--requests=-1"], "--requests is -1");
     refused(&["--workers=0"], "--workers is 0");
-    refused(&["--length=9000", "--list-changes=100"], "900000 changes are planned");
+    refused(
+        &["--length=9000", "--list-changes=100"],
+        "900000 changes are planned",
+    );
     refused(&["--trouble=zone-lost", "--zones=1"], "at least 2 zones");
-    refused(&["--trouble=split", "--trouble-at=25"], "does not end within the run's 30 s");
+    refused(
+        &["--trouble=split", "--trouble-at=25"],
+        "does not end within the run's 30 s",
+    );
     refused(&["--trouble-at=3"], "--trouble");
     refused(&["--relays=2"], "1 real nodes are asked for with relays");
     refused(&["--real=0", "--relays=2,0"], "--relays is 0");
-    refused(&["--real=0", "--relays=2,3,4"], "3 tiers of relays are asked for: at most 2");
-    refused(&["--real=0", "--relays=2", "--trouble=split"], "with relays between them there is none");
-    refused(&["--real=0", "--relays=2", "--relay-lease-ms=9"], "--relay-lease-ms is 9");
-    refused(&["--real=0", "--relays=200,200"], "405 processes: 300 are the most");
+    refused(
+        &["--real=0", "--relays=2,3,4"],
+        "3 tiers of relays are asked for: at most 2",
+    );
+    refused(
+        &["--real=0", "--relays=2", "--trouble=split"],
+        "with relays between them there is none",
+    );
+    refused(
+        &["--real=0", "--relays=2", "--relay-lease-ms=9"],
+        "--relay-lease-ms is 9",
+    );
+    refused(
+        &["--real=0", "--relays=200,200"],
+        "405 processes: 300 are the most",
+    );
     refused(&["--trouble=flood"], "discovery-down");
-    refused(&["--json=/nowhere/report.json"], "cannot write /nowhere/report.json: ");
+    refused(
+        &["--json=/nowhere/report.json"],
+        "cannot write /nowhere/report.json: ",
+    );
 }
 
 // Guards against processes that outlive a run which is interrupted.
 #[test]
 fn an_interrupted_run_ends_all_that_it_started() {
     let with_nodes = ["--real=2", "--simulated=6", "--workers=2", "--length=600"];
-    let with_relays = ["--real=0", "--simulated=6", "--workers=1", "--relays=1,2", "--length=600"];
+    let with_relays = [
+        "--real=0",
+        "--simulated=6",
+        "--workers=1",
+        "--relays=1,2",
+        "--length=600",
+    ];
     for (by, arguments) in [
         (Signal::INT, &with_nodes[..]),
         (Signal::TERM, &with_nodes[..]),
@@ -343,16 +531,29 @@
         signal(&run, by);
         let output = run.wait_with_output().unwrap();
         assert_eq!(output.status.code(), BROKEN);
-        assert!(text(&output.stderr).contains("slatelink: stopped"), "{}", text(&output.stderr));
-        assert_eq!(started.into_iter().filter(|pid| runs(*pid)).count(), 0, "its processes have ended");
+        assert!(
+            text(&output.stderr).contains("slatelink: stopped"),
+            "{}",
+            text(&output.stderr)
+        );
+        assert_eq!(
+            started.into_iter().filter(|pid| runs(*pid)).count(),
+            0,
+            "its processes have ended"
+        );
     }
 }
 
 // Guards against workers that stay when the run is killed and can end nothing itself.
 #[test]
 fn workers_end_with_a_run_that_is_killed() {
-    let (mut run, started) = begun(&["--real=0", "--simulated=6", "--workers=3", "--length=600"], 3);
+    let (mut run, started) = begun(
+        &["--real=0", "--simulated=6", "--workers=3", "--length=600"],
+        3,
+    );
     run.kill().unwrap();
     run.wait().unwrap();
-    eventually("the end of the workers", || !started.iter().any(|pid| runs(*pid)));
+    eventually("the end of the workers", || {
+        !started.iter().any(|pid| runs(*pid))
+    });
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -14,5 +14,8 @@
 
 /// SHA-256 in lower-case hexadecimal.
 pub fn digest(bytes: &[u8]) -> String {
-    Sha256::digest(bytes).iter().map(|byte| format!("{byte:02x}")).collect()
+    Sha256::digest(bytes)
+        .iter()
+        .map(|byte| format!("{byte:02x}"))
+        .collect()
 }
--- a/crates/config/src/listing.rs
+++ b/crates/config/src/listing.rs
@@ -77,7 +77,10 @@
             kind: self.class.as_deref().map(Into::into),
             cell: self.block.unwrap_or(0),
             availability: self.availability(),
-            weight: self.share.filter(|share| share.is_finite() && *share >= 0.0).unwrap_or(1.0),
+            weight: self
+                .share
+                .filter(|share| share.is_finite() && *share >= 0.0)
+                .unwrap_or(1.0),
             started: started.map(|ms| Timestamp::from_micros(ms.saturating_mul(1000))),
         }
     }
--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -14,9 +14,16 @@
 #[derive(Debug, Error)]
 pub enum SettingsError {
     #[error("cannot read {}: {error}", .path.display())]
-    Unreadable { path: PathBuf, error: std::io::Error },
+    Unreadable {
+        path: PathBuf,
+        error: std::io::Error,
+    },
     #[error("{} line {line}: {what}", .path.display())]
-    Malformed { path: PathBuf, line: usize, what: String },
+    Malformed {
+        path: PathBuf,
+        line: usize,
+        what: String,
+    },
 }
 
 /// What the file says. A feature is on when its section stands there.
@@ -108,7 +115,10 @@
 
 impl Default for HotList {
     fn default() -> Self {
-        Self { capacity: 256, window_s: Within(60) }
+        Self {
+            capacity: 256,
+            window_s: Within(60),
+        }
     }
 }
 
@@ -147,7 +157,8 @@
 impl Front {
     /// Of so many descriptors, those that clients use at most: a third, where nothing else is said.
     pub fn clients_part(&self, descriptors: usize) -> usize {
-        self.clients_percent.map_or(descriptors / 3, |percent| descriptors * percent.0 / 100)
+        self.clients_percent
+            .map_or(descriptors / 3, |percent| descriptors * percent.0 / 100)
     }
 
     /// Of so many descriptors, those that are kept for connections to servers.
@@ -193,7 +204,9 @@
                 Ok(address) if address.port() > 0 => Ok(Self::Udp(address)),
                 _ => Err(format!("target udp:{address:?} is not an address and port")),
             },
-            _ => Err(format!("target {text:?} is not stderr, file:<path> or udp:<addr:port>")),
+            _ => Err(format!(
+                "target {text:?} is not stderr, file:<path> or udp:<addr:port>"
+            )),
         }
     }
 }
@@ -206,8 +219,12 @@
 impl<const LEAST: usize, const MOST: usize> TryFrom<i64> for Within<LEAST, MOST> {
     type Error = String;
     fn try_from(value: i64) -> Result<Self, String> {
-        let within = usize::try_from(value).ok().filter(|value| (LEAST..=MOST).contains(value));
-        within.map(Self).ok_or_else(|| format!("{value} is not from {LEAST} to {MOST}"))
+        let within = usize::try_from(value)
+            .ok()
+            .filter(|value| (LEAST..=MOST).contains(value));
+        within
+            .map(Self)
+            .ok_or_else(|| format!("{value} is not from {LEAST} to {MOST}"))
     }
 }
 
@@ -219,19 +236,34 @@
     };
     let parsed = toml::from_str(&text);
     let read = |settings| {
-        let source = Source { path: path.clone(), sha256: crate::digest(text.as_bytes()) };
-        Settings { source: Some(source), ..settings }
+        let source = Source {
+            path: path.clone(),
+            sha256: crate::digest(text.as_bytes()),
+        };
+        Settings {
+            source: Some(source),
+            ..settings
+        }
     };
-    parsed.map(read).map_err(|error| SettingsError::malformed(&path, &text, &error))
+    parsed
+        .map(read)
+        .map_err(|error| SettingsError::malformed(&path, &text, &error))
 }
 
 impl SettingsError {
     /// What TOML says of a file with this text, with its line.
     pub(crate) fn malformed(path: &Path, text: &str, error: &toml::de::Error) -> Self {
-        let before = error.span().and_then(|span| text.get(..span.start)).unwrap_or_default();
+        let before = error
+            .span()
+            .and_then(|span| text.get(..span.start))
+            .unwrap_or_default();
         let line = before.matches('\n').count() + 1;
         // The log has a line for each error.
         let what = error.message().lines().collect::<Vec<_>>().join(" ");
-        Self::Malformed { path: path.to_owned(), line, what }
+        Self::Malformed {
+            path: path.to_owned(),
+            line,
+            what,
+        }
     }
 }
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -75,9 +75,10 @@
 /// Reads the file that `LB_CONFIG` names; the other variables go before what it says.
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let path = PathBuf::from(variable("LB_CONFIG").ok_or(ConfigError::NoPath)?);
-    let text = std::fs::read(&path).map_err(|error| ConfigError::Unreadable(path.clone(), error))?;
-    let file: File =
-        serde_json::from_slice(&text).map_err(|error| ConfigError::Malformed(path.clone(), error))?;
+    let text =
+        std::fs::read(&path).map_err(|error| ConfigError::Unreadable(path.clone(), error))?;
+    let file: File = serde_json::from_slice(&text)
+        .map_err(|error| ConfigError::Malformed(path.clone(), error))?;
     let address = |name: &'static str, own: String| {
         let text = variable(name).unwrap_or(own);
         text.parse().map_err(|_| ConfigError::Address(name, text))
@@ -104,7 +105,13 @@
 
 /// Nested JSON as the wire's pairs of path and value.
 fn flatten(path: String, value: &Value, pairs: &mut Vec<(String, String)>) {
-    let below = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    let below = |name: &str| {
+        if path.is_empty() {
+            name.to_owned()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
         Value::Null => {}
         Value::Object(fields) => {
@@ -127,5 +134,7 @@
 }
 
 fn plain(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), str::to_owned)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/crates/config/src/relay.rs
+++ b/crates/config/src/relay.rs
@@ -56,8 +56,10 @@
 impl RelaySettings {
     /// Reads them from a file and checks them.
     pub fn load(path: &Path) -> Result<Self, RelayConfigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|error| SettingsError::Unreadable { path: path.to_owned(), error })?;
+        let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
+            path: path.to_owned(),
+            error,
+        })?;
         let settings: Self =
             toml::from_str(&text).map_err(|error| SettingsError::malformed(path, &text, &error))?;
         settings.check()?;
@@ -72,7 +74,10 @@
         if !LEASE_MS.contains(&self.lease_ms) {
             return Err(RelayConfigError::Lease(self.lease_ms));
         }
-        match self.callers.filter(|callers| !(1..=MOST_CALLERS).contains(callers)) {
+        match self
+            .callers
+            .filter(|callers| !(1..=MOST_CALLERS).contains(callers))
+        {
             Some(callers) => Err(RelayConfigError::Callers(callers)),
             None => Ok(()),
         }
