--- a/crates/decide/examples/decision_cost.rs
+++ b/crates/decide/examples/decision_cost.rs
@@ -13,8 +13,8 @@
 //! `CASE_TIME`. Fits take the least batch: what else the machine does can only add to it.
 
 use slatelink_decide::{
-    Action, Balancer, Class, ClassId, Effect, Event, LoadReport, Outcome, Request, RequestId, Scope,
-    ServerEntry, ServerId, ServerList, Settings, Status, Timestamp,
+    Action, Balancer, Class, ClassId, Effect, Event, LoadReport, Outcome, Request, RequestId,
+    Scope, ServerEntry, ServerId, ServerList, Settings, Status, Timestamp,
 };
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -71,7 +71,10 @@
     /// The batch that so large a part of all batches is faster than; zero gives the fastest.
     fn quantile(&self, part: f64) -> f64 {
         let last = self.batches.len().saturating_sub(1);
-        self.batches.get((part * last as f64) as usize).copied().unwrap_or(f64::NAN)
+        self.batches
+            .get((part * last as f64) as usize)
+            .copied()
+            .unwrap_or(f64::NAN)
     }
 }
 
@@ -113,7 +116,11 @@
 }
 
 const CASES: [Case; 8] = [
-    Case { name: "request_and_outcome", growth: Growth::Sort, measure: |n| requests(n, true, |_| false) },
+    Case {
+        name: "request_and_outcome",
+        growth: Growth::Sort,
+        measure: |n| requests(n, true, |_| false),
+    },
     Case {
         name: "request_and_outcome_unsized",
         growth: Growth::Sort,
@@ -134,9 +141,21 @@
         growth: Growth::Square,
         measure: |n| requests(n, true, |_| true),
     },
-    Case { name: "first_whole_list", growth: Growth::Square, measure: first_lists },
-    Case { name: "same_whole_list", growth: Growth::Square, measure: same_lists },
-    Case { name: "list_of_one_change", growth: Growth::Linear, measure: changes },
+    Case {
+        name: "first_whole_list",
+        growth: Growth::Square,
+        measure: first_lists,
+    },
+    Case {
+        name: "same_whole_list",
+        growth: Growth::Square,
+        measure: same_lists,
+    },
+    Case {
+        name: "list_of_one_change",
+        growth: Growth::Linear,
+        measure: changes,
+    },
 ];
 
 /// What is measured at one number of servers; costs in the order of `CASES`.
@@ -147,7 +166,11 @@
 }
 
 fn main() {
-    let row = |(&servers, bytes)| Row { servers, bytes, costs: Default::default() };
+    let row = |(&servers, bytes)| Row {
+        servers,
+        bytes,
+        costs: Default::default(),
+    };
     let mut rows: Vec<Row> = SERVERS.iter().zip(resident_bytes()).map(row).collect();
     for pass in 1..=PASSES {
         for row in &mut rows {
@@ -166,7 +189,13 @@
     for (_, entry) in entries.iter_mut().enumerate().filter(|(i, _)| cold(*i)) {
         entry.started = Some(START);
     }
-    let mut balancer = filled(Settings { sized, ..settings() }, entries);
+    let mut balancer = filled(
+        Settings {
+            sized,
+            ..settings()
+        },
+        entries,
+    );
     let mut random = fastrand::Rng::with_seed(SEED);
     let step = Duration::from_secs(1) / REQUESTS_PER_SECOND;
     let (mut now, mut number) = (START, 0_u64);
@@ -186,7 +215,11 @@
             _ => None,
         });
         if let Some(server) = sent {
-            balancer.handle(now + ANSWER_TIME, Event::Outcome(served(id, server)), &mut actions);
+            balancer.handle(
+                now + ANSWER_TIME,
+                Event::Outcome(served(id, server)),
+                &mut actions,
+            );
             actions.clear();
         }
     })
@@ -200,7 +233,11 @@
     let mut actions = Vec::new();
     time(|| {
         let mut balancer = Balancer::new(settings(), SEED);
-        balancer.handle(START, Event::Servers(ServerList::Full(entries.clone())), &mut actions);
+        balancer.handle(
+            START,
+            Event::Servers(ServerList::Full(entries.clone())),
+            &mut actions,
+        );
         actions.clear();
     })
 }
@@ -214,7 +251,11 @@
     let entries: Arc<[ServerEntry]> = entries.into();
     let mut actions = Vec::new();
     time(|| {
-        balancer.handle(START, Event::Servers(ServerList::Full(entries.clone())), &mut actions);
+        balancer.handle(
+            START,
+            Event::Servers(ServerList::Full(entries.clone())),
+            &mut actions,
+        );
         actions.clear();
     })
 }
@@ -228,8 +269,15 @@
     let mut actions = Vec::new();
     time(|| {
         started = started + Duration::from_micros(1);
-        let changed = ServerEntry { started: Some(started), ..entries[random.usize(..servers)].clone() };
-        balancer.handle(START, Event::Servers(ServerList::Changes([changed].into())), &mut actions);
+        let changed = ServerEntry {
+            started: Some(started),
+            ..entries[random.usize(..servers)].clone()
+        };
+        balancer.handle(
+            START,
+            Event::Servers(ServerList::Changes([changed].into())),
+            &mut actions,
+        );
         actions.clear();
     })
 }
@@ -243,8 +291,8 @@
         warm_up += 1;
     }
     let each = began.elapsed() / warm_up;
-    let operations =
-        (BATCH_TIME.as_nanos() / each.as_nanos().max(1)).clamp(1, u128::from(BATCH_OPERATIONS)) as u32;
+    let operations = (BATCH_TIME.as_nanos() / each.as_nanos().max(1))
+        .clamp(1, u128::from(BATCH_OPERATIONS)) as u32;
     let (began, mut batches) = (Instant::now(), Vec::new());
     while batches.is_empty() || (batches.len() < BATCHES && began.elapsed() < CASE_TIME) {
         let began = Instant::now();
@@ -254,7 +302,10 @@
         batches.push(began.elapsed().as_nanos() as f64 / f64::from(operations));
     }
     let operations = u64::from(operations) * batches.len() as u64;
-    Cost { batches, operations }
+    Cost {
+        batches,
+        operations,
+    }
 }
 
 /// Resident memory of a balancer and of the list it was given, in bytes, for each number of servers; names are its
@@ -274,16 +325,29 @@
 fn resident() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    let kib = line.and_then(|line| line.split_whitespace().next()).and_then(|kib| kib.parse::<f64>().ok());
+    let kib = line
+        .and_then(|line| line.split_whitespace().next())
+        .and_then(|kib| kib.parse::<f64>().ok());
     kib.unwrap_or(0.0) * 1024.0
 }
 
 fn settings() -> Settings {
-    let class = |name: &str, effect| Class { name: name.into(), effect, ..Class::default() };
-    let keyed = Effect::Keyed { scope: Scope::All, window: Duration::from_secs(4) };
+    let class = |name: &str, effect| Class {
+        name: name.into(),
+        effect,
+        ..Class::default()
+    };
+    let keyed = Effect::Keyed {
+        scope: Scope::All,
+        window: Duration::from_secs(4),
+    };
     Settings {
         nodes: NODES,
-        classes: vec![class("read", Effect::Safe), class("set", keyed), class("pay", Effect::Unsafe)],
+        classes: vec![
+            class("read", Effect::Safe),
+            class("set", keyed),
+            class("pay", Effect::Unsafe),
+        ],
         must_follow: true,
         warm_within: WARM_WITHIN,
         ..Settings::default()
@@ -302,7 +366,11 @@
 
 fn filled(settings: Settings, entries: Vec<ServerEntry>) -> Balancer {
     let mut balancer = Balancer::new(settings, SEED);
-    balancer.handle(START, Event::Servers(ServerList::Full(entries.into())), &mut Vec::new());
+    balancer.handle(
+        START,
+        Event::Servers(ServerList::Full(entries.into())),
+        &mut Vec::new(),
+    );
     balancer
 }
 
@@ -336,7 +404,8 @@
         let terms: Vec<(f64, f64)> = points.iter().map(scaled).collect();
         let sum = |product: fn(&(f64, f64)) -> f64| terms.iter().map(product).sum::<f64>();
         let (first, second) = (sum(|t| t.0), sum(|t| t.1));
-        let (squares, mixed, second_squares) = (sum(|t| t.0 * t.0), sum(|t| t.0 * t.1), sum(|t| t.1 * t.1));
+        let (squares, mixed, second_squares) =
+            (sum(|t| t.0 * t.0), sum(|t| t.0 * t.1), sum(|t| t.1 * t.1));
         let determinant = squares * second_squares - mixed * mixed;
         let factors = (
             (first * second_squares - second * mixed) / determinant,
@@ -359,11 +428,16 @@
 /// The fit of a figure, with its worst error at the fitted rows and the one at the row held back.
 fn fit(rows: &[Row], growth: Growth, figure: impl Fn(&Row) -> f64) -> String {
     let point = |row: &Row| (row.servers as f64, figure(row));
-    let points: Vec<_> =
-        rows.iter().filter(|row| row.servers >= FITTED_FROM && row.servers != HELD_BACK).map(point).collect();
+    let points: Vec<_> = rows
+        .iter()
+        .filter(|row| row.servers >= FITTED_FROM && row.servers != HELD_BACK)
+        .map(point)
+        .collect();
     let fit = Fit::new(growth, &points);
     let errors = points.iter().map(|point| fit.error(*point));
-    let worst = errors.max_by(|a, b| a.abs().total_cmp(&b.abs())).unwrap_or(f64::NAN);
+    let worst = errors
+        .max_by(|a, b| a.abs().total_cmp(&b.abs()))
+        .unwrap_or(f64::NAN);
     let held_back = rows.iter().find(|row| row.servers == HELD_BACK);
     let held_back = held_back.map_or(f64::NAN, |row| fit.error(point(row)));
     let (a, b) = fit.factors;
@@ -380,9 +454,14 @@
          \"held_back_servers\":{HELD_BACK},\n\"rows\":[\n"
     );
     for (i, row) in rows.iter().enumerate() {
-        let _ = write!(text, "{{\"servers\":{},\"resident_bytes\":{:.0}", row.servers, row.bytes);
+        let _ = write!(
+            text,
+            "{{\"servers\":{},\"resident_bytes\":{:.0}",
+            row.servers, row.bytes
+        );
         for (Case { name, .. }, cost) in CASES.iter().zip(&row.costs) {
-            let (least, median, most) = (cost.quantile(0.0), cost.quantile(0.5), cost.quantile(1.0));
+            let (least, median, most) =
+                (cost.quantile(0.0), cost.quantile(0.5), cost.quantile(1.0));
             let _ = write!(
                 text,
                 ",\n \"{name}\":{{\"least_ns\":{least:.0},\"median_ns\":{median:.0},\"most_ns\":{most:.0},\
--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -58,7 +58,10 @@
 impl Add<Duration> for Timestamp {
     type Output = Self;
     fn add(self, time: Duration) -> Self {
-        Self(self.0.saturating_add(u64::try_from(time.as_micros()).unwrap_or(u64::MAX)))
+        Self(
+            self.0
+                .saturating_add(u64::try_from(time.as_micros()).unwrap_or(u64::MAX)),
+        )
     }
 }
 
@@ -306,7 +309,10 @@
 impl Status {
     /// Whether this outcome proves that the request never ran.
     pub const fn never_ran(self) -> bool {
-        matches!(self, Self::QueueFull | Self::ConnectError | Self::Ignored | Self::Miss)
+        matches!(
+            self,
+            Self::QueueFull | Self::ConnectError | Self::Ignored | Self::Miss
+        )
     }
 }
 
--- a/crates/decide/src/balance.rs
+++ b/crates/decide/src/balance.rs
@@ -110,12 +110,25 @@
 impl Breaker {
     fn new(window: Duration, now: Timestamp) -> Self {
         let (state, window_ends) = (State::Closed, now + window);
-        Self { state, epoch: 0, window, window_ends, calls: 0, failures: 0, usual: 0 }
+        Self {
+            state,
+            epoch: 0,
+            window,
+            window_ends,
+            calls: 0,
+            failures: 0,
+            usual: 0,
+        }
     }
 
     fn enter(&mut self, state: State, now: Timestamp) {
         let (epoch, usual) = (self.epoch + 1, self.usual);
-        *self = Self { state, epoch, usual, ..Self::new(self.window, now) };
+        *self = Self {
+            state,
+            epoch,
+            usual,
+            ..Self::new(self.window, now)
+        };
     }
 
     fn admits(&self, now: Timestamp) -> bool {
@@ -133,7 +146,13 @@
     fn on_send(&mut self, now: Timestamp) {
         match &mut self.state {
             State::Open { until } if now >= *until => {
-                self.enter(State::HalfOpen { admitted: 1, passed: 0 }, now);
+                self.enter(
+                    State::HalfOpen {
+                        admitted: 1,
+                        passed: 0,
+                    },
+                    now,
+                );
             }
             State::HalfOpen { admitted, .. } => *admitted += 1,
             _ => {}
@@ -232,16 +251,22 @@
 
     /// Whether a fetch of the origin's may have failed under it.
     fn fetch_failed(&self) -> bool {
-        self.attempts.last().is_some_and(|a| a.cold && a.status == Some(Status::Failed))
+        self.attempts
+            .last()
+            .is_some_and(|a| a.cold && a.status == Some(Status::Failed))
     }
 
     /// Whether its last attempt met a full server.
     fn turned_away(&self) -> bool {
-        self.attempts.last().is_some_and(|a| a.status == Some(Status::QueueFull))
+        self.attempts
+            .last()
+            .is_some_and(|a| a.status == Some(Status::QueueFull))
     }
 
     fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|a| !a.status.is_some_and(Status::never_ran))
+        self.attempts
+            .iter()
+            .filter(|a| !a.status.is_some_and(Status::never_ran))
     }
 }
 
@@ -318,7 +343,11 @@
         let limit_least = (LIMIT_LEAST / nodes).max(LIMIT_LEAST_EACH);
         // The last class is for requests of none: the most careful one.
         settings.classes.push(Class::default());
-        let usual = settings.classes.iter().map(|class| class.aim.as_secs_f64()).collect();
+        let usual = settings
+            .classes
+            .iter()
+            .map(|class| class.aim.as_secs_f64())
+            .collect();
         Self {
             settings,
             seed,
@@ -356,7 +385,9 @@
         self.ends = self.ends.map(|(all, failed)| (all * faded, failed * faded));
         self.warm.turn(now);
         match event {
-            Event::Restored(list) | Event::Servers(ServerList::Full(list)) => self.learn(now, &list, true),
+            Event::Restored(list) | Event::Servers(ServerList::Full(list)) => {
+                self.learn(now, &list, true)
+            }
             Event::Servers(ServerList::Changes(list)) => self.learn(now, &list, false),
             Event::Servers(ServerList::Unavailable) => {
                 let spread = 1.0 + FOLLOW_SPREAD * (2.0 * self.draw() - 1.0);
@@ -365,14 +396,24 @@
             }
             Event::Request(request) => {
                 let luck = self.draw();
-                let held = Held { request, attempts: Vec::new(), luck, arrived: now, done: false };
+                let held = Held {
+                    request,
+                    attempts: Vec::new(),
+                    luck,
+                    arrived: now,
+                    done: false,
+                };
                 match held.request.over_share {
                     true => self.end(now, held, actions),
                     false => self.decide(now, held, actions),
                 }
             }
             Event::Outcome(outcome) => self.outcome(now, &outcome, actions),
-            Event::Abandoned(id) => self.held.get_mut(&id).into_iter().for_each(|held| held.done = true),
+            Event::Abandoned(id) => self
+                .held
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|held| held.done = true),
             Event::Timer => self.armed = None,
         }
         if self.settings.must_follow && self.follow_at.is_some_and(|at| now >= at) {
@@ -380,7 +421,11 @@
             actions.push(Action::Follow);
         }
         while self.due.first().is_some_and(|(at, _)| *at <= now) {
-            if let Some(held) = self.due.pop_first().and_then(|(_, id)| self.held.remove(&id)) {
+            if let Some(held) = self
+                .due
+                .pop_first()
+                .and_then(|(_, id)| self.held.remove(&id))
+            {
                 self.decide(now, held, actions);
             }
         }
@@ -389,25 +434,33 @@
         let next = due.into_iter().chain(follow).min();
         if let Some(at) = next.filter(|at| self.armed.is_none_or(|armed| *at < armed)) {
             self.armed = Some(at);
-            actions.push(Action::Wake { after: at.since(now) });
+            actions.push(Action::Wake {
+                after: at.since(now),
+            });
         }
     }
 
     fn learn(&mut self, now: Timestamp, entries: &[ServerEntry], full: bool) {
         if self.kinds.len() > KINDS_KNOWN {
             let servers = &self.servers;
-            self.kinds.retain(|name, _| servers.iter().any(|server| server.entry.kind == *name));
+            self.kinds
+                .retain(|name, _| servers.iter().any(|server| server.entry.kind == *name));
         }
         if full {
-            self.servers.retain(|server| entries.iter().any(|entry| entry.id == server.entry.id));
+            self.servers
+                .retain(|server| entries.iter().any(|entry| entry.id == server.entry.id));
         }
         let servers = &self.servers;
-        self.zones.retain(|(zone, _)| servers.iter().any(|server| server.entry.zone == *zone));
+        self.zones
+            .retain(|(zone, _)| servers.iter().any(|server| server.entry.zone == *zone));
         for entry in entries {
             if self.one_of_many() && self.zone(&entry.zone).is_none() {
-                self.zones.push((entry.zone.clone(), Breaker::new(WINDOW, now)));
+                self.zones
+                    .push((entry.zone.clone(), Breaker::new(WINDOW, now)));
             }
-            let place = self.servers.binary_search_by(|server| server.entry.id.cmp(&entry.id));
+            let place = self
+                .servers
+                .binary_search_by(|server| server.entry.id.cmp(&entry.id));
             match place {
                 Ok(i) if entry.availability == Availability::Gone => {
                     self.servers.remove(i);
@@ -419,22 +472,30 @@
                         (server.life, server.in_flight) = (self.lives, 0);
                         (server.answered, server.unqueued) = (None, None);
                         server.breaker.enter(State::Closed, now);
-                        server.by_class.iter_mut().for_each(|breaker| breaker.enter(State::Closed, now));
+                        server
+                            .by_class
+                            .iter_mut()
+                            .for_each(|breaker| breaker.enter(State::Closed, now));
                     }
                     server.entry = entry.clone();
                 }
                 Err(_) if entry.availability == Availability::Gone => {}
                 Err(i) => {
                     let hash = mix(hash_text(entry.id.as_str()));
-                    let (entry, breaker, gap) = (entry.clone(), Breaker::new(WINDOW, now), Duration::MAX);
+                    let (entry, breaker, gap) =
+                        (entry.clone(), Breaker::new(WINDOW, now), Duration::MAX);
                     // What it was sent before it was dropped is forgotten: cold, it waits for the next slot.
                     let (slot, used) = (self.slot(now), u32::MAX);
                     let (in_flight, limit, sent) = (0, self.limit_start, now);
                     let (answered, unqueued) = (None, None);
                     self.lives += 1;
                     let life = self.lives;
-                    let by_class =
-                        self.settings.classes.iter().map(|_| Breaker::new(CLASS_WINDOW, now)).collect();
+                    let by_class = self
+                        .settings
+                        .classes
+                        .iter()
+                        .map(|_| Breaker::new(CLASS_WINDOW, now))
+                        .collect();
                     let fresh = Server {
                         entry,
                         life,
@@ -473,7 +534,13 @@
     }
 
     /// Takes in whether a server of this zone was heard of. A zone is silent only where another one answers.
-    fn heard(&mut self, zone: &Option<Name>, epoch: u32, status: Status, now: Timestamp) -> Option<String> {
+    fn heard(
+        &mut self,
+        zone: &Option<Name>,
+        epoch: u32,
+        status: Status,
+        now: Timestamp,
+    ) -> Option<String> {
         let heard = match status {
             Status::TimedOut | Status::ConnectError => Some(false),
             Status::Ok | Status::Failed | Status::QueueFull | Status::Miss => Some(true),
@@ -485,14 +552,29 @@
             return None;
         }
         let answers = |(_, other): &(Option<Name>, Breaker)| {
-            now < other.window_ends && f64::from(other.failures) < COMMON_RATE * f64::from(other.calls)
+            now < other.window_ends
+                && f64::from(other.failures) < COMMON_RATE * f64::from(other.calls)
         };
-        if !trial && !self.zones.iter().enumerate().any(|(i, other)| i != place && answers(other)) {
+        if !trial
+            && !self
+                .zones
+                .iter()
+                .enumerate()
+                .any(|(i, other)| i != place && answers(other))
+        {
             return None;
         }
         let cooldown = ZONE_COOLDOWN.mul_f64(0.75 + 0.5 * self.draw());
-        self.zones[place].1.enter(State::Open { until: now + cooldown }, now);
-        Some(format!("breaker of zone {} tripped", zone.as_ref().map_or("", Name::as_str)))
+        self.zones[place].1.enter(
+            State::Open {
+                until: now + cooldown,
+            },
+            now,
+        );
+        Some(format!(
+            "breaker of zone {} tripped",
+            zone.as_ref().map_or("", Name::as_str)
+        ))
     }
 
     fn class_slot(&self, request: &Request) -> usize {
@@ -505,7 +587,9 @@
     }
 
     fn is_origin(&self, entry: &ServerEntry) -> bool {
-        let CacheMode::Aside { origin_kind } = &self.settings.mode else { return false };
+        let CacheMode::Aside { origin_kind } = &self.settings.mode else {
+            return false;
+        };
         entry.kind.as_ref() == Some(origin_kind)
     }
 
@@ -517,8 +601,16 @@
     }
 
     fn capacity(&self, server: &Server, now: Timestamp) -> f64 {
-        let pace = || self.kinds.get(&server.entry.kind).map_or(0.0, |kind| kind.pace);
-        let speed = if self.settings.sized { 1.0 } else { (-pace()).exp() };
+        let pace = || {
+            self.kinds
+                .get(&server.entry.kind)
+                .map_or(0.0, |kind| kind.pace)
+        };
+        let speed = if self.settings.sized {
+            1.0
+        } else {
+            (-pace()).exp()
+        };
         (server.entry.weight * speed * self.warmth(&server.entry, now)).max(1e-9)
     }
 
@@ -545,16 +637,26 @@
 
     /// Many servers failing together have a common cause: ejecting them would push their keys onto the rest.
     fn is_outlier(&self, i: usize, now: Timestamp) -> bool {
-        let others = self.servers.iter().filter(|other| other.hash != self.servers[i].hash);
-        let recent = others.map(|other| &other.breaker).filter(|breaker| now < breaker.window_ends);
+        let others = self
+            .servers
+            .iter()
+            .filter(|other| other.hash != self.servers[i].hash);
+        let recent = others
+            .map(|other| &other.breaker)
+            .filter(|breaker| now < breaker.window_ends);
         let (calls, failed) = recent.fold((0, 0), |(c, f), b| (c + b.calls, f + b.failures));
         calls < MIN_CALLS || f64::from(failed) < COMMON_RATE * f64::from(calls)
     }
 
     /// Whether others take a class better than this server does: where most turn it away, none is better.
     fn is_classes_own(&self, i: usize, class: usize, now: Timestamp) -> bool {
-        let others = self.servers.iter().filter(|other| other.hash != self.servers[i].hash);
-        let recent = others.map(|other| &other.by_class[class]).filter(|breaker| now < breaker.window_ends);
+        let others = self
+            .servers
+            .iter()
+            .filter(|other| other.hash != self.servers[i].hash);
+        let recent = others
+            .map(|other| &other.by_class[class])
+            .filter(|breaker| now < breaker.window_ends);
         let (calls, failed) = recent.fold((0, 0), |(c, f), b| (c + b.calls, f + b.failures));
         f64::from(failed) < TRIP_RATE * f64::from(calls)
     }
@@ -562,7 +664,10 @@
     /// Whether it told of no queue of late. Only a node that has a real part of a server's work can tell: for
     /// one of more the report is older than the bursts of the others.
     fn unqueued(&self, server: &Server, now: Timestamp) -> bool {
-        !self.one_of_many() && server.unqueued.is_some_and(|at| now.since(at) < REPORT_FRESH)
+        !self.one_of_many()
+            && server
+                .unqueued
+                .is_some_and(|at| now.since(at) < REPORT_FRESH)
     }
 
     fn mark(key: u64, server: &Server) -> u64 {
@@ -574,7 +679,9 @@
     fn likely_miss(&self, request: &Request, server: &Server) -> bool {
         self.settings.mode == CacheMode::Through
             && !request.write
-            && request.key.is_some_and(|key| !self.warm.holds(Self::mark(key, server)))
+            && request
+                .key
+                .is_some_and(|key| !self.warm.holds(Self::mark(key, server)))
     }
 
     /// Whether likely misses have had their share for now. Each that an origin with too much to do lets fail
@@ -616,7 +723,9 @@
     }
 
     fn outcome(&mut self, now: Timestamp, outcome: &Outcome, actions: &mut Vec<Action>) {
-        let Some(mut held) = self.held.remove(&outcome.id) else { return };
+        let Some(mut held) = self.held.remove(&outcome.id) else {
+            return;
+        };
         let attempt = held.attempts.get_mut(outcome.attempt as usize);
         let Some(attempt) = attempt.filter(|attempt| attempt.status.is_none()) else {
             return self.keep(held);
@@ -626,7 +735,10 @@
         // A time-out brings no report. Where answers of late met no queue it was not that server's load (a
         // miss waits for the origin, say): less work and a breaker for that server help nobody, and its keys
         // would be missed elsewhere.
-        let place = self.servers.binary_search_by(|server| server.entry.id.cmp(&outcome.server)).ok();
+        let place = self
+            .servers
+            .binary_search_by(|server| server.entry.id.cmp(&outcome.server))
+            .ok();
         let place = place.filter(|i| self.servers[*i].life == attempt.life);
         let lately = place.is_some_and(|i| self.unqueued(&self.servers[i], now));
         let excused = lately && outcome.status == Status::TimedOut;
@@ -637,7 +749,10 @@
             let ends = &mut self.ends[usize::from(cold)];
             *ends = (ends.0 + 1.0, ends.1 + f64::from(u8::from(failed)));
         }
-        actions.extend(self.heard(&zone, zone_epoch, outcome.status, now).map(Action::Log));
+        actions.extend(
+            self.heard(&zone, zone_epoch, outcome.status, now)
+                .map(Action::Log),
+        );
         let origins = cold && self.fetched(now, sent, outcome.status);
         if let (Some(i), Some(key), Status::Ok) = (place, held.request.key, outcome.status) {
             self.warm.marks.insert(Self::mark(key, &self.servers[i]));
@@ -656,13 +771,24 @@
             }
             self.kept.insert(key_of(&held.request), ok.is_some());
         }
-        if self.origin.on_outcome(attempt.epochs.2, fetched.then_some(ok.is_some()), now) {
-            self.origin.enter(State::Open { until: now + COOLDOWN }, now);
+        if self
+            .origin
+            .on_outcome(attempt.epochs.2, fetched.then_some(ok.is_some()), now)
+        {
+            self.origin.enter(
+                State::Open {
+                    until: now + COOLDOWN,
+                },
+                now,
+            );
             actions.push(Action::Log("breaker of the origin tripped".into()));
         }
         let (epoch, class_epoch, ..) = attempt.epochs;
         // Late past a part of its aim (a heavy one takes longer), unless the server has cores to spare.
-        let work = held.request.expected_work.map_or(0.0, |work| work.as_secs_f64());
+        let work = held
+            .request
+            .expected_work
+            .map_or(0.0, |work| work.as_secs_f64());
         let share = (AIM_SHARE * work / self.usual_work.max(1e-9)).clamp(AIM_SHARE, 1.0);
         self.usual_work += (work - self.usual_work) / 100.0;
         let in_time = outcome.took <= self.class(&held.request).aim.mul_f64(share);
@@ -675,14 +801,23 @@
             self.usual[slot] += (outcome.took.as_secs_f64() - self.usual[slot]) / 20.0;
         }
         let class = self.class_slot(&held.request);
-        let par = held.request.expected_work.unwrap_or(self.class(&held.request).aim).as_secs_f64().max(1e-6);
+        let par = held
+            .request
+            .expected_work
+            .unwrap_or(self.class(&held.request).aim)
+            .as_secs_f64()
+            .max(1e-6);
         if let Some(i) = place {
             let told = matches!(outcome.status, Status::Ok | Status::TimedOut) && !fetched;
             if !self.settings.sized && told && self.warmth(&self.servers[i].entry, now) >= 1.0 {
                 let kind = self.kinds.entry(self.servers[i].entry.kind.clone());
-                let kind = kind.or_insert(Kind { pace: 0.0, answers: PACE_PRIOR });
+                let kind = kind.or_insert(Kind {
+                    pace: 0.0,
+                    answers: PACE_PRIOR,
+                });
                 kind.answers = (kind.answers + 1.0).min(PACE_SPAN);
-                kind.pace += ((outcome.took.as_secs_f64() / par).max(1e-3).ln() - kind.pace) / kind.answers;
+                kind.pace +=
+                    ((outcome.took.as_secs_f64() / par).max(1e-3).ln() - kind.pace) / kind.answers;
             }
             // One of very many nodes cannot keep servers from being full for a moment: while the request
             // goes on to another one nothing is lost.
@@ -695,7 +830,9 @@
             // Turned away where nobody waits: how much is sent there changes nothing.
             let barred = outcome.status == Status::QueueFull && lately && reported != Some(false);
             let jammed = excused
-                || failed && !barred && matches!(outcome.status, Status::QueueFull | Status::TimedOut);
+                || failed
+                    && !barred
+                    && matches!(outcome.status, Status::QueueFull | Status::TimedOut);
             if answered && (in_time || spare || unqueued) {
                 self.good += 1.0;
             }
@@ -713,10 +850,13 @@
             }
             // What it still holds of this node's will be answered or time out, and tell more.
             let busy = outcome.status == Status::QueueFull
-                && (server.in_flight > 0 || server.answered.is_some_and(|at| now.since(at) < BUSY_SPAN));
+                && (server.in_flight > 0
+                    || server.answered.is_some_and(|at| now.since(at) < BUSY_SPAN));
             // Each of many nodes meets a server now and then: left open, their connections fill its table.
             if server.in_flight == 0 && server.gap > KEPT_OPEN / self.settings.nodes.max(1) {
-                actions.push(Action::Close { server: server.entry.id.clone() });
+                actions.push(Action::Close {
+                    server: server.entry.id.clone(),
+                });
             }
             // Other failures may be the origin's or the whole server's.
             let of_class = (answered || barred).then_some(answered);
@@ -724,17 +864,35 @@
             if server.by_class[class].on_outcome(class_epoch, of_class, now)
                 && (trial || self.is_classes_own(i, class, now))
             {
-                self.servers[i].by_class[class].enter(State::Open { until: now + COOLDOWN }, now);
-                actions.push(Action::Log(format!("breaker of {} tripped for class {class}", outcome.server)));
+                self.servers[i].by_class[class].enter(
+                    State::Open {
+                        until: now + COOLDOWN,
+                    },
+                    now,
+                );
+                actions.push(Action::Log(format!(
+                    "breaker of {} tripped for class {class}",
+                    outcome.server
+                )));
             }
             let server = &mut self.servers[i];
             // A failed trial opens it again whatever others do: half-open, it would lack a place for good.
             let trial = server.breaker.is_half_open();
-            if server.breaker.on_outcome(epoch, ok.filter(|_| !barred && !busy), now)
+            if server
+                .breaker
+                .on_outcome(epoch, ok.filter(|_| !barred && !busy), now)
                 && (trial || self.is_outlier(i, now))
             {
-                self.servers[i].breaker.enter(State::Open { until: now + COOLDOWN }, now);
-                actions.push(Action::Log(format!("breaker of {} tripped", outcome.server)));
+                self.servers[i].breaker.enter(
+                    State::Open {
+                        until: now + COOLDOWN,
+                    },
+                    now,
+                );
+                actions.push(Action::Log(format!(
+                    "breaker of {} tripped",
+                    outcome.server
+                )));
             }
         }
         held.done |= outcome.finished;
@@ -749,8 +907,15 @@
             return;
         }
         // Asking the origin after a miss is the ordinary way on, any other attempt a retry on a budget.
-        let retry = held.attempts.last().is_some_and(|a| a.status != Some(Status::Miss));
-        let price = if self.one_of_many() && held.turned_away() { RETRY_UNSEEN } else { 1.0 };
+        let retry = held
+            .attempts
+            .last()
+            .is_some_and(|a| a.status != Some(Status::Miss));
+        let price = if self.one_of_many() && held.turned_away() {
+            RETRY_UNSEEN
+        } else {
+            1.0
+        };
         let barred = retry && self.retry_budget < price;
         // A fleet that is jammed as a whole drains only if most is refused before it is sent.
         let good = self.good + f64::from(MIN_CALLS);
@@ -758,7 +923,8 @@
         self.bad += if excess { REFUSED } else { 0.0 };
         // An origin with a queue longer than anyone waits serves nobody until likely misses leave it alone.
         let kept = !held.request.write && self.kept.get(&key_of(&held.request)) == Some(&true);
-        if excess || barred || now >= held.request.valid_until || !(kept || self.origin.admits(now)) {
+        if excess || barred || now >= held.request.valid_until || !(kept || self.origin.admits(now))
+        {
             return self.end(now, held, actions);
         }
         let full = self.fetches_full(&held);
@@ -779,7 +945,8 @@
             }
             return self.end(now, held, actions);
         };
-        self.retry_budget = (self.retry_budget + if retry { -price } else { RETRY_SHARE }).min(RETRY_SAVED);
+        self.retry_budget =
+            (self.retry_budget + if retry { -price } else { RETRY_SHARE }).min(RETRY_SAVED);
         let (slot, class) = (self.slot(now), self.class_slot(&held.request));
         let timeout = held.request.valid_until.since(now);
         let begin_within = self.window_left(now, &held).min(timeout);
@@ -790,8 +957,14 @@
             self.zones[zone].1.epoch
         });
         let server = &mut self.servers[i];
-        (server.used, server.slot) =
-            (if server.slot == slot { server.used.saturating_add(1) } else { 1 }, slot);
+        (server.used, server.slot) = (
+            if server.slot == slot {
+                server.used.saturating_add(1)
+            } else {
+                1
+            },
+            slot,
+        );
         server.in_flight += 1;
         (server.sent, server.gap) = (now, now.since(server.sent));
         server.breaker.on_send(now);
@@ -801,11 +974,28 @@
         }
         let skew = u32::from(kept && self.origin.state != State::Closed);
         let class_epoch = server.by_class[class].epoch;
-        let epochs = (server.breaker.epoch, class_epoch, self.origin.epoch.wrapping_sub(skew), zone_epoch);
+        let epochs = (
+            server.breaker.epoch,
+            class_epoch,
+            self.origin.epoch.wrapping_sub(skew),
+            zone_epoch,
+        );
         let (entry, life) = (server.entry.clone(), server.life);
-        held.attempts.push(Attempt { entry, life, sent: now, epochs, cold, status: None });
+        held.attempts.push(Attempt {
+            entry,
+            life,
+            sent: now,
+            epochs,
+            cold,
+            status: None,
+        });
         let (id, server) = (held.request.id.clone(), server.entry.id.clone());
-        actions.push(Action::Send { id, server, timeout, begin_within });
+        actions.push(Action::Send {
+            id,
+            server,
+            timeout,
+            begin_within,
+        });
         self.keep(held);
     }
 
@@ -832,8 +1022,12 @@
 
     /// For how long servers still drop a repeat of the request.
     fn window_left(&self, now: Timestamp, held: &Held) -> Duration {
-        let Effect::Keyed { window, .. } = self.class(&held.request).effect else { return Duration::MAX };
-        let left = held.may_have_run().map(|earlier| (earlier.sent + window).since(now));
+        let Effect::Keyed { window, .. } = self.class(&held.request).effect else {
+            return Duration::MAX;
+        };
+        let left = held
+            .may_have_run()
+            .map(|earlier| (earlier.sent + window).since(now));
         left.min().unwrap_or(Duration::MAX)
     }
 
@@ -851,7 +1045,9 @@
                 && self.may_send(now, held, entry)
                 && self.servers[*i].breaker.admits(now)
                 && self.servers[*i].by_class[class].admits(now)
-                && self.zone(&entry.zone).is_none_or(|zone| self.zones[zone].1.admits(now))
+                && self
+                    .zone(&entry.zone)
+                    .is_none_or(|zone| self.zones[zone].1.admits(now))
                 && self.cold_room(*i, now)
                 && !held.attempts.iter().any(|a| a.entry.id == entry.id)
         };
@@ -859,7 +1055,8 @@
         let aside = matches!(self.settings.mode, CacheMode::Aside { .. });
         let missed = held.attempts.iter().any(|a| a.status == Some(Status::Miss));
         if aside && (held.request.write || missed) {
-            let mut origins = (0..self.servers.len()).filter(|&i| self.is_origin(&self.servers[i].entry));
+            let mut origins =
+                (0..self.servers.len()).filter(|&i| self.is_origin(&self.servers[i].entry));
             return origins.find(usable).filter(|i| room(*i, 1.0));
         }
         let key = key_of(&held.request);
@@ -870,7 +1067,11 @@
         if open.peek().is_some() {
             let share = |n| if n == 0 { 1.0 } else { SPILL };
             let open: Vec<usize> = open.collect();
-            let found = open.iter().enumerate().find(|&(n, &i)| room(i, share(n))).map(|(_, &i)| i);
+            let found = open
+                .iter()
+                .enumerate()
+                .find(|&(n, &i)| room(i, share(n)))
+                .map(|(_, &i)| i);
             // Limits steer away from servers that answer late, and all of them do where misses wait for a
             // slow origin. One that tells of no queue takes what none of the others has room for, up to where
             // limits start: its cores may be shared by many although none of them waits.
@@ -881,7 +1082,8 @@
             return found.or_else(|| open.iter().find(spare).copied());
         }
         // Every server is blocked: the key's own server then, rather than none.
-        (!no_fetch && self.cold_room(own, now) && held.attempts.is_empty() && room(own, 1.0)).then_some(own)
+        (!no_fetch && self.cold_room(own, now) && held.attempts.is_empty() && room(own, 1.0))
+            .then_some(own)
     }
 
     /// Whether this part of a server's limit leaves room. A limit under one is a share of time: a node that
@@ -904,7 +1106,11 @@
             // The bits of positive numbers sort as the numbers do.
             (distance.to_bits(), i)
         };
-        let in_use = self.servers.iter().enumerate().filter(|(_, server)| self.in_use(server));
+        let in_use = self
+            .servers
+            .iter()
+            .enumerate()
+            .filter(|(_, server)| self.in_use(server));
         let mut ranked: Vec<_> = in_use.map(rank).collect();
         ranked.sort_unstable();
         ranked.into_iter().map(|(_, i)| i)
@@ -913,7 +1119,10 @@
     /// How long refused clients should stay away: until the origin's breaker lets its first trial through,
     /// or shortly: the front deals a client that comes again to another node, which may have room.
     fn retry_after(&self, now: Timestamp, request: &Request) -> Duration {
-        let origin = self.servers.iter().find(|server| self.is_origin(&server.entry));
+        let origin = self
+            .servers
+            .iter()
+            .find(|server| self.is_origin(&server.entry));
         let shortly = self.class(request).aim.mul_f64(AWAY_STEP);
         let advice = match origin.map_or(self.origin.state, |server| server.breaker.state) {
             // Its time may be over with no trial out yet.
@@ -927,20 +1136,30 @@
         // It went on from a full server, to none: what was not counted then counts now.
         self.bad += f64::from(u8::from(self.one_of_many() && held.turned_away()));
         let effect = self.class(&held.request).effect;
-        let safe_again = matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. })
-            || held.may_have_run().next().is_none();
+        let safe_again = matches!(
+            effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    scope: Scope::All,
+                    ..
+                }
+        ) || held.may_have_run().next().is_none();
         if safe_again && now < held.request.valid_until {
             let retry_after = self.retry_after(now, &held.request);
             let id = held.request.id;
             actions.push(Action::Refuse { id, retry_after });
         } else {
-            actions.push(Action::Fail { id: held.request.id });
+            actions.push(Action::Fail {
+                id: held.request.id,
+            });
         }
     }
 }
 
 fn key_of(request: &Request) -> u64 {
-    request.key.unwrap_or_else(|| hash_text(request.id.as_str()))
+    request
+        .key
+        .unwrap_or_else(|| hash_text(request.id.as_str()))
 }
 
 /// Spreads nearby numbers (the finaliser of splitmix64).
@@ -956,5 +1175,7 @@
 }
 
 fn hash_text(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3)
+    })
 }
--- a/crates/decide/tests/aside.rs
+++ b/crates/decide/tests/aside.rs
@@ -25,7 +25,11 @@
 #[test]
 fn a_write_goes_straight_to_the_origin() {
     let mut node = node();
-    let request = Request { class: Some(ClassId(1)), write: true, ..Request::new("w", node.now + ms(400)) };
+    let request = Request {
+        class: Some(ClassId(1)),
+        write: true,
+        ..Request::new("w", node.now + ms(400))
+    };
     let id = node.submit(request);
     assert_eq!(node.out(&id).expect("sent").1.as_str(), "zz-origin");
 }
@@ -48,5 +52,8 @@
         matches!(&refused[..], [Action::Refuse { retry_after, .. }] if *retry_after == ms(1000)),
         "{refused:?}"
     );
-    assert!(node.call(8, Status::Ok).is_some(), "hits are served all the same");
+    assert!(
+        node.call(8, Status::Ok).is_some(),
+        "hits are served all the same"
+    );
 }
--- a/crates/decide/tests/breaker.rs
+++ b/crates/decide/tests/breaker.rs
@@ -25,8 +25,16 @@
     let mut node = Node::with_servers(settings(), 2);
     let own = node.call(7, Status::Failed).expect("sent");
     assert_eq!(node.call(7, Status::Failed), Some(own.clone()));
-    assert_eq!(node.call(7, Status::Failed), Some(own.clone()), "the third call still goes there");
-    assert_ne!(node.call(7, Status::Ok), Some(own), "three failures of three trip");
+    assert_eq!(
+        node.call(7, Status::Failed),
+        Some(own.clone()),
+        "the third call still goes there"
+    );
+    assert_ne!(
+        node.call(7, Status::Ok),
+        Some(own),
+        "three failures of three trip"
+    );
 }
 
 #[test]
@@ -55,7 +63,11 @@
     trip(&mut node, &own);
     assert_ne!(node.call(7, Status::Ok), Some(own.clone()));
     node.pass(ms(5_990));
-    assert_ne!(node.call(7, Status::Ok), Some(own.clone()), "just before the end of the cooldown");
+    assert_ne!(
+        node.call(7, Status::Ok),
+        Some(own.clone()),
+        "just before the end of the cooldown"
+    );
     node.pass(ms(10));
     for _ in 0..4 {
         assert_eq!(node.call(7, Status::Ok), Some(own.clone()));
@@ -68,7 +80,10 @@
     trip(&mut node, &own);
     node.pass(ms(6_000));
     let ids: Vec<RequestId> = (0..4).map(|_| node.request(0, 7, ms(400))).collect();
-    let at_own = ids.iter().filter(|id| node.out(id).expect("sent").1 == own).count();
+    let at_own = ids
+        .iter()
+        .filter(|id| node.out(id).expect("sent").1 == own)
+        .count();
     assert_eq!(at_own, 3, "the fourth goes elsewhere");
     node.answer(&ids[0], Status::Failed);
     assert_ne!(node.call(7, Status::Ok), Some(own.clone()), "reopened");
@@ -111,7 +126,10 @@
     let (mut node, own) = pair();
     trip(&mut node, &own);
     let long_ago = Timestamp::from_micros(node.now.as_micros() - 60_000_000);
-    node.changes(vec![ServerEntry { started: Some(long_ago), ..ServerEntry::new(own.as_str()) }]);
+    node.changes(vec![ServerEntry {
+        started: Some(long_ago),
+        ..ServerEntry::new(own.as_str())
+    }]);
     assert_eq!(node.call(7, Status::Ok), Some(own));
 }
 
@@ -141,7 +159,11 @@
         met.extend(node.call(key, Status::Ok));
         node.pass(ms(1));
     }
-    assert!(met.len() >= 6, "only {} of 10 servers are in use", met.len());
+    assert!(
+        met.len() >= 6,
+        "only {} of 10 servers are in use",
+        met.len()
+    );
 }
 
 /// One server that fails while the others do well is the fault of that server; a breaker trips for it only.
@@ -152,13 +174,21 @@
         for key in 0..60 {
             let id = node.request(0, key, ms(400));
             let (_, server) = node.out(&id).expect("sent");
-            node.answer(&id, if server.as_str() == "a" { Status::Failed } else { others });
+            node.answer(
+                &id,
+                if server.as_str() == "a" {
+                    Status::Failed
+                } else {
+                    others
+                },
+            );
             if node.out(&id).is_some() {
                 node.answer(&id, Status::Ok);
             }
             node.pass(ms(5));
         }
-        let tripped = |action: &&Action| matches!(action, Action::Log(line) if line.contains(" a tripped"));
+        let tripped =
+            |action: &&Action| matches!(action, Action::Log(line) if line.contains(" a tripped"));
         node.trace.iter().filter(tripped).count()
     };
     assert_eq!(trips(Status::Ok), 1);
@@ -188,15 +218,31 @@
         let line = |action: &&Action| matches!(action, Action::Log(line) if line.contains(of));
         node.trace.iter().filter(line).count()
     };
-    assert_eq!((tripped(&node, "origin tripped"), tripped(&node, "tripped")), (1, 1));
-    assert!(!read(&mut node, 200, Status::Ok, Note::Miss), "a likely miss is refused");
-    assert!(read(&mut node, 3, Status::Ok, Note::Hit), "a key that is held is served");
-    let write = Request { write: true, class: Some(ClassId(1)), ..Request::new("w", node.now + ms(400)) };
+    assert_eq!(
+        (tripped(&node, "origin tripped"), tripped(&node, "tripped")),
+        (1, 1)
+    );
+    assert!(
+        !read(&mut node, 200, Status::Ok, Note::Miss),
+        "a likely miss is refused"
+    );
+    assert!(
+        read(&mut node, 3, Status::Ok, Note::Hit),
+        "a key that is held is served"
+    );
+    let write = Request {
+        write: true,
+        class: Some(ClassId(1)),
+        ..Request::new("w", node.now + ms(400))
+    };
     let write = node.submit(write);
     assert!(node.requests[&write].ended, "a write is refused");
     node.pass(ms(9_000));
     for key in 300..303 {
-        assert!(read(&mut node, key, Status::Ok, Note::Miss), "a trial after the cooldown");
+        assert!(
+            read(&mut node, key, Status::Ok, Note::Miss),
+            "a trial after the cooldown"
+        );
     }
     assert!(read(&mut node, 303, Status::Ok, Note::Miss), "closed again");
 }
@@ -233,7 +279,11 @@
         assert_eq!(node.call(7, Status::Reset), Some(own.clone()));
     }
     node.call(7, Status::Reset);
-    assert_ne!(node.call(7, Status::Ok), Some(own), "a tenth of the usual calls is enough");
+    assert_ne!(
+        node.call(7, Status::Ok),
+        Some(own),
+        "a tenth of the usual calls is enough"
+    );
 }
 
 #[test]
@@ -241,7 +291,11 @@
     // The danger: a few requests meet at a small queue, the breaker takes the whole server away for a cooldown, and
     // its load trips the next one's.
     let (mut node, own) = pair();
-    let tripped = |node: &Node| node.trace.iter().any(|action| matches!(action, Action::Log(_)));
+    let tripped = |node: &Node| {
+        node.trace
+            .iter()
+            .any(|action| matches!(action, Action::Log(_)))
+    };
     for _ in 0..2 {
         // Of five at once the server takes one.
         let ids: Vec<RequestId> = (0..5).map(|_| node.request(0, 7, ms(400))).collect();
@@ -262,7 +316,9 @@
 fn a_server_that_turns_all_away_is_blocked() {
     let (mut node, own) = pair();
     node.pass(ms(1_000));
-    let declined = (0..50).take_while(|_| node.call(7, Status::QueueFull).as_ref() == Some(&own)).count();
+    let declined = (0..50)
+        .take_while(|_| node.call(7, Status::QueueFull).as_ref() == Some(&own))
+        .count();
     assert_eq!(declined, 2, "two of three calls of the window");
 }
 
@@ -297,8 +353,13 @@
         assert_eq!(ask(&mut node, Status::Ok), own);
     }
     node.pass(ms(1_000));
-    let declined = (0..50).take_while(|_| ask(&mut node, Status::QueueFull) == own).count();
-    assert!((3..=6).contains(&declined), "{declined} were turned away before the breaker opened");
+    let declined = (0..50)
+        .take_while(|_| ask(&mut node, Status::QueueFull) == own)
+        .count();
+    assert!(
+        (3..=6).contains(&declined),
+        "{declined} were turned away before the breaker opened"
+    );
     for _ in 0..20 {
         assert_eq!(node.call(7, Status::Ok), Some(own.clone()), "another class");
     }
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -21,7 +21,9 @@
 }
 
 fn list() -> Vec<ServerEntry> {
-    (0..SERVERS).map(|i| ServerEntry::new(&format!("s{i}"))).collect()
+    (0..SERVERS)
+        .map(|i| ServerEntry::new(&format!("s{i}")))
+        .collect()
 }
 
 /// A key that server s0 owns even at the size it has when it is cold.
@@ -30,7 +32,13 @@
     let mut list = list();
     list[0].weight = settings().cold_share;
     probe.full_list(list);
-    (0..).find(|&key| probe.call(key, Status::Ok).is_some_and(|server| server.as_str() == "s0")).expect("one")
+    (0..)
+        .find(|&key| {
+            probe
+                .call(key, Status::Ok)
+                .is_some_and(|server| server.as_str() == "s0")
+        })
+        .expect("one")
 }
 
 /// When attempts that the cold server got were sent, over the whole fleet: by nodes that had been told of its start.
@@ -49,7 +57,12 @@
             let mut node = Node::new(settings.clone(), fleet.seed << 20 | u64::from(i));
             node.full_list(list());
             // Its part of the traffic, and when it hears of the start: lists come within two seconds.
-            (node, 0.2 + 1.8 * random.f64() * random.f64() * 2.0, START + ms(random.u64(0..2_000)), false)
+            (
+                node,
+                0.2 + 1.8 * random.f64() * random.f64() * 2.0,
+                START + ms(random.u64(0..2_000)),
+                false,
+            )
         })
         .collect();
     let origin = nodes[0].0.now;
@@ -66,13 +79,26 @@
         while let Some(entry) = ends.first_entry().filter(|entry| entry.key().0 <= arrives) {
             let ((when, _), (i, id, attempt, status)) = entry.remove_entry();
             let (node, ..) = &mut nodes[i];
-            if node.requests.get(&id).is_none_or(|open| open.sent[attempt as usize].status.is_some()) {
+            if node
+                .requests
+                .get(&id)
+                .is_none_or(|open| open.sent[attempt as usize].status.is_some())
+            {
                 continue;
             }
             node.pass(when.since(node.now));
             if node.requests[&id].sent[attempt as usize].status.is_none() {
                 node.end_attempt(&id, attempt, status);
-                note(&mut nodes, i, &id, origin, &mut random, &mut ends, &mut count, &mut to_cold);
+                note(
+                    &mut nodes,
+                    i,
+                    &id,
+                    origin,
+                    &mut random,
+                    &mut ends,
+                    &mut count,
+                    &mut to_cold,
+                );
             }
         }
         if at >= DAY.as_secs_f64() {
@@ -89,14 +115,31 @@
         if !*told && arrives.since(origin) >= *told_at {
             *told = true;
             let started = Some(origin + START);
-            node.changes(vec![ServerEntry { started, ..ServerEntry::new("s0") }]);
+            node.changes(vec![ServerEntry {
+                started,
+                ..ServerEntry::new("s0")
+            }]);
         }
-        node.requests.retain(|_, open| !open.ended || open.sent.iter().any(|sent| sent.status.is_none()));
+        node.requests
+            .retain(|_, open| !open.ended || open.sent.iter().any(|sent| sent.status.is_none()));
         // One request in three is for a key of the cold server's.
         key += 1;
-        let wanted = if random.u8(0..3) == 0 { hot } else { 1 << 32 | key };
+        let wanted = if random.u8(0..3) == 0 {
+            hot
+        } else {
+            1 << 32 | key
+        };
         let id = nodes[i].0.request(0, wanted, ms(400));
-        note(&mut nodes, i, &id, origin, &mut random, &mut ends, &mut count, &mut to_cold);
+        note(
+            &mut nodes,
+            i,
+            &id,
+            origin,
+            &mut random,
+            &mut ends,
+            &mut count,
+            &mut to_cold,
+        );
     }
 }
 
@@ -113,7 +156,9 @@
     to_cold: &mut Vec<Duration>,
 ) {
     let (node, _, _, told) = &nodes[i];
-    let Some((attempt, server)) = node.out(id) else { return };
+    let Some((attempt, server)) = node.out(id) else {
+        return;
+    };
     if *told && server.as_str() == "s0" {
         to_cold.push(node.now.since(origin));
     }
@@ -125,7 +170,10 @@
         _ => Status::Ok,
     };
     *count += 1;
-    ends.insert((node.now + ms(random.u64(5..60)), *count), (i, id.clone(), attempt, status));
+    ends.insert(
+        (node.now + ms(random.u64(5..60)), *count),
+        (i, id.clone(), attempt, status),
+    );
 }
 
 /// Within any span that the settings name, all nodes together send a cold server no more than its budget N of that moment
@@ -137,14 +185,22 @@
     for nodes in [1, 3, 20, 30, 300] {
         let (mut sent, mut most_used) = (0, 0.0f64);
         for (seed, (capacity, load)) in (0..16).zip(days.into_iter().cycle()) {
-            let (settings, to_cold) = play(&Fleet { nodes, seed, capacity, load });
+            let (settings, to_cold) = play(&Fleet {
+                nodes,
+                seed,
+                capacity,
+                load,
+            });
             sent += to_cold.len();
             let span = settings.fall_span;
             for (first, from) in to_cold.iter().enumerate() {
                 if *from + span > START + settings.warm_within {
                     break;
                 }
-                let within = to_cold[first..].iter().take_while(|at| **at <= *from + span).count() as f64;
+                let within = to_cold[first..]
+                    .iter()
+                    .take_while(|at| **at <= *from + span)
+                    .count() as f64;
                 let age = (*from - START).as_secs_f64() / settings.warm_within.as_secs_f64();
                 let able = capacity * (settings.cold_share + (1.0 - settings.cold_share) * age);
                 let budget = settings.fall_multiple * able * span.as_secs_f64();
--- a/crates/decide/tests/common/events.rs
+++ b/crates/decide/tests/common/events.rs
@@ -14,9 +14,19 @@
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A client asks.
-    Ask { class: usize, key: u64, patience_ms: u64, write: bool, over_share: bool },
+    Ask {
+        class: usize,
+        key: u64,
+        patience_ms: u64,
+        write: bool,
+        over_share: bool,
+    },
     /// An attempt that is out ends so.
-    End { which: usize, how: Status, note: Option<Note> },
+    End {
+        which: usize,
+        how: Status,
+        note: Option<Note>,
+    },
     /// An outcome comes that belongs to no attempt that is out.
     Stray { which: usize, how: Status },
     /// A client leaves.
@@ -45,7 +55,16 @@
 
 fn status() -> impl Strategy<Value = Status> {
     use Status::*;
-    let bad = vec![Failed, QueueFull, TimedOut, ConnectError, Reset, Canceled, Ignored, Miss];
+    let bad = vec![
+        Failed,
+        QueueFull,
+        TimedOut,
+        ConnectError,
+        Reset,
+        Canceled,
+        Ignored,
+        Miss,
+    ];
     prop_oneof![1 => Just(Ok), 2 => proptest::sample::select(bad)]
 }
 
@@ -73,8 +92,12 @@
     for seed in seeds {
         let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
         let mut runner = TestRunner::new_with_rng(Config::default(), random);
-        let steps = vec(step(), length).new_tree(&mut runner).expect("a sequence").current();
-        let played = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| holds(seed.into(), &steps)));
+        let steps = vec(step(), length)
+            .new_tree(&mut runner)
+            .expect("a sequence")
+            .current();
+        let played =
+            std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| holds(seed.into(), &steps)));
         if let Err(panic) = played {
             eprintln!("seed {seed}: {steps:#?}");
             std::panic::resume_unwind(panic);
@@ -86,13 +109,18 @@
 /// panics where it does not hold. A failure prints the seed and the shortest sequence that was found to fail.
 pub fn check(seeds: std::ops::Range<u8>, cases: u32, length: usize, holds: impl Fn(u64, &[Step])) {
     for seed in seeds {
-        let config =
-            Config { cases, failure_persistence: None, max_shrink_iters: 2_000, ..Config::default() };
+        let config = Config {
+            cases,
+            failure_persistence: None,
+            max_shrink_iters: 2_000,
+            ..Config::default()
+        };
         let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
-        let played = TestRunner::new_with_rng(config, random).run(&vec(step(), 1..length), |steps| {
-            holds(seed.into(), &steps);
-            Ok(())
-        });
+        let played =
+            TestRunner::new_with_rng(config, random).run(&vec(step(), 1..length), |steps| {
+                holds(seed.into(), &steps);
+                Ok(())
+            });
         match played {
             Ok(()) => {}
             Err(TestError::Fail(why, steps)) => panic!("seed {seed}: {why}\n{steps:#?}"),
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -41,7 +41,17 @@
         let now = Timestamp::from_micros(3_000_000_000);
         let (list, requests) = (BTreeMap::new(), BTreeMap::new());
         let (timers, trace, load) = (BTreeSet::new(), Vec::new(), LoadReport::default());
-        Self { balancer, settings, now, list, requests, timers, trace, load, count: 0 }
+        Self {
+            balancer,
+            settings,
+            now,
+            list,
+            requests,
+            timers,
+            trace,
+            load,
+            count: 0,
+        }
     }
 
     /// A node that knows `n` warm servers, named a, b, c and so on.
@@ -68,7 +78,9 @@
     }
 
     pub fn class_of(&self, request: &Request) -> Class {
-        request.class.map_or_else(Class::default, |id| self.settings.classes[id.0].clone())
+        request
+            .class
+            .map_or_else(Class::default, |id| self.settings.classes[id.0].clone())
     }
 
     pub fn feed(&mut self, event: Event) -> Vec<Action> {
@@ -83,22 +95,48 @@
 
     fn carry_out(&mut self, action: &Action) {
         match action {
-            Action::Send { id, server, timeout, begin_within } => {
+            Action::Send {
+                id,
+                server,
+                timeout,
+                begin_within,
+            } => {
                 let class = self.class_of(&self.requests[id].request);
-                let entry = self.list.get(server).expect("a send to a server no list has named").clone();
-                assert_eq!(entry.availability, Availability::Ready, "rule 3: a send to a leaving server");
+                let entry = self
+                    .list
+                    .get(server)
+                    .expect("a send to a server no list has named")
+                    .clone();
+                assert_eq!(
+                    entry.availability,
+                    Availability::Ready,
+                    "rule 3: a send to a leaving server"
+                );
                 let (now, limits) = (self.now, &self.settings);
-                let open = self.requests.get_mut(id).expect("a send for an unknown request");
+                let open = self
+                    .requests
+                    .get_mut(id)
+                    .expect("a send for an unknown request");
                 assert!(!open.ended, "rule 1: a send for an ended request");
-                assert!(open.sent.len() < limits.max_attempts as usize, "more attempts than allowed");
-                let out = open.sent.iter().filter(|sent| sent.status.is_none()).count();
+                assert!(
+                    open.sent.len() < limits.max_attempts as usize,
+                    "more attempts than allowed"
+                );
+                let out = open
+                    .sent
+                    .iter()
+                    .filter(|sent| sent.status.is_none())
+                    .count();
                 assert_eq!(out, 0, "two attempts out at once");
                 for earlier in open.sent.iter().filter(|sent| may_have_run(sent)) {
                     match class.effect {
                         Effect::Safe => {}
                         Effect::Unsafe => panic!("rule 2: an unsafe request sent again"),
                         Effect::Keyed { scope, window } => {
-                            assert!(now < earlier.at + window, "rule 2: sent again after its window");
+                            assert!(
+                                now < earlier.at + window,
+                                "rule 2: sent again after its window"
+                            );
                             let near = match scope {
                                 Scope::All => true,
                                 Scope::Zone => earlier.server.zone == entry.zone,
@@ -106,28 +144,53 @@
                             };
                             assert!(near, "rule 2: sent again outside its scope");
                             let last = now + *begin_within;
-                            assert!(last <= earlier.at + window, "rule 2: may begin after its window");
+                            assert!(
+                                last <= earlier.at + window,
+                                "rule 2: may begin after its window"
+                            );
                         }
                     }
                 }
                 let ends = (now + *timeout).min(open.request.valid_until);
-                open.sent.push(Sent { server: entry, at: now, ends, status: None });
+                open.sent.push(Sent {
+                    server: entry,
+                    at: now,
+                    ends,
+                    status: None,
+                });
             }
             Action::Refuse { id, .. } => {
                 let effect = self.class_of(&self.requests[id].request).effect;
-                let open = self.requests.get_mut(id).expect("a refusal of an unknown request");
+                let open = self
+                    .requests
+                    .get_mut(id)
+                    .expect("a refusal of an unknown request");
                 assert!(!open.ended, "rule 1: a second final answer");
-                let all = matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
-                assert!(all || !open.sent.iter().any(may_have_run), "rule 2: refused, yet it may have run");
+                let all = matches!(
+                    effect,
+                    Effect::Safe
+                        | Effect::Keyed {
+                            scope: Scope::All,
+                            ..
+                        }
+                );
+                assert!(
+                    all || !open.sent.iter().any(may_have_run),
+                    "rule 2: refused, yet it may have run"
+                );
                 open.ended = true;
             }
             Action::Fail { id } => {
-                let open = self.requests.get_mut(id).expect("a failure of an unknown request");
+                let open = self
+                    .requests
+                    .get_mut(id)
+                    .expect("a failure of an unknown request");
                 assert!(!open.ended, "rule 1: a second final answer");
                 open.ended = true;
             }
             Action::Wake { after } => {
-                self.timers.insert(self.now + (*after).max(Duration::from_micros(1)));
+                self.timers
+                    .insert(self.now + (*after).max(Duration::from_micros(1)));
             }
             Action::Close { .. } | Action::Follow | Action::Log(_) => {}
         }
@@ -137,12 +200,20 @@
     pub fn request(&mut self, class: usize, key: u64, patience: Duration) -> RequestId {
         self.count += 1;
         let request = Request::new(&format!("r{}", self.count), self.now + patience);
-        self.submit(Request { class: Some(ClassId(class)), key: Some(key), ..request })
+        self.submit(Request {
+            class: Some(ClassId(class)),
+            key: Some(key),
+            ..request
+        })
     }
 
     pub fn submit(&mut self, request: Request) -> RequestId {
         let id = request.id.clone();
-        let open = Open { request: request.clone(), sent: Vec::new(), ended: false };
+        let open = Open {
+            request: request.clone(),
+            sent: Vec::new(),
+            ended: false,
+        };
         self.requests.insert(id.clone(), open);
         self.feed(Event::Request(request));
         id
@@ -157,7 +228,11 @@
 
     /// The requests that have an attempt out.
     pub fn all_out(&self) -> Vec<RequestId> {
-        self.requests.keys().filter(|id| self.out(id).is_some()).cloned().collect()
+        self.requests
+            .keys()
+            .filter(|id| self.out(id).is_some())
+            .cloned()
+            .collect()
     }
 
     pub fn end_attempt(&mut self, id: &RequestId, attempt: u32, status: Status) -> Vec<Action> {
@@ -212,11 +287,17 @@
         let end = self.now + time;
         loop {
             let attempts = self.requests.iter().flat_map(|(id, open)| {
-                let out = open.sent.iter().enumerate().filter(|(_, sent)| sent.status.is_none());
+                let out = open
+                    .sent
+                    .iter()
+                    .enumerate()
+                    .filter(|(_, sent)| sent.status.is_none());
                 out.map(move |(i, sent)| (sent.ends, Some((id.clone(), i as u32))))
             });
             let timer = self.timers.first().map(|&at| (at, None));
-            let Some((at, what)) = attempts.chain(timer).min().filter(|(at, _)| *at <= end) else { break };
+            let Some((at, what)) = attempts.chain(timer).min().filter(|(at, _)| *at <= end) else {
+                break;
+            };
             self.now = self.now.max(at);
             match what {
                 Some((id, attempt)) => {
@@ -246,10 +327,22 @@
 
 /// Read, keyed for one second, and unsafe; aims of 150 ms.
 pub fn settings() -> Settings {
-    let class = |name: &str, effect| Class { name: name.into(), effect, aim: ms(150), deadline: ms(400) };
-    let keyed = Effect::Keyed { scope: Scope::All, window: ms(1000) };
+    let class = |name: &str, effect| Class {
+        name: name.into(),
+        effect,
+        aim: ms(150),
+        deadline: ms(400),
+    };
+    let keyed = Effect::Keyed {
+        scope: Scope::All,
+        window: ms(1000),
+    };
     Settings {
-        classes: vec![class("read", Effect::Safe), class("keyed", keyed), class("unsafe", Effect::Unsafe)],
+        classes: vec![
+            class("read", Effect::Safe),
+            class("keyed", keyed),
+            class("unsafe", Effect::Unsafe),
+        ],
         max_attempts: 6,
         max_retry_after: ms(1000),
         ..Settings::default()
@@ -258,7 +351,12 @@
 
 /// Settings of a fleet whose balancers fetch misses, with its origin entry.
 pub fn aside() -> (Settings, ServerEntry) {
-    let mode = CacheMode::Aside { origin_kind: "origin".into() };
-    let origin = ServerEntry { kind: Some("origin".into()), ..ServerEntry::new("zz-origin") };
+    let mode = CacheMode::Aside {
+        origin_kind: "origin".into(),
+    };
+    let origin = ServerEntry {
+        kind: Some("origin".into()),
+        ..ServerEntry::new("zz-origin")
+    };
     (Settings { mode, ..settings() }, origin)
 }
--- a/crates/decide/tests/fleet.rs
+++ b/crates/decide/tests/fleet.rs
@@ -7,7 +7,13 @@
 /// `nodes` nodes that know servers a, b, c and so on.
 fn fleet(nodes: u32, servers: u8) -> Vec<Node> {
     let node = |seed| {
-        let mut node = Node::new(Settings { nodes, ..settings() }, u64::from(seed));
+        let mut node = Node::new(
+            Settings {
+                nodes,
+                ..settings()
+            },
+            u64::from(seed),
+        );
         let entries = (0..servers).map(|i| ServerEntry::new(&char::from(b'a' + i).to_string()));
         node.full_list(entries.collect());
         node
@@ -17,10 +23,18 @@
 
 /// One of 300 nodes, which knows 100 servers in four zones.
 fn one_of_many(seed: u64) -> Node {
-    let mut node = Node::new(Settings { nodes: 300, ..settings() }, seed);
+    let mut node = Node::new(
+        Settings {
+            nodes: 300,
+            ..settings()
+        },
+        seed,
+    );
     let zones = ["n", "e", "s", "w"];
-    let entry =
-        |i: usize| ServerEntry { zone: Some(zones[i % 4].into()), ..ServerEntry::new(&format!("s{i}")) };
+    let entry = |i: usize| ServerEntry {
+        zone: Some(zones[i % 4].into()),
+        ..ServerEntry::new(&format!("s{i}"))
+    };
     node.full_list((0..100).map(entry).collect());
     node
 }
@@ -37,7 +51,11 @@
     let mut list: Vec<ServerEntry> = nodes[0].list.values().cloned().collect();
     list[0].weight = settings().cold_share;
     probe.full_list(list);
-    let hot = (0..).find(|&key| probe.call(key, Status::Ok).is_some_and(|server| server.as_str() == "a"));
+    let hot = (0..).find(|&key| {
+        probe
+            .call(key, Status::Ok)
+            .is_some_and(|server| server.as_str() == "a")
+    });
     let hot = hot.expect("some key is a's");
     let born = nodes[0].now + ms(6_000);
     let (mut to_cold, mut all) = (Vec::new(), 0);
@@ -66,15 +84,29 @@
     }
     let (settings, seconds) = (&nodes[0].settings, 14_000.0 * 0.0025);
     let capacity = f64::from(all) / seconds / f64::from(servers);
-    assert!(to_cold.len() > 50, "it must get some work: {}", to_cold.len());
+    assert!(
+        to_cold.len() > 50,
+        "it must get some work: {}",
+        to_cold.len()
+    );
     // Spans that end while it is still cold.
     let cold_for = settings.warm_within - settings.fall_span;
-    for (i, at) in to_cold.iter().enumerate().take_while(|(_, at)| at.since(born) < cold_for) {
-        let within = to_cold[i..].iter().take_while(|later| later.since(*at) <= settings.fall_span).count();
+    for (i, at) in to_cold
+        .iter()
+        .enumerate()
+        .take_while(|(_, at)| at.since(born) < cold_for)
+    {
+        let within = to_cold[i..]
+            .iter()
+            .take_while(|later| later.since(*at) <= settings.fall_span)
+            .count();
         let age = at.since(born).as_secs_f64() / settings.warm_within.as_secs_f64();
         let now_able = capacity * (settings.cold_share + (1.0 - settings.cold_share) * age);
         let most = settings.fall_multiple * now_able * settings.fall_span.as_secs_f64();
-        assert!((within as f64) <= most * 1.1, "{within} in a span, {most} allowed at age {age}");
+        assert!(
+            (within as f64) <= most * 1.1,
+            "{within} in a span, {most} allowed at age {age}"
+        );
     }
 }
 
@@ -133,7 +165,10 @@
             node.requests.clear();
         }
     }
-    assert!(served >= 1_780 && untried <= 15, "{served} of 1,800 served, {untried} refused untried");
+    assert!(
+        served >= 1_780 && untried <= 15,
+        "{served} of 1,800 served, {untried} refused untried"
+    );
     let mut node = one_of_many(4);
     // Where most are turned away wherever they go, most of the excess is refused before it is sent.
     for _ in 0..600 {
@@ -165,7 +200,12 @@
             if node.out(&id).is_some() {
                 node.answer(&id, Status::Ok);
             }
-            served += usize::from(node.requests[&id].sent.iter().any(|sent| sent.status == Some(Status::Ok)));
+            served += usize::from(
+                node.requests[&id]
+                    .sent
+                    .iter()
+                    .any(|sent| sent.status == Some(Status::Ok)),
+            );
             *sends += node.requests[&id].sent.len();
             node.pass(ms(40));
             node.requests.clear();
@@ -177,7 +217,10 @@
     // What may have run costs its server work: that budget stays as it was.
     let mut sends = 0;
     play(Status::Failed, &mut sends);
-    assert!(sends <= 500 + 500 / 5 + 10, "{sends} sends for 500 requests");
+    assert!(
+        sends <= 500 + 500 / 5 + 10,
+        "{sends} sends for 500 requests"
+    );
 }
 
 /// One of many nodes meets a server every few seconds: of a zone that is lost or cut off, none of the servers' breakers
@@ -194,32 +237,51 @@
             node.request(0, rng.u64(..), ms(400));
             node.pass(ms(83));
             for id in node.all_out() {
-                let zone = node.requests[&id].sent.last().and_then(|sent| sent.server.zone.clone());
-                if silent(step).iter().any(|name| zone.as_ref().is_some_and(|zone| zone.as_str() == *name)) {
+                let zone = node.requests[&id]
+                    .sent
+                    .last()
+                    .and_then(|sent| sent.server.zone.clone());
+                if silent(step)
+                    .iter()
+                    .any(|name| zone.as_ref().is_some_and(|zone| zone.as_str() == *name))
+                {
                     there[step as usize / 6] += 1;
                 } else {
                     node.answer(&id, Status::Ok);
                 }
             }
-            node.requests.retain(|_, open| !open.ended || open.sent.iter().any(|sent| sent.status.is_none()));
+            node.requests.retain(|_, open| {
+                !open.ended || open.sent.iter().any(|sent| sent.status.is_none())
+            });
         }
         (there, node)
     };
     // Each that waits there is seen about five times before it times out.
-    let (there, mut node) = play(1, &|step| if (36..180).contains(&step) { &["w"] } else { &[] });
+    let (there, mut node) = play(1, &|step| {
+        if (36..180).contains(&step) {
+            &["w"]
+        } else {
+            &[]
+        }
+    });
     let (early, later): (u32, u32) = (there[6..10].iter().sum(), there[12..30].iter().sum());
     assert!(early >= 8, "{there:?}");
     assert!(later <= 60, "18 half seconds of trials: {there:?}");
     let again = (0..200).filter(|key| {
         let id = node.request(0, *key, ms(400));
-        let zone = node.out(&id).map(|_| node.requests[&id].sent[0].server.zone.clone());
+        let zone = node
+            .out(&id)
+            .map(|_| node.requests[&id].sent[0].server.zone.clone());
         if node.out(&id).is_some() {
             node.answer(&id, Status::Ok);
         }
         node.pass(ms(83));
         zone.flatten().is_some_and(|zone| zone.as_str() == "w")
     });
-    assert!(again.count() >= 30, "what answers again gets its part again");
+    assert!(
+        again.count() >= 30,
+        "what answers again gets its part again"
+    );
     // Where no zone answers none is worse than the others.
     let (_, node) = play(2, &|_| &["n", "e", "s", "w"]);
     let tripped = |action: &Action| matches!(action, Action::Log(text) if text.contains("zone"));
@@ -231,12 +293,21 @@
 #[test]
 fn connections_seldom_used_by_one_of_many_nodes_are_closed() {
     let closes = |nodes, gap| {
-        let mut node = Node::with_servers(Settings { nodes, ..settings() }, 1);
+        let mut node = Node::with_servers(
+            Settings {
+                nodes,
+                ..settings()
+            },
+            1,
+        );
         for key in 0..20 {
             node.call(key, Status::Ok);
             node.pass(gap);
         }
-        node.trace.iter().filter(|action| matches!(action, Action::Close { .. })).count()
+        node.trace
+            .iter()
+            .filter(|action| matches!(action, Action::Close { .. }))
+            .count()
     };
     assert!(closes(300, ms(20_000)) >= 19);
     // Nodes that ask a server every eight seconds would each shake hands anew for nearly every request.
@@ -249,7 +320,13 @@
 #[test]
 fn a_slow_kind_gets_fewer_keys_where_weights_do_not_tell_speeds() {
     let share = |sized| {
-        let mut node = Node::new(Settings { sized, ..settings() }, 1);
+        let mut node = Node::new(
+            Settings {
+                sized,
+                ..settings()
+            },
+            1,
+        );
         let entry = |i: u8| ServerEntry {
             kind: Some(Name::from(if i < 5 { "x" } else { "y" })),
             ..ServerEntry::new(&char::from(b'a' + i).to_string())
@@ -275,10 +352,19 @@
 /// Memory may not grow with what discovery says over time: servers come and go, each of a kind of its own.
 #[test]
 fn kinds_of_servers_that_are_gone_are_forgotten() {
-    let mut node = Node::new(Settings { sized: false, ..settings() }, 1);
+    let mut node = Node::new(
+        Settings {
+            sized: false,
+            ..settings()
+        },
+        1,
+    );
     let mut held = |round: u32| {
         let kind = Some(Name::from(format!("kind-{round}").as_str()));
-        node.full_list(vec![ServerEntry { kind, ..ServerEntry::new(&format!("s{round}")) }]);
+        node.full_list(vec![ServerEntry {
+            kind,
+            ..ServerEntry::new(&format!("s{round}"))
+        }]);
         node.call(7, Status::Ok);
         node.requests.clear();
         // What else is remembered of servers fades within seconds.
@@ -287,5 +373,8 @@
     };
     let early = (0..600).map(&mut held).max().expect("some");
     let late = (600..3_000).map(&mut held).max().expect("some");
-    assert!(late < early * 11 / 10, "{late} characters after 3,000 kinds, {early} after 600");
+    assert!(
+        late < early * 11 / 10,
+        "{late} characters after 3,000 kinds, {early} after 600"
+    );
 }
--- a/crates/decide/tests/hashing.rs
+++ b/crates/decide/tests/hashing.rs
@@ -23,7 +23,10 @@
 fn a_leaver_moves_its_own_keys_only_and_a_return_brings_them_back() {
     let mut node = Node::with_servers(settings(), 8);
     let before = owners(&mut node);
-    let gone = ServerEntry { availability: Availability::Gone, ..ServerEntry::new("d") };
+    let gone = ServerEntry {
+        availability: Availability::Gone,
+        ..ServerEntry::new("d")
+    };
     node.changes(vec![gone]);
     let without = owners(&mut node);
     for (key, owner) in &before {
@@ -44,7 +47,10 @@
 #[test]
 fn shares_follow_weights() {
     let mut node = Node::new(settings(), 1);
-    let sized = |id: &str, weight| ServerEntry { weight, ..ServerEntry::new(id) };
+    let sized = |id: &str, weight| ServerEntry {
+        weight,
+        ..ServerEntry::new(id)
+    };
     node.full_list(vec![sized("a", 1.0), sized("b", 1.0), sized("c", 2.0)]);
     let owners = owners(&mut node);
     assert!((share(&owners, "a") - 0.25).abs() < 0.04);
@@ -64,7 +70,13 @@
 #[test]
 fn a_cold_server_is_the_first_choice_for_its_present_part_of_the_keys() {
     // So much may be sent to a cold server that nothing but the order keeps keys from it.
-    let mut node = Node::with_servers(Settings { fall_multiple: 1e6, ..settings() }, 4);
+    let mut node = Node::with_servers(
+        Settings {
+            fall_multiple: 1e6,
+            ..settings()
+        },
+        4,
+    );
     (0..500).for_each(|key| drop(node.call(key, Status::Ok)));
     let first = |node: &mut Node| {
         let to_cold = |key: &u64| node.call(*key, Status::Ok) == Some("a".into());
@@ -72,11 +84,20 @@
     };
     let warm = first(&mut node);
     let started = Some(node.now);
-    node.changes(vec![ServerEntry { started, ..ServerEntry::new("a") }]);
+    node.changes(vec![ServerEntry {
+        started,
+        ..ServerEntry::new("a")
+    }]);
     // What it got in the present slot of time is spent.
     node.pass(ms(1_000));
     let cold = first(&mut node);
     // Warm, a quarter; a second after its start at 0.37 of itself, 0.37 of 3.37 parts.
-    assert!((400..600).contains(&warm), "{warm} of 2000 while it is warm");
-    assert!((150..300).contains(&cold), "{cold} of 2000 while it is cold");
+    assert!(
+        (400..600).contains(&warm),
+        "{warm} of 2000 while it is warm"
+    );
+    assert!(
+        (150..300).contains(&cold),
+        "{cold} of 2000 while it is cold"
+    );
 }
--- a/crates/decide/tests/overload.rs
+++ b/crates/decide/tests/overload.rs
@@ -20,7 +20,10 @@
         sends += node.requests[&id].sent.len();
         node.pass(ms(20));
     }
-    assert!(sends <= 300 + 300 / 5 + 10, "{sends} sends for 300 requests");
+    assert!(
+        sends <= 300 + 300 / 5 + 10,
+        "{sends} sends for 300 requests"
+    );
 }
 
 /// Offers a request a millisecond of 300 keys, each attempt answered after `took`, or 300 ms by the slow server;
@@ -50,7 +53,8 @@
         node.requests.retain(|_, open| {
             let over = open.ended && open.sent.iter().all(|sent| sent.status.is_some());
             sent += usize::from(over && !open.sent.is_empty());
-            to_slow += usize::from(over && open.sent.iter().any(|sent| Some(&sent.server.id) == slow));
+            to_slow +=
+                usize::from(over && open.sent.iter().any(|sent| Some(&sent.server.id) == slow));
             !over
         });
     }
@@ -65,14 +69,23 @@
     let (sent, before) = offer(&mut node, 10, None);
     assert!(sent > 2_900 && before == 0, "{sent} of 3000 were sent");
     let (_, to_slow) = offer(&mut node, 10, Some(&slow));
-    assert!(to_slow < 100, "{to_slow} of 3000 went to the slow server, 500 would be its share");
+    assert!(
+        to_slow < 100,
+        "{to_slow} of 3000 went to the slow server, 500 would be its share"
+    );
 }
 
 #[test]
 fn a_server_with_nothing_in_flight_gets_the_next_request() {
     // The danger: late answers cut its limit to a fraction of a request. It stands idle and is refused, and with
     // no answers from it nothing raises the limit again.
-    let mut node = Node::with_servers(Settings { nodes: 3, ..settings() }, 1);
+    let mut node = Node::with_servers(
+        Settings {
+            nodes: 3,
+            ..settings()
+        },
+        1,
+    );
     for _ in 0..40 {
         let id = node.request(0, 7, ms(400));
         node.pass(ms(140));
@@ -81,7 +94,9 @@
         }
     }
     node.pass(ms(5_000));
-    let sent = (0..100).filter(|_| node.call(7, Status::Ok).is_some()).count();
+    let sent = (0..100)
+        .filter(|_| node.call(7, Status::Ok).is_some())
+        .count();
     assert_eq!(sent, 100, "asked one at a time, an idle server has room");
 }
 
@@ -101,13 +116,22 @@
 #[test]
 fn a_burst_is_held_for_room_and_refused_in_time_without_it() {
     // The danger: requests refused in a burst of milliseconds while their aim leaves them time to wait.
-    let mut node = Node::with_servers(Settings { nodes: 16, ..settings() }, 1);
+    let mut node = Node::with_servers(
+        Settings {
+            nodes: 16,
+            ..settings()
+        },
+        1,
+    );
     for _ in 0..200 {
         node.call(7, Status::Ok);
         node.pass(ms(1));
     }
     let ids: Vec<RequestId> = (0..8).map(|_| node.request(0, 7, ms(400))).collect();
-    let waiting = ids.iter().filter(|id| !node.requests[*id].ended && node.out(id).is_none()).count();
+    let waiting = ids
+        .iter()
+        .filter(|id| !node.requests[*id].ended && node.out(id).is_none())
+        .count();
     assert!(waiting >= 4, "{waiting} of 8 are held");
     for id in &ids {
         if node.out(id).is_some() {
@@ -115,11 +139,15 @@
         }
     }
     node.pass(ms(20));
-    let sent = ids.iter().filter(|id| !node.requests[*id].sent.is_empty()).count();
+    let sent = ids
+        .iter()
+        .filter(|id| !node.requests[*id].sent.is_empty())
+        .count();
     assert!(sent > 8 - waiting, "room that came was used");
     node.pass(ms(150));
     assert!(
-        ids.iter().all(|id| node.requests[id].ended || node.out(id).is_some()),
+        ids.iter()
+            .all(|id| node.requests[id].ended || node.out(id).is_some()),
         "none waits past its aim"
     );
 }
@@ -157,8 +185,18 @@
 #[test]
 fn a_fleet_jammed_as_a_whole_is_left_alone_until_it_answers() {
     // So many servers that it seldom meets one twice: limits for each alone could not learn.
-    let mut node = Node::new(Settings { nodes: 300, ..settings() }, 1);
-    node.full_list((0..3_000).map(|i| ServerEntry::new(&format!("s{i}"))).collect());
+    let mut node = Node::new(
+        Settings {
+            nodes: 300,
+            ..settings()
+        },
+        1,
+    );
+    node.full_list(
+        (0..3_000)
+            .map(|i| ServerEntry::new(&format!("s{i}")))
+            .collect(),
+    );
     let mut rng = fastrand::Rng::with_seed(2);
     let mut sent = |node: &mut Node, status: Status, count: u64| {
         let mut sent = 0;
@@ -186,14 +224,32 @@
 fn late_answers_that_met_no_queue_hardly_lower_a_servers_limit() {
     // The danger: heavy requests are late by their own work, and a calm fleet's limits creep down until it refuses.
     let sent_at = |nodes, waiting| {
-        let mut node = Node::with_servers(Settings { nodes, ..settings() }, 6);
+        let mut node = Node::with_servers(
+            Settings {
+                nodes,
+                ..settings()
+            },
+            6,
+        );
         node.load.waiting = Some(waiting);
         offer_every(&mut node, 30, 140, None).0
     };
-    assert!(sent_at(2, 0.0) >= 95, "{} of 100 were sent", sent_at(2, 0.0));
-    assert!(sent_at(2, 4.0) < 80, "{} of 100 were sent past a queue", sent_at(2, 4.0));
+    assert!(
+        sent_at(2, 0.0) >= 95,
+        "{} of 100 were sent",
+        sent_at(2, 0.0)
+    );
+    assert!(
+        sent_at(2, 4.0) < 80,
+        "{} of 100 were sent past a queue",
+        sent_at(2, 4.0)
+    );
     // One of very many nodes has only old reports.
-    assert!(sent_at(300, 0.0) < 80, "{} of 100 were sent by one of many", sent_at(300, 0.0));
+    assert!(
+        sent_at(300, 0.0) < 80,
+        "{} of 100 were sent by one of many",
+        sent_at(300, 0.0)
+    );
 }
 
 #[test]
@@ -201,7 +257,13 @@
     // The danger: misses time out at a slow origin, every server is blamed for its own, and a fleet that has
     // time to spare refuses hits and moves keys to servers that lack them.
     let sent_at = |waiting| {
-        let mut node = Node::with_servers(Settings { nodes: 2, ..settings() }, 6);
+        let mut node = Node::with_servers(
+            Settings {
+                nodes: 2,
+                ..settings()
+            },
+            6,
+        );
         node.load.waiting = Some(waiting);
         let mut sent = 0;
         for key in 0..900 {
@@ -210,12 +272,19 @@
             node.pass(ms(10));
             // Three in ten are left to time out.
             for id in node.all_out() {
-                if node.requests[&id].request.key.is_some_and(|key| key % 10 > 2) {
+                if node.requests[&id]
+                    .request
+                    .key
+                    .is_some_and(|key| key % 10 > 2)
+                {
                     node.answer(&id, Status::Ok);
                 }
             }
         }
-        let tripped = node.trace.iter().any(|action| matches!(action, Action::Log(_)));
+        let tripped = node
+            .trace
+            .iter()
+            .any(|action| matches!(action, Action::Log(_)));
         (sent, tripped)
     };
     assert_eq!(sent_at(0.0), (900, false));
--- a/crates/decide/tests/properties.rs
+++ b/crates/decide/tests/properties.rs
@@ -72,13 +72,31 @@
 impl World {
     /// What the seed leaves open: who fetches misses, where repeats are dropped, how many attempts there are.
     fn new(seed: u64) -> Self {
-        let class = |name: &str, effect| Class { name: name.into(), effect, aim: ms(150), deadline: ms(600) };
+        let class = |name: &str, effect| Class {
+            name: name.into(),
+            effect,
+            aim: ms(150),
+            deadline: ms(600),
+        };
         let scope = [Scope::All, Scope::Zone, Scope::Cell][seed as usize % 3];
-        let keyed = Effect::Keyed { scope, window: ms(200) };
-        let aside = CacheMode::Aside { origin_kind: "origin".into() };
+        let keyed = Effect::Keyed {
+            scope,
+            window: ms(200),
+        };
+        let aside = CacheMode::Aside {
+            origin_kind: "origin".into(),
+        };
         let settings = Settings {
-            classes: vec![class("read", Effect::Safe), class("keyed", keyed), class("once", Effect::Unsafe)],
-            mode: if seed.is_multiple_of(2) { CacheMode::Through } else { aside },
+            classes: vec![
+                class("read", Effect::Safe),
+                class("keyed", keyed),
+                class("once", Effect::Unsafe),
+            ],
+            mode: if seed.is_multiple_of(2) {
+                CacheMode::Through
+            } else {
+                aside
+            },
             max_attempts: 2 + seed as u32 % 4,
             max_retry_after: ms(1_000),
             ..Settings::default()
@@ -103,7 +121,11 @@
 
     fn entry(i: usize) -> ServerEntry {
         let zone = Some(Name::from(["x", "y"][i % 2]));
-        ServerEntry { zone, cell: i as u64 % 3, ..ServerEntry::new(&format!("s{i}")) }
+        ServerEntry {
+            zone,
+            cell: i as u64 % 3,
+            ..ServerEntry::new(&format!("s{i}"))
+        }
     }
 
     fn tell(
@@ -111,24 +133,37 @@
         list: impl Fn(std::sync::Arc<[ServerEntry]>) -> ServerList,
         entries: Vec<ServerEntry>,
     ) {
-        self.list.retain(|_, entry| entry.availability != Availability::Gone);
+        self.list
+            .retain(|_, entry| entry.availability != Availability::Gone);
         let told = self.list.values().cloned().collect();
         self.facts.push((self.now, Fact::Told(told)));
         self.feed(Event::Servers(list(entries.into())));
     }
 
     fn tell_whole(&mut self, lacks: u8) {
-        let all = (0..SERVERS).filter(|i| lacks & 1 << i == 0).map(Self::entry);
-        let origin = ServerEntry { kind: Some("origin".into()), ..ServerEntry::new("zz") };
+        let all = (0..SERVERS)
+            .filter(|i| lacks & 1 << i == 0)
+            .map(Self::entry);
+        let origin = ServerEntry {
+            kind: Some("origin".into()),
+            ..ServerEntry::new("zz")
+        };
         let aside = self.settings.mode != CacheMode::Through;
         let held = |entry: ServerEntry| self.list.get(&entry.id).cloned().unwrap_or(entry);
         let entries: Vec<_> = all.map(held).chain(aside.then_some(origin)).collect();
-        self.list = entries.iter().map(|entry| (entry.id.clone(), entry.clone())).collect();
+        self.list = entries
+            .iter()
+            .map(|entry| (entry.id.clone(), entry.clone()))
+            .collect();
         self.tell(ServerList::Full, entries);
     }
 
     fn change(&mut self, i: usize, to: Change) {
-        let mut entry = self.list.get(&Self::entry(i).id).cloned().unwrap_or_else(|| Self::entry(i));
+        let mut entry = self
+            .list
+            .get(&Self::entry(i).id)
+            .cloned()
+            .unwrap_or_else(|| Self::entry(i));
         match to {
             Change::Ready | Change::Moved => entry.availability = Availability::Ready,
             Change::Draining => entry.availability = Availability::Draining,
@@ -147,24 +182,46 @@
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { id, server, timeout, .. } => {
-                    let server = self.list.get(&server).cloned().unwrap_or_else(|| ServerEntry {
-                        availability: Availability::Gone,
-                        ..ServerEntry::new(server.as_str())
-                    });
-                    self.facts.push((self.now, Fact::Sent { id: id.clone(), server: server.clone() }));
+                Action::Send {
+                    id,
+                    server,
+                    timeout,
+                    ..
+                } => {
+                    let server = self
+                        .list
+                        .get(&server)
+                        .cloned()
+                        .unwrap_or_else(|| ServerEntry {
+                            availability: Availability::Gone,
+                            ..ServerEntry::new(server.as_str())
+                        });
+                    self.facts.push((
+                        self.now,
+                        Fact::Sent {
+                            id: id.clone(),
+                            server: server.clone(),
+                        },
+                    ));
                     let until = self.open.get_mut(&id).map(|(until, made)| {
                         *made += 1;
                         (*until, *made - 1)
                     });
                     let (until, attempt) = until.unwrap_or((self.now, 0));
                     let ends = (self.now + timeout).min(until);
-                    self.out.push(Out { id, attempt, server, at: self.now, ends });
+                    self.out.push(Out {
+                        id,
+                        attempt,
+                        server,
+                        at: self.now,
+                        ends,
+                    });
                 }
                 Action::Refuse { id, retry_after } => self.answered(id, Some(retry_after)),
                 Action::Fail { id } => self.answered(id, None),
                 Action::Wake { after } => {
-                    self.timers.insert(self.now + after.max(Duration::from_micros(1)));
+                    self.timers
+                        .insert(self.now + after.max(Duration::from_micros(1)));
                 }
                 Action::Log(text) => self.facts.push((self.now, Fact::Said(text))),
                 _ => {}
@@ -194,23 +251,53 @@
     }
 
     fn end(&mut self, place: usize, status: Status, note: Option<Note>) {
-        let Out { id, attempt, server, at, .. } = self.out.remove(place);
-        let fact = Fact::Ended { id: id.clone(), server: server.clone(), status, note };
+        let Out {
+            id,
+            attempt,
+            server,
+            at,
+            ..
+        } = self.out.remove(place);
+        let fact = Fact::Ended {
+            id: id.clone(),
+            server: server.clone(),
+            status,
+            note,
+        };
         self.facts.push((self.now, fact));
         if status == Status::Ok && !self.over.contains(&id) {
             self.answered(id.clone(), None);
         }
         let (finished, took, server) = (self.over.contains(&id), self.now.since(at), server.id);
         let load = LoadReport::default();
-        self.feed(Event::Outcome(Outcome { id, attempt, server, status, note, took, finished, load }));
+        self.feed(Event::Outcome(Outcome {
+            id,
+            attempt,
+            server,
+            status,
+            note,
+            took,
+            finished,
+            load,
+        }));
     }
 
     fn pass(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
-            let first = self.out.iter().enumerate().map(|(i, out)| (out.ends, Some(i))).min();
+            let first = self
+                .out
+                .iter()
+                .enumerate()
+                .map(|(i, out)| (out.ends, Some(i)))
+                .min();
             let timer = self.timers.first().map(|at| (*at, None));
-            let Some((at, what)) = first.into_iter().chain(timer).min().filter(|(at, _)| *at <= end) else {
+            let Some((at, what)) = first
+                .into_iter()
+                .chain(timer)
+                .min()
+                .filter(|(at, _)| *at <= end)
+            else {
                 break;
             };
             self.now = self.now.max(at);
@@ -228,7 +315,13 @@
     fn play(&mut self, steps: &[Step]) {
         for step in steps.iter().cloned() {
             match step {
-                Step::Ask { class, key, patience_ms, write, over_share } => {
+                Step::Ask {
+                    class,
+                    key,
+                    patience_ms,
+                    write,
+                    over_share,
+                } => {
                     self.ask(class, key, ms(patience_ms), write, over_share);
                 }
                 Step::End { which, how, note } if !self.out.is_empty() => {
@@ -242,19 +335,41 @@
                         true => ("unknown".into(), 0),
                         false => {
                             let (id, (_, made)) = known[which % known.len()];
-                            let out =
-                                |attempt: &u32| self.out.iter().any(|o| o.id == *id && o.attempt == *attempt);
-                            (id.clone(), (0..*made).find(|attempt| !out(attempt)).unwrap_or(*made + 7))
+                            let out = |attempt: &u32| {
+                                self.out
+                                    .iter()
+                                    .any(|o| o.id == *id && o.attempt == *attempt)
+                            };
+                            (
+                                id.clone(),
+                                (0..*made)
+                                    .find(|attempt| !out(attempt))
+                                    .unwrap_or(*made + 7),
+                            )
                         }
                     };
-                    let (server, finished) = (Self::entry(which % SERVERS).id, self.over.contains(&id));
+                    let (server, finished) =
+                        (Self::entry(which % SERVERS).id, self.over.contains(&id));
                     let (note, took, load) = (None, ms(1), LoadReport::default());
-                    let stray = Outcome { id, attempt, server, status, note, took, finished, load };
+                    let stray = Outcome {
+                        id,
+                        attempt,
+                        server,
+                        status,
+                        note,
+                        took,
+                        finished,
+                        load,
+                    };
                     self.feed(Event::Outcome(stray));
                 }
                 Step::Leave { which } => {
-                    let open: Vec<_> =
-                        self.open.keys().filter(|id| !self.over.contains(*id)).cloned().collect();
+                    let open: Vec<_> = self
+                        .open
+                        .keys()
+                        .filter(|id| !self.over.contains(*id))
+                        .cloned()
+                        .collect();
                     if let Some(id) = open.get(which % open.len().max(1)) {
                         self.over.insert(id.clone());
                         self.facts.push((self.now, Fact::Left(id.clone())));
@@ -279,7 +394,9 @@
     }
 
     fn class(&self, request: &Request) -> Class {
-        request.class.map_or_else(Class::default, |id| self.settings.classes[id.0].clone())
+        request
+            .class
+            .map_or_else(Class::default, |id| self.settings.classes[id.0].clone())
     }
 }
 
@@ -291,7 +408,9 @@
             match fact {
                 Fact::Took(request) => drop(open.insert(request.id, request.valid_until)),
                 Fact::Answered { id, .. } => {
-                    let until = open.remove(&id).unwrap_or_else(|| panic!("{id} has no answer to come"));
+                    let until = open
+                        .remove(&id)
+                        .unwrap_or_else(|| panic!("{id} has no answer to come"));
                     assert!(at <= until, "{id} is answered after its time");
                 }
                 Fact::Left(id) => drop(open.remove(&id)),
@@ -310,7 +429,9 @@
         let (mut classes, mut ran) = (BTreeMap::new(), BTreeMap::<RequestId, Vec<_>>::new());
         for (at, fact) in &world.facts {
             match fact {
-                Fact::Took(request) => drop(classes.insert(request.id.clone(), world.class(request).effect)),
+                Fact::Took(request) => {
+                    drop(classes.insert(request.id.clone(), world.class(request).effect))
+                }
                 Fact::Sent { id, server } => {
                     let earlier = ran.entry(id.clone()).or_default();
                     for (sent, before) in earlier.iter() {
@@ -322,20 +443,36 @@
                         let allowed = match classes[id] {
                             Effect::Safe => true,
                             Effect::Unsafe => false,
-                            Effect::Keyed { scope, window } => *at < *sent + window && near(scope, before),
+                            Effect::Keyed { scope, window } => {
+                                *at < *sent + window && near(scope, before)
+                            }
                         };
                         assert!(allowed, "{id} is sent again");
                     }
                     earlier.push((*at, server.clone()));
                 }
-                Fact::Ended { id, server, status, .. } if status.never_ran() => {
+                Fact::Ended {
+                    id, server, status, ..
+                } if status.never_ran() => {
                     let sent = ran.entry(id.clone()).or_default();
-                    let place = sent.iter().position(|(_, to)| to.id == server.id).expect("it was sent");
+                    let place = sent
+                        .iter()
+                        .position(|(_, to)| to.id == server.id)
+                        .expect("it was sent");
                     sent.remove(place);
                 }
-                Fact::Answered { id, refused: Some(_) } => {
-                    let harmless =
-                        matches!(classes[id], Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+                Fact::Answered {
+                    id,
+                    refused: Some(_),
+                } => {
+                    let harmless = matches!(
+                        classes[id],
+                        Effect::Safe
+                            | Effect::Keyed {
+                                scope: Scope::All,
+                                ..
+                            }
+                    );
                     assert!(
                         harmless || ran.get(id).is_none_or(Vec::is_empty),
                         "{id} may have run, and is refused"
@@ -352,7 +489,12 @@
     check(SEEDS, CASES, LENGTH, |seed, steps| {
         for (_, fact) in World::facts(seed, steps).facts {
             if let Fact::Sent { id, server } = fact {
-                assert_eq!(server.availability, Availability::Ready, "{id} goes to {}", server.id);
+                assert_eq!(
+                    server.availability,
+                    Availability::Ready,
+                    "{id} goes to {}",
+                    server.id
+                );
             }
         }
     });
@@ -387,9 +529,17 @@
             world.change(part.len() % SERVERS, Change::Restarted);
             busy(&mut world, 150, |_| None, |_, _| Status::Ok);
         }
-        let Settings { fall_multiple, fall_span, cold_share, warm_within, .. } = world.settings;
+        let Settings {
+            fall_multiple,
+            fall_span,
+            cold_share,
+            warm_within,
+            ..
+        } = world.settings;
         let warmth = |entry: &ServerEntry, now: Timestamp| {
-            let age = entry.started.map_or(1.0, |at| now.since(at).as_secs_f64() / warm_within.as_secs_f64());
+            let age = entry.started.map_or(1.0, |at| {
+                now.since(at).as_secs_f64() / warm_within.as_secs_f64()
+            });
             (cold_share + (1.0 - cold_share) * age).min(1.0)
         };
         let (mut told, mut good, mut counted) = (Vec::new(), 0.0, world.now);
@@ -400,20 +550,29 @@
             counted = *at;
             match fact {
                 Fact::Told(list) => told = list.clone(),
-                Fact::Ended { status: Status::Ok, .. } => good += 1.0,
+                Fact::Ended {
+                    status: Status::Ok, ..
+                } => good += 1.0,
                 Fact::Sent { server, .. } if warmth(server, *at) < 0.9 => {
-                    let ready = told
-                        .iter()
-                        .filter(|entry| entry.availability == Availability::Ready && entry.kind.is_none());
+                    let ready = told.iter().filter(|entry| {
+                        entry.availability == Availability::Ready && entry.kind.is_none()
+                    });
                     let fleet: f64 = ready.map(|entry| warmth(entry, *at)).sum();
                     let can = good / 2.0 * warmth(server, *at) / fleet * fall_span.as_secs_f64();
                     let all = sent.entry(server.id.clone()).or_default();
                     all.push((*at, can));
-                    let span = all.iter().rev().take_while(|(then, _)| at.since(*then) <= fall_span);
+                    let span = all
+                        .iter()
+                        .rev()
+                        .take_while(|(then, _)| at.since(*then) <= fall_span);
                     let (within, most) =
                         span.fold((0, 0.0f64), |(n, most), (_, can)| (n + 1, most.max(*can)));
                     let most = most * fall_multiple * 1.1 + 3.0;
-                    assert!(f64::from(within) <= most, "{within} in a span to {}, {most} allowed", server.id);
+                    assert!(
+                        f64::from(within) <= most,
+                        "{within} in a span to {}, {most} allowed",
+                        server.id
+                    );
                 }
                 _ => {}
             }
@@ -427,16 +586,32 @@
     check(0..6, 12, 60, |seed, steps| {
         let mut world = World::new(seed);
         let through = world.settings.mode == CacheMode::Through;
-        let bad = |key: u64| if key.is_multiple_of(2) { Status::Ok } else { Status::Failed };
+        let bad = |key: u64| {
+            if key.is_multiple_of(2) {
+                Status::Ok
+            } else {
+                Status::Failed
+            }
+        };
         busy(&mut world, 100, |_| Some(Note::Hit), |_, _| Status::Ok);
         world.play(steps);
-        let note = |key: u64| if key.is_multiple_of(2) { Note::Hit } else { Note::Miss };
+        let note = |key: u64| {
+            if key.is_multiple_of(2) {
+                Note::Hit
+            } else {
+                Note::Miss
+            }
+        };
         for _ in 0..3 {
             for key in 0..20 {
                 world.ask(0, key, ms(400), false, false);
                 while let Some(place) = world.out.iter().position(|out| out.at == world.now) {
                     let status = if through { bad(key) } else { Status::Miss };
-                    let status = if world.out[place].server.kind.is_some() { Status::Failed } else { status };
+                    let status = if world.out[place].server.kind.is_some() {
+                        Status::Failed
+                    } else {
+                        status
+                    };
                     world.end(place, status, through.then_some(note(key)));
                 }
                 world.pass(ms(20));
@@ -446,8 +621,12 @@
         let (mut open_until, mut trips) = (Timestamp::default(), 0);
         for (at, fact) in &world.facts {
             match fact {
-                Fact::Took(request) => drop(keys.insert(request.id.clone(), (request.key, request.write))),
-                Fact::Ended { id, note, status, .. } => {
+                Fact::Took(request) => {
+                    drop(keys.insert(request.id.clone(), (request.key, request.write)))
+                }
+                Fact::Ended {
+                    id, note, status, ..
+                } => {
                     // A miss that was not fetched is the database's failure.
                     match note {
                         Some(Note::Hit) => drop(hits.insert(keys[id].0, true)),
@@ -469,12 +648,18 @@
                         true => !write && hits.get(&key) == Some(&true),
                         false => server.kind.is_none(),
                     };
-                    assert!(spared, "{id} of key {key:?} asks the database, which is given a rest");
+                    assert!(
+                        spared,
+                        "{id} of key {key:?} asks the database, which is given a rest"
+                    );
                 }
                 _ => {}
             }
         }
-        assert!(trips > 0 || steps.len() > 3, "the database's breaker never tripped");
+        assert!(
+            trips > 0 || steps.len() > 3,
+            "the database's breaker never tripped"
+        );
     });
 }
 
@@ -493,7 +678,13 @@
         for (i, part) in steps.chunks(15).enumerate() {
             // One server fails until its breaker opens, and meets many requests at once in its cooldown and past it.
             let lost = World::entry(i % 2).id;
-            let bad = |_: u64, at: &ServerId| if *at == lost { Status::Failed } else { Status::Ok };
+            let bad = |_: u64, at: &ServerId| {
+                if *at == lost {
+                    Status::Failed
+                } else {
+                    Status::Ok
+                }
+            };
             busy(&mut world, 60, |_| None, bad);
             for wait in [0, 3_000, 3_100] {
                 world.pass(ms(wait));
@@ -518,8 +709,9 @@
                     told = list.clone();
                 }
                 Fact::Said(text) => {
-                    let host =
-                        text.strip_prefix("breaker of ").and_then(|rest| rest.strip_suffix(" tripped"));
+                    let host = text
+                        .strip_prefix("breaker of ")
+                        .and_then(|rest| rest.strip_suffix(" tripped"));
                     if let Some(host) = host {
                         seen.insert(host.into(), Seen::Open(*at + COOLDOWN));
                     }
@@ -538,8 +730,12 @@
                     let must = (free || !first) && server.kind.is_none();
                     let state = seen.entry(server.id.clone()).or_insert(Seen::Closed);
                     match state {
-                        Seen::Open(until) if *at >= *until => *state = Seen::Trials { out: 1, passed: 0 },
-                        Seen::Open(_) => assert!(!must, "{id} goes to {} in its cooldown", server.id),
+                        Seen::Open(until) if *at >= *until => {
+                            *state = Seen::Trials { out: 1, passed: 0 }
+                        }
+                        Seen::Open(_) => {
+                            assert!(!must, "{id} goes to {} in its cooldown", server.id)
+                        }
                         Seen::Trials { out, passed } => {
                             *out += 1;
                             assert!(
@@ -574,7 +770,13 @@
         for part in steps.chunks(15) {
             // Some or all servers fail, their breakers open, and their trials meet the same.
             let lost = part.len() as u64 % 4;
-            let bad = |key: u64, _: &ServerId| if key % 4 >= lost { Status::Failed } else { Status::Ok };
+            let bad = |key: u64, _: &ServerId| {
+                if key % 4 >= lost {
+                    Status::Failed
+                } else {
+                    Status::Ok
+                }
+            };
             busy(&mut world, 40, |_| None, bad);
             world.pass(COOLDOWN);
             busy(&mut world, 20, |_| None, bad);
@@ -596,8 +798,10 @@
                 _ => None,
             })
             .collect();
-        let missing: Vec<_> =
-            (0..SERVERS).map(|i| World::entry(i).id).filter(|id| !used.contains(id)).collect();
+        let missing: Vec<_> = (0..SERVERS)
+            .map(|i| World::entry(i).id)
+            .filter(|id| !used.contains(id))
+            .collect();
         assert!(missing.is_empty(), "{missing:?} answer and are not used");
     });
 }
@@ -616,20 +820,28 @@
                         *life += u32::from(!list.iter().any(|entry| entry.id == *id));
                     }
                     for entry in list {
-                        let (started, life) = incarnations.entry(entry.id).or_insert((entry.started, 0));
-                        *life += u32::from(std::mem::replace(started, entry.started) != entry.started);
+                        let (started, life) =
+                            incarnations.entry(entry.id).or_insert((entry.started, 0));
+                        *life +=
+                            u32::from(std::mem::replace(started, entry.started) != entry.started);
                     }
                 }
                 Fact::Sent { id, server } => {
                     let life = incarnations.get(&server.id).copied();
                     sent.insert((id, server.id), life);
                 }
-                Fact::Ended { id, server, .. } => last = Some((server.id.clone(), sent[&(id, server.id)])),
+                Fact::Ended { id, server, .. } => {
+                    last = Some((server.id.clone(), sent[&(id, server.id)]))
+                }
                 Fact::Said(text) if text != "breaker of the origin tripped" => {
                     let host = ServerId::from(text.split(' ').nth(2).unwrap_or_default());
                     let (server, life) = last.clone().expect("an outcome before a trip");
                     assert_eq!(server, host);
-                    assert_eq!(life, incarnations.get(&host).copied(), "an old life's outcome trips {host}");
+                    assert_eq!(
+                        life,
+                        incarnations.get(&host).copied(),
+                        "an old life's outcome trips {host}"
+                    );
                 }
                 _ => {}
             }
@@ -647,24 +859,36 @@
             match fact {
                 Fact::Took(request) => {
                     over = request.over_share.then(|| request.id.clone());
-                    open.insert(request.id.clone(), (*at, 0, false, world.class(request).aim));
+                    open.insert(
+                        request.id.clone(),
+                        (*at, 0, false, world.class(request).aim),
+                    );
                 }
                 Fact::Sent { id, .. } => {
-                    open.entry(id.clone()).and_modify(|(_, out, tried, _)| (*out, *tried) = (*out + 1, true));
+                    open.entry(id.clone())
+                        .and_modify(|(_, out, tried, _)| (*out, *tried) = (*out + 1, true));
+                }
+                Fact::Ended { id, .. } => {
+                    drop(open.entry(id.clone()).and_modify(|(_, out, ..)| *out -= 1))
                 }
-                Fact::Ended { id, .. } => drop(open.entry(id.clone()).and_modify(|(_, out, ..)| *out -= 1)),
                 Fact::Answered { id, refused } => {
                     open.remove(id);
                     if let Some(after) = refused {
                         let most = world.settings.max_retry_after;
-                        assert!(!after.is_zero() && *after <= most, "{id}: come back after {after:?}");
+                        assert!(
+                            !after.is_zero() && *after <= most,
+                            "{id}: come back after {after:?}"
+                        );
                     }
                 }
                 Fact::Left(id) => drop(open.remove(id)),
                 Fact::Done => {
                     for (id, (taken, out, tried, aim)) in &open {
                         assert!(*out > 0 || !tried, "{id} has nothing out and no answer");
-                        assert!(*out > 0 || at.since(*taken) < *aim, "{id} is held past its aim");
+                        assert!(
+                            *out > 0 || at.since(*taken) < *aim,
+                            "{id} is held past its aim"
+                        );
                     }
                     let over = over.take().filter(|id| open.contains_key(id));
                     assert_eq!(over, None, "over its share, and not refused at once");
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -13,7 +13,11 @@
     let (attempt, _) = node.out(&id).expect("never ran: sent on");
     assert_eq!(attempt, 1);
     let actions = node.answer(&id, Status::TimedOut);
-    assert_eq!(actions, [Action::Fail { id }], "it may have run: neither sent on nor refused");
+    assert_eq!(
+        actions,
+        [Action::Fail { id }],
+        "it may have run: neither sent on nor refused"
+    );
 }
 
 #[test]
@@ -32,10 +36,18 @@
 #[test]
 fn a_keyed_request_stays_in_its_cell() {
     let mut settings = settings();
-    settings.classes[1].effect = Effect::Keyed { scope: Scope::Cell, window: ms(1000) };
+    settings.classes[1].effect = Effect::Keyed {
+        scope: Scope::Cell,
+        window: ms(1000),
+    };
     let mut node = Node::new(settings, 1);
     node.full_list(
-        (0..6u64).map(|i| ServerEntry { cell: i % 3, ..ServerEntry::new(&format!("s{i}")) }).collect(),
+        (0..6u64)
+            .map(|i| ServerEntry {
+                cell: i % 3,
+                ..ServerEntry::new(&format!("s{i}"))
+            })
+            .collect(),
     );
     let mut sent_on = 0;
     for key in 0..30 {
@@ -55,13 +67,20 @@
 fn a_draining_or_removed_server_gets_nothing_new() {
     let mut node = Node::with_servers(settings(), 2);
     let own = node.call(7, Status::Ok).expect("served");
-    let entry = |availability| ServerEntry { availability, ..ServerEntry::new(own.as_str()) };
+    let entry = |availability| ServerEntry {
+        availability,
+        ..ServerEntry::new(own.as_str())
+    };
     node.changes(vec![entry(Availability::Draining)]);
     assert_ne!(node.call(7, Status::Ok), Some(own.clone()));
     node.changes(vec![entry(Availability::Gone)]);
     assert_ne!(node.call(7, Status::Ok), Some(own.clone()));
     node.changes(vec![entry(Availability::Ready)]);
-    assert_eq!(node.call(7, Status::Ok), Some(own), "an id that returns is used again");
+    assert_eq!(
+        node.call(7, Status::Ok),
+        Some(own),
+        "an id that returns is used again"
+    );
 }
 
 // Guards against the last resort, the key's own server though it is blocked, that picks one told to leave.
@@ -69,9 +88,14 @@
 fn with_every_server_blocked_none_that_drains_is_picked() {
     let mut node = Node::with_servers(settings(), 3);
     let leaving: ServerId = "b".into();
-    let own: Vec<u64> = (0..60).filter(|key| node.call(*key, Status::Ok) == Some(leaving.clone())).collect();
+    let own: Vec<u64> = (0..60)
+        .filter(|key| node.call(*key, Status::Ok) == Some(leaving.clone()))
+        .collect();
     assert!(own.len() > 5, "keys of the one that will leave");
-    node.changes(vec![ServerEntry { availability: Availability::Draining, ..ServerEntry::new("b") }]);
+    node.changes(vec![ServerEntry {
+        availability: Availability::Draining,
+        ..ServerEntry::new("b")
+    }]);
     // One after the other: while most fail, none is blocked.
     let tripped = |node: &Node, server: &str| {
         let text = format!("breaker of {server} tripped");
@@ -84,14 +108,21 @@
             }
             let id = node.request(0, key, ms(400));
             while let Some((attempt, server)) = node.out(&id) {
-                let status = if server.as_str() == bad { Status::Failed } else { Status::Ok };
+                let status = if server.as_str() == bad {
+                    Status::Failed
+                } else {
+                    Status::Ok
+                };
                 node.end_attempt(&id, attempt, status);
             }
             node.pass(ms(1));
         }
         assert!(tripped(&node, bad), "{bad}");
     }
-    let sent: Vec<_> = own.iter().filter_map(|key| node.call(*key, Status::Failed)).collect();
+    let sent: Vec<_> = own
+        .iter()
+        .filter_map(|key| node.call(*key, Status::Failed))
+        .collect();
     assert!(!sent.is_empty() && !sent.contains(&leaving), "{sent:?}");
 }
 
@@ -136,13 +167,30 @@
 
 #[test]
 fn a_failed_subscription_is_asked_for_again() {
-    let mut node = Node::new(Settings { must_follow: true, ..settings() }, 1);
-    assert!(node.feed(Event::Restored(Vec::new().into())).contains(&Action::Follow));
+    let mut node = Node::new(
+        Settings {
+            must_follow: true,
+            ..settings()
+        },
+        1,
+    );
+    assert!(node
+        .feed(Event::Restored(Vec::new().into()))
+        .contains(&Action::Follow));
     assert_eq!(node.feed(Event::Timer), [], "once is enough");
     let again = node.feed(Event::Servers(ServerList::Unavailable));
-    assert!(matches!(&again[..], [Action::Wake { .. }]), "after a while, not at once: {again:?}");
+    assert!(
+        matches!(&again[..], [Action::Wake { .. }]),
+        "after a while, not at once: {again:?}"
+    );
     node.pass(ms(5_000));
-    assert_eq!(node.trace.iter().filter(|action| **action == Action::Follow).count(), 2);
+    assert_eq!(
+        node.trace
+            .iter()
+            .filter(|action| **action == Action::Follow)
+            .count(),
+        2
+    );
 }
 
 /// After a failed call each change counts as told 6 s after discovery had it: two calls more may fail, and one wait for
@@ -150,7 +198,14 @@
 #[test]
 fn failed_calls_are_made_again_in_time_and_apart() {
     let pauses = |seed, ask_within| {
-        let mut node = Node::new(Settings { must_follow: true, ask_within, ..settings() }, seed);
+        let mut node = Node::new(
+            Settings {
+                must_follow: true,
+                ask_within,
+                ..settings()
+            },
+            seed,
+        );
         node.feed(Event::Restored(Vec::new().into()));
         let pause = |_| {
             let (failed, before) = (node.now, node.trace.len());
@@ -163,8 +218,15 @@
         (0..8).map(pause).collect::<Vec<_>>()
     };
     let all: Vec<_> = (0..20).flat_map(|seed| pauses(seed, ms(10_000))).collect();
-    assert!(all.iter().all(|pause| *pause <= ms(850) && *pause >= ms(350)), "{all:?}");
-    let (least, most) = (all.iter().min().expect("some"), all.iter().max().expect("some"));
+    assert!(
+        all.iter()
+            .all(|pause| *pause <= ms(850) && *pause >= ms(350)),
+        "{all:?}"
+    );
+    let (least, most) = (
+        all.iter().min().expect("some"),
+        all.iter().max().expect("some"),
+    );
     assert!(*most - *least >= ms(400), "{all:?}");
     // Where the settings leave less time for asking, that is kept as well.
     assert!(pauses(1, ms(800)).iter().all(|pause| *pause < ms(400)));
@@ -195,7 +257,15 @@
                         to_cold.push(node.now);
                     }
                 }
-                node.end_attempt(&id, attempt, if rng.u8(0..8) == 0 { status } else { Status::Ok });
+                node.end_attempt(
+                    &id,
+                    attempt,
+                    if rng.u8(0..8) == 0 {
+                        status
+                    } else {
+                        Status::Ok
+                    },
+                );
             }
         }
         node.pass(ms(1));
@@ -207,16 +277,26 @@
         }
         node.requests.retain(|_, open| !open.ended);
     }
-    assert!(to_cold.len() > 100, "it must get some work: {}", to_cold.len());
+    assert!(
+        to_cold.len() > 100,
+        "it must get some work: {}",
+        to_cold.len()
+    );
     let per_server = all / 15.0 / 10.0;
     for (i, at) in to_cold.iter().enumerate() {
-        let within =
-            to_cold[i..].iter().take_while(|later| later.since(*at) <= node.settings.fall_span).count();
+        let within = to_cold[i..]
+            .iter()
+            .take_while(|later| later.since(*at) <= node.settings.fall_span)
+            .count();
         let age = at.since(born).as_secs_f64() / node.settings.warm_within.as_secs_f64();
         if age < 0.9 {
-            let capacity = per_server * (node.settings.cold_share + (1.0 - node.settings.cold_share) * age);
+            let capacity =
+                per_server * (node.settings.cold_share + (1.0 - node.settings.cold_share) * age);
             let most = node.settings.fall_multiple * capacity * 1.2 + 2.0;
-            assert!((within as f64) < most, "{within} in a span, {most} allowed at age {age}");
+            assert!(
+                (within as f64) < most,
+                "{within} in a span, {most} allowed at age {age}"
+            );
         }
     }
 }
@@ -231,7 +311,11 @@
             node.pass(ms(2));
         }
         let born = node.now;
-        let entry = |availability| ServerEntry { availability, started: Some(born), ..ServerEntry::new("a") };
+        let entry = |availability| ServerEntry {
+            availability,
+            started: Some(born),
+            ..ServerEntry::new("a")
+        };
         node.changes(vec![entry(Availability::Ready)]);
         let mut sent = 0;
         for key in 0..1_000 {
@@ -239,14 +323,20 @@
                 node.changes(vec![entry(Availability::Gone)]);
                 node.changes(vec![entry(Availability::Ready)]);
             }
-            sent += u32::from(node.call(key, Status::Ok).is_some_and(|server| server.as_str() == "a"));
+            sent += u32::from(
+                node.call(key, Status::Ok)
+                    .is_some_and(|server| server.as_str() == "a"),
+            );
             node.pass(ms(2));
         }
         sent
     };
     let (steady, flapping) = (sent(false), sent(true));
     assert!(steady > 20, "it must get some work: {steady}");
-    assert!(flapping <= steady, "{flapping} where a steady list gave it {steady}");
+    assert!(
+        flapping <= steady,
+        "{flapping} where a steady list gave it {steady}"
+    );
 }
 
 #[test]
@@ -256,7 +346,16 @@
     let (_, server) = node.out(&id).expect("sent");
     let (note, load) = (None, LoadReport::default());
     let (status, took, finished) = (Status::Failed, ms(1), false);
-    let stray = Outcome { id: id.clone(), attempt: 9, server, status, note, took, finished, load };
+    let stray = Outcome {
+        id: id.clone(),
+        attempt: 9,
+        server,
+        status,
+        note,
+        took,
+        finished,
+        load,
+    };
     assert_eq!(node.feed(Event::Outcome(stray)), []);
     node.pass(ms(500));
     assert!(node.requests[&id].ended);
@@ -270,10 +369,22 @@
     node.end_attempt(&id, attempt, Status::Failed);
     assert!(node.out(&id).is_some(), "sent on");
     let (note, load, took, finished) = (None, LoadReport::default(), ms(1), false);
-    let again =
-        Outcome { id: id.clone(), attempt, server, status: Status::Failed, note, took, finished, load };
+    let again = Outcome {
+        id: id.clone(),
+        attempt,
+        server,
+        status: Status::Failed,
+        note,
+        took,
+        finished,
+        load,
+    };
     for _ in 0..20 {
-        assert_eq!(node.feed(Event::Outcome(again.clone())), [], "no breaker trips of it");
+        assert_eq!(
+            node.feed(Event::Outcome(again.clone())),
+            [],
+            "no breaker trips of it"
+        );
     }
     node.answer(&id, Status::Ok);
     assert!(node.requests[&id].ended);
--- a/crates/front/src/budget.rs
+++ b/crates/front/src/budget.rs
@@ -64,9 +64,18 @@
     /// A budget of so many descriptors and bytes. `None` where the floors are more than all of it, or a side's floor
     /// more than it may hold.
     pub fn new(places: usize, shares: [Share; Side::COUNT], bytes: usize) -> Option<Self> {
-        let floors = shares.iter().try_fold(0usize, |sum, share| sum.checked_add(share.floor))?;
+        let floors = shares
+            .iter()
+            .try_fold(0usize, |sum, share| sum.checked_add(share.floor))?;
         let fits = floors <= places && shares.iter().all(|share| share.floor <= share.most);
-        fits.then(|| Self(Rc::new(RefCell::new(State { places, shares, bytes, held: Held::default() }))))
+        fits.then(|| {
+            Self(Rc::new(RefCell::new(State {
+                places,
+                shares,
+                bytes,
+                held: Held::default(),
+            })))
+        })
     }
 
     /// What is held now.
@@ -77,16 +86,20 @@
     /// The most that a side could come to hold, with the others at their floors.
     pub fn most(&self, side: Side) -> usize {
         let state = self.0.borrow();
-        let others: usize =
-            Side::ALL.iter().filter(|s| **s != side).map(|s| state.shares[*s as usize].floor).sum();
+        let others: usize = Side::ALL
+            .iter()
+            .filter(|s| **s != side)
+            .map(|s| state.shares[*s as usize].floor)
+            .sum();
         state.shares[side as usize].most.min(state.places - others)
     }
 
     /// A descriptor for a side, until the lease is dropped.
     pub fn lease(&self, side: Side) -> Result<Lease, Short> {
         let state = &mut *self.0.borrow_mut();
-        let above =
-            |side: Side| state.held.places[side as usize].saturating_sub(state.shares[side as usize].floor);
+        let above = |side: Side| {
+            state.held.places[side as usize].saturating_sub(state.shares[side as usize].floor)
+        };
         let own = state.held.places[side as usize];
         let share = state.shares[side as usize];
         if own >= share.most {
@@ -96,15 +109,21 @@
             let floors: usize = state.shares.iter().map(|share| share.floor).sum();
             let free = state.places - floors;
             if Side::ALL.into_iter().map(above).sum::<usize>() >= free {
-                let most =
-                    Side::ALL.into_iter().filter(|other| *other != side).max_by_key(|other| above(*other));
+                let most = Side::ALL
+                    .into_iter()
+                    .filter(|other| *other != side)
+                    .max_by_key(|other| above(*other));
                 return Err(most
                     .filter(|other| above(*other) > above(side))
                     .map_or(Short::Own, Short::Other));
             }
         }
         state.held.places[side as usize] += 1;
-        Ok(Lease { budget: self.clone(), side, bytes: 0 })
+        Ok(Lease {
+            budget: self.clone(),
+            side,
+            bytes: 0,
+        })
     }
 }
 
--- a/crates/front/src/connections.rs
+++ b/crates/front/src/connections.rs
@@ -103,7 +103,10 @@
 
     /// All connections in the table.
     pub fn ids(&self) -> impl Iterator<Item = ConnectionId> + '_ {
-        (0..).zip(&self.entries).filter(|(_, entry)| entry.is_some()).map(|(id, _)| id)
+        (0..)
+            .zip(&self.entries)
+            .filter(|(_, entry)| entry.is_some())
+            .map(|(id, _)| id)
     }
 
     /// Adds a connection.
@@ -138,7 +141,9 @@
 
     /// Removes a connection that has ended.
     pub fn remove(&mut self, id: ConnectionId) {
-        let Some(entry) = self.entries.get_mut(id as usize).and_then(Option::take) else { return };
+        let Some(entry) = self.entries.get_mut(id as usize).and_then(Option::take) else {
+            return;
+        };
         self.closed[entry.ending.map_or(Cause::Client, |ending| ending.cause) as usize] += 1;
         self.phases.remove(id);
         self.timers.cancel(id);
@@ -153,7 +158,9 @@
 
     /// The phase of a connection.
     pub fn phase(&self, id: ConnectionId) -> Phase {
-        self.phases.list(id).map_or(Phase::Silent, |phase| Phase::ALL[phase])
+        self.phases
+            .list(id)
+            .map_or(Phase::Silent, |phase| Phase::ALL[phase])
     }
 
     /// Bytes were read.
@@ -211,11 +218,21 @@
     pub fn on_flushed(&mut self, now: Duration, id: ConnectionId) {
         if self.phase(id) == Phase::Answering {
             let starving = !self.starved.is_empty(0);
-            let Some(entry) = self.entry_mut(id) else { return };
+            let Some(entry) = self.entry_mut(id) else {
+                return;
+            };
             let next_request_begun = entry.next_request_begun;
             // Others wait for what it holds.
             entry.parking = !next_request_begun && starving;
-            self.enter_phase(now, id, if next_request_begun { Phase::Asking } else { Phase::Idle });
+            self.enter_phase(
+                now,
+                id,
+                if next_request_begun {
+                    Phase::Asking
+                } else {
+                    Phase::Idle
+                },
+            );
         }
     }
 
@@ -229,7 +246,9 @@
 
     /// Moves a connection to a phase, and sets its timeout.
     fn enter_phase(&mut self, now: Duration, id: ConnectionId, phase: Phase) {
-        let Some(entry) = self.entry_mut(id) else { return };
+        let Some(entry) = self.entry_mut(id) else {
+            return;
+        };
         entry.phase_since = now;
         let address = entry.address;
         self.phases.push(phase as usize, id);
--- a/crates/front/src/connections/admission.rs
+++ b/crates/front/src/connections/admission.rs
@@ -27,7 +27,11 @@
     /// is to close: `Err` with that, which has to be woken, or with none where all of them are in use.
     pub fn check_address_limit(&mut self, address: IpAddr) -> Result<(), Option<ConnectionId>> {
         let most = self.limits.per_address.unwrap_or(usize::MAX);
-        let Some(holder) = self.holders.get(&address).filter(|holder| holder.count >= most) else {
+        let Some(holder) = self
+            .holders
+            .get(&address)
+            .filter(|holder| holder.count >= most)
+        else {
             return Ok(());
         };
         let oldest = self.first_not_closing(self.idle_by_address.iter(holder.idle));
@@ -42,14 +46,19 @@
     pub(super) fn hold_address(&mut self, address: IpAddr) {
         let holder = self.holders.entry(address).or_insert_with(|| Holder {
             count: 0,
-            idle: self.free_idle_lists.pop().unwrap_or_else(|| self.idle_by_address.add()),
+            idle: self
+                .free_idle_lists
+                .pop()
+                .unwrap_or_else(|| self.idle_by_address.add()),
         });
         holder.count += 1;
     }
 
     /// Counts one connection of an address less.
     pub(super) fn release_address(&mut self, address: IpAddr) {
-        let Some(holder) = self.holders.get_mut(&address) else { return };
+        let Some(holder) = self.holders.get_mut(&address) else {
+            return;
+        };
         holder.count -= 1;
         if holder.count == 0 {
             self.free_idle_lists.push(holder.idle);
--- a/crates/front/src/connections/closing.rs
+++ b/crates/front/src/connections/closing.rs
@@ -87,7 +87,9 @@
     /// What a connection is to do now.
     pub fn directive(&mut self, id: ConnectionId) -> Directive {
         let phase = self.phase(id);
-        let Some(entry) = self.entry_mut(id) else { return Directive::Abort };
+        let Some(entry) = self.entry_mut(id) else {
+            return Directive::Abort;
+        };
         match entry.ending {
             Some(ending) => ending.directive,
             // The order to park may be out of date: another request may have come since.
@@ -106,8 +108,17 @@
     /// It closes for this cause: at once where it keeps the node waiting, else when what it has asked is answered. A
     /// request that is being read as the node stops is read to its end.
     pub fn close(&mut self, id: ConnectionId, cause: Cause) {
-        let aborts = matches!(self.phase(id), Phase::Asking | Phase::Answering) && cause != Cause::Stop;
-        self.set_ending(id, cause, if aborts { Directive::Abort } else { Directive::Finish });
+        let aborts =
+            matches!(self.phase(id), Phase::Asking | Phase::Answering) && cause != Cause::Stop;
+        self.set_ending(
+            id,
+            cause,
+            if aborts {
+                Directive::Abort
+            } else {
+                Directive::Finish
+            },
+        );
     }
 
     pub(super) fn set_ending(&mut self, id: ConnectionId, cause: Cause, directive: Directive) {
--- a/crates/front/src/connections/eviction.rs
+++ b/crates/front/src/connections/eviction.rs
@@ -15,9 +15,16 @@
 impl ConnectionTable {
     /// Whether a connection that is about to be answered closes with its answer, since others wait for a descriptor or
     /// will soon. One that was not used for long closes instead, if there is any: it is to be woken.
-    pub fn closes_with_response(&mut self, now: Duration, id: ConnectionId) -> (bool, Option<ConnectionId>) {
+    pub fn closes_with_response(
+        &mut self,
+        now: Duration,
+        id: ConnectionId,
+    ) -> (bool, Option<ConnectionId>) {
         let used = [Phase::Open, Phase::Answering, Phase::Idle, Phase::Parked];
-        let used: usize = used.iter().map(|phase| self.phases.len(*phase as usize)).sum();
+        let used: usize = used
+            .iter()
+            .map(|phase| self.phases.len(*phase as usize))
+            .sum();
         if self.waiting == 0 && used < self.limits.crowded_at {
             return (false, None);
         }
@@ -41,8 +48,10 @@
             .oldest_unused(now)
             .or_else(|| self.oldest_in_phase(now, Phase::Asking, REQUEST_EVICTION_AGE))
             .or_else(|| {
-                self.oldest_idle(now, Duration::ZERO)
-                    .filter(|_| self.oldest_in_phase(now, Phase::Silent, Duration::ZERO).is_none())
+                self.oldest_idle(now, Duration::ZERO).filter(|_| {
+                    self.oldest_in_phase(now, Phase::Silent, Duration::ZERO)
+                        .is_none()
+                })
             })?;
         self.close(found, Cause::Room);
         Some(found)
@@ -56,8 +65,12 @@
     }
 
     /// The first that is not closing already.
-    pub(super) fn first_not_closing(&self, ids: impl Iterator<Item = ConnectionId>) -> Option<ConnectionId> {
-        ids.take(MAX_SCANNED).find(|id| self.entry(*id).is_some_and(|entry| entry.ending.is_none()))
+    pub(super) fn first_not_closing(
+        &self,
+        ids: impl Iterator<Item = ConnectionId>,
+    ) -> Option<ConnectionId> {
+        ids.take(MAX_SCANNED)
+            .find(|id| self.entry(*id).is_some_and(|entry| entry.ending.is_none()))
     }
 
     /// One that was never used, or not for long.
@@ -69,11 +82,14 @@
     /// The one that has been in this phase for longest, if that is `age` or more, among those that are not closing already.
     fn oldest_in_phase(&self, now: Duration, phase: Phase, age: Duration) -> Option<ConnectionId> {
         let found = self.first_not_closing(self.phases.iter(phase as usize))?;
-        self.entry(found).filter(|entry| now.saturating_sub(entry.phase_since) >= age).map(|_| found)
+        self.entry(found)
+            .filter(|entry| now.saturating_sub(entry.phase_since) >= age)
+            .map(|_| found)
     }
 
     /// Those that are parked have been idle for longer than the others.
     fn oldest_idle(&self, now: Duration, age: Duration) -> Option<ConnectionId> {
-        self.oldest_in_phase(now, Phase::Parked, age).or_else(|| self.oldest_in_phase(now, Phase::Idle, age))
+        self.oldest_in_phase(now, Phase::Parked, age)
+            .or_else(|| self.oldest_in_phase(now, Phase::Idle, age))
     }
 }
--- a/crates/front/src/connections/memory.rs
+++ b/crates/front/src/connections/memory.rs
@@ -8,9 +8,15 @@
     /// Bytes have come, and none of the memory to read them is held yet. Where there is none it asks again once some is
     /// given back, and is closed if none is in the time for a request: `Err` with the one that is to give up its own,
     /// if any can, and has to be woken.
-    pub fn on_readable(&mut self, now: Duration, id: ConnectionId) -> Result<(), Option<ConnectionId>> {
+    pub fn on_readable(
+        &mut self,
+        now: Duration,
+        id: ConnectionId,
+    ) -> Result<(), Option<ConnectionId>> {
         let active_bytes = self.limits.active_bytes;
-        let Some(entry) = self.entry_mut(id) else { return Ok(()) };
+        let Some(entry) = self.entry_mut(id) else {
+            return Ok(());
+        };
         if entry.lease.hold(active_bytes) {
             self.starved.remove(id);
             return Ok(());
@@ -20,8 +26,9 @@
         }
         self.starved.push(0, id);
         let idle = self.phases.iter(Phase::Idle as usize).take(MAX_SCANNED);
-        let other =
-            idle.filter(|other| *other != id).find(|other| self.entry(*other).is_some_and(|e| !e.parking));
+        let other = idle
+            .filter(|other| *other != id)
+            .find(|other| self.entry(*other).is_some_and(|e| !e.parking));
         if let Some(entry) = other.and_then(|other| self.entry_mut(other)) {
             entry.parking = true;
         }
@@ -32,7 +39,9 @@
     /// that many.
     pub fn reserve_request_bytes(&mut self, id: ConnectionId, bytes: usize) -> bool {
         let bytes = self.limits.active_bytes.saturating_add(bytes);
-        let held = self.entry_mut(id).is_none_or(|entry| entry.lease.hold(bytes));
+        let held = self
+            .entry_mut(id)
+            .is_none_or(|entry| entry.lease.hold(bytes));
         self.refused[Cause::Bytes as usize] += u64::from(!held);
         held
     }
--- a/crates/front/src/connections/phase.rs
+++ b/crates/front/src/connections/phase.rs
@@ -19,8 +19,14 @@
 
 impl Phase {
     /// All of them, in the order of their numbers.
-    pub const ALL: [Self; 6] =
-        [Self::Silent, Self::Asking, Self::Open, Self::Answering, Self::Idle, Self::Parked];
+    pub const ALL: [Self; 6] = [
+        Self::Silent,
+        Self::Asking,
+        Self::Open,
+        Self::Answering,
+        Self::Idle,
+        Self::Parked,
+    ];
 
     /// Its label in metrics.
     pub const fn label(self) -> &'static str {
--- a/crates/front/src/connections/timeouts.rs
+++ b/crates/front/src/connections/timeouts.rs
@@ -20,7 +20,9 @@
         for id in fired.drain(..) {
             let (phase, idle) = (self.phase(id), self.limits.idle_timeout);
             let starved = self.starved.list(id).is_some();
-            let Some(entry) = self.entry_mut(id) else { continue };
+            let Some(entry) = self.entry_mut(id) else {
+                continue;
+            };
             let over = entry.phase_since + idle;
             let cause = match phase {
                 Phase::Silent | Phase::Asking if starved => Cause::Bytes,
@@ -52,7 +54,8 @@
             Phase::Silent | Phase::Asking => self.timers.set(id, now + REQUEST_TIMEOUT),
             Phase::Answering => self.timers.set(id, now + RESPONSE_WRITE_TIMEOUT),
             Phase::Idle | Phase::Parked => {
-                self.timers.set(id, now + PARK_AFTER.min(self.limits.idle_timeout));
+                self.timers
+                    .set(id, now + PARK_AFTER.min(self.limits.idle_timeout));
             }
             Phase::Open => drop(self.timers.cancel(id)),
         }
--- a/crates/front/src/lists.rs
+++ b/crates/front/src/lists.rs
@@ -10,7 +10,11 @@
     list: u32,
 }
 
-const LOOSE: Link = Link { before: NONE, after: NONE, list: NONE };
+const LOOSE: Link = Link {
+    before: NONE,
+    after: NONE,
+    list: NONE,
+};
 
 #[derive(Clone, Copy, Debug)]
 struct Ends {
@@ -29,12 +33,26 @@
 impl Lists {
     /// So many empty lists.
     pub fn new(count: usize) -> Self {
-        Self { ends: vec![Ends { first: NONE, last: NONE, len: 0 }; count], links: Vec::new() }
+        Self {
+            ends: vec![
+                Ends {
+                    first: NONE,
+                    last: NONE,
+                    len: 0
+                };
+                count
+            ],
+            links: Vec::new(),
+        }
     }
 
     /// One more list; its number.
     pub fn add(&mut self) -> usize {
-        self.ends.push(Ends { first: NONE, last: NONE, len: 0 });
+        self.ends.push(Ends {
+            first: NONE,
+            last: NONE,
+            len: 0,
+        });
         self.ends.len() - 1
     }
 
@@ -50,7 +68,10 @@
 
     /// The list that a number is in.
     pub fn list(&self, id: u32) -> Option<usize> {
-        self.links.get(id as usize).filter(|link| link.list != NONE).map(|link| link.list as usize)
+        self.links
+            .get(id as usize)
+            .filter(|link| link.list != NONE)
+            .map(|link| link.list as usize)
     }
 
     /// The first of a list.
@@ -81,12 +102,18 @@
             Some(before) => self.links[before as usize].after = id,
             None => ends.first = id,
         }
-        self.links[id as usize] = Link { before, after: NONE, list: list as u32 };
+        self.links[id as usize] = Link {
+            before,
+            after: NONE,
+            list: list as u32,
+        };
     }
 
     /// Takes a number out of its list. `false` where it was in none.
     pub fn remove(&mut self, id: u32) -> bool {
-        let Some(list) = self.list(id) else { return false };
+        let Some(list) = self.list(id) else {
+            return false;
+        };
         let Link { before, after, .. } = std::mem::replace(&mut self.links[id as usize], LOOSE);
         let ends = &mut self.ends[list];
         ends.len -= 1;
--- a/crates/front/src/wheel.rs
+++ b/crates/front/src/wheel.rs
@@ -30,7 +30,13 @@
 impl Default for Wheel {
     fn default() -> Self {
         let lists = Lists::new((SLOTS * u64::from(LEVELS)) as usize);
-        Self { lists, due: Vec::new(), used: [0; LEVELS as usize], at: 0, set: 0 }
+        Self {
+            lists,
+            due: Vec::new(),
+            used: [0; LEVELS as usize],
+            at: 0,
+            set: 0,
+        }
     }
 }
 
@@ -66,7 +72,9 @@
     }
 
     fn take(&mut self, id: u32) -> bool {
-        let Some(list) = self.lists.list(id) else { return false };
+        let Some(list) = self.lists.list(id) else {
+            return false;
+        };
         self.lists.remove(id);
         if self.lists.is_empty(list) {
             self.used[list / SLOTS as usize] &= !(1 << (list as u64 % SLOTS));
@@ -78,7 +86,9 @@
         // No further off than the last level reaches.
         let tick = self.due[id as usize].min(self.at + (SLOTS - 1) * SLOTS.pow(LEVELS - 1));
         let ahead = tick - self.at;
-        let level = (0..LEVELS - 1).find(|level| ahead < SLOTS.pow(level + 1)).unwrap_or(LEVELS - 1);
+        let level = (0..LEVELS - 1)
+            .find(|level| ahead < SLOTS.pow(level + 1))
+            .unwrap_or(LEVELS - 1);
         let slot = (tick >> (BITS * level)) % SLOTS;
         self.used[level as usize] |= 1 << slot;
         self.lists.push(slot_list(level, slot), id);
@@ -95,7 +105,10 @@
             // What is due in the slots above comes down first. One that is left half emptied is taken up again: none of
             // what comes down lands in it anew.
             let at = self.at;
-            for level in (1..LEVELS).rev().filter(|level| at.is_multiple_of(SLOTS.pow(*level))) {
+            for level in (1..LEVELS)
+                .rev()
+                .filter(|level| at.is_multiple_of(SLOTS.pow(*level)))
+            {
                 let list = slot_list(level, (at >> (BITS * level)) % SLOTS);
                 while let Some(id) = self.lists.first(list) {
                     if work == 0 {
--- a/crates/front/tests/front.rs
+++ b/crates/front/tests/front.rs
@@ -5,7 +5,8 @@
 
 use events::{check, Step};
 use slatelink_front::{
-    Budget, Cause, ConnectionLimits, ConnectionTable, Directive, Lease, Phase, Share, Short, Side, Wheel,
+    Budget, Cause, ConnectionLimits, ConnectionTable, Directive, Lease, Phase, Share, Short, Side,
+    Wheel,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr};
@@ -27,7 +28,10 @@
         let places = random.usize(3..60);
         let shares = Side::ALL.map(|_| {
             let floor = random.usize(0..=places / 3);
-            Share { floor, most: random.usize(floor..=places) }
+            Share {
+                floor,
+                most: random.usize(floor..=places),
+            }
         });
         let bytes = random.usize(0..10_000);
         let budget = Budget::new(places, shares, bytes).expect("floors of a third each fit");
@@ -68,12 +72,18 @@
             );
             assert!(counted.iter().sum::<usize>() <= places, "seed {seed}");
             assert!(
-                Side::ALL.iter().all(|side| counted[*side as usize] <= budget.most(*side)),
+                Side::ALL
+                    .iter()
+                    .all(|side| counted[*side as usize] <= budget.most(*side)),
                 "seed {seed}"
             );
         }
         held.clear();
-        assert_eq!(budget.held(), Default::default(), "seed {seed}: all is given back");
+        assert_eq!(
+            budget.held(),
+            Default::default(),
+            "seed {seed}: all is given back"
+        );
     }
 }
 
@@ -82,16 +92,30 @@
 fn the_side_furthest_above_its_floor_is_asked_to_give_way() {
     let share = |floor| Share { floor, most: 12 };
     let budget = Budget::new(12, [share(4), share(4), share(0)], 0).expect("fits");
-    let take = |side, count| (0..count).map(|_| budget.lease(side).expect("free")).collect::<Vec<_>>();
+    let take = |side, count| {
+        (0..count)
+            .map(|_| budget.lease(side).expect("free"))
+            .collect::<Vec<_>>()
+    };
     let clients = take(Side::Clients, 4);
     let mut servers = take(Side::Servers, 8);
-    assert_eq!(budget.lease(Side::Clients).err(), Some(Short::Other(Side::Servers)));
+    assert_eq!(
+        budget.lease(Side::Clients).err(),
+        Some(Short::Other(Side::Servers))
+    );
     assert_eq!(budget.lease(Side::Servers).err(), Some(Short::Own));
     servers.pop();
     assert!(budget.lease(Side::Clients).is_ok());
     drop(clients);
-    assert_eq!(budget.most(Side::Clients), 8, "the servers' floor stays theirs");
-    assert!(Budget::new(7, [share(4), share(4), share(0)], 0).is_none(), "floors past the whole");
+    assert_eq!(
+        budget.most(Side::Clients),
+        8,
+        "the servers' floor stays theirs"
+    );
+    assert!(
+        Budget::new(7, [share(4), share(4), share(0)], 0).is_none(),
+        "floors past the whole"
+    );
 }
 
 // Guards against timers that are lost, early, doubled or late, however far off and however the work is cut.
@@ -121,7 +145,10 @@
                         let at = model.remove(&id).expect("set, and fired once");
                         assert!(at <= now, "seed {seed}: {at:?} fired at {now:?}");
                     }
-                    assert!(model.values().all(|at| *at + ms(20) > now), "seed {seed}: late at {now:?}");
+                    assert!(
+                        model.values().all(|at| *at + ms(20) > now),
+                        "seed {seed}: late at {now:?}"
+                    );
                 }
             }
             assert_eq!(wheel.len(), model.len(), "seed {seed}");
@@ -130,7 +157,10 @@
 }
 
 fn table(limits: ConnectionLimits) -> (ConnectionTable, Budget) {
-    let share = Share { floor: 0, most: 1 << 20 };
+    let share = Share {
+        floor: 0,
+        most: 1 << 20,
+    };
     let budget = Budget::new(1 << 20, [share; 3], 1_000).expect("fits");
     (
         ConnectionTable::new(ConnectionLimits {
@@ -145,7 +175,11 @@
 }
 
 fn enter(table: &mut ConnectionTable, budget: &Budget, now: Duration, last: u8) -> u32 {
-    table.insert(now, address(last), budget.lease(Side::Clients).expect("free"))
+    table.insert(
+        now,
+        address(last),
+        budget.lease(Side::Clients).expect("free"),
+    )
 }
 
 /// A request and its answer.
@@ -163,14 +197,19 @@
 fn a_table_agrees_with_a_plain_model_through_any_interleaving() {
     for seed in 0..60 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let (mut table, budget) =
-            table(ConnectionLimits { per_address: Some(40), ..ConnectionLimits::default() });
+        let (mut table, budget) = table(ConnectionLimits {
+            per_address: Some(40),
+            ..ConnectionLimits::default()
+        });
         let mut now = Duration::ZERO;
         let mut model: BTreeMap<u32, (Phase, u8)> = BTreeMap::new();
         let mut left = 0;
         for _ in 0..2_000 {
             now += ms(random.u64(0..60));
-            let some = model.keys().nth(random.usize(0..model.len().max(1))).copied();
+            let some = model
+                .keys()
+                .nth(random.usize(0..model.len().max(1)))
+                .copied();
             match (random.u8(0..9), some) {
                 (0 | 1, _) => {
                     let last = random.u8(0..3);
@@ -228,7 +267,10 @@
             let stats = table.stats();
             for phase in Phase::ALL {
                 let count = model.values().filter(|(at, _)| *at == phase).count();
-                assert_eq!(stats.phases[phase as usize], count, "seed {seed}: {phase:?}");
+                assert_eq!(
+                    stats.phases[phase as usize], count,
+                    "seed {seed}: {phase:?}"
+                );
             }
             assert_eq!(
                 table.ids().collect::<Vec<_>>(),
@@ -239,7 +281,10 @@
             assert_eq!(budget.held().places[0], model.len(), "seed {seed}");
         }
         model.keys().for_each(|id| table.remove(*id));
-        assert!(table.is_empty() && budget.held() == Default::default(), "seed {seed}: all is given back");
+        assert!(
+            table.is_empty() && budget.held() == Default::default(),
+            "seed {seed}: all is given back"
+        );
     }
 }
 
@@ -259,7 +304,9 @@
     }
     assert_eq!(woken.len(), 100_000);
     assert!(parts >= 390, "{parts} parts");
-    assert!(woken.iter().all(|id| table.directive(*id) == Directive::Finish));
+    assert!(woken
+        .iter()
+        .all(|id| table.directive(*id) == Directive::Finish));
     woken.iter().for_each(|id| table.remove(*id));
     assert_eq!(table.stats().closed[Cause::Silent as usize], 100_000);
 }
@@ -274,13 +321,29 @@
     });
     let first = enter(&mut table, &budget, ms(0), 1);
     let second = enter(&mut table, &budget, ms(1), 1);
-    assert_eq!(table.check_address_limit(address(1)), Err(None), "neither is idle");
-    assert_eq!(table.check_address_limit(address(2)), Ok(()), "another address has its own share");
+    assert_eq!(
+        table.check_address_limit(address(1)),
+        Err(None),
+        "neither is idle"
+    );
+    assert_eq!(
+        table.check_address_limit(address(2)),
+        Ok(()),
+        "another address has its own share"
+    );
     converse(&mut table, ms(2), second);
     converse(&mut table, ms(3), first);
-    assert_eq!(table.check_address_limit(address(1)), Err(Some(second)), "idle for longest");
+    assert_eq!(
+        table.check_address_limit(address(1)),
+        Err(Some(second)),
+        "idle for longest"
+    );
     assert_eq!(table.directive(second), Directive::Finish);
-    assert_eq!(table.check_address_limit(address(1)), Err(Some(first)), "the next, as that one ends already");
+    assert_eq!(
+        table.check_address_limit(address(1)),
+        Err(Some(first)),
+        "the next, as that one ends already"
+    );
     table.remove(second);
     table.remove(first);
     let stats = table.stats();
@@ -288,19 +351,29 @@
     assert_eq!(stats.refused[Cause::Address as usize], 1);
     let ids = [1, 2].map(|last| enter(&mut table, &budget, ms(4), last));
     assert!(!table.on_request(ms(5), ids[0], 1));
-    assert!(table.on_request(ms(5), ids[1], 1), "a second one of a class of one");
+    assert!(
+        table.on_request(ms(5), ids[1], 1),
+        "a second one of a class of one"
+    );
     table.remove(ids[0]);
     table.on_response(ms(6), ids[1]);
     table.on_request_head(ms(6), ids[1]);
-    assert!(!table.on_request(ms(7), ids[1], 1), "what left is counted no more");
+    assert!(
+        !table.on_request(ms(7), ids[1], 1),
+        "what left is counted no more"
+    );
 }
 
 // Guards against a burst of a parked crowd that takes more memory than there is.
 #[test]
 fn a_connection_that_speaks_waits_for_memory_which_an_idle_one_gives_up() {
     let (mut table, budget) = table(ConnectionLimits::default());
-    let ids: Vec<_> = (0..11).map(|_| enter(&mut table, &budget, ms(0), 1)).collect();
-    ids[..9].iter().for_each(|id| converse(&mut table, ms(1), *id));
+    let ids: Vec<_> = (0..11)
+        .map(|_| enter(&mut table, &budget, ms(0), 1))
+        .collect();
+    ids[..9]
+        .iter()
+        .for_each(|id| converse(&mut table, ms(1), *id));
     assert_eq!(budget.held().bytes, 902);
     assert_eq!(table.on_readable(ms(2), ids[9]), Err(Some(ids[0])));
     assert_eq!(table.directive(ids[0]), Directive::Park);
@@ -309,8 +382,14 @@
     assert_eq!(table.on_readable(ms(3), ids[10]), Err(Some(ids[1])));
     let mut woken = Vec::new();
     while !table.advance(ms(2_100), 64, &mut woken) {}
-    assert!(!woken.contains(&ids[0]), "parked before its time, it is kept as long as any");
-    assert!(woken.contains(&ids[10]), "it waits for no longer than a request may take");
+    assert!(
+        !woken.contains(&ids[0]),
+        "parked before its time, it is kept as long as any"
+    );
+    assert!(
+        woken.contains(&ids[10]),
+        "it waits for no longer than a request may take"
+    );
     table.remove(ids[10]);
     assert_eq!(table.stats().closed[Cause::Bytes as usize], 1);
 }
@@ -319,16 +398,33 @@
 #[test]
 fn who_gives_way_is_the_one_that_is_missed_least() {
     let (mut table, budget) = table(ConnectionLimits::default());
-    let [old, new, silent, half] = [0, 1_500, 2_440, 1_900].map(|at| enter(&mut table, &budget, ms(at), 1));
+    let [old, new, silent, half] =
+        [0, 1_500, 2_440, 1_900].map(|at| enter(&mut table, &budget, ms(at), 1));
     converse(&mut table, ms(10), old);
     converse(&mut table, ms(2_000), new);
     table.on_bytes_read(ms(1_900), half);
     let next = |table: &mut ConnectionTable, now| table.evict_for_client(ms(now));
-    assert_eq!(next(&mut table, 2_460), Some(old), "unused for over 2 s; the silent one is too young");
-    assert_eq!(next(&mut table, 2_460), Some(half), "half a request for over 0.5 s");
-    assert_eq!(next(&mut table, 2_460), None, "the silent one may speak yet");
+    assert_eq!(
+        next(&mut table, 2_460),
+        Some(old),
+        "unused for over 2 s; the silent one is too young"
+    );
+    assert_eq!(
+        next(&mut table, 2_460),
+        Some(half),
+        "half a request for over 0.5 s"
+    );
+    assert_eq!(
+        next(&mut table, 2_460),
+        None,
+        "the silent one may speak yet"
+    );
     assert_eq!(next(&mut table, 2_480), Some(silent));
-    assert_eq!(next(&mut table, 2_480), Some(new), "the idle one, where nobody is silent");
+    assert_eq!(
+        next(&mut table, 2_480),
+        Some(new),
+        "the idle one, where nobody is silent"
+    );
     assert_eq!(table.directive(half), Directive::Abort);
     assert_eq!(table.directive(new), Directive::Finish);
 }
@@ -340,7 +436,10 @@
     const PLACES: usize = 12;
     const BYTES: usize = 40_000;
     check(0..6, 60, 300, |_, steps| {
-        let share = |floor| Share { floor, most: PLACES };
+        let share = |floor| Share {
+            floor,
+            most: PLACES,
+        };
         let budget = Budget::new(PLACES, [share(4), share(2), share(0)], BYTES).expect("fits");
         let per_class = vec![Some(3); 4];
         let mut table = ConnectionTable::new(ConnectionLimits {
@@ -354,8 +453,12 @@
         let (mut now, mut open) = (Duration::ZERO, Vec::<(u32, usize)>::new());
         for step in steps {
             match step {
-                Step::Ask { class, patience_ms, .. } => {
-                    let Ok(lease) = budget.lease(Side::Clients) else { continue };
+                Step::Ask {
+                    class, patience_ms, ..
+                } => {
+                    let Ok(lease) = budget.lease(Side::Clients) else {
+                        continue;
+                    };
                     let id = table.insert(now, address(1), lease);
                     if table.on_readable(now, id).is_err() {
                         table.remove(id);
@@ -410,7 +513,11 @@
             );
             assert_eq!(table.stats().phases[Phase::Open as usize], open.len());
         }
-        table.ids().collect::<Vec<_>>().into_iter().for_each(|id| table.remove(id));
+        table
+            .ids()
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|id| table.remove(id));
         assert_eq!(budget.held(), Default::default());
     });
 }
@@ -427,16 +534,28 @@
         ..ConnectionLimits::default()
     };
     let mut table = ConnectionTable::new(terms);
-    let id = table.insert(ms(0), address(1), budget.lease(Side::Clients).expect("room"));
+    let id = table.insert(
+        ms(0),
+        address(1),
+        budget.lease(Side::Clients).expect("room"),
+    );
     table.on_bytes_read(ms(10), id);
     let mut woken = Vec::new();
     while !table.advance(ms(2_500), 100, &mut woken) {}
-    assert_eq!((woken, table.directive(id)), (vec![id], Directive::Abort), "what is not whole ends at once");
+    assert_eq!(
+        (woken, table.directive(id)),
+        (vec![id], Directive::Abort),
+        "what is not whole ends at once"
+    );
     table.on_request_head(ms(2_500), id);
     table.on_request(ms(2_500), id, 0);
     assert_eq!(table.directive(id), Directive::Finish);
     table.on_response(ms(2_600), id);
-    assert_eq!(table.directive(id), Directive::Finish, "while its answer is written too");
+    assert_eq!(
+        table.directive(id),
+        Directive::Finish,
+        "while its answer is written too"
+    );
     // One that is not taken ends at once all the same.
     while !table.advance(ms(9_000), 100, &mut Vec::new()) {}
     assert_eq!(table.directive(id), Directive::Abort);
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -44,7 +44,12 @@
 impl Live {
     /// The 50th and 99th percentile of the latest latencies, in milliseconds.
     pub fn percentiles(&self) -> (f32, f32) {
-        percentiles(self.latest.read().map(|latest| latest.clone()).unwrap_or_default())
+        percentiles(
+            self.latest
+                .read()
+                .map(|latest| latest.clone())
+                .unwrap_or_default(),
+        )
     }
 
     /// A node says that a breaker tripped.
@@ -59,7 +64,8 @@
 
     /// How many tripped within this time.
     pub fn tripped_within(&self, span: Duration) -> usize {
-        let count = |trips: &VecDeque<Instant>| trips.iter().filter(|at| at.elapsed() < span).count();
+        let count =
+            |trips: &VecDeque<Instant>| trips.iter().filter(|at| at.elapsed() < span).count();
         self.trips.read().map(|trips| count(&trips)).unwrap_or(0)
     }
 }
@@ -67,7 +73,12 @@
 /// The 50th and 99th percentile of these values; 0 of none.
 pub fn percentiles(mut values: Vec<f32>) -> (f32, f32) {
     values.sort_by(f32::total_cmp);
-    let at = |share: f64| values.get((values.len() as f64 * share) as usize).copied().unwrap_or(0.0);
+    let at = |share: f64| {
+        values
+            .get((values.len() as f64 * share) as usize)
+            .copied()
+            .unwrap_or(0.0)
+    };
     (at(0.5), at(0.99))
 }
 
@@ -133,8 +144,8 @@
             table,
             live,
             stop,
-            max_connections_per_node: ((scenario.fleet.sockets as f64 * scenario.fleet.clients.get())
-                as usize)
+            max_connections_per_node: ((scenario.fleet.sockets as f64
+                * scenario.fleet.clients.get()) as usize)
                 .max(1),
             idle: RefCell::default(),
             open_connections: Rc::new((0..nodes).map(|_| Cell::new(0)).collect()),
@@ -154,7 +165,10 @@
             if self.stop.load(Ordering::Relaxed) {
                 break;
             }
-            self.record.borrow_mut().late.push(due.elapsed().as_micros().min(u128::from(u32::MAX)) as u32);
+            self.record
+                .borrow_mut()
+                .late
+                .push(due.elapsed().as_micros().min(u128::from(u32::MAX)) as u32);
             requests.spawn_local(self.clone().request(index));
             // What has ended is taken out, or the set would hold the whole day.
             while requests.try_join_next().is_some() {}
@@ -164,7 +178,10 @@
         let mut record = self.record.take();
         for mut pooled in self.idle.take() {
             if pooled.link.conn.stale() == Some(true) {
-                record.tries.push(Try { end: End::Twice, ..pooled.last });
+                record.tries.push(Try {
+                    end: End::Twice,
+                    ..pooled.last
+                });
             }
         }
         record
@@ -181,14 +198,25 @@
         let first_due = self.start + arrival.due;
         let deadline = first_due + Duration::from_secs_f64(class.deadline_ms.get() / 1e3);
         for number in 0..=self.load.retries {
-            let id = TryId { arrival: index as u32, number };
-            let due = if number == 0 { first_due } else { Instant::now() };
+            let id = TryId {
+                arrival: index as u32,
+                number,
+            };
+            let due = if number == 0 {
+                first_due
+            } else {
+                Instant::now()
+            };
             let end = self.send_try(id, arrival, class, due, deadline).await;
             match end {
                 End::Served | End::Twice | End::Foreign => {
                     let took = first_due.elapsed();
                     let late = took.as_secs_f64() * 1e3 > class.aim_ms.get();
-                    let count = if late { &self.live.late } else { &self.live.in_time };
+                    let count = if late {
+                        &self.live.late
+                    } else {
+                        &self.live.in_time
+                    };
                     count.fetch_add(1, Ordering::Relaxed);
                     if let Ok(mut latest) = self.live.latest.write() {
                         if latest.len() >= LATENCIES_KEPT {
@@ -198,7 +226,9 @@
                     }
                     return;
                 }
-                End::Refused { retry_after: Some(ms) } if arrival.heeds => {
+                End::Refused {
+                    retry_after: Some(ms),
+                } if arrival.heeds => {
                     sleep(Duration::from_millis(ms.into())).await;
                 }
                 _ => sleep(Duration::from_secs_f64(self.load.retry_wait_ms.get() / 1e3)).await,
@@ -223,7 +253,9 @@
         let give_up_at = (Instant::now() + Duration::from_secs_f64(patience)).min(deadline);
         let mut new_connection = false;
         loop {
-            let tried = self.exchange(id, arrival, class, due, give_up_at, new_connection).await;
+            let tried = self
+                .exchange(id, arrival, class, due, give_up_at, new_connection)
+                .await;
             self.record.borrow_mut().tries.push(tried);
             match tried.end {
                 End::Broke { begun: false } if !tried.first_on_connection && !new_connection => {
@@ -257,7 +289,11 @@
             first_on_connection: true,
             end: End::NotSent,
         };
-        let pooled = if new_connection { None } else { self.take_idle() };
+        let pooled = if new_connection {
+            None
+        } else {
+            self.take_idle()
+        };
         let mut link = match pooled {
             Some(pooled) => {
                 tried.first_on_connection = false;
@@ -272,16 +308,25 @@
             },
         };
         tried.node = link.node;
-        let remaining_ms = give_up_at.saturating_duration_since(Instant::now()).as_millis();
+        let remaining_ms = give_up_at
+            .saturating_duration_since(Instant::now())
+            .as_millis();
         let (method, extra, body) = match class.write {
             true => (
                 "PUT",
-                format!("Idempotency-Key: {:x}\r\nContent-Length: 32\r\n", id.arrival),
+                format!(
+                    "Idempotency-Key: {:x}\r\nContent-Length: 32\r\n",
+                    id.arrival
+                ),
                 [b'v'; 32].as_slice(),
             ),
             false => ("GET", String::new(), &[] as &[u8]),
         };
-        let retry = if id.number > 0 { "Req-Retry: 1\r\n" } else { "" };
+        let retry = if id.number > 0 {
+            "Req-Retry: 1\r\n"
+        } else {
+            ""
+        };
         let mut bytes = format!(
             "{method} /api/{:016x} HTTP/1.1\r\nHost: lab\r\nReq-Id: {}\r\nReq-Kind: {}\r\nReq-Deadline-Ms: {remaining_ms}\r\n\
              {retry}{extra}\r\n",
@@ -294,7 +339,11 @@
         if link.conn.write(&bytes).await.is_err() {
             // Nothing of it may have been read.
             tried.ended = self.now();
-            tried.end = if tried.first_on_connection { End::NotSent } else { End::Broke { begun: false } };
+            tried.end = if tried.first_on_connection {
+                End::NotSent
+            } else {
+                End::Broke { begun: false }
+            };
             return tried;
         }
         tried.sent = self.now();
@@ -307,15 +356,19 @@
             Ok(Err(ReadError::Malformed(_))) => End::Failed(0),
             Ok(Ok(answer)) => {
                 reusable = !answer.close;
-                let retry_after = answer.retry_after.filter(|seconds| (0.0..1e6).contains(seconds));
-                let made_for =
-                    answer.body.strip_prefix(id.text().as_bytes()).is_some_and(|rest| rest.starts_with(b" "));
+                let retry_after = answer
+                    .retry_after
+                    .filter(|seconds| (0.0..1e6).contains(seconds));
+                let made_for = answer
+                    .body
+                    .strip_prefix(id.text().as_bytes())
+                    .is_some_and(|rest| rest.starts_with(b" "));
                 match answer.status {
                     200 if made_for => End::Served,
                     200 => End::Foreign,
-                    429 | 503 => {
-                        End::Refused { retry_after: retry_after.map(|seconds| (seconds * 1e3) as u32) }
-                    }
+                    429 | 503 => End::Refused {
+                        retry_after: retry_after.map(|seconds| (seconds * 1e3) as u32),
+                    },
                     status => End::Failed(status),
                 }
             }
@@ -334,7 +387,10 @@
                 None => return Some(pooled),
                 Some(more) => {
                     if more {
-                        self.record.borrow_mut().tries.push(Try { end: End::Twice, ..pooled.last });
+                        self.record.borrow_mut().tries.push(Try {
+                            end: End::Twice,
+                            ..pooled.last
+                        });
                     }
                 }
             }
@@ -345,13 +401,21 @@
     async fn connect(&self) -> Option<Link> {
         let nodes = self.open_connections.len();
         let first = self.next_node.replace(self.next_node.get() + 1);
-        let (node, address) = (0..nodes).map(|offset| (first + offset) % nodes).find_map(|node| {
-            let address = self.table.read().ok()?[node]?;
-            (self.open_connections[node].get() < self.max_connections_per_node).then_some((node, address))
-        })?;
+        let (node, address) =
+            (0..nodes)
+                .map(|offset| (first + offset) % nodes)
+                .find_map(|node| {
+                    let address = self.table.read().ok()?[node]?;
+                    (self.open_connections[node].get() < self.max_connections_per_node)
+                        .then_some((node, address))
+                })?;
         let conn = Conn::new(TcpStream::connect(address).await.ok()?).ok()?;
         self.open_connections[node].set(self.open_connections[node].get() + 1);
-        Some(Link { conn, node, open_connections: self.open_connections.clone() })
+        Some(Link {
+            conn,
+            node,
+            open_connections: self.open_connections.clone(),
+        })
     }
 }
 
@@ -359,7 +423,9 @@
 pub async fn healthy(address: SocketAddr) -> bool {
     let check = async {
         let mut conn = Conn::new(TcpStream::connect(address).await.ok()?).ok()?;
-        conn.write(b"GET /healthz HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n").await.ok()?;
+        conn.write(b"GET /healthz HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
+            .await
+            .ok()?;
         Some(conn.answer().await.ok()?.status == 200)
     };
     let deadline = Instant::now() + Duration::from_secs(1);
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -39,7 +39,11 @@
 impl Measured {
     /// Of a report at hand.
     pub fn of(report: &Report) -> Self {
-        let all = Totals { served: report.all.served, p50_ms: report.all.p50_ms, p99_ms: report.all.p99_ms };
+        let all = Totals {
+            served: report.all.served,
+            p50_ms: report.all.p50_ms,
+            p99_ms: report.all.p99_ms,
+        };
         Self {
             scenario: report.scenario.clone(),
             seed: report.seed,
@@ -71,7 +75,10 @@
             a.scenario, a.seed, b.scenario, b.seed
         ));
     }
-    line(format!("{:<16} {:>10} {:>10} {:>10}", "", "A", "B", "B - A"));
+    line(format!(
+        "{:<16} {:>10} {:>10} {:>10}",
+        "", "A", "B", "B - A"
+    ));
     for ((name, a), (_, b)) in a.figures().into_iter().zip(b.figures()) {
         line(format!("{name:<16} {a:>10.3} {b:>10.3} {:>+10.3}", b - a));
     }
@@ -84,8 +91,13 @@
     let mut text = String::new();
     let mut line = |what: String| text.extend([what.as_str(), "\n"]);
     line(format!("{name}, {} seeds", pairs.len()));
-    line(format!("{:<16} {:>10} {:>10} {:>10}  95 % interval of B - A", "", "A", "B", "B - A"));
-    let Some((first, _)) = pairs.first() else { return text };
+    line(format!(
+        "{:<16} {:>10} {:>10} {:>10}  95 % interval of B - A",
+        "", "A", "B", "B - A"
+    ));
+    let Some((first, _)) = pairs.first() else {
+        return text;
+    };
     for (index, (name, _)) in first.figures().into_iter().enumerate() {
         let figure = |run: &Measured| run.figures()[index].1;
         let differences: Vec<f64> = pairs.iter().map(|(a, b)| figure(b) - figure(a)).collect();
@@ -93,7 +105,10 @@
         let mean = |values: Vec<f64>| values.iter().sum::<f64>() / values.len() as f64;
         let a = mean(pairs.iter().map(|(a, _)| figure(a)).collect());
         let b = mean(pairs.iter().map(|(_, b)| figure(b)).collect());
-        line(format!("{name:<16} {a:>10.3} {b:>10.3} {:>+10.3}  {low:+.3} to {high:+.3}", b - a));
+        line(format!(
+            "{name:<16} {a:>10.3} {b:>10.3} {:>+10.3}  {low:+.3} to {high:+.3}",
+            b - a
+        ));
     }
     let count_holding =
         |which: fn(&(Measured, Measured)) -> bool| pairs.iter().filter(|pair| which(pair)).count();
@@ -116,7 +131,10 @@
         })
         .collect();
     means.sort_by(f64::total_cmp);
-    (means[BOOTSTRAP_SAMPLES / 40], means[BOOTSTRAP_SAMPLES - 1 - BOOTSTRAP_SAMPLES / 40])
+    (
+        means[BOOTSTRAP_SAMPLES / 40],
+        means[BOOTSTRAP_SAMPLES - 1 - BOOTSTRAP_SAMPLES / 40],
+    )
 }
 
 #[cfg(test)]
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -64,7 +64,11 @@
         all: usize,
         dials: Vec<Vec<SocketAddr>>,
     ) -> Rc<Self> {
-        let entry = |i| Entry { health: "ready", born_ms: 0, seq: u64::from(i < fleet.servers) };
+        let entry = |i| Entry {
+            health: "ready",
+            born_ms: 0,
+            seq: u64::from(i < fleet.servers),
+        };
         Rc::new(Self {
             cache_servers,
             fleet: fleet.clone(),
@@ -86,14 +90,23 @@
         spawn_local(async move {
             sleep(directory.late.get()).await;
             let seq = *directory.seq.borrow() + 1;
-            directory.entries.borrow_mut()[server] = Entry { health, born_ms, seq };
+            directory.entries.borrow_mut()[server] = Entry {
+                health,
+                born_ms,
+                seq,
+            };
             directory.seq.send_replace(seq);
             let at = directory.cache_servers.now().as_micros() as u64;
-            directory.cache_servers.record.borrow_mut().availability_changes.push(AvailabilityChange {
-                server,
-                ready: health == "ready",
-                at,
-            });
+            directory
+                .cache_servers
+                .record
+                .borrow_mut()
+                .availability_changes
+                .push(AvailabilityChange {
+                    server,
+                    ready: health == "ready",
+                    at,
+                });
         });
     }
 
@@ -108,15 +121,26 @@
         // Each server may be reported otherwise than before.
         let at = self.cache_servers.now().as_micros() as u64;
         let entries = self.entries.borrow();
-        let changes = entries.iter().enumerate().map(|(server, entry)| AvailabilityChange {
-            server,
-            ready: all_ready || entry.health == "ready",
-            at,
-        });
-        self.cache_servers.record.borrow_mut().availability_changes.extend(changes);
+        let changes = entries
+            .iter()
+            .enumerate()
+            .map(|(server, entry)| AvailabilityChange {
+                server,
+                ready: all_ready || entry.health == "ready",
+                at,
+            });
+        self.cache_servers
+            .record
+            .borrow_mut()
+            .availability_changes
+            .extend(changes);
         drop(entries);
         let seq = *self.seq.borrow() + 1;
-        self.entries.borrow_mut().iter_mut().filter(|entry| entry.seq > 0).for_each(|entry| entry.seq = seq);
+        self.entries
+            .borrow_mut()
+            .iter_mut()
+            .filter(|entry| entry.seq > 0)
+            .for_each(|entry| entry.seq = seq);
         self.seq.send_replace(seq);
     }
 
@@ -125,7 +149,9 @@
         let directory = self.clone();
         spawn_local(async move {
             sleep(OLD_CLOSES).await;
-            directory.closed.send_modify(|closed| closed[node] = Some(which));
+            directory
+                .closed
+                .send_modify(|closed| closed[node] = Some(which));
         });
     }
 
@@ -157,7 +183,9 @@
 
     async fn calls(&self, node: usize, conn: &mut Conn) -> Result<(), ()> {
         loop {
-            let Ok(asked) = conn.request().await else { return Ok(()) };
+            let Ok(asked) = conn.request().await else {
+                return Ok(());
+            };
             let Some(call) = ListCall::parse(&asked.path) else {
                 conn.write(NOT_FOUND).await.map_err(drop)?;
                 continue;
@@ -174,26 +202,47 @@
             conn.write(&message).await.map_err(drop)?;
             // The node counts as informed once it is written.
             let at = self.cache_servers.now().as_micros() as u64;
-            let notices = reported.into_iter().map(|ReportedServer { server, ready }| AvailabilityNotice {
-                node,
-                server,
-                ready,
-                at,
-            });
-            self.cache_servers.record.borrow_mut().notices.extend(notices);
+            let notices = reported
+                .into_iter()
+                .map(|ReportedServer { server, ready }| AvailabilityNotice {
+                    node,
+                    server,
+                    ready,
+                    at,
+                });
+            self.cache_servers
+                .record
+                .borrow_mut()
+                .notices
+                .extend(notices);
         }
     }
 
     /// The answer to a call, as a message, and what that says of each server.
-    fn list(&self, node: usize, after: Option<u64>) -> serde_json::Result<(Vec<u8>, Vec<ReportedServer>)> {
+    fn list(
+        &self,
+        node: usize,
+        after: Option<u64>,
+    ) -> serde_json::Result<(Vec<u8>, Vec<ReportedServer>)> {
         let entries = self.entries.borrow();
         let seq = *self.seq.borrow();
         let whole = after.is_none_or(|after| after > seq);
         let (mut hosts, mut reported) = (Vec::new(), Vec::new());
-        for (server, entry) in entries.iter().enumerate().filter(|(_, entry)| entry.seq > 0) {
-            let health = if self.reports_all_ready.get() { "ready" } else { entry.health };
+        for (server, entry) in entries
+            .iter()
+            .enumerate()
+            .filter(|(_, entry)| entry.seq > 0)
+        {
+            let health = if self.reports_all_ready.get() {
+                "ready"
+            } else {
+                entry.health
+            };
             if whole || after.is_some_and(|after| entry.seq > after) {
-                reported.push(ReportedServer { server, ready: health == "ready" });
+                reported.push(ReportedServer {
+                    server,
+                    ready: health == "ready",
+                });
                 if !(whole && health == "gone") {
                     hosts.push(ListedHost {
                         host: &self.names[server],
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -74,7 +74,11 @@
     /// A connection as it begins.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        Ok(Self { stream, buffer: Vec::new(), first: None })
+        Ok(Self {
+            stream,
+            buffer: Vec::new(),
+            first: None,
+        })
     }
 
     /// Writes all of it.
@@ -120,7 +124,9 @@
         self.buffer.reserve(CHUNK);
         match self.stream.read_buf(&mut self.buffer).await {
             Ok(0) | Err(_) => Err(ReadError::Ended { begun: had }),
-            Ok(_) if self.buffer.len() > LARGEST => Err(ReadError::Malformed("a message too large".into())),
+            Ok(_) if self.buffer.len() > LARGEST => {
+                Err(ReadError::Malformed("a message too large".into()))
+            }
             Ok(_) => {
                 if !had {
                     self.first = Some(Instant::now());
@@ -135,7 +141,9 @@
         loop {
             let mut headers = [httparse::EMPTY_HEADER; HEADERS];
             let mut head = httparse::Request::new(&mut headers);
-            let parsed = head.parse(&self.buffer).map_err(|error| ReadError::Malformed(error.to_string()))?;
+            let parsed = head
+                .parse(&self.buffer)
+                .map_err(|error| ReadError::Malformed(error.to_string()))?;
             if let httparse::Status::Complete(start) = parsed {
                 let body = length(head.headers);
                 if self.buffer.len() >= start + body {
@@ -161,7 +169,9 @@
         loop {
             let mut headers = [httparse::EMPTY_HEADER; HEADERS];
             let mut head = httparse::Response::new(&mut headers);
-            let parsed = head.parse(&self.buffer).map_err(|error| ReadError::Malformed(error.to_string()))?;
+            let parsed = head
+                .parse(&self.buffer)
+                .map_err(|error| ReadError::Malformed(error.to_string()))?;
             if let httparse::Status::Complete(start) = parsed {
                 let body = length(head.headers);
                 if self.buffer.len() >= start + body {
@@ -169,7 +179,8 @@
                     let answered = Answered {
                         status: head.code.unwrap_or_default(),
                         retry_after: text("retry-after").and_then(|text| text.parse().ok()),
-                        close: text("connection").is_some_and(|text| text.eq_ignore_ascii_case("close")),
+                        close: text("connection")
+                            .is_some_and(|text| text.eq_ignore_ascii_case("close")),
                         body: self.buffer[start..start + body].to_vec(),
                     };
                     self.buffer.drain(..start + body);
@@ -205,10 +216,14 @@
 }
 
 fn header<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
-    let found = headers.iter().find(|header| header.name.eq_ignore_ascii_case(name))?;
+    let found = headers
+        .iter()
+        .find(|header| header.name.eq_ignore_ascii_case(name))?;
     std::str::from_utf8(found.value).ok()
 }
 
 fn length(headers: &[httparse::Header<'_>]) -> usize {
-    header(headers, "content-length").and_then(|text| text.trim().parse().ok()).unwrap_or(0)
+    header(headers, "content-length")
+        .and_then(|text| text.trim().parse().ok())
+        .unwrap_or(0)
 }
--- a/crates/lab/src/idle.rs
+++ b/crates/lab/src/idle.rs
@@ -76,16 +76,26 @@
         "about = \"idle\"\nseconds = 3600\n[fleet]\nnodes = 1\nqueue = 100000\nsockets = {sockets}\nmemory_mb = 1024\n\
          speed = [4, 4]\n[load]\nrate = 1\n[front]\nclients_percent = 100\nidle_s = 3600\n"
     );
-    let scenario =
-        Scenario::parse(&text, Path::new("idle")).map_err(|error| io::Error::other(error.to_string()))?;
+    let scenario = Scenario::parse(&text, Path::new("idle"))
+        .map_err(|error| io::Error::other(error.to_string()))?;
     let (ready, ready_nodes) = mpsc::channel();
-    let options = Options { by_hand: true, ready: Some(ready), ..Options::new(program, 1) };
+    let options = Options {
+        by_hand: true,
+        ready: Some(ready),
+        ..Options::new(program, 1)
+    };
     let stop = options.stop.clone();
     let playing = thread::spawn(move || play(&scenario, &options));
-    let measured = ready_nodes.recv().ok().and_then(|nodes| nodes.first().copied()).map(|(address, pid)| {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        LocalSet::new().block_on(&runtime, measure_node(address, pid, sizes, batch.max(1)))
-    });
+    let measured = ready_nodes
+        .recv()
+        .ok()
+        .and_then(|nodes| nodes.first().copied())
+        .map(|(address, pid)| {
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()?;
+            LocalSet::new().block_on(&runtime, measure_node(address, pid, sizes, batch.max(1)))
+        });
     stop.store(true, Ordering::Relaxed);
     let played = playing.join().map_err(|_| RunError::Thread("run"))?;
     match measured {
@@ -118,16 +128,26 @@
         }
         sleep(IDLE_TIME).await;
         let resident_kib = process_memory_kib(pid, "VmRSS:")?;
-        let bytes_each = (resident_kib.saturating_sub(before) << 10) as f64 / held.len().max(1) as f64;
+        let bytes_each =
+            (resident_kib.saturating_sub(before) << 10) as f64 / held.len().max(1) as f64;
         let (p50_ms, p99_ms) = lookups(address).await?;
-        idle.crowds.push(Crowd { held: held.len(), resident_kib, bytes_each, p50_ms, p99_ms });
+        idle.crowds.push(Crowd {
+            held: held.len(),
+            resident_kib,
+            bytes_each,
+            p50_ms,
+            p99_ms,
+        });
     }
     let started = Instant::now();
     let mut speaking = JoinSet::new();
     for (i, mut conn) in held.into_iter().enumerate() {
         speaking.spawn_local(async move {
             let answered = send_lookup(&mut conn, i).await.is_ok();
-            (answered.then_some(conn), started.elapsed().as_secs_f64() * 1e3)
+            (
+                answered.then_some(conn),
+                started.elapsed().as_secs_f64() * 1e3,
+            )
         });
     }
     let mut held = Vec::new();
@@ -160,7 +180,11 @@
     let places = Arc::new(Semaphore::new(CONCURRENT_CONNECTS));
     let mut making = JoinSet::new();
     for i in first..first + count {
-        let place = places.clone().acquire_owned().await.map_err(io::Error::other)?;
+        let place = places
+            .clone()
+            .acquire_owned()
+            .await
+            .map_err(io::Error::other)?;
         making.spawn_local(async move {
             let mut conn = Conn::new(TcpStream::connect(address).await?)?;
             let kept = send_lookup(&mut conn, i).await?;
@@ -184,7 +208,8 @@
             let mut took: Vec<f32> = Vec::new();
             for i in 0..LOOKUPS / LOOKUP_CONNECTIONS {
                 let started = Instant::now();
-                if !send_lookup(&mut conn, 10_000_000 + i * LOOKUP_CONNECTIONS + connection).await? {
+                if !send_lookup(&mut conn, 10_000_000 + i * LOOKUP_CONNECTIONS + connection).await?
+                {
                     conn = Conn::new(TcpStream::connect(address).await?)?;
                 }
                 took.push(started.elapsed().as_secs_f32() * 1e3);
@@ -207,7 +232,9 @@
         number % 64
     );
     conn.write(request.as_bytes()).await?;
-    let answer = timeout(ANSWER_TIMEOUT, conn.answer()).await?.map_err(io::Error::other)?;
+    let answer = timeout(ANSWER_TIMEOUT, conn.answer())
+        .await?
+        .map_err(io::Error::other)?;
     Ok(!answer.close)
 }
 
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -68,7 +68,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     /// A core has done a job's work; servers are of an epoch, so that what died stays dead.
-    Core { server: usize, epoch: u32, job: JobId },
+    Core {
+        server: usize,
+        epoch: u32,
+        job: JobId,
+    },
     /// A worker of the database is done with a call.
     Worker { call: u64, epoch: u32 },
     /// The database is back.
@@ -142,7 +146,11 @@
     /// What a server is doing.
     pub fn load(&self, server: usize) -> ServerLoad {
         let state = &self.servers[server];
-        ServerLoad { busy: state.busy, waiting: state.waiting.len(), cores: state.settings.cores }
+        ServerLoad {
+            busy: state.busy,
+            waiting: state.waiting.len(),
+            cores: state.settings.cores,
+        }
     }
 
     /// Calls that the database holds.
@@ -202,14 +210,20 @@
     pub fn kill(&mut self, server: usize) {
         self.epochs[server] += 1;
         let fresh = Server::new(self.servers[server].settings);
-        self.servers[server] = Server { down: true, ..fresh };
+        self.servers[server] = Server {
+            down: true,
+            ..fresh
+        };
     }
 
     /// It is back, cold and empty.
     pub fn start(&mut self, now: Time, server: usize) {
         self.epochs[server] += 1;
         let fresh = Server::new(self.servers[server].settings);
-        self.servers[server] = Server { started_at: Some(now), ..fresh };
+        self.servers[server] = Server {
+            started_at: Some(now),
+            ..fresh
+        };
     }
 
     /// A server works so many times slower from now on.
@@ -229,13 +243,23 @@
         let speed = state.settings.speed * state.warm_share(now) / state.slowdown;
         let end = now + job.work.div_f64(speed.max(1e-6));
         let epoch = self.epochs[server];
-        self.schedule(end, Event::Core { server, epoch, job: job.id });
+        self.schedule(
+            end,
+            Event::Core {
+                server,
+                epoch,
+                job: job.id,
+            },
+        );
     }
 
     /// Moves time on: every job that has ended by `now`, with its server.
     pub fn advance(&mut self, now: Time, finished: &mut Vec<(usize, JobId, JobResult)>) {
-        while let Some(Reverse((at, _, event))) =
-            self.events.peek().copied().filter(|Reverse((at, _, _))| *at <= now)
+        while let Some(Reverse((at, _, event))) = self
+            .events
+            .peek()
+            .copied()
+            .filter(|Reverse((at, _, _))| *at <= now)
         {
             self.events.pop();
             match event {
@@ -268,7 +292,12 @@
         let cold = state.warm_share(now) < 1.0;
         if let Some(job) = state.in_progress.get(&job).copied() {
             if job.write {
-                let call = Call::Write { server, epoch, job: job.id, key: job.key };
+                let call = Call::Write {
+                    server,
+                    epoch,
+                    job: job.id,
+                    key: job.key,
+                };
                 self.submit_call(now, call, false, finished);
             } else if state.cache.get(&job.key).is_some() {
                 state.in_progress.remove(&job.id);
@@ -277,7 +306,12 @@
                 let waiting = state.fetching.entry(job.key).or_default();
                 waiting.push(job.id);
                 if waiting.len() == 1 {
-                    let call = Call::Fetch { server, epoch, key: job.key, size: job.size };
+                    let call = Call::Fetch {
+                        server,
+                        epoch,
+                        key: job.key,
+                        size: job.size,
+                    };
                     self.submit_call(now, call, cold, finished);
                 }
             }
