--- a/crates/lab/src/model/database.rs
+++ b/crates/lab/src/model/database.rs
@@ -31,8 +31,18 @@
 /// A call at the database, and the server that it came from.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Call {
-    Fetch { server: usize, epoch: u32, key: u64, size: usize },
-    Write { server: usize, epoch: u32, job: JobId, key: u64 },
+    Fetch {
+        server: usize,
+        epoch: u32,
+        key: u64,
+        size: usize,
+    },
+    Write {
+        server: usize,
+        epoch: u32,
+        job: JobId,
+        key: u64,
+    },
 }
 
 /// The database, and the calls that it holds.
@@ -99,8 +109,11 @@
             self.database.queue.clear();
             let mut lost: Vec<_> = self.database.calls.drain().collect();
             lost.sort_unstable_by_key(|(number, _)| *number);
-            lost.into_iter().for_each(|(_, call)| self.finish_call(call, false, finished));
-            let back = Event::Back { epoch: self.database.epoch };
+            lost.into_iter()
+                .for_each(|(_, call)| self.finish_call(call, false, finished));
+            let back = Event::Back {
+                epoch: self.database.epoch,
+            };
             self.schedule(now + self.database.settings.down, back);
         }
         if self.database.down || self.database.queue.len() >= self.database.settings.queue {
@@ -114,15 +127,19 @@
 
     pub(super) fn start_calls(&mut self, now: Time) {
         while self.database.working < self.database.settings.workers {
-            let Some(call) = self.database.queue.pop_front() else { return };
+            let Some(call) = self.database.queue.pop_front() else {
+                return;
+            };
             self.database.working += 1;
             let mean = self.database.settings.work.as_secs_f64();
-            let took = self
-                .database
-                .service_time
-                .map_or(mean, |distribution| distribution.sample(&mut self.database.random));
+            let took = self.database.service_time.map_or(mean, |distribution| {
+                distribution.sample(&mut self.database.random)
+            });
             let epoch = self.database.epoch;
-            self.schedule(now + Duration::from_secs_f64(took), Event::Worker { call, epoch });
+            self.schedule(
+                now + Duration::from_secs_f64(took),
+                Event::Worker { call, epoch },
+            );
         }
     }
 
@@ -133,7 +150,12 @@
         finished: &mut Vec<(usize, JobId, JobResult)>,
     ) {
         match call {
-            Call::Fetch { server, epoch, key, size } => {
+            Call::Fetch {
+                server,
+                epoch,
+                key,
+                size,
+            } => {
                 if epoch != self.epochs[server] {
                     return;
                 }
@@ -141,23 +163,48 @@
                 if succeeded {
                     state.insert(key, size);
                 }
-                for (position, job) in state.fetching.remove(&key).unwrap_or_default().into_iter().enumerate()
+                for (position, job) in state
+                    .fetching
+                    .remove(&key)
+                    .unwrap_or_default()
+                    .into_iter()
+                    .enumerate()
                 {
                     if state.in_progress.remove(&job).is_some() {
-                        let cache_result =
-                            if position == 0 { CacheResult::Miss } else { CacheResult::Pending };
-                        let result = if succeeded { JobResult::Ok(cache_result) } else { JobResult::Error };
+                        let cache_result = if position == 0 {
+                            CacheResult::Miss
+                        } else {
+                            CacheResult::Pending
+                        };
+                        let result = if succeeded {
+                            JobResult::Ok(cache_result)
+                        } else {
+                            JobResult::Error
+                        };
                         finished.push((server, job, result));
                     }
                 }
             }
-            Call::Write { server, epoch, job, key } => {
+            Call::Write {
+                server,
+                epoch,
+                job,
+                key,
+            } => {
                 // It was carried out, whoever still waits for it.
                 if succeeded {
-                    self.servers.iter_mut().for_each(|state| state.invalidate(key));
+                    self.servers
+                        .iter_mut()
+                        .for_each(|state| state.invalidate(key));
                 }
-                if epoch == self.epochs[server] && self.servers[server].in_progress.remove(&job).is_some() {
-                    let result = if succeeded { JobResult::Ok(CacheResult::Miss) } else { JobResult::Error };
+                if epoch == self.epochs[server]
+                    && self.servers[server].in_progress.remove(&job).is_some()
+                {
+                    let result = if succeeded {
+                        JobResult::Ok(CacheResult::Miss)
+                    } else {
+                        JobResult::Error
+                    };
                     finished.push((server, job, result));
                 }
             }
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -66,8 +66,11 @@
     }
 
     pub(super) fn warm_share(&self, now: Time) -> f64 {
-        let Some(started_at) = self.started_at else { return 1.0 };
-        let age = now.saturating_sub(started_at).as_secs_f64() / self.settings.warm.as_secs_f64().max(1e-6);
+        let Some(started_at) = self.started_at else {
+            return 1.0;
+        };
+        let age = now.saturating_sub(started_at).as_secs_f64()
+            / self.settings.warm.as_secs_f64().max(1e-6);
         (self.settings.cold_share + (1.0 - self.settings.cold_share) * age).min(1.0)
     }
 
@@ -85,7 +88,9 @@
         self.cache.put(key, size);
         self.cached_bytes += size;
         while self.cached_bytes > self.settings.memory {
-            let Some((_, size)) = self.cache.pop_lru() else { break };
+            let Some((_, size)) = self.cache.pop_lru() else {
+                break;
+            };
             self.cached_bytes -= size;
         }
     }
--- a/crates/lab/src/nodes.rs
+++ b/crates/lab/src/nodes.rs
@@ -41,7 +41,9 @@
 impl Program {
     /// The same with this section `front` of the operators' file, which is written into `folder`.
     pub fn with_front(self, front: &toml::Table, folder: &Path) -> Result<Self, NodeError> {
-        let Self::Binary(path, mut arguments) = self else { return Ok(self) };
+        let Self::Binary(path, mut arguments) = self else {
+            return Ok(self);
+        };
         if front.is_empty() {
             return Ok(Self::Binary(path, arguments));
         }
@@ -49,9 +51,12 @@
             return Err(NodeError::TwoFiles);
         }
         let file = folder.join("features.toml");
-        let whole = toml::Table::from_iter([("front".to_owned(), toml::Value::Table(front.clone()))]);
-        std::fs::write(&file, whole.to_string())
-            .map_err(|error| NodeError::Files { path: file.clone(), error })?;
+        let whole =
+            toml::Table::from_iter([("front".to_owned(), toml::Value::Table(front.clone()))]);
+        std::fs::write(&file, whole.to_string()).map_err(|error| NodeError::Files {
+            path: file.clone(),
+            error,
+        })?;
         arguments.extend(["--features".to_owned(), file.display().to_string()]);
         Ok(Self::Binary(path, arguments))
     }
@@ -107,7 +112,10 @@
 
 impl Node {
     /// A node that is not started yet. `folder` is where its configuration goes.
-    #[expect(clippy::too_many_arguments, reason = "a node's whole surroundings, named once")]
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "a node's whole surroundings, named once"
+    )]
     pub fn new(
         index: usize,
         scenario: &Scenario,
@@ -141,7 +149,12 @@
         let at = self.start.elapsed().as_micros() as u64;
         tracing::info!(node = self.index, life = ?event, word = detail, "a node");
         if let Ok(mut events) = self.events.lock() {
-            events.push(NodeEvent { node: self.index, event, at, detail: detail.to_owned() });
+            events.push(NodeEvent {
+                node: self.index,
+                event,
+                at,
+                detail: detail.to_owned(),
+            });
         }
     }
 
@@ -156,12 +169,18 @@
         let new = self.file.with_extension("new");
         std::fs::write(&new, self.config.to_string())
             .and_then(|()| std::fs::rename(&new, &self.file))
-            .map_err(|error| NodeError::Files { path: self.file.clone(), error })
+            .map_err(|error| NodeError::Files {
+                path: self.file.clone(),
+                error,
+            })
     }
 
     /// The process's id, while it runs.
     pub fn pid(&self) -> Option<i32> {
-        self.child.as_ref()?.id().and_then(|id| i32::try_from(id).ok())
+        self.child
+            .as_ref()?
+            .id()
+            .and_then(|id| i32::try_from(id).ok())
     }
 
     /// Starts its process and waits until it is ready; then clients get its address.
@@ -171,13 +190,19 @@
             Program::InProcess(launch) => launch(self.config.clone())
                 .map_err(|error| NodeError::Start("a node inside".into(), error))?,
             Program::Nothing => {
-                return Err(NodeError::NotReady { node: self.index, why: "there is none".into() })
+                return Err(NodeError::NotReady {
+                    node: self.index,
+                    why: "there is none".into(),
+                })
             }
             Program::Binary(path, arguments) => {
                 let mut child = Command::new(path)
                     .args(arguments)
                     .env("LB_CONFIG", &self.file)
-                    .env("LB_DISCOVERY", self.discovery[self.current_discovery].to_string())
+                    .env(
+                        "LB_DISCOVERY",
+                        self.discovery[self.current_discovery].to_string(),
+                    )
                     .env_remove("LB_NAME")
                     .env_remove("LB_LISTEN")
                     .stdin(Stdio::null())
@@ -216,13 +241,19 @@
                         keep(&log, line);
                     }
                 });
-                address.ok_or_else(|| NodeError::NotReady { node: self.index, why: self.log_tail() })?
+                address.ok_or_else(|| NodeError::NotReady {
+                    node: self.index,
+                    why: self.log_tail(),
+                })?
             }
         };
         let started = Instant::now();
         while !healthy(address).await {
             if started.elapsed() > READY_TIMEOUT {
-                return Err(NodeError::NotReady { node: self.index, why: self.log_tail() });
+                return Err(NodeError::NotReady {
+                    node: self.index,
+                    why: self.log_tail(),
+                });
             }
             sleep(READY_POLL_INTERVAL).await;
         }
@@ -233,7 +264,11 @@
 
     /// The end of its log.
     fn log_tail(&self) -> String {
-        let log = self.log.lock().map(|log| log.join("; ")).unwrap_or_default();
+        let log = self
+            .log
+            .lock()
+            .map(|log| log.join("; "))
+            .unwrap_or_default();
         if log.is_empty() {
             "it said nothing".to_owned()
         } else {
@@ -243,10 +278,17 @@
 
     /// Whether it has exited by itself; `true` only the first time.
     pub fn has_died(&mut self) -> bool {
-        let Some(child) = &mut self.child else { return false };
-        let Ok(Some(status)) = child.try_wait() else { return false };
+        let Some(child) = &mut self.child else {
+            return false;
+        };
+        let Ok(Some(status)) = child.try_wait() else {
+            return false;
+        };
         self.child = None;
-        self.record_event(ProcessEvent::Died, &format!("{status}; {}", self.log_tail()));
+        self.record_event(
+            ProcessEvent::Died,
+            &format!("{status}; {}", self.log_tail()),
+        );
         self.set_address(None);
         true
     }
@@ -268,7 +310,8 @@
                 sleep(self.front_late).await;
                 self.set_address(None);
                 if let Some(pause) = fault.for_s {
-                    sleep(Duration::from_secs_f64(pause.get()).saturating_sub(self.front_late)).await;
+                    sleep(Duration::from_secs_f64(pause.get()).saturating_sub(self.front_late))
+                        .await;
                     self.start().await?;
                 }
             }
@@ -311,9 +354,10 @@
         self.set_address(None);
         match self.wait().await {
             Some(status) if status.success() => self.record_event(ProcessEvent::Exited, ""),
-            Some(status) => {
-                self.record_event(ProcessEvent::Died, &format!("{status} after SIGTERM; {}", self.log_tail()))
-            }
+            Some(status) => self.record_event(
+                ProcessEvent::Died,
+                &format!("{status} after SIGTERM; {}", self.log_tail()),
+            ),
             None => {
                 self.record_event(ProcessEvent::Died, "it did not end within 4.8 s of SIGTERM");
                 self.signal(Signal::SIGKILL);
--- a/crates/lab/src/page.rs
+++ b/crates/lab/src/page.rs
@@ -46,26 +46,40 @@
         }
         if !self.holds {
             put("<h2>What does not hold</h2><ul>".into());
-            self.broken
+            self.broken.iter().for_each(|(rule, count)| {
+                put(format!("<li>Rule broken {count} times: {}", escape(rule)))
+            });
+            self.unmet
                 .iter()
-                .for_each(|(rule, count)| put(format!("<li>Rule broken {count} times: {}", escape(rule))));
-            self.unmet.iter().for_each(|unmet| put(format!("<li>{}", escape(unmet))));
+                .for_each(|unmet| put(format!("<li>{}", escape(unmet))));
             self.breaches
                 .iter()
                 .for_each(|breach| put(format!("<li class=\"small\">{}", escape(&breach.what))));
             put("</ul>".into());
         }
         put("<h2>By class</h2><table><tr><th>class<th>asked<th>worth in time<th>late<th>unserved<th>p50 ms<th>p90 ms<th>p99 ms<th>most ms".into());
-        let rows = self.classes.iter().map(|(name, figures)| (name.as_str(), figures));
-        rows.chain([("all", &self.all)]).for_each(|(name, figures)| put(row(name, figures)));
+        let rows = self
+            .classes
+            .iter()
+            .map(|(name, figures)| (name.as_str(), figures));
+        rows.chain([("all", &self.all)])
+            .for_each(|(name, figures)| put(row(name, figures)));
         put("</table><h2>Tries by how they ended</h2><table><tr>".into());
-        self.ends.keys().for_each(|end| put(format!("<th>{}", end.replace('_', " "))));
+        self.ends
+            .keys()
+            .for_each(|end| put(format!("<th>{}", end.replace('_', " "))));
         put("<tr>".into());
-        self.ends.values().for_each(|count| put(format!("<td>{count}")));
+        self.ends
+            .values()
+            .for_each(|count| put(format!("<td>{count}")));
         put("</table>".into());
-        let by_second =
-            |figure: fn(&crate::report::Second) -> f64| self.by_second.iter().map(figure).collect::<Vec<_>>();
-        put("<h2>Share of the worth served in time, by the second in which requests were due</h2>".into());
+        let by_second = |figure: fn(&crate::report::Second) -> f64| {
+            self.by_second.iter().map(figure).collect::<Vec<_>>()
+        };
+        put(
+            "<h2>Share of the worth served in time, by the second in which requests were due</h2>"
+                .into(),
+        );
         put(self.chart(
             "service",
             "share",
@@ -84,7 +98,10 @@
             .keys()
             .filter(|end| **end != "served")
             .map(|end| {
-                let counts = self.by_second.iter().map(|second| *second.ends.get(end).unwrap_or(&0) as f64);
+                let counts = self
+                    .by_second
+                    .iter()
+                    .map(|second| *second.ends.get(end).unwrap_or(&0) as f64);
                 (end.replace('_', " "), counts.collect())
             })
             .collect();
@@ -96,8 +113,17 @@
         put(self.chart("database", "calls", &[("database".into(), calls)], None)?);
         if !self.faults.is_empty() {
             put("<h2>Faults</h2><table><tr><th>kind<th>whom<th>from s<th>to s".into());
-            for FaultSpan { kind, whom, from, to } in &self.faults {
-                put(format!("<tr><td>{}<td>{whom}<td>{from:.1}<td>{to:.1}", kind.replace('_', " ")));
+            for FaultSpan {
+                kind,
+                whom,
+                from,
+                to,
+            } in &self.faults
+            {
+                put(format!(
+                    "<tr><td>{}<td>{whom}<td>{from:.1}<td>{to:.1}",
+                    kind.replace('_', " ")
+                ));
             }
             put("</table>".into());
         }
@@ -107,12 +133,15 @@
     /// The busiest servers' lines.
     fn busiest_servers(&self) -> Vec<Line> {
         let count = self.held.first().map_or(0, Vec::len);
-        let mut all: Vec<(usize, Vec<f64>)> =
-            (0..count).map(|i| (i, self.held.iter().map(|second| second[i] as f64).collect())).collect();
+        let mut all: Vec<(usize, Vec<f64>)> = (0..count)
+            .map(|i| (i, self.held.iter().map(|second| second[i] as f64).collect()))
+            .collect();
         all.sort_by(|a, b| b.1.iter().sum::<f64>().total_cmp(&a.1.iter().sum()));
         all.truncate(MAX_SERVER_LINES);
         all.sort_by_key(|(i, _)| *i);
-        all.into_iter().map(|(i, points)| (format!("server {i}"), points)).collect()
+        all.into_iter()
+            .map(|(i, points)| (format!("server {i}"), points))
+            .collect()
     }
 
     fn chart(
@@ -123,15 +152,24 @@
         top: Option<f64>,
     ) -> Result<String, PageError> {
         let mut svg = String::new();
-        self.draw(&mut svg, unit, lines, top).map_err(|why| PageError { chart, why })?;
+        self.draw(&mut svg, unit, lines, top)
+            .map_err(|why| PageError { chart, why })?;
         Ok(svg)
     }
 
-    fn draw(&self, svg: &mut String, unit: &str, lines: &[Line], top: Option<f64>) -> Result<(), String> {
+    fn draw(
+        &self,
+        svg: &mut String,
+        unit: &str,
+        lines: &[Line],
+        top: Option<f64>,
+    ) -> Result<(), String> {
         let text_of = |error: &dyn std::fmt::Display| error.to_string();
         let root = SVGBackend::with_string(svg, CHART_SIZE).into_drawing_area();
-        let highest =
-            lines.iter().flat_map(|(_, points)| points).fold(0.0f64, |highest, point| highest.max(*point));
+        let highest = lines
+            .iter()
+            .flat_map(|(_, points)| points)
+            .fold(0.0f64, |highest, point| highest.max(*point));
         // A chart with a fixed top has one line, which its heading names.
         let top_is_open = top.is_none();
         let top = top.unwrap_or(highest * 1.1).max(1e-3);
@@ -162,12 +200,17 @@
         for (i, (name, points)) in lines.iter().enumerate() {
             let colour = Palette99::pick(i).to_rgba();
             // A second's figure stands over its middle.
-            let points = points.iter().enumerate().map(|(second, point)| (second as f64 + 0.5, *point));
+            let points = points
+                .iter()
+                .enumerate()
+                .map(|(second, point)| (second as f64 + 0.5, *point));
             chart
                 .draw_series(LineSeries::new(points, colour.stroke_width(2)))
                 .map_err(|error| text_of(&error))?
                 .label(name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2)));
+                .legend(move |(x, y)| {
+                    PathElement::new([(x, y), (x + 16, y)], colour.stroke_width(2))
+                });
         }
         if lines.len() > 1 || top_is_open {
             chart
@@ -202,5 +245,8 @@
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
+        .replace('"', "&quot;")
 }
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -48,7 +48,12 @@
         let work = LogNormal::new(-WORK_SIGMA * WORK_SIGMA / 2.0, WORK_SIGMA);
         let end = scenario.seconds.get();
         // Thinning: drawn at the highest rate, and kept by how far the rate is under it (Lewis and Shedler 1979).
-        let factor_at = |now: f64| load.changes.iter().map(|change| change.factor(now, end)).product::<f64>();
+        let factor_at = |now: f64| {
+            load.changes
+                .iter()
+                .map(|change| change.factor(now, end))
+                .product::<f64>()
+        };
         let max_factor = load.changes.iter().map(Change::max_factor).product::<f64>();
         let (mut now, mut arrivals, mut scanned_keys) = (0.0, Vec::new(), 0u64);
         loop {
@@ -71,9 +76,13 @@
             if !scenario.classes[class].write {
                 for change in &load.changes {
                     match change {
-                        Change::HotKey { at_s, for_s, share, keys }
-                            if within(now, at_s.get(), for_s.get())
-                                && random.random::<f64>() < share.get() =>
+                        Change::HotKey {
+                            at_s,
+                            for_s,
+                            share,
+                            keys,
+                        } if within(now, at_s.get(), for_s.get())
+                            && random.random::<f64>() < share.get() =>
                         {
                             key = mix(!seed ^ random.random_range(0..u64::from((*keys).max(1))));
                         }
@@ -93,7 +102,9 @@
                 due: Duration::from_secs_f64(now),
                 class,
                 key,
-                work: Duration::from_secs_f64(scenario.classes[class].work_ms.get() / 1e3 * work_factor),
+                work: Duration::from_secs_f64(
+                    scenario.classes[class].work_ms.get() / 1e3 * work_factor,
+                ),
                 heeds: random.random::<f64>() < load.heed.get(),
             });
         }
@@ -120,7 +131,9 @@
             Self::Wave { period_s, depth } => {
                 1.0 + depth.get() * (now / period_s.get() * std::f64::consts::TAU).sin()
             }
-            Self::Burst { at_s, for_s, times } if within(now, at_s.get(), for_s.get()) => times.get(),
+            Self::Burst { at_s, for_s, times } if within(now, at_s.get(), for_s.get()) => {
+                times.get()
+            }
             Self::Ramp { to } => 1.0 + (to.get() - 1.0) * now / end,
             _ => 1.0,
         }
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -20,7 +20,10 @@
     /// From a `Req-Id`.
     pub fn parse(text: &str) -> Option<Self> {
         let (arrival, number) = text.split_once('-')?;
-        let id = Self { arrival: u32::from_str_radix(arrival, 16).ok()?, number: number.parse().ok()? };
+        let id = Self {
+            arrival: u32::from_str_radix(arrival, 16).ok()?,
+            number: number.parse().ok()?,
+        };
         // A number has one wording.
         (id.text() == text).then_some(id)
     }
@@ -236,14 +239,28 @@
     pub(crate) fn shift(&mut self, load_start: u64) {
         let shift = |at: &mut u64| *at = at.saturating_sub(load_start);
         self.attempts.iter_mut().for_each(|attempt| {
-            [&mut attempt.first_byte_at, &mut attempt.received_at].into_iter().for_each(shift)
+            [&mut attempt.first_byte_at, &mut attempt.received_at]
+                .into_iter()
+                .for_each(shift)
         });
-        self.notices.iter_mut().for_each(|notice| shift(&mut notice.at));
-        self.availability_changes.iter_mut().for_each(|change| shift(&mut change.at));
-        self.overloads.iter_mut().for_each(|entry| shift(&mut entry.at));
-        self.node_events.iter_mut().for_each(|event| shift(&mut event.at));
-        self.samples.iter_mut().for_each(|entry| shift(&mut entry.at));
-        self.unknown_requests.iter_mut().for_each(|entry| shift(&mut entry.at));
+        self.notices
+            .iter_mut()
+            .for_each(|notice| shift(&mut notice.at));
+        self.availability_changes
+            .iter_mut()
+            .for_each(|change| shift(&mut change.at));
+        self.overloads
+            .iter_mut()
+            .for_each(|entry| shift(&mut entry.at));
+        self.node_events
+            .iter_mut()
+            .for_each(|event| shift(&mut event.at));
+        self.samples
+            .iter_mut()
+            .for_each(|entry| shift(&mut entry.at));
+        self.unknown_requests
+            .iter_mut()
+            .for_each(|entry| shift(&mut entry.at));
         for fault in &mut self.faults {
             shift(&mut fault.from);
             fault.until.iter_mut().for_each(shift);
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -134,9 +134,13 @@
 impl Tally {
     fn new() -> Self {
         // Microseconds up to ten minutes.
-        let times =
-            Histogram::new_with_bounds(1, 600_000_000, 3).expect("three digits are in the crate's range");
-        Self { figures: Figures::default(), worth: (0.0, 0.0), times }
+        let times = Histogram::new_with_bounds(1, 600_000_000, 3)
+            .expect("three digits are in the crate's range");
+        Self {
+            figures: Figures::default(),
+            worth: (0.0, 0.0),
+            times,
+        }
     }
 
     fn add(&mut self, worth: f64, took: Option<u64>, aim: u64) {
@@ -187,13 +191,19 @@
 impl Report {
     /// Makes a report of a run.
     pub fn new(name: &str, scenario: &Scenario, seed: u64, played: &Played) -> Self {
-        let Played { plan, record, breaches, lasted } = played;
+        let Played {
+            plan,
+            record,
+            breaches,
+            lasted,
+        } = played;
         let sent_count = record.late.len();
         let mut served: BTreeMap<u32, u64> = BTreeMap::new();
         let mut ends = BTreeMap::new();
         let seconds = lasted.as_secs_f64().min(scenario.seconds.get());
-        let mut by_second: Vec<(Tally, BTreeMap<&'static str, u64>)> =
-            (0..seconds.ceil() as usize).map(|_| (Tally::new(), BTreeMap::new())).collect();
+        let mut by_second: Vec<(Tally, BTreeMap<&'static str, u64>)> = (0..seconds.ceil() as usize)
+            .map(|_| (Tally::new(), BTreeMap::new()))
+            .collect();
         for tried in &record.tries {
             *ends.entry(end_name(tried.end)).or_insert(0) += 1;
             let TryId { arrival, .. } = tried.id;
@@ -210,16 +220,26 @@
             let due = arrival.due.as_micros() as u64;
             let took = served.get(&(index as u32)).map(|at| at.saturating_sub(due));
             let aim = (class.aim_ms.get() * 1e3) as u64;
-            let second = by_second.get_mut(arrival.due.as_secs() as usize).map(|(tally, _)| tally);
-            for tally in [Some(&mut all), classes.get_mut(arrival.class), second].into_iter().flatten() {
+            let second = by_second
+                .get_mut(arrival.due.as_secs() as usize)
+                .map(|(tally, _)| tally);
+            for tally in [Some(&mut all), classes.get_mut(arrival.class), second]
+                .into_iter()
+                .flatten()
+            {
                 tally.add(class.worth.get(), took, aim);
             }
         }
         let mut late = Tally::new();
-        record.late.iter().for_each(|late_us| late.times.saturating_record(u64::from(*late_us).max(1)));
+        record
+            .late
+            .iter()
+            .for_each(|late_us| late.times.saturating_record(u64::from(*late_us).max(1)));
         let rig_late_ms = late.ms(0.99);
         let mut broken = BTreeMap::new();
-        breaches.iter().for_each(|breach| *broken.entry(breach.rule.to_string()).or_insert(0) += 1);
+        breaches
+            .iter()
+            .for_each(|breach| *broken.entry(breach.rule.to_string()).or_insert(0) += 1);
         let by_second: Vec<_> = by_second
             .into_iter()
             .map(|(tally, ends)| Second {
@@ -232,8 +252,9 @@
             .collect();
         let (held, database) = loads_by_second(record, by_second.len());
         let figures_by_class = scenario.classes.iter().zip(&classes);
-        let figures_by_class =
-            figures_by_class.map(|(class, tally)| (class.name.clone(), tally.figures())).collect();
+        let figures_by_class = figures_by_class
+            .map(|(class, tally)| (class.name.clone(), tally.figures()))
+            .collect();
         let mut report = Self {
             scenario: name.to_owned(),
             about: scenario.about.clone(),
@@ -268,12 +289,22 @@
         let tries = self.ends.values().sum::<u64>().max(1) as f64;
         let refused = *self.ends.get("refused").unwrap_or(&0) as f64 / tries;
         let minimums = [
-            ("served", expect.served.map(|share| share.get()), self.all.served),
-            ("worst_second", expect.worst_second.map(|share| share.get()), self.worst_second),
+            (
+                "served",
+                expect.served.map(|share| share.get()),
+                self.all.served,
+            ),
+            (
+                "worst_second",
+                expect.worst_second.map(|share| share.get()),
+                self.worst_second,
+            ),
         ];
         for (name, expected, measured) in minimums {
             if let Some(expected) = expected.filter(|expected| measured < *expected) {
-                self.unmet.push(format!("{name} is {measured:.3} where at least {expected} was expected"));
+                self.unmet.push(format!(
+                    "{name} is {measured:.3} where at least {expected} was expected"
+                ));
             }
         }
         let maximums = [
@@ -282,7 +313,9 @@
         ];
         for (name, expected, measured) in maximums {
             if let Some(expected) = expected.filter(|expected| measured > *expected) {
-                self.unmet.push(format!("{name} is {measured:.3} where at most {expected} was expected"));
+                self.unmet.push(format!(
+                    "{name} is {measured:.3} where at most {expected} was expected"
+                ));
             }
         }
         self.holds = self.breaches.is_empty() && self.unmet.is_empty();
@@ -302,7 +335,10 @@
             "  {} requests in {:.1} s, {} attempts at servers, {} calls at the database; worth in time:",
             self.all.asked, self.seconds, self.attempts, self.fetches
         ));
-        let classes = self.classes.iter().map(|(name, figures)| (name.as_str(), figures));
+        let classes = self
+            .classes
+            .iter()
+            .map(|(name, figures)| (name.as_str(), figures));
         for (name, figures) in classes.chain([("all", &self.all)]) {
             line(format!(
                 "  {name:<12}{:>7} asked {:>5.1} % in time {:>5} late {:>5} unserved, p50 {:>6.1} p99 {:>6.1} ms",
@@ -314,48 +350,83 @@
                 figures.p99_ms
             ));
         }
-        let ends: Vec<_> =
-            self.ends.iter().map(|(end, count)| format!("{} {count}", end.replace('_', " "))).collect();
-        line(format!("  tries: {}; worst second {:.1} %", ends.join(", "), self.worst_second * 100.0));
+        let ends: Vec<_> = self
+            .ends
+            .iter()
+            .map(|(end, count)| format!("{} {count}", end.replace('_', " ")))
+            .collect();
+        line(format!(
+            "  tries: {}; worst second {:.1} %",
+            ends.join(", "),
+            self.worst_second * 100.0
+        ));
         for (rule, count) in &self.broken {
             line(format!("  rule broken {count} times: {rule}"));
         }
-        self.breaches.iter().take(5).for_each(|breach| line(format!("    {}", breach.what)));
-        self.unmet.iter().for_each(|unmet| line(format!("  not as expected: {unmet}")));
-        self.doubt.iter().for_each(|doubt| line(format!("  doubt: {doubt}")));
+        self.breaches
+            .iter()
+            .take(5)
+            .for_each(|breach| line(format!("    {}", breach.what)));
+        self.unmet
+            .iter()
+            .for_each(|unmet| line(format!("  not as expected: {unmet}")));
+        self.doubt
+            .iter()
+            .for_each(|doubt| line(format!("  doubt: {doubt}")));
         text
     }
 }
 
 fn fault_spans(scenario: &Scenario, record: &Record, seconds: f64) -> Vec<FaultSpan> {
-    let name = |kind: &Kind| serde_json::to_value(kind).ok().and_then(|kind| Some(kind.as_str()?.to_owned()));
+    let name = |kind: &Kind| {
+        serde_json::to_value(kind)
+            .ok()
+            .and_then(|kind| Some(kind.as_str()?.to_owned()))
+    };
     let load = scenario.load.changes.iter().filter_map(|change| {
         let (kind, start, duration) = change.span()?;
         let (from, to) = (start.min(seconds), (start + duration).min(seconds));
-        Some(FaultSpan { kind: kind.to_owned(), whom: "the load".to_owned(), from, to })
+        Some(FaultSpan {
+            kind: kind.to_owned(),
+            whom: "the load".to_owned(),
+            from,
+            to,
+        })
     });
-    let faults = record.faults.iter().map(|AppliedFault { kind, from, until, target }| FaultSpan {
-        kind: name(kind).unwrap_or_default(),
-        whom: match kind {
-            kind if kind.targets_servers() => format!("server {target}"),
-            kind if kind.targets_nodes() => format!("node {target}"),
-            _ => "discovery".to_owned(),
+    let faults = record.faults.iter().map(
+        |AppliedFault {
+             kind,
+             from,
+             until,
+             target,
+         }| FaultSpan {
+            kind: name(kind).unwrap_or_default(),
+            whom: match kind {
+                kind if kind.targets_servers() => format!("server {target}"),
+                kind if kind.targets_nodes() => format!("node {target}"),
+                _ => "discovery".to_owned(),
+            },
+            from: *from as f64 / 1e6,
+            // What has no end of its own is a moment, but for what stays as it is.
+            to: match until {
+                Some(until) => *until as f64 / 1e6,
+                None if kind.persists() => seconds,
+                None => *from as f64 / 1e6,
+            }
+            .min(seconds),
         },
-        from: *from as f64 / 1e6,
-        // What has no end of its own is a moment, but for what stays as it is.
-        to: match until {
-            Some(until) => *until as f64 / 1e6,
-            None if kind.persists() => seconds,
-            None => *from as f64 / 1e6,
-        }
-        .min(seconds),
-    });
+    );
     load.chain(faults).collect()
 }
 
 /// By second: requests held at each server at most, and calls at the database.
 fn loads_by_second(record: &Record, seconds: usize) -> (Vec<Vec<usize>>, Vec<usize>) {
-    let servers = record.samples.iter().map(|sample| sample.server + 1).max().unwrap_or(0);
+    let servers = record
+        .samples
+        .iter()
+        .map(|sample| sample.server + 1)
+        .max()
+        .unwrap_or(0);
     let (mut held, mut database) = (vec![vec![0; servers]; seconds], vec![0; seconds]);
     for sample in &record.samples {
         let second = (sample.at / 1_000_000) as usize;
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -74,7 +74,12 @@
     let class_by_id = |id| &classes[class_of(id)];
     for tried in &record.tries {
         answers(record, tried, attempts_of(tried.id), &mut breaches);
-        refusals(tried, attempts_of(tried.id), class_by_id(tried.id), &mut breaches);
+        refusals(
+            tried,
+            attempts_of(tried.id),
+            class_by_id(tried.id),
+            &mut breaches,
+        );
     }
     let mut ids: Vec<_> = attempts.keys().copied().collect();
     ids.sort_unstable();
@@ -86,20 +91,34 @@
             "server {server} got a request with id {id:?} at {}, which no client sent",
             milliseconds(*at)
         );
-        breaches.push(Breach { rule: Rule::Repeats, what });
+        breaches.push(Breach {
+            rule: Rule::Repeats,
+            what,
+        });
     }
     drains(record, &mut breaches);
     for overload in &record.overloads {
-        let who = overload.server.map_or("the database".to_owned(), |server| format!("cold server {server}"));
+        let who = overload.server.map_or("the database".to_owned(), |server| {
+            format!("cold server {server}")
+        });
         if overload.server.is_some() || overload.cold_share > COLD_SHARE {
             let what = format!(
                 "{who} fell over at {}: sent {:.2} s of work where it can do {:.2} s, {:.0} % of it misses at cold servers",
                 milliseconds(overload.at), overload.sent, overload.capacity, overload.cold_share * 100.0
             );
-            breaches.push(Breach { rule: Rule::PushedOver, what });
+            breaches.push(Breach {
+                rule: Rule::PushedOver,
+                what,
+            });
         }
     }
-    for NodeEvent { node, event, at, detail } in &record.node_events {
+    for NodeEvent {
+        node,
+        event,
+        at,
+        detail,
+    } in &record.node_events
+    {
         if *event == ProcessEvent::Died {
             breaches.push(Breach {
                 rule: Rule::Alive,
@@ -120,7 +139,10 @@
             milliseconds(tried.ended),
             describe_all(attempts)
         );
-        breaches.push(Breach { rule: Rule::OneAnswer, what });
+        breaches.push(Breach {
+            rule: Rule::OneAnswer,
+            what,
+        });
     };
     match tried.end {
         End::Foreign => lost("was served with what no server made for it,"),
@@ -130,7 +152,9 @@
         End::Broke { begun } if !explained_by_node_exit(record, tried) => {
             if !begun
                 && (tried.first_on_connection
-                    || attempts.iter().all(|attempt| attempt.first_byte_at > tried.ended))
+                    || attempts
+                        .iter()
+                        .all(|attempt| attempt.first_byte_at > tried.ended))
             {
                 return;
             }
@@ -142,25 +166,31 @@
 
 /// Whether the node's own end explains a connection that broke.
 fn explained_by_node_exit(record: &Record, tried: &Try) -> bool {
-    record.node_events.iter().any(|NodeEvent { node, event, at, .. }| {
-        *node == tried.node
-            && match event {
-                ProcessEvent::Killed => {
-                    *at + CLOCK_TOLERANCE >= tried.sent && *at <= tried.ended + CLOCK_TOLERANCE
+    record.node_events.iter().any(
+        |NodeEvent {
+             node, event, at, ..
+         }| {
+            *node == tried.node
+                && match event {
+                    ProcessEvent::Killed => {
+                        *at + CLOCK_TOLERANCE >= tried.sent && *at <= tried.ended + CLOCK_TOLERANCE
+                    }
+                    // What it takes longer than it has is not its own loss.
+                    ProcessEvent::Terminating => tried.sent > *at + STOP_GRACE,
+                    ProcessEvent::Died => *at <= tried.ended + CLOCK_TOLERANCE,
+                    ProcessEvent::Ready | ProcessEvent::Exited => false,
                 }
-                // What it takes longer than it has is not its own loss.
-                ProcessEvent::Terminating => tried.sent > *at + STOP_GRACE,
-                ProcessEvent::Died => *at <= tried.ended + CLOCK_TOLERANCE,
-                ProcessEvent::Ready | ProcessEvent::Exited => false,
-            }
-    })
+        },
+    )
 }
 
 fn refusals(tried: &Try, attempts: &[&Attempt], class: &Class, breaches: &mut Vec<Breach>) {
-    let End::Refused { .. } = tried.end else { return };
-    let ran = attempts
-        .iter()
-        .find(|attempt| attempt.outcome == AttemptOutcome::Ran && attempt.received_at <= tried.ended);
+    let End::Refused { .. } = tried.end else {
+        return;
+    };
+    let ran = attempts.iter().find(|attempt| {
+        attempt.outcome == AttemptOutcome::Ran && attempt.received_at <= tried.ended
+    });
     if let Some(ran) = ran.filter(|_| class.effect == Effect::Unsafe) {
         let what = format!(
             "request {} of class {} was refused at {}, but server {} had it from {} on",
@@ -170,7 +200,10 @@
             ran.server,
             milliseconds(ran.received_at)
         );
-        breaches.push(Breach { rule: Rule::Refusals, what });
+        breaches.push(Breach {
+            rule: Rule::Refusals,
+            what,
+        });
     }
 }
 
@@ -184,13 +217,22 @@
             class.name,
             describe_all(&in_order)
         );
-        breaches.push(Breach { rule: Rule::Repeats, what });
+        breaches.push(Breach {
+            rule: Rule::Repeats,
+            what,
+        });
     };
     if in_order.len() > MAX_ATTEMPTS {
-        broken(format!("had {} attempts, {MAX_ATTEMPTS} at most", in_order.len()));
+        broken(format!(
+            "had {} attempts, {MAX_ATTEMPTS} at most",
+            in_order.len()
+        ));
     }
     // One that was dropped unseen may not have run, but its node could not know.
-    let Some(ran) = in_order.iter().find(|attempt| attempt.outcome != AttemptOutcome::Declined) else {
+    let Some(ran) = in_order
+        .iter()
+        .find(|attempt| attempt.outcome != AttemptOutcome::Declined)
+    else {
         return;
     };
     let again = in_order
@@ -203,7 +245,11 @@
             Effect::Keyed => (class.window_s.get() * 1e6) as u64 + CLOCK_TOLERANCE,
         };
         if again.received_at.saturating_sub(ran.first_byte_at) >= limit {
-            broken(format!("went to server {} again at {}", again.server, milliseconds(again.received_at)));
+            broken(format!(
+                "went to server {} again at {}",
+                again.server,
+                milliseconds(again.received_at)
+            ));
             return;
         }
     }
@@ -213,7 +259,10 @@
     // What was last reported at each time, by node and server.
     let mut reported: HashMap<(usize, usize), Vec<(u64, bool)>> = HashMap::new();
     for notice in &record.notices {
-        reported.entry((notice.node, notice.server)).or_default().push((notice.at, notice.ready));
+        reported
+            .entry((notice.node, notice.server))
+            .or_default()
+            .push((notice.at, notice.ready));
     }
     let nodes: HashSet<usize> = record.attempts.iter().map(|attempt| attempt.node).collect();
     for &AvailabilityChange { server, ready, at } in &record.availability_changes {
@@ -222,26 +271,38 @@
         };
         if !record.availability_changes.iter().any(later) {
             nodes.iter().for_each(|&node| {
-                reported.entry((node, server)).or_default().push((at + LATEST_NOTICE, ready))
+                reported
+                    .entry((node, server))
+                    .or_default()
+                    .push((at + LATEST_NOTICE, ready))
             });
         }
     }
-    reported.values_mut().for_each(|reports| reports.sort_by_key(|(at, _)| *at));
+    reported
+        .values_mut()
+        .for_each(|reports| reports.sort_by_key(|(at, _)| *at));
     // A node that starts again has forgotten what was reported to it.
     let mut starts: HashMap<usize, Vec<u64>> = HashMap::new();
-    for event in record.node_events.iter().filter(|event| event.event == ProcessEvent::Ready) {
+    for event in record
+        .node_events
+        .iter()
+        .filter(|event| event.event == ProcessEvent::Ready)
+    {
         starts.entry(event.node).or_default().push(event.at);
     }
     let mut named = HashSet::new();
     for attempt in &record.attempts {
-        let Some(reports) = reported.get(&(attempt.node, attempt.server)) else { continue };
+        let Some(reports) = reported.get(&(attempt.node, attempt.server)) else {
+            continue;
+        };
         // The last report before the send, and since when it has been the same.
         let before = &reports[..reports.partition_point(|(at, _)| *at <= attempt.first_byte_at)];
         let since = before.iter().rev().take_while(|(_, ready)| !ready).last();
         let Some((at, _)) = since else { continue };
-        let forgotten = starts
-            .get(&attempt.node)
-            .is_some_and(|all| all.iter().any(|start| start > at && *start <= attempt.first_byte_at));
+        let forgotten = starts.get(&attempt.node).is_some_and(|all| {
+            all.iter()
+                .any(|start| start > at && *start <= attempt.first_byte_at)
+        });
         if attempt.first_byte_at > at + DRAIN_GRACE + CLOCK_TOLERANCE
             && !forgotten
             && named.insert(attempt.id)
@@ -254,7 +315,10 @@
                 milliseconds(attempt.first_byte_at),
                 milliseconds(*at)
             );
-            breaches.push(Breach { rule: Rule::Drains, what });
+            breaches.push(Breach {
+                rule: Rule::Drains,
+                what,
+            });
         }
     }
 }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -61,7 +61,14 @@
     /// A plain run of a binary.
     pub fn new(program: Program, seed: u64) -> Self {
         let (live, stop) = (Arc::default(), Arc::default());
-        Self { program, seed, by_hand: false, live, stop, ready: None }
+        Self {
+            program,
+            seed,
+            by_hand: false,
+            live,
+            stop,
+            ready: None,
+        }
     }
 }
 
@@ -83,7 +90,9 @@
 impl Folder {
     pub(crate) fn new() -> io::Result<Self> {
         let unique = mix(u64::from(std::process::id())
-            ^ SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |t| t.as_nanos() as u64));
+            ^ SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .map_or(0, |t| t.as_nanos() as u64));
         let path = std::env::temp_dir().join(format!("slatelink-lab-{unique:016x}"));
         std::fs::create_dir(&path)?;
         Ok(Self(path))
@@ -124,7 +133,17 @@
     let (addresses, listening) = mpsc::channel();
     let stand_ins = spawn_thread("stand-ins", {
         let (scenario, plan, by_hand) = (scenario.clone(), plan.clone(), options.by_hand);
-        move || stand_ins(scenario, plan, start, by_hand, addresses, received_commands, shutdown_seen)
+        move || {
+            stand_ins(
+                scenario,
+                plan,
+                start,
+                by_hand,
+                addresses,
+                received_commands,
+                shutdown_seen,
+            )
+        }
     })?;
     let listening = match listening.recv() {
         Ok(addresses) => addresses,
@@ -134,16 +153,36 @@
                 .map_or(RunError::Thread("stand-ins"), RunError::Rig))
         }
     };
-    let runtime = runtime::Builder::new_multi_thread().worker_threads(1).enable_all().build()?;
-    let played = runtime.block_on(play_load(scenario, options, &plan, start, listening, &folder, commands));
+    let runtime = runtime::Builder::new_multi_thread()
+        .worker_threads(1)
+        .enable_all()
+        .build()?;
+    let played = runtime.block_on(play_load(
+        scenario, options, &plan, start, listening, &folder, commands,
+    ));
     shutdown.send_replace(true);
     let observed = join_thread(stand_ins, "stand-ins")??;
-    let LoadOutcome { clients, node_events, load_start, lasted } = played?;
-    let mut record = Record { tries: clients.tries, late: clients.late, node_events, ..observed };
+    let LoadOutcome {
+        clients,
+        node_events,
+        load_start,
+        lasted,
+    } = played?;
+    let mut record = Record {
+        tries: clients.tries,
+        late: clients.late,
+        node_events,
+        ..observed
+    };
     record.shift(load_start);
     let class_of = |id: TryId| plan.arrivals[id.arrival as usize].class;
     let breaches = rules::check(&record, &scenario.classes, class_of);
-    Ok(Played { plan, record, breaches, lasted })
+    Ok(Played {
+        plan,
+        record,
+        breaches,
+        lasted,
+    })
 }
 
 fn spawn_thread<T: Send + 'static>(
--- a/crates/lab/src/run/faults.rs
+++ b/crates/lab/src/run/faults.rs
@@ -10,18 +10,31 @@
 use tokio::time::{sleep, sleep_until};
 
 /// Each fault with each server or node that it targets, and when; faults of discovery once.
-pub(super) fn faults_by_target(scenario: &Scenario) -> impl Iterator<Item = (Fault, usize, Duration)> + '_ {
-    scenario.faults.iter().map(toml::Spanned::get_ref).flat_map(|fault| {
-        let targets = match fault.kind {
-            kind if kind.targets_servers() => fault.target_servers(&scenario.fleet),
-            kind if kind.targets_nodes() => fault.nodes.clone(),
-            _ => vec![0],
-        };
-        let interval = fault.apart_s.get();
-        targets.into_iter().enumerate().map(move |(position, target)| {
-            (fault.clone(), target, Duration::from_secs_f64(fault.at_s.get() + interval * position as f64))
+pub(super) fn faults_by_target(
+    scenario: &Scenario,
+) -> impl Iterator<Item = (Fault, usize, Duration)> + '_ {
+    scenario
+        .faults
+        .iter()
+        .map(toml::Spanned::get_ref)
+        .flat_map(|fault| {
+            let targets = match fault.kind {
+                kind if kind.targets_servers() => fault.target_servers(&scenario.fleet),
+                kind if kind.targets_nodes() => fault.nodes.clone(),
+                _ => vec![0],
+            };
+            let interval = fault.apart_s.get();
+            targets
+                .into_iter()
+                .enumerate()
+                .map(move |(position, target)| {
+                    (
+                        fault.clone(),
+                        target,
+                        Duration::from_secs_f64(fault.at_s.get() + interval * position as f64),
+                    )
+                })
         })
-    })
 }
 
 /// Starts a task for each fault of servers and discovery, counted from now.
@@ -35,10 +48,19 @@
     for (fault, server, at) in faults_by_target(scenario) {
         let replacement = spare;
         spare += usize::from(fault.kind == Kind::Replace);
-        let duration = fault.for_s.map(|seconds| Duration::from_secs_f64(seconds.get()));
-        let from = (load_start + at).saturating_duration_since(cache_servers.start).as_micros() as u64;
+        let duration = fault
+            .for_s
+            .map(|seconds| Duration::from_secs_f64(seconds.get()));
+        let from = (load_start + at)
+            .saturating_duration_since(cache_servers.start)
+            .as_micros() as u64;
         let until = duration.map(|duration| from + duration.as_micros() as u64);
-        let applied = AppliedFault { kind: fault.kind, from, until, target: server };
+        let applied = AppliedFault {
+            kind: fault.kind,
+            from,
+            until,
+            target: server,
+        };
         cache_servers.record.borrow_mut().faults.push(applied);
         if fault.kind.targets_nodes() {
             continue;
@@ -63,7 +85,9 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |time| time.as_millis() as u64)
 }
 
 fn apply(
@@ -96,13 +120,20 @@
         }
         Kind::DiscoveryDown => directory.set_down(true),
         Kind::DiscoveryRefuses => directory.refuses.set(true),
-        Kind::DiscoveryLate => directory.late.set(directory.late.get() + Duration::from_secs_f64(by)),
+        Kind::DiscoveryLate => directory
+            .late
+            .set(directory.late.get() + Duration::from_secs_f64(by)),
         Kind::DiscoveryReportsAllReady => directory.set_reports_all_ready(true),
         Kind::NodeKill | Kind::NodeTerm | Kind::NodeHup => {}
     }
 }
 
-fn revert(fault: &Fault, server: usize, cache_servers: &Rc<CacheServers>, directory: &Rc<Directory>) {
+fn revert(
+    fault: &Fault,
+    server: usize,
+    cache_servers: &Rc<CacheServers>,
+    directory: &Rc<Directory>,
+) {
     let by = fault.by.map_or(1.0, |by| by.get());
     match fault.kind {
         Kind::Kill => {
@@ -120,7 +151,12 @@
         Kind::DiscoveryDown => directory.set_down(false),
         Kind::DiscoveryRefuses => directory.refuses.set(false),
         Kind::DiscoveryLate => {
-            directory.late.set(directory.late.get().saturating_sub(Duration::from_secs_f64(by)));
+            directory.late.set(
+                directory
+                    .late
+                    .get()
+                    .saturating_sub(Duration::from_secs_f64(by)),
+            );
         }
         Kind::DiscoveryReportsAllReady => directory.set_reports_all_ready(false),
         Kind::Replace | Kind::NodeKill | Kind::NodeTerm | Kind::NodeHup => {}
--- a/crates/lab/src/run/nodes.rs
+++ b/crates/lab/src/run/nodes.rs
@@ -45,7 +45,10 @@
     folder: &Folder,
     commands: channel::UnboundedSender<Command>,
 ) -> Result<LoadOutcome, RunError> {
-    let Addresses { mut discovery, servers } = listening;
+    let Addresses {
+        mut discovery,
+        servers,
+    } = listening;
     let listed = match options.program {
         Program::Nothing => {
             discovery.clear();
@@ -55,7 +58,10 @@
     };
     let table: Table = Arc::new(RwLock::new(listed));
     let events: NodeEvents = Arc::default();
-    let program = options.program.clone().with_front(&scenario.front, &folder.0)?;
+    let program = options
+        .program
+        .clone()
+        .with_front(&scenario.front, &folder.0)?;
     let mut started = Vec::new();
     for (index, discovery) in discovery.into_iter().enumerate() {
         let program = program.clone();
@@ -77,7 +83,12 @@
     }
     if let Some(ready) = &options.ready {
         // Whoever asked may have gone.
-        let _ = ready.send(started.iter().map(|(node, address)| (*address, node.pid())).collect());
+        let _ = ready.send(
+            started
+                .iter()
+                .map(|(node, address)| (*address, node.pid()))
+                .collect(),
+        );
     }
     sleep(SETTLE_TIME).await;
     let load_start = Instant::now();
@@ -87,7 +98,9 @@
         let (scenario, plan, table) = (scenario.clone(), plan.clone(), table.clone());
         let (live, stop) = (options.live.clone(), options.stop.clone());
         move || {
-            let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
+            let runtime = runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()?;
             let clients = Clients::new(&scenario, plan, load_start, table, live, stop);
             Ok::<_, io::Error>(LocalSet::new().block_on(&runtime, clients.run()))
         }
@@ -104,8 +117,16 @@
         running.push((
             stop_watching,
             tokio::spawn(async move {
-                let result =
-                    watch_node(&mut node, index, load_start, faults, commands, stop, watch_ended).await;
+                let result = watch_node(
+                    &mut node,
+                    index,
+                    load_start,
+                    faults,
+                    commands,
+                    stop,
+                    watch_ended,
+                )
+                .await;
                 node.stop().await;
                 result
             }),
@@ -129,12 +150,25 @@
         let at = start.elapsed().as_micros() as u64;
         if let Ok(mut events) = events.lock() {
             let detail = error.to_string();
-            events.push(NodeEvent { node: 0, event: ProcessEvent::Died, at, detail });
+            events.push(NodeEvent {
+                node: 0,
+                event: ProcessEvent::Died,
+                at,
+                detail,
+            });
         }
     }
-    let node_events = events.lock().map(|events| events.clone()).unwrap_or_default();
+    let node_events = events
+        .lock()
+        .map(|events| events.clone())
+        .unwrap_or_default();
     let load_start = load_start.duration_since(start).as_micros() as u64;
-    Ok(LoadOutcome { clients, node_events, load_start, lasted })
+    Ok(LoadOutcome {
+        clients,
+        node_events,
+        load_start,
+        lasted,
+    })
 }
 
 /// Plays a node's faults and watches whether its process has died.
--- a/crates/lab/src/run/stand_ins.rs
+++ b/crates/lab/src/run/stand_ins.rs
@@ -26,12 +26,15 @@
     received_commands: channel::UnboundedReceiver<Command>,
     mut shutdown: watch::Receiver<bool>,
 ) -> io::Result<Record> {
-    let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, async {
         let fleet = &scenario.fleet;
         // Machines that replace others stand ready, unknown to discovery.
-        let spares: usize =
-            faults_by_target(&scenario).filter(|(fault, ..)| fault.kind == Kind::Replace).count();
+        let spares: usize = faults_by_target(&scenario)
+            .filter(|(fault, ..)| fault.kind == Kind::Replace)
+            .count();
         let server_count = fleet.servers + spares;
         let cache_servers = CacheServers::new(
             &scenario,
@@ -51,13 +54,24 @@
         let directory = Directory::new(cache_servers.clone(), fleet, server_count, dials);
         let mut discovery_addresses = Vec::new();
         for node in 0..fleet.nodes {
-            discovery_addresses.push([directory.listen(node, 0).await?, directory.listen(node, 1).await?]);
+            discovery_addresses.push([
+                directory.listen(node, 0).await?,
+                directory.listen(node, 1).await?,
+            ]);
         }
         spawn_local(cache_servers.clone().run_model());
         spawn_local(cache_servers.clone().sample());
-        spawn_local(follow_commands(scenario.clone(), cache_servers.clone(), directory, received_commands));
+        spawn_local(follow_commands(
+            scenario.clone(),
+            cache_servers.clone(),
+            directory,
+            received_commands,
+        ));
         // The run may have ended before it began.
-        let _ = addresses.send(Addresses { discovery: discovery_addresses, servers });
+        let _ = addresses.send(Addresses {
+            discovery: discovery_addresses,
+            servers,
+        });
         let _ = shutdown.wait_for(|requested| *requested).await;
         let mut record = cache_servers.record.take();
         let cluster = cache_servers.cluster.borrow();
@@ -105,7 +119,11 @@
         fall_span: Duration::from_secs_f64(database.fall_s.get()),
         down: Duration::from_secs_f64(database.down_s.get()),
     };
-    let mut cluster = Cluster::new((0..server_count).map(settings).collect(), database_settings, plan.seed);
+    let mut cluster = Cluster::new(
+        (0..server_count).map(settings).collect(),
+        database_settings,
+        plan.seed,
+    );
     // Placement is the nodes' own affair: each server begins with the hottest keys that fit.
     let mut total_size = 0;
     let hottest: Vec<_> = (1..=u64::from(scenario.load.keys))
@@ -117,7 +135,10 @@
         .collect();
     for server in 0..fleet.servers {
         // The hottest last: it is the last to be evicted.
-        hottest.iter().rev().for_each(|(key, size)| cluster.warm_up(server, *key, *size));
+        hottest
+            .iter()
+            .rev()
+            .for_each(|(key, size)| cluster.warm_up(server, *key, *size));
     }
     cluster
 }
--- a/crates/lab/src/scale/assignment.rs
+++ b/crates/lab/src/scale/assignment.rs
@@ -21,7 +21,11 @@
         let workers = options.used_workers();
         let bound = |place: usize| options.real + options.simulated * place / workers.max(1);
         let relays = options.relays.first().copied().unwrap_or(0);
-        Self { real: options.real, relays, bounds: (0..=workers).map(bound).collect() }
+        Self {
+            real: options.real,
+            relays,
+            bounds: (0..=workers).map(bound).collect(),
+        }
     }
 
     /// Workers there are.
@@ -37,12 +41,24 @@
     /// Who calls at discovery's addresses: two follow one another for each real node, and two for each worker's nodes on
     /// each side of a split. At the end there is one for each relay.
     pub fn peers(&self) -> Vec<Peer> {
-        let both = |caller, far| (0..2).map(move |address| Peer { caller, address, far });
+        let both = |caller, far| {
+            (0..2).map(move |address| Peer {
+                caller,
+                address,
+                far,
+            })
+        };
         let real = (0..self.real).flat_map(|node| both(Caller::RealNode(node), is_far(node)));
         let simulated = |far| both(Caller::SimulatedNodes, far);
         let shared = (0..self.workers()).flat_map(|_| simulated(false).chain(simulated(true)));
-        let relay = Peer { caller: Caller::Relay, address: 0, far: false };
-        real.chain(shared).chain((0..self.relays).map(|_| relay)).collect()
+        let relay = Peer {
+            caller: Caller::Relay,
+            address: 0,
+            far: false,
+        };
+        real.chain(shared)
+            .chain((0..self.relays).map(|_| relay))
+            .collect()
     }
 
     /// The relays' addresses, of those listed for the peers.
@@ -56,8 +72,16 @@
     }
 
     /// A simulated node's two addresses, of those listed for the peers.
-    pub fn of_simulated(&self, worker: usize, node: usize, addresses: &[SocketAddr]) -> [SocketAddr; 2] {
-        pair(addresses, self.real + 2 * worker + usize::from(is_far(node)))
+    pub fn of_simulated(
+        &self,
+        worker: usize,
+        node: usize,
+        addresses: &[SocketAddr],
+    ) -> [SocketAddr; 2] {
+        pair(
+            addresses,
+            self.real + 2 * worker + usize::from(is_far(node)),
+        )
     }
 }
 
@@ -77,26 +101,51 @@
     // Guards against a node that two workers run, or none, and against one that calls at another's address.
     #[test]
     fn each_node_has_one_worker_and_addresses_of_its_side() {
-        let options = Options { real: 3, simulated: 8, workers: 3, relays: vec![2, 4], ..Options::default() };
+        let options = Options {
+            real: 3,
+            simulated: 8,
+            workers: 3,
+            relays: vec![2, 4],
+            ..Options::default()
+        };
         let assignment = Assignment::new(&options);
-        let dealt: Vec<_> = (0..assignment.workers()).flat_map(|worker| assignment.nodes(worker)).collect();
+        let dealt: Vec<_> = (0..assignment.workers())
+            .flat_map(|worker| assignment.nodes(worker))
+            .collect();
         assert_eq!(dealt, (3..11).collect::<Vec<_>>());
         let peers = assignment.peers();
-        let addresses: Vec<_> =
-            (0..peers.len()).map(|port| SocketAddr::from(([127, 0, 0, 1], port as u16))).collect();
+        let addresses: Vec<_> = (0..peers.len())
+            .map(|port| SocketAddr::from(([127, 0, 0, 1], port as u16)))
+            .collect();
         let at = |address: SocketAddr| peers[usize::from(address.port())];
-        let relay = Peer { caller: Caller::Relay, address: 0, far: false };
-        assert!(assignment.of_relays(&addresses).iter().map(|address| at(*address)).eq([relay; 2]));
+        let relay = Peer {
+            caller: Caller::Relay,
+            address: 0,
+            far: false,
+        };
+        assert!(assignment
+            .of_relays(&addresses)
+            .iter()
+            .map(|address| at(*address))
+            .eq([relay; 2]));
         for node in 0..3 {
             let pair = assignment.of_real(node, &addresses).map(at);
-            let peer = |address| Peer { caller: Caller::RealNode(node), address, far: is_far(node) };
+            let peer = |address| Peer {
+                caller: Caller::RealNode(node),
+                address,
+                far: is_far(node),
+            };
             assert_eq!(pair, [peer(0), peer(1)]);
         }
         for (worker, node) in
             (0..3).flat_map(|worker| assignment.nodes(worker).map(move |node| (worker, node)))
         {
             let pair = assignment.of_simulated(worker, node, &addresses).map(at);
-            let peer = |address| Peer { caller: Caller::SimulatedNodes, address, far: is_far(node) };
+            let peer = |address| Peer {
+                caller: Caller::SimulatedNodes,
+                address,
+                far: is_far(node),
+            };
             assert_eq!(pair, [peer(0), peer(1)]);
         }
     }
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -79,7 +79,9 @@
     #[error("the run would take {0} processes: {MOST_PROCESSES} are the most")]
     Processes(u64),
     /// Too many descriptors.
-    #[error("a process of the run would take {needed} descriptors: its limit is {allowed} (ulimit -n)")]
+    #[error(
+        "a process of the run would take {needed} descriptors: its limit is {allowed} (ulimit -n)"
+    )]
     Descriptors {
         /// So many.
         needed: u64,
@@ -104,8 +106,13 @@
             + workers * WORKER_KIB
             + simulated * (SIMULATED_NODE_KIB + entries_kib);
         let (relays, relay_callers) = relays(options);
-        let memory_kib = memory_kib + relays * (RELAY_KIB + entries_kib) + relay_callers * RELAY_CALLER_KIB;
-        let clients = if options.requests > 0.0 { real * 2 * CLIENT_CONNECTIONS as u64 } else { 0 };
+        let memory_kib =
+            memory_kib + relays * (RELAY_KIB + entries_kib) + relay_callers * RELAY_CALLER_KIB;
+        let clients = if options.requests > 0.0 {
+            real * 2 * CLIENT_CONNECTIONS as u64
+        } else {
+            0
+        };
         let run = SPARE_DESCRIPTORS
             + nodes * NODE_CONNECTIONS
             + real * (GROUP_LISTENERS + PIPES)
@@ -113,10 +120,22 @@
             + relays * RELAY_DESCRIPTORS
             + clients;
         let worker = SPARE_DESCRIPTORS + simulated.div_ceil(workers.max(1)) * NODE_CONNECTIONS;
-        let node = if real > 0 { REAL_NODE_SOCKETS as u64 } else { 0 };
-        let relay = if relays > 0 { most_of_relay(options) } else { 0 };
+        let node = if real > 0 {
+            REAL_NODE_SOCKETS as u64
+        } else {
+            0
+        };
+        let relay = if relays > 0 {
+            most_of_relay(options)
+        } else {
+            0
+        };
         let descriptors = run.max(worker).max(node).max(relay);
-        Self { processes: 1 + real + workers + relays, memory_kib, descriptors }
+        Self {
+            processes: 1 + real + workers + relays,
+            memory_kib,
+            descriptors,
+        }
     }
 
     /// Refuses a run that takes more than there is.
@@ -145,8 +164,15 @@
 
 /// Descriptors of the relay that has most callers.
 fn most_of_relay(options: &Options) -> u64 {
-    let callers = |(tier, relays): (usize, &usize)| options.callers_of_tier(tier).div_ceil((*relays).max(1));
-    let most = options.relays.iter().enumerate().map(callers).max().unwrap_or(0);
+    let callers =
+        |(tier, relays): (usize, &usize)| options.callers_of_tier(tier).div_ceil((*relays).max(1));
+    let most = options
+        .relays
+        .iter()
+        .enumerate()
+        .map(callers)
+        .max()
+        .unwrap_or(0);
     SPARE_DESCRIPTORS + most as u64 * NODE_CONNECTIONS
 }
 
@@ -154,13 +180,20 @@
     /// Of this machine and this process.
     pub fn read() -> Result<Self, BoundsError> {
         let descriptors = descriptor_limit().map_err(io::Error::from)?;
-        Ok(Self { memory_kib: machine_memory_kib()? / 2, descriptors })
+        Ok(Self {
+            memory_kib: machine_memory_kib()? / 2,
+            descriptors,
+        })
     }
 }
 
 impl fmt::Display for Estimate {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { processes, memory_kib, descriptors } = self;
+        let Self {
+            processes,
+            memory_kib,
+            descriptors,
+        } = self;
         write!(
             f,
             "{processes} processes, {} MiB of memory and {descriptors} descriptors in one process at the most",
@@ -173,21 +206,44 @@
 mod tests {
     use super::*;
 
-    const LIMITS: Limits = Limits { memory_kib: 1 << 20, descriptors: 1 << 14 };
+    const LIMITS: Limits = Limits {
+        memory_kib: 1 << 20,
+        descriptors: 1 << 14,
+    };
 
     fn refused(options: Options) -> Option<String> {
-        Estimate::of(&options).check(&LIMITS).err().map(|error| error.to_string())
+        Estimate::of(&options)
+            .check(&LIMITS)
+            .err()
+            .map(|error| error.to_string())
     }
 
     // Guards against a run that takes the machine down, for want of any one of the three.
     #[test]
     fn a_run_beyond_any_bound_is_refused_with_the_bound() {
         assert_eq!(refused(Options::default()), None);
-        let many = refused(Options { real: 300, ..Options::default() }).unwrap();
+        let many = refused(Options {
+            real: 300,
+            ..Options::default()
+        })
+        .unwrap();
         assert!(many.contains("305 processes: 300 are the most"), "{many}");
-        let large = refused(Options { simulated: 3_000, servers: 2_000, ..Options::default() }).unwrap();
-        assert!(large.ends_with("half of this machine's is 1024 MiB"), "{large}");
-        let open = refused(Options { simulated: 5_600, servers: 9, ..Options::default() }).unwrap();
+        let large = refused(Options {
+            simulated: 3_000,
+            servers: 2_000,
+            ..Options::default()
+        })
+        .unwrap();
+        assert!(
+            large.ends_with("half of this machine's is 1024 MiB"),
+            "{large}"
+        );
+        let open = refused(Options {
+            simulated: 5_600,
+            servers: 9,
+            ..Options::default()
+        })
+        .unwrap();
         assert!(open.ends_with("its limit is 16384 (ulimit -n)"), "{open}");
     }
 }
--- a/crates/lab/src/scale/convergence.rs
+++ b/crates/lab/src/scale/convergence.rs
@@ -69,7 +69,10 @@
 
 impl Times {
     fn new() -> Result<Self, hdrhistogram::CreationError> {
-        Ok(Self { to_last: histogram()?, to_each: histogram()? })
+        Ok(Self {
+            to_last: histogram()?,
+            to_each: histogram()?,
+        })
     }
 }
 
@@ -99,9 +102,13 @@
     }
 
     /// Of times in microseconds.
-    pub fn of_each(times: impl IntoIterator<Item = u64>) -> Result<Self, hdrhistogram::CreationError> {
+    pub fn of_each(
+        times: impl IntoIterator<Item = u64>,
+    ) -> Result<Self, hdrhistogram::CreationError> {
         let mut all = histogram()?;
-        times.into_iter().for_each(|time| all.saturating_record(time));
+        times
+            .into_iter()
+            .for_each(|time| all.saturating_record(time));
         Ok(Self::of(&all))
     }
 }
@@ -125,7 +132,10 @@
     pub fn new(nodes: usize) -> Result<Self, hdrhistogram::CreationError> {
         Ok(Self {
             nodes: vec![InForce::default(); nodes],
-            newest: InForce { list: 1, configuration: 0 },
+            newest: InForce {
+                list: 1,
+                configuration: 0,
+            },
             pending: VecDeque::new(),
             starting: BTreeMap::new(),
             started: Vec::new(),
@@ -137,7 +147,10 @@
 
     /// A node starts under this configuration, with no list in force.
     pub fn starts(&mut self, node: usize, configuration: u64, at_us: u64) {
-        let has = InForce { list: 0, configuration };
+        let has = InForce {
+            list: 0,
+            configuration,
+        };
         let had = std::mem::replace(&mut self.nodes[node], has);
         for pending in &mut self.pending {
             match (had.has(pending.change), has.has(pending.change)) {
@@ -156,14 +169,23 @@
             Change::Configuration(version) => self.newest.configuration = version,
         }
         let missing = self.nodes.iter().filter(|node| !node.has(change)).count();
-        self.pending.push_back(Pending { change, occasion, at_us, missing, last_us: at_us });
+        self.pending.push_back(Pending {
+            change,
+            occasion,
+            at_us,
+            missing,
+            last_us: at_us,
+        });
         self.retire();
     }
 
     /// A node has these versions in force; one that is lower than before is no news.
     pub fn in_force(&mut self, node: usize, list: u64, configuration: u64, at_us: u64) {
         let had = self.nodes[node];
-        let has = InForce { list: had.list.max(list), configuration: had.configuration.max(configuration) };
+        let has = InForce {
+            list: had.list.max(list),
+            configuration: had.configuration.max(configuration),
+        };
         self.nodes[node] = has;
         if has.list > 0 {
             if let Some(since) = self.starting.remove(&node) {
@@ -179,7 +201,9 @@
                     Change::Configuration(_) => &mut self.configurations,
                 };
                 if pending.occasion == Occasion::Planned {
-                    times.to_each.saturating_record(at_us.saturating_sub(pending.at_us));
+                    times
+                        .to_each
+                        .saturating_record(at_us.saturating_sub(pending.at_us));
                 }
             }
         }
@@ -190,7 +214,9 @@
     fn retire(&mut self) {
         let everywhere = |pending: &Pending| pending.missing == 0;
         while let Some(place) = self.pending.iter().position(everywhere) {
-            let Some(pending) = self.pending.remove(place) else { return };
+            let Some(pending) = self.pending.remove(place) else {
+                return;
+            };
             let took = pending.last_us - pending.at_us;
             match (pending.occasion, pending.change) {
                 (Occasion::Planned, Change::List(_)) => self.lists.to_last.saturating_record(took),
@@ -208,7 +234,8 @@
     pub fn behind(&self) -> usize {
         let newest = self.newest;
         let current = |node: &&InForce| {
-            node.has(Change::List(newest.list)) && node.has(Change::Configuration(newest.configuration))
+            node.has(Change::List(newest.list))
+                && node.has(Change::Configuration(newest.configuration))
         };
         self.nodes.len() - self.nodes.iter().filter(current).count()
     }
@@ -261,9 +288,20 @@
         fleet.in_force(1, 3, 0, 190);
         assert_eq!((fleet.behind(), fleet.lists().to_last.len()), (1, 0));
         fleet.in_force(0, 2, 0, 120);
-        assert_eq!(fleet.lists().to_last.max(), 90, "the last report is not the last node");
+        assert_eq!(
+            fleet.lists().to_last.max(),
+            90,
+            "the last report is not the last node"
+        );
         fleet.in_force(0, 3, 0, 140);
-        assert_eq!((fleet.behind(), fleet.lists().to_last.len(), fleet.lists().to_each.len()), (0, 2, 4));
+        assert_eq!(
+            (
+                fleet.behind(),
+                fleet.lists().to_last.len(),
+                fleet.lists().to_each.len()
+            ),
+            (0, 2, 4)
+        );
         assert_eq!(fleet.lists().to_last.min(), 80);
     }
 
@@ -277,15 +315,24 @@
         fleet.in_force(0, 2, 0, 20);
         fleet.starts(0, 0, 30);
         fleet.in_force(1, 2, 0, 40);
-        assert_eq!((fleet.behind(), fleet.trouble(Occasion::TroubleEnds)), (1, None));
+        assert_eq!(
+            (fleet.behind(), fleet.trouble(Occasion::TroubleEnds)),
+            (1, None)
+        );
         fleet.in_force(0, 2, 0, 60);
-        assert_eq!((fleet.behind(), fleet.trouble(Occasion::TroubleEnds)), (0, Some(50)));
+        assert_eq!(
+            (fleet.behind(), fleet.trouble(Occasion::TroubleEnds)),
+            (0, Some(50))
+        );
         assert_eq!(fleet.take_started(), [(0, 30)]);
         fleet.changed(Change::Configuration(1), PLANNED, 70);
         fleet.starts(1, 1, 75);
         fleet.in_force(1, 2, 0, 80);
         assert_eq!(fleet.configurations().to_last.len(), 0);
         fleet.in_force(0, 2, 1, 90);
-        assert_eq!((fleet.behind(), fleet.configurations().to_last.max()), (0, 20));
+        assert_eq!(
+            (fleet.behind(), fleet.configurations().to_last.max()),
+            (0, 20)
+        );
     }
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -74,9 +74,11 @@
         let scenario = real::scenario(options)?;
         let assignment = Assignment::new(options);
         let table: Table = Arc::new(RwLock::new(vec![None; options.nodes()]));
-        let traffic = Traffic::start(table.clone(), options.real, options.requests, options.seed).await?;
+        let traffic =
+            Traffic::start(table.clone(), options.real, options.requests, options.seed).await?;
         let (version_sender, acknowledged) = unbounded_channel();
-        let service = Service::start(options, traffic.servers, assignment.peers(), version_sender).await?;
+        let service =
+            Service::start(options, traffic.servers, assignment.peers(), version_sender).await?;
         let (real_sender, real_events) = unbounded_channel();
         let relay_upstream = assignment.of_relays(&service.addresses);
         let relays = Relays::start(options, &programs.relay, relay_upstream).await?;
@@ -96,7 +98,14 @@
         let mut workers = Vec::with_capacity(assignment.workers());
         for place in 0..assignment.workers() {
             let mut worker = Worker::start(place, &programs.worker, worker_sender.clone())?;
-            let setup = setup(options, &assignment, place, addresses, &relays, &configuration);
+            let setup = setup(
+                options,
+                &assignment,
+                place,
+                addresses,
+                &relays,
+                &configuration,
+            );
             worker.order(&Order::SetUp(setup)).await?;
             workers.push(worker);
         }
@@ -107,7 +116,11 @@
             version: FIRST_VERSION,
             workers,
             state: FleetState::new(options)?,
-            inbox: Inbox { acknowledged, real: real_events, workers: worker_events },
+            inbox: Inbox {
+                acknowledged,
+                real: real_events,
+                workers: worker_events,
+            },
             traffic,
             real,
             assignment,
@@ -133,7 +146,12 @@
 
     /// Whether all nodes are up to date, and watch.
     pub fn is_settled(&self) -> bool {
-        let watching = self.options.relays.first().copied().unwrap_or(self.options.nodes());
+        let watching = self
+            .options
+            .relays
+            .first()
+            .copied()
+            .unwrap_or(self.options.nodes());
         self.state.is_up_to_date()
             && self.service.waiting() >= watching
             && self.relays.are_settled(self.version, self.options)
@@ -141,7 +159,8 @@
 
     /// Starts all simulated nodes.
     pub async fn start_all_simulated(&mut self) -> Result<(), ScaleError> {
-        self.start_simulated((self.options.real..self.options.nodes()).collect()).await
+        self.start_simulated((self.options.real..self.options.nodes()).collect())
+            .await
     }
 
     /// Starts simulated nodes, in a new incarnation if they run already.
@@ -149,11 +168,17 @@
         let at_us = monotonic_us();
         for &node in &nodes {
             self.state.incarnations[node] += 1;
-            self.state.convergence.starts(node, self.state.configuration, at_us);
+            self.state
+                .convergence
+                .starts(node, self.state.configuration, at_us);
         }
         for (place, worker) in self.workers.iter_mut().enumerate() {
             let own = self.assignment.nodes(place);
-            let own: Vec<_> = nodes.iter().copied().filter(|node| own.contains(node)).collect();
+            let own: Vec<_> = nodes
+                .iter()
+                .copied()
+                .filter(|node| own.contains(node))
+                .collect();
             if !own.is_empty() {
                 worker.order(&Order::Start(own)).await?;
             }
@@ -164,7 +189,8 @@
     /// Restarts nodes of both kinds.
     pub async fn restart(&mut self, nodes: Vec<usize>) -> Result<(), ScaleError> {
         let first_simulated = self.options.real;
-        let (real, simulated): (Vec<_>, Vec<_>) = nodes.into_iter().partition(|node| *node < first_simulated);
+        let (real, simulated): (Vec<_>, Vec<_>) =
+            nodes.into_iter().partition(|node| *node < first_simulated);
         for node in real {
             // Until its new process is ready.
             self.state.pids[node] = None;
@@ -182,7 +208,9 @@
         let changed = self.service.change(changes).await?;
         self.version = changed.version;
         self.state.list_changes += 1;
-        self.state.convergence.changed(Change::List(changed.version), occasion, changed.at_us);
+        self.state
+            .convergence
+            .changed(Change::List(changed.version), occasion, changed.at_us);
         Ok(())
     }
 
@@ -191,7 +219,11 @@
         let at_us = monotonic_us();
         self.state.configuration += 1;
         let configuration = self.state.configuration;
-        self.state.convergence.changed(Change::Configuration(configuration), Occasion::Planned, at_us);
+        self.state.convergence.changed(
+            Change::Configuration(configuration),
+            Occasion::Planned,
+            at_us,
+        );
         self.real.iter().for_each(RealNode::configure);
         for worker in &mut self.workers {
             worker.order(&Order::Configure(configuration)).await?;
@@ -211,7 +243,10 @@
     let node = |number| {
         let own = assignment.of_simulated(worker, number, addresses);
         // A new configuration has a node ask its relay anew.
-        NodeSetup { number, discovery: relays.address_for(number).map_or(own, |relay| [relay; 2]) }
+        NodeSetup {
+            number,
+            discovery: relays.address_for(number).map_or(own, |relay| [relay; 2]),
+        }
     };
     Setup {
         configuration: configuration.to_owned(),
--- a/crates/lab/src/scale/options.rs
+++ b/crates/lab/src/scale/options.rs
@@ -140,7 +140,9 @@
     )]
     TooManyTiers(usize),
     /// A cut is between discovery and nodes, where relays stand.
-    #[error("a split cuts nodes off from discovery: with relays between them there is none to play")]
+    #[error(
+        "a split cuts nodes off from discovery: with relays between them there is none to play"
+    )]
     SplitWithRelays,
     /// More changes than can be followed.
     #[error("{changes} changes are planned: at most {MOST_CHANGES} can be followed in a run")]
@@ -214,21 +216,30 @@
             return Err(OptionsError::NoNodes);
         }
         if self.zones > self.servers {
-            return Err(OptionsError::EmptyZone { servers: self.servers, zones: self.zones });
+            return Err(OptionsError::EmptyZone {
+                servers: self.servers,
+                zones: self.zones,
+            });
         }
         let changes = self.planned_list_changes() + self.planned_configurations();
         if changes > MOST_CHANGES {
             return Err(OptionsError::TooManyChanges { changes });
         }
         self.check_relays()?;
-        self.trouble.map_or(Ok(()), |trouble| self.check_trouble(trouble))
+        self.trouble
+            .map_or(Ok(()), |trouble| self.check_trouble(trouble))
     }
 
     fn check_relays(&self) -> Result<(), OptionsError> {
         for relays in &self.relays {
             range("--relays", *relays as f64, 1.0, MOST)?;
         }
-        range("--relay-lease-ms", self.relay_lease_ms as f64, LEASE_MS[0], LEASE_MS[1])?;
+        range(
+            "--relay-lease-ms",
+            self.relay_lease_ms as f64,
+            LEASE_MS[0],
+            LEASE_MS[1],
+        )?;
         if self.relays.len() > MOST_TIERS {
             return Err(OptionsError::TooManyTiers(self.relays.len()));
         }
@@ -249,7 +260,11 @@
             return Err(OptionsError::OnlyZone);
         }
         if at_s + for_s > self.length_s {
-            return Err(OptionsError::TroubleTooLate { at_s, for_s, length_s: self.length_s });
+            return Err(OptionsError::TroubleTooLate {
+                at_s,
+                for_s,
+                length_s: self.length_s,
+            });
         }
         Ok(())
     }
@@ -264,6 +279,11 @@
     if value >= least && value <= most {
         Ok(())
     } else {
-        Err(OptionsError::Range { name, value, least, most })
+        Err(OptionsError::Range {
+            name,
+            value,
+            least,
+            most,
+        })
     }
 }
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -37,7 +37,12 @@
     /// On a fleet whose processes are started.
     pub fn new(fleet: &'b mut Fleet<'a>, progress: &'b Progress) -> Self {
         let generator = ChangeGenerator::new(fleet.options);
-        Self { fleet, progress, generator, trouble: None }
+        Self {
+            fleet,
+            progress,
+            generator,
+            trouble: None,
+        }
     }
 
     /// Starts all nodes, plays, and measures; the report lacks what is known only at the fleet's end.
@@ -47,7 +52,12 @@
         let before = self.sample().await?;
         self.follow_schedule().await?;
         let after = self.sample().await?;
-        let period = Period { options: self.fleet.options, empty_workers, before, after };
+        let period = Period {
+            options: self.fleet.options,
+            empty_workers,
+            before,
+            after,
+        };
         self.report(start, &period, estimate, limits)
     }
 
@@ -90,7 +100,10 @@
     /// Waits for the workers; what they use without nodes.
     async fn set_up(&mut self) -> Result<Usage, ScaleError> {
         let workers = self.fleet.workers.len();
-        if !self.until(WORKER_ANSWER, |fleet| fleet.state.ready_workers == workers).await? {
+        if !self
+            .until(WORKER_ANSWER, |fleet| fleet.state.ready_workers == workers)
+            .await?
+        {
             return Err(ScaleError::Silent);
         }
         Ok(workers_usage(&self.fleet.workers)?)
@@ -98,11 +111,16 @@
 
     /// Waits for the real nodes, and then starts the simulated ones: the real ones' start has no herd beside it.
     async fn start_nodes(&mut self) -> Result<StartTimes, ScaleError> {
-        let mut well = self.until(FLEET_START, |fleet| fleet.state.real_nodes_ready()).await?;
+        let mut well = self
+            .until(FLEET_START, |fleet| fleet.state.real_nodes_ready())
+            .await?;
         self.fleet.start_all_simulated().await?;
         well &= self.until(FLEET_START, Fleet::is_settled).await?;
         if !well {
-            let (behind, nodes) = (self.fleet.state.convergence.behind(), self.fleet.options.nodes());
+            let (behind, nodes) = (
+                self.fleet.state.convergence.behind(),
+                self.fleet.options.nodes(),
+            );
             return Err(ScaleError::NoStart { behind, nodes });
         }
         self.start_times()
@@ -112,11 +130,16 @@
     fn start_times(&mut self) -> Result<StartTimes, ScaleError> {
         let first_simulated = self.fleet.options.real;
         let started = self.fleet.state.convergence.take_started();
-        let (real, simulated): (Vec<_>, Vec<_>) =
-            started.into_iter().partition(|(node, _)| *node < first_simulated);
-        let spread =
-            |started: Vec<(usize, u64)>| TimeSummary::of_each(started.into_iter().map(|(_, time)| time));
-        Ok(StartTimes { real: spread(real)?, simulated: spread(simulated)? })
+        let (real, simulated): (Vec<_>, Vec<_>) = started
+            .into_iter()
+            .partition(|(node, _)| *node < first_simulated);
+        let spread = |started: Vec<(usize, u64)>| {
+            TimeSummary::of_each(started.into_iter().map(|(_, time)| time))
+        };
+        Ok(StartTimes {
+            real: spread(real)?,
+            simulated: spread(simulated)?,
+        })
     }
 
     /// Makes what is due, until all of it is made and the fleet is up to date, or has had the time for that.
@@ -130,7 +153,9 @@
                 self.make_trouble(step).await?;
             }
             while !self.fleet.options.step_wise || self.fleet.is_settled() {
-                let Some(step) = schedule.next_step(now) else { break };
+                let Some(step) = schedule.next_step(now) else {
+                    break;
+                };
                 self.make(step).await?;
             }
             let over = now >= length && schedule.is_over() && self.fleet.is_settled();
@@ -198,7 +223,11 @@
 
     /// What all members used so far.
     async fn sample(&mut self) -> Result<Sample, ScaleError> {
-        self.fleet.state.counted.iter_mut().for_each(|counted| *counted = None);
+        self.fleet
+            .state
+            .counted
+            .iter_mut()
+            .for_each(|counted| *counted = None);
         for worker in &mut self.fleet.workers {
             worker.order(&Order::Count).await?;
         }
@@ -229,7 +258,8 @@
             real_node: period.real_node(),
             simulated_node: period.simulated_node(),
             relays: period.relays(),
-            empty_worker_kib: period.empty_workers.resident_kib / self.fleet.workers.len().max(1) as u64,
+            empty_worker_kib: period.empty_workers.resident_kib
+                / self.fleet.workers.len().max(1) as u64,
             list_change: change_times(state.convergence.lists()),
             configuration: change_times(state.convergence.configurations()),
             start,
@@ -239,7 +269,9 @@
     }
 
     fn trouble_report(&mut self, period: &Period) -> Result<Option<report::Trouble>, ScaleError> {
-        let Some((kind, counts_before)) = self.trouble else { return Ok(None) };
+        let Some((kind, counts_before)) = self.trouble else {
+            return Ok(None);
+        };
         let restarted = self.start_times()?;
         let convergence = &self.fleet.state.convergence;
         let ms = |occasion| convergence.trouble(occasion).map(|us| us as f64 / 1e3);
@@ -268,6 +300,8 @@
 }
 
 fn unix_ms() -> u64 {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/lab/src/scale/processes.rs
+++ b/crates/lab/src/scale/processes.rs
@@ -10,13 +10,17 @@
 
 /// Microseconds of the machine's monotonic clock, which all processes read alike.
 pub fn monotonic_us() -> u64 {
-    let now = clock_gettime(ClockId::CLOCK_MONOTONIC).map(Duration::from).unwrap_or_default();
+    let now = clock_gettime(ClockId::CLOCK_MONOTONIC)
+        .map(Duration::from)
+        .unwrap_or_default();
     u64::try_from(now.as_micros()).unwrap_or(u64::MAX)
 }
 
 /// Processor time of this thread so far.
 pub fn thread_processor_time() -> Duration {
-    clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map(Duration::from).unwrap_or_default()
+    clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID)
+        .map(Duration::from)
+        .unwrap_or_default()
 }
 
 /// What a process uses.
@@ -56,7 +60,9 @@
     let descriptors = fs::read_dir(format!("/proc/{pid}/fd"))?;
     // One that is closed meanwhile has no link any more.
     let links = descriptors.filter_map(|entry| fs::read_link(entry.ok()?.path()).ok());
-    Ok(links.filter(|link| link.to_string_lossy().starts_with("socket:")).count() as u64)
+    Ok(links
+        .filter(|link| link.to_string_lossy().starts_with("socket:"))
+        .count() as u64)
 }
 
 /// Memory of this machine, in KiB.
--- a/crates/lab/src/scale/queue.rs
+++ b/crates/lab/src/scale/queue.rs
@@ -34,7 +34,11 @@
 impl CallQueue {
     /// An empty queue.
     pub fn new(costs: Costs) -> Self {
-        Self { costs, free_at: Duration::ZERO, busy: Duration::ZERO }
+        Self {
+            costs,
+            free_at: Duration::ZERO,
+            busy: Duration::ZERO,
+        }
     }
 
     /// A call that comes now and that so many entries answer at once: its turn, or the end of its patience.
@@ -57,7 +61,9 @@
     }
 
     fn entries(&self, count: usize) -> Duration {
-        self.costs.entry.saturating_mul(u32::try_from(count).unwrap_or(u32::MAX))
+        self.costs
+            .entry
+            .saturating_mul(u32::try_from(count).unwrap_or(u32::MAX))
     }
 
     fn work(&mut self, now: Duration, cost: Duration) -> Duration {
@@ -76,14 +82,24 @@
     // Guards against a stand-in that serves calls beside each other, for which no herd would ever be too large.
     #[test]
     fn calls_are_served_in_turn_and_those_that_wait_for_too_long_are_turned_away() {
-        let mut queue = CallQueue::new(Costs { call: 900 * MS, entry: 10 * MS });
+        let mut queue = CallQueue::new(Costs {
+            call: 900 * MS,
+            entry: 10 * MS,
+        });
         let now = Duration::from_secs(5);
         assert_eq!(queue.call(now, 0), Admission::Served(now + 900 * MS));
         assert_eq!(queue.news(now + 900 * MS, 20), now + 1100 * MS);
         assert_eq!(queue.call(now, 0), Admission::Served(now + 2000 * MS));
-        assert_eq!(queue.call(now, 5), Admission::Served(now + 2950 * MS), "it waits 2 s, and no longer");
+        assert_eq!(
+            queue.call(now, 5),
+            Admission::Served(now + 2950 * MS),
+            "it waits 2 s, and no longer"
+        );
         assert_eq!(queue.call(now, 5), Admission::Refused(now + 2000 * MS));
-        assert_eq!(queue.call(now + 950 * MS, 0), Admission::Served(now + 3850 * MS));
+        assert_eq!(
+            queue.call(now + 950 * MS, 0),
+            Admission::Served(now + 3850 * MS)
+        );
         assert_eq!(queue.busy(), 3850 * MS);
         let later = now + Duration::from_secs(60);
         assert_eq!(
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -48,12 +48,19 @@
 }
 
 /// Writes the configuration that workers take their nodes' settings from.
-pub fn write_configuration(scenario: &Scenario, seed: u64, folder: &Path) -> Result<PathBuf, NodeError> {
+pub fn write_configuration(
+    scenario: &Scenario,
+    seed: u64,
+    folder: &Path,
+) -> Result<PathBuf, NodeError> {
     let path = folder.join("simulated.json");
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     let configuration = crate::nodes::config(0, scenario, seed, nowhere);
     let written = std::fs::write(&path, configuration.to_string());
-    written.map_err(|error| NodeError::Files { path: path.clone(), error })?;
+    written.map_err(|error| NodeError::Files {
+        path: path.clone(),
+        error,
+    })?;
     Ok(path)
 }
 
@@ -175,7 +182,10 @@
     configuration: u64,
     report: &impl Fn(RealNodeEvent),
 ) -> Result<(), NodeError> {
-    report(RealNodeEvent::Starts { configuration, at_us: monotonic_us() });
+    report(RealNodeEvent::Starts {
+        configuration,
+        at_us: monotonic_us(),
+    });
     node.start().await?;
     report(RealNodeEvent::Ready(node.pid()));
     Ok(())
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -53,7 +53,10 @@
 
 impl StatusClient {
     fn new(address: SocketAddr) -> Self {
-        Self { address, conn: None }
+        Self {
+            address,
+            conn: None,
+        }
     }
 
     async fn ask(&mut self) -> Result<Status, RelayProcessError> {
@@ -73,7 +76,8 @@
         Some(conn) => conn,
         None => Conn::new(TcpStream::connect(address).await?)?,
     };
-    conn.write(format!("GET {STATUS_PATH} HTTP/1.1\r\nHost: {address}\r\n\r\n").as_bytes()).await?;
+    conn.write(format!("GET {STATUS_PATH} HTTP/1.1\r\nHost: {address}\r\n\r\n").as_bytes())
+        .await?;
     let status = serde_json::from_slice(&conn.answer().await?.body)?;
     *kept = Some(conn);
     Ok(status)
@@ -97,7 +101,14 @@
         lease_ms: u64,
     ) -> Result<Self, RelayProcessError> {
         let mut child = Command::new(program)
-            .args(["relay", "--listen", "127.0.0.1:0", "--lease-ms", &lease_ms.to_string(), "--upstream"])
+            .args([
+                "relay",
+                "--listen",
+                "127.0.0.1:0",
+                "--lease-ms",
+                &lease_ms.to_string(),
+                "--upstream",
+            ])
             .args(upstream.iter().map(SocketAddr::to_string))
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -114,7 +125,12 @@
         let mut tasks = JoinSet::new();
         tasks.spawn_local(read_out(log));
         tasks.spawn_local(follow(address, latest.clone()));
-        Ok(Self { address, child, latest, _tasks: tasks })
+        Ok(Self {
+            address,
+            child,
+            latest,
+            _tasks: tasks,
+        })
     }
 
     /// Its process, while it runs.
@@ -130,7 +146,8 @@
     async fn end(mut self) {
         if let Some(pid) = self.pid() {
             // It may have ended this moment.
-            let _ = nix::sys::signal::kill(nix::unistd::Pid::from_raw(pid), nix::sys::signal::SIGTERM);
+            let _ =
+                nix::sys::signal::kill(nix::unistd::Pid::from_raw(pid), nix::sys::signal::SIGTERM);
         }
         if timeout(ENDING, self.child.wait()).await.is_err() {
             let _ = self.child.kill().await;
@@ -140,7 +157,12 @@
 
 /// The address in the first line of a relay's log.
 async fn address(log: &mut Lines<BufReader<ChildStderr>>) -> Result<SocketAddr, RelayProcessError> {
-    let line = timeout(START, log.next_line()).await.ok().and_then(Result::ok).flatten().unwrap_or_default();
+    let line = timeout(START, log.next_line())
+        .await
+        .ok()
+        .and_then(Result::ok)
+        .flatten()
+        .unwrap_or_default();
     let address = line.rsplit(' ').next().and_then(|word| word.parse().ok());
     address.ok_or(RelayProcessError::NoAddress(line))
 }
@@ -157,7 +179,9 @@
             sleep(START_POLL).await;
         }
     };
-    timeout(START, asked).await.map_err(|_| RelayProcessError::NoList(address))?
+    timeout(START, asked)
+        .await
+        .map_err(|_| RelayProcessError::NoList(address))?
 }
 
 async fn read_out(mut log: Lines<BufReader<ChildStderr>>) {
@@ -194,7 +218,8 @@
             let mut started = Vec::with_capacity(*count);
             for place in 0..*count {
                 let upstream = relays.upstream(tier, place, discovery);
-                started.push(RelayProcess::start(program, &upstream, options.relay_lease_ms).await?);
+                started
+                    .push(RelayProcess::start(program, &upstream, options.relay_lease_ms).await?);
             }
             relays.tiers.push(started);
         }
@@ -210,12 +235,17 @@
         let second = (first + 1) % above.len();
         let mut places = vec![first, second];
         places.dedup();
-        places.into_iter().map(|place| above[place].address).collect()
+        places
+            .into_iter()
+            .map(|place| above[place].address)
+            .collect()
     }
 
     /// Where a node calls; `None` where there are no relays.
     pub fn address_for(&self, node: usize) -> Option<SocketAddr> {
-        self.tiers.last().map(|last| last[node % last.len()].address)
+        self.tiers
+            .last()
+            .map(|last| last[node % last.len()].address)
     }
 
     /// Whether all relays hold this version, and all their callers have it and watch.
@@ -223,7 +253,8 @@
         self.tiers.iter().enumerate().all(|(tier, relays)| {
             let latest = || relays.iter().map(|relay| relay.latest.borrow());
             let waiting: usize = latest().map(|status| status.waiting).sum();
-            latest().all(|status| status.version == Some(version)) && waiting >= options.callers_of_tier(tier)
+            latest().all(|status| status.version == Some(version))
+                && waiting >= options.callers_of_tier(tier)
         })
     }
 
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -201,7 +201,11 @@
         if !options.relays.is_empty() {
             let tiers: Vec<_> = options.relays.iter().map(usize::to_string).collect();
             let lease = options.relay_lease_ms;
-            writeln!(f, "relays by tier from discovery on: {}; lease {lease} ms", tiers.join(", "))?;
+            writeln!(
+                f,
+                "relays by tier from discovery on: {}; lease {lease} ms",
+                tiers.join(", ")
+            )?;
         }
         self.per_member(f)?;
         self.times(f)?;
@@ -229,7 +233,11 @@
             let control = node.control_processor_us_per_s;
             let control = control.map_or_else(|| "-".to_owned(), |time| format!("{time:.0}"));
             let (processor, memory) = (node.processor_us_per_s, node.resident_kib);
-            writeln!(f, " {processor:>12.0} {control:>13} {memory:>12.0} {:>8.1}", node.connections)
+            writeln!(
+                f,
+                " {processor:>12.0} {control:>13} {memory:>12.0} {:>8.1}",
+                node.connections
+            )
         };
         if let Some(real) = &self.real_node {
             node(f, "a real node", real)?;
@@ -239,15 +247,24 @@
         }
         for (tier, relay) in self.relays.iter().enumerate() {
             line(f, &format!("a relay, tier {}", tier + 1), &relay.traffic)?;
-            let (processor, memory, sockets) =
-                (relay.processor_us_per_s, relay.resident_kib, relay.connections);
-            writeln!(f, " {processor:>12.0} {processor:>13.0} {memory:>12.0} {sockets:>8.1}")?;
+            let (processor, memory, sockets) = (
+                relay.processor_us_per_s,
+                relay.resident_kib,
+                relay.connections,
+            );
+            writeln!(
+                f,
+                " {processor:>12.0} {processor:>13.0} {memory:>12.0} {sockets:>8.1}"
+            )?;
         }
         let discovery = &self.discovery;
         line(f, "discovery", &discovery.traffic)?;
         let processor = discovery.processor_us_per_s;
         let (memory, sockets) = (discovery.resident_kib, discovery.connections);
-        writeln!(f, " {processor:>12.0} {processor:>13.0} {memory:>12} {sockets:>8}")?;
+        writeln!(
+            f,
+            " {processor:>12.0} {processor:>13.0} {memory:>12} {sockets:>8}"
+        )?;
         writeln!(
             f,
             "discovery's turns took {:.2} % of the time by the stated costs; {} connections at the most; \
@@ -259,14 +276,36 @@
     }
 
     fn times(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "\n{:<44} {:>7} {:>10} {:>10} {:>10}", "time, ms", "count", "p50", "p99", "worst")?;
-        spread(f, "list change, to the last node", &self.list_change.to_last_node)?;
-        spread(f, "list change, to each node", &self.list_change.to_each_node)?;
-        spread(f, "configuration, to the last node", &self.configuration.to_last_node)?;
-        spread(f, "configuration, to each node", &self.configuration.to_each_node)?;
+        writeln!(
+            f,
+            "\n{:<44} {:>7} {:>10} {:>10} {:>10}",
+            "time, ms", "count", "p50", "p99", "worst"
+        )?;
+        spread(
+            f,
+            "list change, to the last node",
+            &self.list_change.to_last_node,
+        )?;
+        spread(
+            f,
+            "list change, to each node",
+            &self.list_change.to_each_node,
+        )?;
+        spread(
+            f,
+            "configuration, to the last node",
+            &self.configuration.to_last_node,
+        )?;
+        spread(
+            f,
+            "configuration, to each node",
+            &self.configuration.to_each_node,
+        )?;
         spread(f, "fleet's start, simulated nodes", &self.start.simulated)?;
         spread(f, "fleet's start, real nodes", &self.start.real)?;
-        let Some(trouble) = &self.trouble else { return Ok(()) };
+        let Some(trouble) = &self.trouble else {
+            return Ok(());
+        };
         if let Some(restarted) = &trouble.restarted {
             spread(f, "restart, simulated nodes", &restarted.simulated)?;
             spread(f, "restart, real nodes", &restarted.real)?;
@@ -275,20 +314,35 @@
             Some(time) => writeln!(f, "{name:<44} {:>7} {:>10} {:>10} {time:>10.1}", 1, "", ""),
             None => Ok(()),
         };
-        single(f, "trouble's begin, to the last node", trouble.to_last_node_ms)?;
+        single(
+            f,
+            "trouble's begin, to the last node",
+            trouble.to_last_node_ms,
+        )?;
         single(f, "trouble's end, to the last node", trouble.recovered_ms)
     }
 
     fn totals(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Counts { list_changes, configurations, real, simulated, discovery, .. } = &self.counts;
+        let Counts {
+            list_changes,
+            configurations,
+            real,
+            simulated,
+            discovery,
+            ..
+        } = &self.counts;
         writeln!(
             f,
             "\n{list_changes} list changes, {configurations} configurations; messages of the whole run:"
         )?;
-        let mut groups = vec![("real".to_owned(), real), ("simulated".to_owned(), simulated)];
+        let mut groups = vec![
+            ("real".to_owned(), real),
+            ("simulated".to_owned(), simulated),
+        ];
         if !self.relays.is_empty() {
             let tiers = self.relays.iter().enumerate();
-            groups.extend(tiers.map(|(tier, relay)| (format!("tier {}", tier + 1), &relay.callers)));
+            groups
+                .extend(tiers.map(|(tier, relay)| (format!("tier {}", tier + 1), &relay.callers)));
             groups.push(("discovery".to_owned(), discovery));
         }
         for (name, counts) in groups {
@@ -310,7 +364,11 @@
                 counts.resets
             )?;
         }
-        if let Some(Node { requests_per_s: Some(handled), sent_per_s: Some(sent), .. }) = self.simulated_node
+        if let Some(Node {
+            requests_per_s: Some(handled),
+            sent_per_s: Some(sent),
+            ..
+        }) = self.simulated_node
         {
             if handled > 0.0 {
                 writeln!(
@@ -320,21 +378,35 @@
             }
         }
         if self.clients.asked > 0 {
-            let TrafficCounts { asked, served, refused, unanswered } = self.clients;
+            let TrafficCounts {
+                asked,
+                served,
+                refused,
+                unanswered,
+            } = self.clients;
             writeln!(
                 f,
                 "clients of real nodes asked {asked}: {served} served, {refused} refused, {unanswered} unanswered"
             )?;
         }
         if self.behind_at_end > 0 {
-            writeln!(f, "{} nodes were not up to date at the end", self.behind_at_end)?;
+            writeln!(
+                f,
+                "{} nodes were not up to date at the end",
+                self.behind_at_end
+            )?;
         }
         Ok(())
     }
 }
 
 fn line(f: &mut fmt::Formatter<'_>, name: &str, traffic: &Traffic) -> fmt::Result {
-    let Traffic { calls_per_s, call_bytes_per_s, answers_per_s, answer_bytes_per_s } = traffic;
+    let Traffic {
+        calls_per_s,
+        call_bytes_per_s,
+        answers_per_s,
+        answer_bytes_per_s,
+    } = traffic;
     write!(
         f,
         "{name:<16} {calls_per_s:>9.3} {call_bytes_per_s:>11.1} {answers_per_s:>9.3} {answer_bytes_per_s:>11.1}"
@@ -342,9 +414,17 @@
 }
 
 fn spread(f: &mut fmt::Formatter<'_>, name: &str, spread: &TimeSummary) -> fmt::Result {
-    let TimeSummary { count, p50_ms, p99_ms, worst_ms } = spread;
+    let TimeSummary {
+        count,
+        p50_ms,
+        p99_ms,
+        worst_ms,
+    } = spread;
     if *count == 0 {
         return Ok(());
     }
-    writeln!(f, "{name:<44} {count:>7} {p50_ms:>10.1} {p99_ms:>10.1} {worst_ms:>10.1}")
+    writeln!(
+        f,
+        "{name:<44} {count:>7} {p50_ms:>10.1} {p99_ms:>10.1} {worst_ms:>10.1}"
+    )
 }
--- a/crates/lab/src/scale/run.rs
+++ b/crates/lab/src/scale/run.rs
@@ -123,7 +123,9 @@
     options.check()?;
     let (estimate, limits) = (Estimate::of(options), Limits::read()?);
     estimate.check(&limits)?;
-    let one = runtime::Builder::new_current_thread().enable_all().build()?;
+    let one = runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&one, async {
         progress.say("starting".to_owned());
         let mut fleet = Fleet::start(options, programs).await?;
--- a/crates/lab/src/scale/sample.rs
+++ b/crates/lab/src/scale/sample.rs
@@ -62,7 +62,11 @@
     /// Of this moment; workers have answered what they counted.
     pub async fn take(fleet: &Fleet<'_>) -> Result<Self, ScaleError> {
         let state = &fleet.state;
-        let real = state.pids.iter().flatten().map(|&pid| Ok((pid, Usage::of(pid)?)));
+        let real = state
+            .pids
+            .iter()
+            .flatten()
+            .map(|&pid| Ok((pid, Usage::of(pid)?)));
         let counted = || state.counted.iter().flatten();
         let request_processor_ns = counted().map(|counts| counts.request_processor_ns).sum();
         let mut relays = Vec::with_capacity(fleet.relays.tiers.len());
@@ -85,7 +89,9 @@
 
     /// Control with simulated nodes: they call at the last relays, or at discovery.
     fn simulated(&self) -> ControlCounts {
-        self.relays.last().map_or(self.service.simulated, |last| last.callers)
+        self.relays
+            .last()
+            .map_or(self.service.simulated, |last| last.callers)
     }
 }
 
@@ -145,7 +151,11 @@
 
     /// The relays, by tier.
     pub fn relays(&self) -> Vec<RelayTier> {
-        let tiers = self.options.relays.iter().zip(self.before.relays.iter().zip(&self.after.relays));
+        let tiers = self
+            .options
+            .relays
+            .iter()
+            .zip(self.before.relays.iter().zip(&self.after.relays));
         let tier = |(&relays, (before, after)): (&usize, (&TierSample, &TierSample))| {
             let each = |whole: f64| whole / relays as f64;
             let processor = after.usage.processor.saturating_sub(before.usage.processor);
@@ -169,10 +179,12 @@
         let counts = self.after.service.real - self.before.service.real;
         let all = self.after.real.len() as f64;
         let used: Usage = self.after.real.values().copied().sum();
-        let stayed =
-            |(pid, after): (&i32, &Usage)| Some(after.processor - self.before.real.get(pid)?.processor);
+        let stayed = |(pid, after): (&i32, &Usage)| {
+            Some(after.processor - self.before.real.get(pid)?.processor)
+        };
         let processors: Vec<_> = self.after.real.iter().filter_map(stayed).collect();
-        let processor = micros(processors.iter().sum()) / self.seconds() / processors.len().max(1) as f64;
+        let processor =
+            micros(processors.iter().sum()) / self.seconds() / processors.len().max(1) as f64;
         (self.options.real > 0).then(|| Node {
             traffic: Traffic::of(&counts, self.seconds(), self.options.real),
             processor_us_per_s: processor,
@@ -189,8 +201,13 @@
         let (before, after) = (&self.before, &self.after);
         let nodes = self.options.simulated as f64;
         let counts = after.simulated() - before.simulated();
-        let processor = after.workers.processor.saturating_sub(before.workers.processor);
-        let requests = after.request_processor.saturating_sub(before.request_processor);
+        let processor = after
+            .workers
+            .processor
+            .saturating_sub(before.workers.processor);
+        let requests = after
+            .request_processor
+            .saturating_sub(before.request_processor);
         let each = |time: Duration| micros(time) / self.seconds() / nodes;
         let rate = |count: u64| count as f64 / self.seconds() / nodes;
         let own = |after: u64, empty: u64| after.saturating_sub(empty) as f64 / nodes;
--- a/crates/lab/src/scale/schedule.rs
+++ b/crates/lab/src/scale/schedule.rs
@@ -36,19 +36,34 @@
 impl Schedule {
     /// Of a run: changes of a kind are evenly apart.
     pub fn new(options: &Options) -> Self {
-        let lists = evenly(options.planned_list_changes(), options.list_changes, Step::ListChange);
-        let configurations =
-            evenly(options.planned_configurations(), options.configurations, Step::Configuration);
+        let lists = evenly(
+            options.planned_list_changes(),
+            options.list_changes,
+            Step::ListChange,
+        );
+        let configurations = evenly(
+            options.planned_configurations(),
+            options.configurations,
+            Step::Configuration,
+        );
         let mut steps: Vec<_> = lists.chain(configurations).collect();
         // Stable: of two at the same time the list's comes first, each time.
         steps.sort_by_key(|(due, _)| *due);
         let trouble = options.trouble.map(|trouble| {
-            let begin = (Duration::from_secs_f64(trouble.at_s), TroubleStep::Begin(trouble.kind));
+            let begin = (
+                Duration::from_secs_f64(trouble.at_s),
+                TroubleStep::Begin(trouble.kind),
+            );
             let end = Duration::from_secs_f64(trouble.at_s + trouble.for_s);
             let ends = trouble.kind != TroubleKind::RestartTenth;
-            [begin].into_iter().chain(ends.then_some((end, TroubleStep::End(trouble.kind))))
+            [begin]
+                .into_iter()
+                .chain(ends.then_some((end, TroubleStep::End(trouble.kind))))
         });
-        Self { steps: steps.into(), trouble: trouble.into_iter().flatten().collect() }
+        Self {
+            steps: steps.into(),
+            trouble: trouble.into_iter().flatten().collect(),
+        }
     }
 
     /// The next change that is due.
@@ -106,21 +121,39 @@
     /// A change of the list: one server begins to drain, or is ready again. The last one that is ready stays so, and is
     /// only listed anew.
     pub fn list_change(&mut self) -> Vec<EntryChange> {
-        let listed: Vec<_> = (0..self.health.len()).filter(|&i| self.health[i] != Health::Gone).collect();
+        let listed: Vec<_> = (0..self.health.len())
+            .filter(|&i| self.health[i] != Health::Gone)
+            .collect();
         let server = listed[self.random.random_range(0..listed.len())];
-        let ready = self.health.iter().filter(|health| **health == Health::Ready).count();
+        let ready = self
+            .health
+            .iter()
+            .filter(|health| **health == Health::Ready)
+            .count();
         let drains = self.health[server] == Health::Ready && ready > 1;
-        self.set(server, if drains { Health::Draining } else { Health::Ready }, None)
+        self.set(
+            server,
+            if drains {
+                Health::Draining
+            } else {
+                Health::Ready
+            },
+            None,
+        )
     }
 
     /// The servers of the first zone are gone.
     pub fn lose_zone(&mut self) -> Vec<EntryChange> {
-        self.zone().flat_map(|server| self.set(server, Health::Gone, None)).collect()
+        self.zone()
+            .flat_map(|server| self.set(server, Health::Gone, None))
+            .collect()
     }
 
     /// The servers of the first zone are back, and start anew at this Unix time in milliseconds.
     pub fn return_zone(&mut self, now_ms: u64) -> Vec<EntryChange> {
-        self.zone().flat_map(|server| self.set(server, Health::Ready, Some(now_ms))).collect()
+        self.zone()
+            .flat_map(|server| self.set(server, Health::Ready, Some(now_ms)))
+            .collect()
     }
 
     /// A tenth of the nodes, one at least.
@@ -138,7 +171,11 @@
 
     fn set(&mut self, server: usize, health: Health, born_ms: Option<u64>) -> Vec<EntryChange> {
         self.health[server] = health;
-        vec![EntryChange { server, health, born_ms }]
+        vec![EntryChange {
+            server,
+            health,
+            born_ms,
+        }]
     }
 }
 
@@ -150,7 +187,11 @@
     // Guards against changes that are lost at the run's end, or that come before their time.
     #[test]
     fn each_planned_step_is_due_once_in_order() {
-        let trouble = Trouble { kind: TroubleKind::Split, at_s: 1.0, for_s: 0.5 };
+        let trouble = Trouble {
+            kind: TroubleKind::Split,
+            at_s: 1.0,
+            for_s: 0.5,
+        };
         let options = Options {
             list_changes: 1.0,
             configurations: 0.5,
@@ -163,19 +204,34 @@
         assert_eq!(schedule.next_step(ms(499)), None);
         assert_eq!(schedule.next_step(ms(500)), Some(Step::ListChange));
         assert_eq!(schedule.next_step(ms(999)), None);
-        assert_eq!(schedule.next_trouble(ms(1000)), Some(TroubleStep::Begin(TroubleKind::Split)));
+        assert_eq!(
+            schedule.next_trouble(ms(1000)),
+            Some(TroubleStep::Begin(TroubleKind::Split))
+        );
         assert_eq!(schedule.next_trouble(ms(1000)), None);
         let rest: Vec<_> = std::iter::from_fn(|| schedule.next_step(ms(3000))).collect();
-        assert_eq!(rest, [Step::Configuration, Step::ListChange, Step::ListChange]);
+        assert_eq!(
+            rest,
+            [Step::Configuration, Step::ListChange, Step::ListChange]
+        );
         assert!(!schedule.is_over());
-        assert_eq!(schedule.next_trouble(ms(1500)), Some(TroubleStep::End(TroubleKind::Split)));
+        assert_eq!(
+            schedule.next_trouble(ms(1500)),
+            Some(TroubleStep::End(TroubleKind::Split))
+        );
         assert!(schedule.is_over());
     }
 
     // Guards against runs of one seed that differ, and against a lost zone that takes another one with it.
     #[test]
     fn draws_of_a_seed_are_the_same_and_a_zone_is_lost_whole() {
-        let options = Options { servers: 7, zones: 3, simulated: 24, real: 1, ..Options::default() };
+        let options = Options {
+            servers: 7,
+            zones: 3,
+            simulated: 24,
+            real: 1,
+            ..Options::default()
+        };
         let drawn = || {
             let mut generator = ChangeGenerator::new(&options);
             (
@@ -187,7 +243,10 @@
         let (_, tenth, lost) = drawn();
         assert_eq!(drawn(), drawn());
         assert_eq!(tenth.len(), 3);
-        let lost: Vec<_> = lost.iter().map(|change| (change.server, change.health)).collect();
+        let lost: Vec<_> = lost
+            .iter()
+            .map(|change| (change.server, change.health))
+            .collect();
         assert_eq!(lost, [0, 3, 6].map(|server| (server, Health::Gone)));
     }
 }
--- a/crates/lab/src/scale/service.rs
+++ b/crates/lab/src/scale/service.rs
@@ -123,7 +123,9 @@
         peers: Vec<Peer>,
         acknowledged: UnboundedSender<Acknowledged>,
     ) -> io::Result<Self> {
-        let one = runtime::Builder::new_current_thread().enable_all().build()?;
+        let one = runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let (orders, inbox) = unbounded_channel();
         let (listens, addresses) = oneshot::channel();
         let (waits, waiting) = watch::channel(0);
@@ -132,29 +134,40 @@
             entry: Duration::from_micros(options.entry_cost_us),
         };
         let directory = Directory::new(options, dial);
-        let thread = thread::Builder::new().name("discovery".to_owned()).spawn(move || {
-            LocalSet::new().block_on(&one, async {
-                let stand_in = Rc::new(StandIn::new(directory, costs, waits, acknowledged));
-                let addresses = stand_in.clone().listen(&peers).await;
-                // The other end goes only with the run.
-                let _ = listens.send(addresses);
-                stand_in.follow(inbox).await;
-            });
-        })?;
+        let thread = thread::Builder::new()
+            .name("discovery".to_owned())
+            .spawn(move || {
+                LocalSet::new().block_on(&one, async {
+                    let stand_in = Rc::new(StandIn::new(directory, costs, waits, acknowledged));
+                    let addresses = stand_in.clone().listen(&peers).await;
+                    // The other end goes only with the run.
+                    let _ = listens.send(addresses);
+                    stand_in.follow(inbox).await;
+                });
+            })?;
         let addresses = addresses.await.map_err(io::Error::other)??;
-        Ok(Self { orders, waiting, addresses, _thread: thread })
+        Ok(Self {
+            orders,
+            waiting,
+            addresses,
+            _thread: thread,
+        })
     }
 
     /// Changes entries, all in one version.
     pub async fn change(&self, changes: Vec<EntryChange>) -> Result<Changed, ServiceEnded> {
         let (made, changed) = oneshot::channel();
-        self.orders.send(Order::Change(changes, made)).map_err(|_| ServiceEnded)?;
+        self.orders
+            .send(Order::Change(changes, made))
+            .map_err(|_| ServiceEnded)?;
         changed.await.map_err(|_| ServiceEnded)
     }
 
     /// Goes away, with connections reset, or comes back.
     pub fn set_down(&self, down: bool) -> Result<(), ServiceEnded> {
-        self.orders.send(Order::Down(down)).map_err(|_| ServiceEnded)
+        self.orders
+            .send(Order::Down(down))
+            .map_err(|_| ServiceEnded)
     }
 
     /// Falls silent for far peers; when that ends, the connections of that time are reset.
@@ -165,7 +178,9 @@
     /// What it counted so far.
     pub async fn figures(&self) -> Result<ServiceFigures, ServiceEnded> {
         let (count, counted) = oneshot::channel();
-        self.orders.send(Order::Count(count)).map_err(|_| ServiceEnded)?;
+        self.orders
+            .send(Order::Count(count))
+            .map_err(|_| ServiceEnded)?;
         counted.await.map_err(|_| ServiceEnded)
     }
 
@@ -300,7 +315,8 @@
     /// Serves a connection until its peer, a cut or the end of discovery ends it.
     async fn connection(self: Rc<Self>, peer: Peer, mut conn: Conn) {
         self.open.set(self.open.get() + 1);
-        self.most_open.set(self.most_open.get().max(self.open.get()));
+        self.most_open
+            .set(self.most_open.get().max(self.open.get()));
         let (mut down, mut cut) = (self.down.subscribe(), self.cut.subscribe());
         let is_cut = tokio::select! {
             biased;
@@ -327,7 +343,9 @@
 
     async fn calls(&self, peer: Peer, conn: &mut Conn) -> io::Result<()> {
         loop {
-            let Ok(asked) = conn.request().await else { return Ok(()) };
+            let Ok(asked) = conn.request().await else {
+                return Ok(());
+            };
             let Some(call) = ListCall::parse(&asked.path) else {
                 conn.write(NOT_FOUND).await?;
                 continue;
@@ -367,7 +385,9 @@
 
     /// Waits until there is news for a watch and it has its turn, or the watch's time is over.
     async fn wait_for_news(&self, call: ListCall) -> io::Result<()> {
-        let (Some(after), Some(wait)) = (call.after, call.wait) else { return Ok(()) };
+        let (Some(after), Some(wait)) = (call.after, call.wait) else {
+            return Ok(());
+        };
         let mut version = self.version.subscribe();
         let _waiting = Waiting::begin(&self.waiting);
         // Without news by then, the answer says so.
@@ -388,7 +408,12 @@
             counts.call_bytes += bytes as u64;
         });
         if let (Caller::RealNode(node), Some(after)) = (peer.caller, call.after) {
-            let acknowledged = Acknowledged { node, address: peer.address, after, at_us: monotonic_us() };
+            let acknowledged = Acknowledged {
+                node,
+                address: peer.address,
+                after,
+                at_us: monotonic_us(),
+            };
             // The run may be over.
             let _ = self.acknowledged.send(acknowledged);
         }
--- a/crates/lab/src/scale/state.rs
+++ b/crates/lab/src/scale/state.rs
@@ -56,14 +56,22 @@
     pub fn take(&mut self, event: FleetEvent) -> Result<(), ScaleError> {
         match event {
             FleetEvent::Acknowledged(acknowledged) => self.acknowledged(acknowledged),
-            FleetEvent::Real(node, RealNodeEvent::Starts { configuration, at_us }) => {
+            FleetEvent::Real(
+                node,
+                RealNodeEvent::Starts {
+                    configuration,
+                    at_us,
+                },
+            ) => {
                 self.convergence.starts(node, configuration, at_us);
             }
             FleetEvent::Real(node, RealNodeEvent::Ready(pid)) => self.pids[node] = pid,
             FleetEvent::Real(node, RealNodeEvent::Failed(why)) => {
                 return Err(ScaleError::RealNode(node, why))
             }
-            FleetEvent::Worker(worker, WorkerEvent::Message(message)) => return self.worker(worker, message),
+            FleetEvent::Worker(worker, WorkerEvent::Message(message)) => {
+                return self.worker(worker, message)
+            }
             FleetEvent::Worker(worker, WorkerEvent::Ended(why)) => {
                 return Err(ScaleError::Worker(worker, why))
             }
@@ -82,7 +90,13 @@
     }
 
     fn in_force(&mut self, in_force: InForce) {
-        let InForce { node, incarnation, list, configuration, at_us } = in_force;
+        let InForce {
+            node,
+            incarnation,
+            list,
+            configuration,
+            at_us,
+        } = in_force;
         // What an earlier incarnation had in force is gone.
         if self.incarnations.get(node) == Some(&incarnation) {
             self.convergence.in_force(node, list, configuration, at_us);
@@ -94,8 +108,17 @@
         let newest = self.configuration;
         // Configurations alternate between a node's two addresses.
         let current = newest % 2 == acknowledged.address as u64;
-        let configuration = if current { newest } else { newest.saturating_sub(1) };
-        self.convergence.in_force(acknowledged.node, acknowledged.after, configuration, acknowledged.at_us);
+        let configuration = if current {
+            newest
+        } else {
+            newest.saturating_sub(1)
+        };
+        self.convergence.in_force(
+            acknowledged.node,
+            acknowledged.after,
+            configuration,
+            acknowledged.at_us,
+        );
     }
 
     /// Whether all real nodes are ready and have a list.
--- a/crates/lab/src/scale/traffic.rs
+++ b/crates/lab/src/scale/traffic.rs
@@ -50,26 +50,34 @@
 impl Traffic {
     /// Starts servers, and for each of so many nodes in the table clients that ask at this rate.
     pub async fn start(table: Table, nodes: usize, rate: f64, seed: u64) -> io::Result<Self> {
-        let one = runtime::Builder::new_current_thread().enable_all().build()?;
+        let one = runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let (listens, address) = oneshot::channel();
         let (stop, stopped) = oneshot::channel::<oneshot::Sender<TrafficCounts>>();
-        let thread = thread::Builder::new().name("traffic".to_owned()).spawn(move || {
-            LocalSet::new().block_on(&one, async {
-                let _ = listens.send(listen(|stream| drop(spawn_local(serve(stream)))).await);
-                let counts = Rc::new(Cell::new(TrafficCounts::default()));
-                let each = rate / CLIENT_CONNECTIONS as f64;
-                for client in (0..nodes * CLIENT_CONNECTIONS).filter(|_| rate > 0.0) {
-                    let random = StdRng::seed_from_u64(crate::plan::mix(seed ^ client as u64));
-                    let (table, counts) = (table.clone(), counts.clone());
-                    spawn_local(ask(client, client % nodes, each, random, table, counts));
-                }
-                if let Ok(reply) = stopped.await {
-                    let _ = reply.send(counts.get());
-                }
-            });
-        })?;
+        let thread = thread::Builder::new()
+            .name("traffic".to_owned())
+            .spawn(move || {
+                LocalSet::new().block_on(&one, async {
+                    let _ = listens.send(listen(|stream| drop(spawn_local(serve(stream)))).await);
+                    let counts = Rc::new(Cell::new(TrafficCounts::default()));
+                    let each = rate / CLIENT_CONNECTIONS as f64;
+                    for client in (0..nodes * CLIENT_CONNECTIONS).filter(|_| rate > 0.0) {
+                        let random = StdRng::seed_from_u64(crate::plan::mix(seed ^ client as u64));
+                        let (table, counts) = (table.clone(), counts.clone());
+                        spawn_local(ask(client, client % nodes, each, random, table, counts));
+                    }
+                    if let Ok(reply) = stopped.await {
+                        let _ = reply.send(counts.get());
+                    }
+                });
+            })?;
         let servers = address.await.map_err(io::Error::other)??;
-        Ok(Self { servers, stop, _thread: thread })
+        Ok(Self {
+            servers,
+            stop,
+            _thread: thread,
+        })
     }
 
     /// Ends clients and servers; what clients saw.
@@ -83,7 +91,9 @@
 
 /// A cache server's connection: each request is answered at once.
 async fn serve(stream: TcpStream) {
-    let Ok(mut conn) = Conn::new(stream) else { return };
+    let Ok(mut conn) = Conn::new(stream) else {
+        return;
+    };
     while conn.request().await.is_ok() && conn.write(SERVED).await.is_ok() {}
 }
 
@@ -122,7 +132,10 @@
 /// A connection to a node, once there is one.
 async fn connect(node: usize, table: &Table) -> Conn {
     loop {
-        let address = table.read().ok().and_then(|table| table.get(node).copied().flatten());
+        let address = table
+            .read()
+            .ok()
+            .and_then(|table| table.get(node).copied().flatten());
         if let Some(address) = address {
             if let Ok(conn) = TcpStream::connect(address).await.and_then(Conn::new) {
                 return conn;
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -56,9 +56,14 @@
 
 /// Runs simulated nodes as standard input says, until that ends.
 pub fn work() -> Result<(), WorkerError> {
-    let one = runtime::Builder::new_current_thread().enable_all().build()?;
+    let one = runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let worked = LocalSet::new().block_on(&one, async {
-        let input = io::stdin().as_fd().try_clone_to_owned().map_err(WorkerError::Pipes)?;
+        let input = io::stdin()
+            .as_fd()
+            .try_clone_to_owned()
+            .map_err(WorkerError::Pipes)?;
         let input = Receiver::from_owned_fd(input).map_err(WorkerError::Pipes)?;
         follow_orders(BufReader::new(input).lines()).await
     });
@@ -69,8 +74,12 @@
 }
 
 async fn follow_orders(mut orders: Lines<BufReader<Receiver>>) -> Result<(), WorkerError> {
-    let Some(first) = orders.next_line().await? else { return Ok(()) };
-    let Order::SetUp(setup) = serde_json::from_str(&first)? else { return Err(WorkerError::NotSetUp) };
+    let Some(first) = orders.next_line().await? else {
+        return Ok(());
+    };
+    let Order::SetUp(setup) = serde_json::from_str(&first)? else {
+        return Err(WorkerError::NotSetUp);
+    };
     let mut worker = Worker::new(setup)?;
     send(&Message::Ready)?;
     let mut log_turns = interval(LOG_TURN);
@@ -131,7 +140,10 @@
         let path = setup.configuration.display().to_string();
         let config = platform::load(|name| (name == "LB_CONFIG").then(|| path.clone()))?;
         let observers = Observers::start(&operators::Settings::default(), &[], Format::Text);
-        let nodes = setup.nodes.into_iter().map(|node| (node.number, SimulatedNode::new(node)));
+        let nodes = setup
+            .nodes
+            .into_iter()
+            .map(|node| (node.number, SimulatedNode::new(node)));
         Ok(Self {
             settings: config.settings,
             seed: setup.seed,
@@ -150,7 +162,10 @@
                     self.start(number)?;
                 }
             }
-            Order::Configure(version) => self.nodes.values_mut().for_each(|node| node.configure(version)),
+            Order::Configure(version) => self
+                .nodes
+                .values_mut()
+                .for_each(|node| node.configure(version)),
             Order::Count => {
                 // Lists that came into force before are reported before.
                 self.report()?;
@@ -161,9 +176,18 @@
     }
 
     fn start(&mut self, number: usize) -> Result<(), WorkerError> {
-        let node = self.nodes.get_mut(&number).ok_or(WorkerError::Unknown(number))?;
+        let node = self
+            .nodes
+            .get_mut(&number)
+            .ok_or(WorkerError::Unknown(number))?;
         let log = self.observers.log.clone();
-        node.start(&self.settings, self.seed, self.request_rate, log, self.tally.clone());
+        node.start(
+            &self.settings,
+            self.seed,
+            self.request_rate,
+            log,
+            self.tally.clone(),
+        );
         Ok(())
     }
 
@@ -189,16 +213,30 @@
 impl SimulatedNode {
     fn new(setup: NodeSetup) -> Self {
         let discovery = watch::Sender::new(setup.discovery[0]);
-        Self { setup, incarnation: 0, configuration: Rc::default(), discovery, running: None }
+        Self {
+            setup,
+            incarnation: 0,
+            configuration: Rc::default(),
+            discovery,
+            running: None,
+        }
     }
 
-    fn start(&mut self, settings: &Settings, seed: u64, request_rate: f64, log: Log, tally: Rc<Tally>) {
+    fn start(
+        &mut self,
+        settings: &Settings,
+        seed: u64,
+        request_rate: f64,
+        log: Log,
+        tally: Rc<Tally>,
+    ) {
         if let Some(running) = self.running.take() {
             running.abort();
         }
         self.incarnation += 1;
-        let seed =
-            crate::plan::mix(seed ^ crate::plan::mix(self.setup.number as u64) ^ u64::from(self.incarnation));
+        let seed = crate::plan::mix(
+            seed ^ crate::plan::mix(self.setup.number as u64) ^ u64::from(self.incarnation),
+        );
         let options = ControlOptions {
             settings: settings.clone(),
             seed,
@@ -220,7 +258,8 @@
     fn configure(&mut self, version: u64) {
         self.configuration.set(version);
         // A node's discovery alternates between its two addresses.
-        self.discovery.send_replace(self.setup.discovery[(version % 2) as usize]);
+        self.discovery
+            .send_replace(self.setup.discovery[(version % 2) as usize]);
     }
 }
 
--- a/crates/lab/src/scale/workers.rs
+++ b/crates/lab/src/scale/workers.rs
@@ -63,7 +63,11 @@
         if let Some(output) = child.stdout.take() {
             spawn_local(listen(place, output, events));
         }
-        Ok(Self { place, child, orders })
+        Ok(Self {
+            place,
+            child,
+            orders,
+        })
     }
 
     /// Its process, while it runs.
@@ -74,7 +78,8 @@
     /// Sends it an order.
     pub async fn order(&mut self, order: &Order) -> Result<(), WorkersError> {
         let place = self.place;
-        let mut line = serde_json::to_vec(order).map_err(|error| WorkersError::Order(place, error.into()))?;
+        let mut line =
+            serde_json::to_vec(order).map_err(|error| WorkersError::Order(place, error.into()))?;
         line.push(b'\n');
         let ended = || io::Error::from(io::ErrorKind::BrokenPipe);
         let written = match &mut self.orders {
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -88,8 +88,10 @@
 impl Scenario {
     /// Reads the file at `path`.
     pub fn load(path: &Path) -> Result<Self, ScenarioError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|error| ScenarioError::Unreadable { path: path.into(), error })?;
+        let text = std::fs::read_to_string(path).map_err(|error| ScenarioError::Unreadable {
+            path: path.into(),
+            error,
+        })?;
         Self::parse(&text, path)
     }
 
@@ -97,19 +99,31 @@
     pub fn parse(text: &str, path: &Path) -> Result<Self, ScenarioError> {
         let malformed = |offset: usize, what: String| {
             let line = text.get(..offset).unwrap_or_default().matches('\n').count() + 1;
-            ScenarioError::Malformed { path: path.into(), line, what }
+            ScenarioError::Malformed {
+                path: path.into(),
+                line,
+                what,
+            }
         };
         let scenario: Self = toml::from_str(text).map_err(|error| {
             let what = error.message().lines().collect::<Vec<_>>().join(" ");
             malformed(error.span().map_or(0, |span| span.start), what)
         })?;
-        scenario.check().map_err(|(offset, what)| malformed(offset, what))?;
+        scenario
+            .check()
+            .map_err(|(offset, what)| malformed(offset, what))?;
         Ok(scenario)
     }
 
     /// What types alone do not say; where it is wrong, at which byte and why.
     fn check(&self) -> Result<(), (usize, String)> {
-        let Fleet { nodes, servers, cores, zones, .. } = &self.fleet;
+        let Fleet {
+            nodes,
+            servers,
+            cores,
+            zones,
+            ..
+        } = &self.fleet;
         if !(1..=64).contains(nodes) || !(1..=512).contains(servers) || !(1..=64).contains(cores) {
             let what = "a fleet has 1 to 64 nodes, 1 to 512 servers and 1 to 64 cores each";
             return Err((0, format!("{what}, not {nodes}, {servers} and {cores}")));
@@ -119,10 +133,14 @@
         }
         let shares: f64 = self.classes.iter().map(|class| class.share.get()).sum();
         if (shares - 1.0).abs() > 1e-6 {
-            return Err((0, format!("the classes' shares add up to {shares}, not to 1")));
+            return Err((
+                0,
+                format!("the classes' shares add up to {shares}, not to 1"),
+            ));
         }
         for fault in &self.faults {
-            self.check_fault(fault.get_ref()).map_err(|what| (fault.span().start, what))?;
+            self.check_fault(fault.get_ref())
+                .map_err(|what| (fault.span().start, what))?;
         }
         Ok(())
     }
@@ -131,17 +149,30 @@
         let kind = serde_json::to_string(&fault.kind).unwrap_or_default();
         let end = self.seconds.get();
         if fault.at_s.get() > end {
-            return Err(format!("at_s {} lies past the scenario's {end} s", fault.at_s.get()));
+            return Err(format!(
+                "at_s {} lies past the scenario's {end} s",
+                fault.at_s.get()
+            ));
         }
-        if let Some(zone) = fault.zone.as_ref().filter(|zone| !self.fleet.zones.contains(zone)) {
+        if let Some(zone) = fault
+            .zone
+            .as_ref()
+            .filter(|zone| !self.fleet.zones.contains(zone))
+        {
             return Err(format!("zone {zone:?} is none of {:?}", self.fleet.zones));
         }
         let targets = fault.target_servers(&self.fleet);
         if let Some(server) = targets.iter().find(|&&server| server >= self.fleet.servers) {
-            return Err(format!("server {server} is none of 0 to {}", self.fleet.servers - 1));
+            return Err(format!(
+                "server {server} is none of 0 to {}",
+                self.fleet.servers - 1
+            ));
         }
         if let Some(node) = fault.nodes.iter().find(|&&node| node >= self.fleet.nodes) {
-            return Err(format!("node {node} is none of 0 to {}", self.fleet.nodes - 1));
+            return Err(format!(
+                "node {node} is none of 0 to {}",
+                self.fleet.nodes - 1
+            ));
         }
         if fault.kind.targets_servers() && targets.is_empty() {
             return Err(format!("a fault of kind {kind} needs servers or a zone"));
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -39,7 +39,9 @@
     /// The servers it targets, of so many dealt out over these zones.
     pub fn target_servers(&self, fleet: &Fleet) -> Vec<usize> {
         match &self.zone {
-            Some(zone) => (0..fleet.servers).filter(|&server| fleet.zone(server) == zone).collect(),
+            Some(zone) => (0..fleet.servers)
+                .filter(|&server| fleet.zone(server) == zone)
+                .collect(),
             None => self.servers.clone(),
         }
     }
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -171,7 +171,25 @@
     };
     vec![
         class("lookup", 0.95, Effect::Safe, false, 6.0, 250.0, 625.0, 1.0),
-        class("queue-join", 0.027, Effect::Keyed, true, 5.0, 200.0, 500.0, 3.0),
-        class("entry-fee", 0.023, Effect::Unsafe, true, 2.0, 250.0, 750.0, 10.0),
+        class(
+            "queue-join",
+            0.027,
+            Effect::Keyed,
+            true,
+            5.0,
+            200.0,
+            500.0,
+            3.0,
+        ),
+        class(
+            "entry-fee",
+            0.023,
+            Effect::Unsafe,
+            true,
+            2.0,
+            250.0,
+            750.0,
+            10.0,
+        ),
     ]
 }
--- a/crates/lab/src/scenario/tests.rs
+++ b/crates/lab/src/scenario/tests.rs
@@ -1,7 +1,9 @@
 use super::*;
 
 fn error(text: &str) -> String {
-    Scenario::parse(text, Path::new("day.toml")).unwrap_err().to_string()
+    Scenario::parse(text, Path::new("day.toml"))
+        .unwrap_err()
+        .to_string()
 }
 
 // Guards against a typing error that plays another day than the one that was meant.
@@ -10,16 +12,34 @@
     let head = "about = \"x\"\nseconds = 5\n[load]\nrate = 10\n";
     assert!(Scenario::parse(head, Path::new("day.toml")).is_ok());
     let cases = [
-        ("about = \"x\"\nseconds = 5\n[load]\nrat = 10\n", "day.toml line 4: unknown field `rat`"),
-        ("about = \"x\"\nseconds = -5\n[load]\nrate = 10\n", "line 2: -5 is not a number from 0.1 to 3600"),
-        (&format!("{head}[[fault]]\nat_s = 9\nkind = \"kill\"\nservers = [0]\n"), "line 5: at_s 9 lies past"),
+        (
+            "about = \"x\"\nseconds = 5\n[load]\nrat = 10\n",
+            "day.toml line 4: unknown field `rat`",
+        ),
+        (
+            "about = \"x\"\nseconds = -5\n[load]\nrate = 10\n",
+            "line 2: -5 is not a number from 0.1 to 3600",
+        ),
+        (
+            &format!("{head}[[fault]]\nat_s = 9\nkind = \"kill\"\nservers = [0]\n"),
+            "line 5: at_s 9 lies past",
+        ),
         (
             &format!("{head}[[fault]]\nat_s = 1\nkind = \"kill\"\nservers = [9]\n"),
             "server 9 is none of 0 to 8",
         ),
-        (&format!("{head}[[fault]]\nat_s = 1\nkind = \"kil\"\n"), "line 7: unknown variant `kil`"),
-        (&format!("{head}[[fault]]\nat_s = 1\nkind = \"slow\"\nservers = [1]\n"), "needs by"),
-        (&format!("{head}[[fault]]\nat_s = 1\nkind = \"node_kill\"\n"), "needs nodes"),
+        (
+            &format!("{head}[[fault]]\nat_s = 1\nkind = \"kil\"\n"),
+            "line 7: unknown variant `kil`",
+        ),
+        (
+            &format!("{head}[[fault]]\nat_s = 1\nkind = \"slow\"\nservers = [1]\n"),
+            "needs by",
+        ),
+        (
+            &format!("{head}[[fault]]\nat_s = 1\nkind = \"node_kill\"\n"),
+            "needs nodes",
+        ),
     ];
     for (text, told) in cases {
         assert!(error(text).contains(told), "{} lacks {told}", error(text));
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -94,7 +94,9 @@
             reports: scenario.fleet.reports,
             probes: scenario.fleet.probes,
             by_hand,
-            modes: (0..count).map(|_| watch::Sender::new(ServerMode::Healthy)).collect(),
+            modes: (0..count)
+                .map(|_| watch::Sender::new(ServerMode::Healthy))
+                .collect(),
             open_connections: (0..count).map(|_| Cell::new(0)).collect(),
             waiting: RefCell::default(),
             next_job: Cell::new(0),
@@ -129,7 +131,8 @@
         let cache_servers = self.clone();
         listen(move |stream| {
             let mode = *cache_servers.modes[server].borrow();
-            let full = cache_servers.open_connections[server].get() >= cache_servers.max_connections;
+            let full =
+                cache_servers.open_connections[server].get() >= cache_servers.max_connections;
             if matches!(mode, ServerMode::Down | ServerMode::Refuse) || full {
                 reset(stream);
             } else if let Ok(conn) = Conn::new(stream) {
@@ -148,7 +151,12 @@
     }
 
     /// Serves a connection. An error ends it with a reset.
-    async fn requests(self: &Rc<Self>, server: usize, node: usize, conn: &mut Conn) -> Result<(), ()> {
+    async fn requests(
+        self: &Rc<Self>,
+        server: usize,
+        node: usize,
+        conn: &mut Conn,
+    ) -> Result<(), ()> {
         let mut mode = self.modes[server].subscribe();
         loop {
             let now = *mode.borrow_and_update();
@@ -186,10 +194,15 @@
                 conn.write(&bytes).await.map_err(drop)?;
                 continue;
             };
-            let known = TryId::parse(&text).filter(|id| (id.arrival as usize) < self.plan.arrivals.len());
+            let known =
+                TryId::parse(&text).filter(|id| (id.arrival as usize) < self.plan.arrivals.len());
             let sent_by_hand = self.by_hand && text.starts_with(BY_HAND);
             if known.is_none() && !sent_by_hand {
-                let unknown = UnknownRequest { server, id: text, at: self.since_start_us(received) };
+                let unknown = UnknownRequest {
+                    server,
+                    id: text,
+                    at: self.since_start_us(received),
+                };
                 self.record.borrow_mut().unknown_requests.push(unknown);
                 conn.write(&response_head(400, "", 0)).await.map_err(drop)?;
                 continue;
@@ -224,7 +237,9 @@
                 match admission {
                     Admission::Declined => {
                         set_outcome(AttemptOutcome::Declined);
-                        conn.write(&response_head(503, "Srv-Declined: 1\r\n", 0)).await.map_err(drop)?;
+                        conn.write(&response_head(503, "Srv-Declined: 1\r\n", 0))
+                            .await
+                            .map_err(drop)?;
                         continue;
                     }
                     Admission::Down => {
@@ -284,7 +299,10 @@
     fn job(&self, id: Option<TryId>, path: &str) -> Job {
         let number = self.next_job.replace(self.next_job.get() + 1);
         let arrival = id.map(|id| &self.plan.arrivals[id.arrival as usize]);
-        let key_of_path = || path.bytes().fold(0, |hash, byte| mix(hash ^ u64::from(byte)));
+        let key_of_path = || {
+            path.bytes()
+                .fold(0, |hash, byte| mix(hash ^ u64::from(byte)))
+        };
         let key = arrival.map_or_else(key_of_path, |arrival| arrival.key);
         Job {
             id: number,
@@ -319,7 +337,12 @@
         };
         // Its first words say for whom it was made: a body for another request would show.
         let prefix = format!("{id} by {server} ");
-        let length = if job.write { WRITE_BODY_BYTES } else { job.size }.max(prefix.len());
+        let length = if job.write {
+            WRITE_BODY_BYTES
+        } else {
+            job.size
+        }
+        .max(prefix.len());
         let mut headers = cache_header.to_owned();
         if self.reports {
             headers.extend(["Srv-Load: ", self.load_report(server).as_str(), "\r\n"]);
@@ -332,8 +355,16 @@
 
     /// A server's load report.
     fn load_report(&self, server: usize) -> String {
-        let ServerLoad { busy, waiting, cores } = self.cluster.borrow().load(server);
-        format!("inflight={},queue={waiting},util={:.2}", busy + waiting, busy as f64 / cores as f64)
+        let ServerLoad {
+            busy,
+            waiting,
+            cores,
+        } = self.cluster.borrow().load(server);
+        format!(
+            "inflight={},queue={waiting},util={:.2}",
+            busy + waiting,
+            busy as f64 / cores as f64
+        )
     }
 
     /// Moves the model on, for as long as the run lasts.
--- a/crates/lab/tests/rule_checker.rs
+++ b/crates/lab/tests/rule_checker.rs
@@ -60,10 +60,20 @@
 
 /// Addresses of the servers that discovery calls ready.
 fn ready(discovery: &str) -> io::Result<Vec<String>> {
-    let (_, body) = ask(discovery, "GET /v1/servers HTTP/1.1\r\nHost: d\r\n\r\n", b"")?;
+    let (_, body) = ask(
+        discovery,
+        "GET /v1/servers HTTP/1.1\r\nHost: d\r\n\r\n",
+        b"",
+    )?;
     let list: Value = serde_json::from_slice(&body)?;
-    let hosts = list["hosts"].as_array().unwrap().iter().filter(|host| host["health"] == "ready");
-    Ok(hosts.map(|host| host["dial"].as_str().unwrap().to_owned()).collect())
+    let hosts = list["hosts"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .filter(|host| host["health"] == "ready");
+    Ok(hosts
+        .map(|host| host["dial"].as_str().unwrap().to_owned())
+        .collect())
 }
 
 fn node(fault: NodeFault) -> Program {
@@ -93,11 +103,16 @@
             continue;
         }
         let now = ready(discovery)?;
-        let servers = if fault == NodeFault::Ignores { first.to_vec() } else { now };
+        let servers = if fault == NodeFault::Ignores {
+            first.to_vec()
+        } else {
+            now
+        };
         let (answer, value) = match fault {
-            NodeFault::Invents => {
-                ("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n".to_owned(), b"value".to_vec())
-            }
+            NodeFault::Invents => (
+                "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n".to_owned(),
+                b"value".to_vec(),
+            ),
             _ => ask(&servers[0], &head, &body)?,
         };
         match fault {
@@ -126,8 +141,12 @@
              deadline_ms = 20000\nworth = 1\n"
         )
     };
-    let classes =
-        [class("a", "safe", "0.5"), class("b", "keyed", "0.25"), class("c", "unsafe", "0.25")].concat();
+    let classes = [
+        class("a", "safe", "0.5"),
+        class("b", "keyed", "0.25"),
+        class("c", "unsafe", "0.25"),
+    ]
+    .concat();
     let text = format!(
         "about = \"x\"\nseconds = 2\n[load]\nrate = 40\nretries = 0\n[fleet]\nnodes = 1\nservers = 3\nwarm_s = 30\n\
          discovery_late_s = 0.01\nqueue = 500\nfall_s = 0.1\nfall_times = 0.2\n{classes}{rest}"
@@ -152,7 +171,11 @@
         (NodeFault::Invents, "", vec![Rule::OneAnswer]),
         (NodeFault::Repeats, "", vec![Rule::Repeats]),
         (NodeFault::Refuses, "", vec![Rule::Refusals]),
-        (NodeFault::Ignores, "[[fault]]\nat_s = 0.5\nkind = \"drain\"\nservers = [0]\n", vec![Rule::Drains]),
+        (
+            NodeFault::Ignores,
+            "[[fault]]\nat_s = 0.5\nkind = \"drain\"\nservers = [0]\n",
+            vec![Rule::Drains],
+        ),
         // All of the load on a server that has just come back cold is more than it can take.
         (
             NodeFault::None,
@@ -163,6 +186,9 @@
     ];
     for (fault, rest, rules) in cases {
         let broken = broken(fault, rest);
-        assert!(rules.iter().all(|rule| broken.contains(rule)), "{fault:?}: {broken:?} lacks {rules:?}");
+        assert!(
+            rules.iter().all(|rule| broken.contains(rule)),
+            "{fault:?}: {broken:?} lacks {rules:?}"
+        );
     }
 }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -51,13 +51,22 @@
                 sleep(POLL).await;
             }
         };
-        timeout(PATIENCE, waits).await.unwrap_or_else(|_| panic!("{what} does not come"));
+        timeout(PATIENCE, waits)
+            .await
+            .unwrap_or_else(|_| panic!("{what} does not come"));
     }
 }
 
-fn options(discovery: SocketAddr, observers: &Observers) -> (ControlOptions, watch::Sender<SocketAddr>) {
+fn options(
+    discovery: SocketAddr,
+    observers: &Observers,
+) -> (ControlOptions, watch::Sender<SocketAddr>) {
     let (moves, address) = watch::channel(discovery);
-    let settings = Settings { must_follow: true, classes: vec![Class::default()], ..Settings::default() };
+    let settings = Settings {
+        must_follow: true,
+        classes: vec![Class::default()],
+        ..Settings::default()
+    };
     let options = ControlOptions {
         settings,
         seed: 5,
@@ -70,12 +79,19 @@
 }
 
 fn change(health: Health) -> Vec<EntryChange> {
-    vec![EntryChange { server: 0, health, born_ms: None }]
+    vec![EntryChange {
+        server: 0,
+        health,
+        born_ms: None,
+    }]
 }
 
 /// Runs on one thread, as a node does.
 fn on_one_thread(test: impl std::future::Future<Output = ()>) {
-    let one = runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    let one = runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
     LocalSet::new().block_on(&one, test);
 }
 
@@ -84,34 +100,64 @@
 #[test]
 fn a_simulated_node_decides_by_the_list_that_it_has_in_force() {
     on_one_thread(async {
-        let observers = Observers::start(&operators::Settings::default(), &[], Format::Text).unwrap();
-        let size = Options { servers: 1, zones: 1, ..Options::default() };
-        let peers = vec![Peer { caller: Caller::SimulatedNodes, address: 0, far: false }];
+        let observers =
+            Observers::start(&operators::Settings::default(), &[], Format::Text).unwrap();
+        let size = Options {
+            servers: 1,
+            zones: 1,
+            ..Options::default()
+        };
+        let peers = vec![Peer {
+            caller: Caller::SimulatedNodes,
+            address: 0,
+            far: false,
+        }];
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-        let service = Service::start(&size, nowhere, peers, unbounded_channel().0).await.unwrap();
+        let service = Service::start(&size, nowhere, peers, unbounded_channel().0)
+            .await
+            .unwrap();
         let seen = Rc::new(Seen::default());
         let (options, _moves) = options(service.addresses[0], &observers);
         let node = spawn_local(run(options, seen.clone()));
 
-        seen.until("a request that is sent", |seen| seen.sent.get() > 0).await;
-        assert_eq!(*seen.lists.borrow(), [(1, true)], "a new node asks for the whole list, once");
+        seen.until("a request that is sent", |seen| seen.sent.get() > 0)
+            .await;
+        assert_eq!(
+            *seen.lists.borrow(),
+            [(1, true)],
+            "a new node asks for the whole list, once"
+        );
 
         service.change(change(Health::Draining)).await.unwrap();
-        seen.until("the change", |seen| seen.lists.borrow().last() == Some(&(2, false))).await;
+        seen.until("the change", |seen| {
+            seen.lists.borrow().last() == Some(&(2, false))
+        })
+        .await;
         let (sent, handled) = (seen.sent.get(), seen.handled.get());
-        seen.until("more requests", |seen| seen.handled.get() > handled + 20).await;
+        seen.until("more requests", |seen| seen.handled.get() > handled + 20)
+            .await;
         assert_eq!(seen.sent.get(), sent, "no server takes work");
 
         service.set_down(true).unwrap();
-        seen.until("a call that fails", |seen| seen.failed.get() > 1).await;
+        seen.until("a call that fails", |seen| seen.failed.get() > 1)
+            .await;
         service.change(change(Health::Ready)).await.unwrap();
         service.set_down(false).unwrap();
-        seen.until("the change of that time", |seen| seen.lists.borrow().last() == Some(&(3, false))).await;
-        seen.until("a request that is sent again", |seen| seen.sent.get() > sent).await;
+        seen.until("the change of that time", |seen| {
+            seen.lists.borrow().last() == Some(&(3, false))
+        })
+        .await;
+        seen.until("a request that is sent again", |seen| {
+            seen.sent.get() > sent
+        })
+        .await;
 
         node.abort();
         let figures = service.figures().await.unwrap();
-        assert!(figures.simulated.resets > 0 && figures.simulated.whole_answers == 1, "{figures:?}");
+        assert!(
+            figures.simulated.resets > 0 && figures.simulated.whole_answers == 1,
+            "{figures:?}"
+        );
         assert_eq!(figures.real, Default::default(), "no real node has called");
     });
 }
@@ -120,26 +166,45 @@
 #[test]
 fn a_split_holds_back_the_far_side_until_it_is_over() {
     on_one_thread(async {
-        let observers = Observers::start(&operators::Settings::default(), &[], Format::Text).unwrap();
-        let size = Options { servers: 1, zones: 1, ..Options::default() };
-        let peers =
-            [false, true].map(|far| Peer { caller: Caller::SimulatedNodes, address: 0, far }).to_vec();
+        let observers =
+            Observers::start(&operators::Settings::default(), &[], Format::Text).unwrap();
+        let size = Options {
+            servers: 1,
+            zones: 1,
+            ..Options::default()
+        };
+        let peers = [false, true]
+            .map(|far| Peer {
+                caller: Caller::SimulatedNodes,
+                address: 0,
+                far,
+            })
+            .to_vec();
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-        let service = Service::start(&size, nowhere, peers, unbounded_channel().0).await.unwrap();
+        let service = Service::start(&size, nowhere, peers, unbounded_channel().0)
+            .await
+            .unwrap();
         let (near, far) = (Rc::new(Seen::default()), Rc::new(Seen::default()));
         let mut moves = Vec::new();
         for (place, seen) in [&near, &far].into_iter().enumerate() {
             let (options, moved) = options(service.addresses[place], &observers);
             moves.push(moved);
             spawn_local(run(options, seen.clone()));
-            seen.until("the first list", |seen| !seen.lists.borrow().is_empty()).await;
+            seen.until("the first list", |seen| !seen.lists.borrow().is_empty())
+                .await;
         }
         service.set_cut(true).unwrap();
         service.change(change(Health::Draining)).await.unwrap();
-        near.until("the change", |seen| seen.lists.borrow().last() == Some(&(2, false))).await;
+        near.until("the change", |seen| {
+            seen.lists.borrow().last() == Some(&(2, false))
+        })
+        .await;
         assert_eq!(*far.lists.borrow(), [(1, true)]);
         service.set_cut(false).unwrap();
-        far.until("the change", |seen| seen.lists.borrow().last() == Some(&(2, false))).await;
+        far.until("the change", |seen| {
+            seen.lists.borrow().last() == Some(&(2, false))
+        })
+        .await;
         assert!(far.failed.get() > 0, "its watch was reset");
     });
 }
--- a/crates/membership/src/history.rs
+++ b/crates/membership/src/history.rs
@@ -57,7 +57,9 @@
 
     /// Who is behind a change that is dropped cannot be told by changes any more.
     fn drop_oldest_change(&mut self) {
-        let Some(((version, host), entry)) = self.changes.pop_first() else { return };
+        let Some(((version, host), entry)) = self.changes.pop_first() else {
+            return;
+        };
         self.changed_at.remove(&host);
         self.bytes -= entry.bytes();
         self.held = self.held.split_off(&version);
@@ -74,7 +76,9 @@
             return None;
         }
         // No name sorts before the empty one; after the last version there is nothing.
-        let Some(next) = version.0.checked_add(1).map(Version) else { return Some(Vec::new()) };
+        let Some(next) = version.0.checked_add(1).map(Version) else {
+            return Some(Vec::new());
+        };
         let newer = self.changes.range((next, Arc::from(""))..);
         Some(newer.map(|(_, entry)| entry.clone()).collect())
     }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -11,7 +11,9 @@
 const GONE: &str = "gone";
 
 /// A version of the list, as upstream numbers it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 #[serde(transparent)]
 pub struct Version(pub u64);
 
@@ -58,7 +60,11 @@
     /// Reads an entry; all of its text is kept.
     pub fn parse(json: Box<RawValue>) -> serde_json::Result<Self> {
         let Head { host, health } = serde_json::from_str(json.get())?;
-        Ok(Self { host: host.into(), gone: health == GONE, json: json.into() })
+        Ok(Self {
+            host: host.into(),
+            gone: health == GONE,
+            json: json.into(),
+        })
     }
 
     /// The server's name.
@@ -79,11 +85,17 @@
     /// The same server, removed; for a whole list that no longer has it.
     pub(crate) fn removed(&self) -> Self {
         // It was read as an object before.
-        let mut fields: Map<String, Value> = serde_json::from_str(self.json.get()).unwrap_or_default();
+        let mut fields: Map<String, Value> =
+            serde_json::from_str(self.json.get()).unwrap_or_default();
         fields.insert("host".to_owned(), Value::from(&*self.host));
         fields.insert("health".to_owned(), Value::from(GONE));
-        let json = serde_json::value::to_raw_value(&fields).map_or_else(|_| self.json.clone(), Arc::from);
-        Self { host: self.host.clone(), gone: true, json }
+        let json =
+            serde_json::value::to_raw_value(&fields).map_or_else(|_| self.json.clone(), Arc::from);
+        Self {
+            host: self.host.clone(),
+            gone: true,
+            json,
+        }
     }
 
     /// The bytes that keeping it takes, roughly.
@@ -130,16 +142,37 @@
 impl List {
     /// Reads a message of discovery's.
     pub fn parse(body: &[u8]) -> Result<Self, MessageError> {
-        let ReadList { seq: version, whole, hosts } = serde_json::from_slice(body)?;
-        let entry =
-            |(place, json)| Entry::parse(json).map_err(|error| MessageError::Entry { version, place, error });
-        let entries = hosts.into_iter().enumerate().map(entry).collect::<Result<_, _>>()?;
-        Ok(Self { version, whole, entries })
+        let ReadList {
+            seq: version,
+            whole,
+            hosts,
+        } = serde_json::from_slice(body)?;
+        let entry = |(place, json)| {
+            Entry::parse(json).map_err(|error| MessageError::Entry {
+                version,
+                place,
+                error,
+            })
+        };
+        let entries = hosts
+            .into_iter()
+            .enumerate()
+            .map(entry)
+            .collect::<Result<_, _>>()?;
+        Ok(Self {
+            version,
+            whole,
+            entries,
+        })
     }
 
     /// Writes it as discovery would.
     pub fn encode(&self) -> serde_json::Result<Vec<u8>> {
         let hosts = self.entries.iter().map(|entry| &*entry.json).collect();
-        serde_json::to_vec(&WrittenList { seq: self.version, whole: self.whole, hosts })
+        serde_json::to_vec(&WrittenList {
+            seq: self.version,
+            whole: self.whole,
+            hosts,
+        })
     }
 }
--- a/crates/membership/src/replica.rs
+++ b/crates/membership/src/replica.rs
@@ -216,7 +216,9 @@
 
     /// The same where upstream is not to be asked for callers' versions now.
     pub fn next_list_call(&self) -> Call {
-        self.version.filter(|_| self.doubt.is_none()).map_or(Call::Whole, Call::Watch)
+        self.version
+            .filter(|_| self.doubt.is_none())
+            .map_or(Call::Whole, Call::Watch)
     }
 
     /// Takes in the answer to a call that was sent at `sent` and read at `read`.
@@ -241,20 +243,30 @@
         }
         let bytes = self.bytes_with(&list);
         if bytes > LIST_BYTES {
-            return Err(RejectedList::TooLarge { listed: list.version, bytes });
+            return Err(RejectedList::TooLarge {
+                listed: list.version,
+                bytes,
+            });
         }
         self.bytes = bytes;
         self.doubt = None;
         self.behind = false;
         self.heard = Some(read);
         self.wanted = self.wanted.filter(|wanted| *wanted > list.version);
-        Ok(if list.whole { self.take_whole(list, read) } else { self.take_delta(list) })
+        Ok(if list.whole {
+            self.take_whole(list, read)
+        } else {
+            self.take_delta(list)
+        })
     }
 
     /// Bytes of the entries held once this list is applied.
     fn bytes_with(&self, list: &List) -> usize {
         let newest = || newest_of_each(&list.entries);
-        let added: usize = newest().filter(|entry| !entry.is_gone()).map(Entry::bytes).sum();
+        let added: usize = newest()
+            .filter(|entry| !entry.is_gone())
+            .map(Entry::bytes)
+            .sum();
         if list.whole {
             return added;
         }
@@ -264,19 +276,33 @@
 
     /// The second whole list in a row that is too small is believed.
     fn check_whole(&mut self, list: &List, held: Version) -> Result<(), RejectedList> {
-        let servers = newest_of_each(&list.entries).filter(|entry| !entry.is_gone()).count();
+        let servers = newest_of_each(&list.entries)
+            .filter(|entry| !entry.is_gone())
+            .count();
         let servers_held = self.servers.len();
         let shrunk = servers < servers_held.div_ceil(SHRINK_FACTOR);
         if shrunk && self.doubt != Some(Doubt::Shrunk) {
             self.doubt = Some(Doubt::Shrunk);
-            return Err(RejectedList::Shrunk { held, listed: list.version, servers_held, servers });
+            return Err(RejectedList::Shrunk {
+                held,
+                listed: list.version,
+                servers_held,
+                servers,
+            });
         }
         Ok(())
     }
 
-    fn check_delta(&mut self, call: Call, list: &List, held: Option<Version>) -> Result<(), RejectedList> {
+    fn check_delta(
+        &mut self,
+        call: Call,
+        list: &List,
+        held: Option<Version>,
+    ) -> Result<(), RejectedList> {
         let listed = list.version;
-        let Some(held) = held else { return Err(RejectedList::OtherBase { listed }) };
+        let Some(held) = held else {
+            return Err(RejectedList::OtherBase { listed });
+        };
         let below_caller = matches!(call, Call::Confirm(wanted) if listed < wanted);
         let reused = listed == held && !list.entries.is_empty();
         if listed < held || below_caller || reused {
@@ -292,8 +318,11 @@
 
     fn take_whole(&mut self, list: List, now: Duration) -> Applied {
         let total = list.entries.len();
-        let mut servers: BTreeMap<_, _> =
-            list.entries.into_iter().map(|entry| (entry.host().clone(), entry)).collect();
+        let mut servers: BTreeMap<_, _> = list
+            .entries
+            .into_iter()
+            .map(|entry| (entry.host().clone(), entry))
+            .collect();
         let duplicates = total - servers.len();
         servers.retain(|_, entry| !entry.is_gone());
         let changes = self.differences(&servers);
@@ -312,20 +341,35 @@
         }
         self.servers = servers;
         self.version = Some(list.version);
-        Applied { news, new_epoch, duplicates }
+        Applied {
+            news,
+            new_epoch,
+            duplicates,
+        }
     }
 
     fn end_epoch(&mut self, now: Duration) {
-        let highest = self.version.max(self.earlier.map(|earlier| earlier.highest));
-        self.earlier = highest.map(|highest| EarlierEpochs { highest, ended: now });
+        let highest = self
+            .version
+            .max(self.earlier.map(|earlier| earlier.highest));
+        self.earlier = highest.map(|highest| EarlierEpochs {
+            highest,
+            ended: now,
+        });
     }
 
     /// What the servers held have to become, so that they are these.
     fn differences(&self, servers: &BTreeMap<Arc<str>, Entry>) -> Vec<Entry> {
-        let lost = self.servers.iter().filter(|(host, _)| !servers.contains_key(*host));
+        let lost = self
+            .servers
+            .iter()
+            .filter(|(host, _)| !servers.contains_key(*host));
         let lost = lost.map(|(_, entry)| entry.removed());
-        let changed = servers.iter().filter(|(host, entry)| self.servers.get(*host) != Some(*entry));
-        lost.chain(changed.map(|(_, entry)| entry.clone())).collect()
+        let changed = servers
+            .iter()
+            .filter(|(host, entry)| self.servers.get(*host) != Some(*entry));
+        lost.chain(changed.map(|(_, entry)| entry.clone()))
+            .collect()
     }
 
     fn take_delta(&mut self, list: List) -> Applied {
@@ -342,7 +386,11 @@
         }
         self.history.record(list.version, changes);
         self.version = Some(list.version);
-        Applied { news, new_epoch: false, duplicates }
+        Applied {
+            news,
+            new_epoch: false,
+            duplicates,
+        }
     }
 
     /// The next call goes to another upstream: what the one before was doubted for says nothing of this one.
@@ -356,9 +404,14 @@
         let (version, heard) = self.version.zip(self.heard).ok_or(Unavailable::NoList)?;
         let silent = now.saturating_sub(heard);
         if silent > self.lease {
-            return Err(Unavailable::LeaseExpired { silent, lease: self.lease });
+            return Err(Unavailable::LeaseExpired {
+                silent,
+                lease: self.lease,
+            });
         }
-        let Some(after) = question.after else { return Ok(Reply::Whole) };
+        let Some(after) = question.after else {
+            return Ok(Reply::Whole);
+        };
         if self.is_ambiguous(after, now) {
             return Ok(self.answer_ambiguous(after, version, question));
         }
@@ -369,18 +422,26 @@
             return Ok(Reply::Wait);
         }
         let known = self.history.holds(after);
-        Ok(if known { Reply::ChangesSince(after) } else { Reply::Whole })
+        Ok(if known {
+            Reply::ChangesSince(after)
+        } else {
+            Reply::Whole
+        })
     }
 
     /// Whether a version may be one of an earlier epoch.
     fn is_ambiguous(&self, version: Version, now: Duration) -> bool {
-        let earlier = self.earlier.filter(|earlier| now.saturating_sub(earlier.ended) <= EPOCH_OVERLAP);
+        let earlier = self
+            .earlier
+            .filter(|earlier| now.saturating_sub(earlier.ended) <= EPOCH_OVERLAP);
         earlier.is_some_and(|earlier| version <= earlier.highest)
     }
 
     /// Whole lists only. A caller that named the version held in this epoch waits, or it would ask without end.
     fn answer_ambiguous(&self, after: Version, version: Version, question: Question) -> Reply {
-        let of_this_epoch = self.earlier.is_some_and(|earlier| question.came >= earlier.ended);
+        let of_this_epoch = self
+            .earlier
+            .is_some_and(|earlier| question.came >= earlier.ended);
         if after == version && of_this_epoch && !question.wait_is_over {
             return Reply::Wait;
         }
@@ -389,7 +450,10 @@
 
     /// Either this replica is behind, or upstream does not know that version any more. Only upstream can say which.
     fn answer_newer(&mut self, after: Version, came: Duration) -> Reply {
-        if self.unknown.is_some_and(|(version, asked)| after <= version && came <= asked) {
+        if self
+            .unknown
+            .is_some_and(|(version, asked)| after <= version && came <= asked)
+        {
             return Reply::Whole;
         }
         self.wanted = self.wanted.max(Some(after));
@@ -400,12 +464,18 @@
     pub fn message(&self, reply: Reply) -> Option<List> {
         let version = self.version?;
         match reply {
-            Reply::Whole => {
-                Some(List { version, whole: true, entries: self.servers.values().cloned().collect() })
-            }
+            Reply::Whole => Some(List {
+                version,
+                whole: true,
+                entries: self.servers.values().cloned().collect(),
+            }),
             Reply::ChangesSince(after) => {
                 let entries = self.history.since(after)?;
-                Some(List { version, whole: false, entries })
+                Some(List {
+                    version,
+                    whole: false,
+                    entries,
+                })
             }
             Reply::Wait | Reply::Confirm => None,
         }
@@ -414,8 +484,15 @@
 
 /// The last entry of each server: a message is read in its order, and the later word stands.
 fn newest_of_each(entries: &[Entry]) -> impl Iterator<Item = &Entry> {
-    let last: HashMap<&str, usize> =
-        entries.iter().enumerate().map(|(place, entry)| (&**entry.host(), place)).collect();
+    let last: HashMap<&str, usize> = entries
+        .iter()
+        .enumerate()
+        .map(|(place, entry)| (&**entry.host(), place))
+        .collect();
     let is_last = move |place: usize, entry: &Entry| last.get(&**entry.host()) == Some(&place);
-    entries.iter().enumerate().filter(move |(place, entry)| is_last(*place, entry)).map(|(_, entry)| entry)
+    entries
+        .iter()
+        .enumerate()
+        .filter(move |(place, entry)| is_last(*place, entry))
+        .map(|(_, entry)| entry)
 }
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -31,7 +31,12 @@
     /// A replica makes its next call; upstream may have forgotten its changes.
     Call { replica: u8, forgets: bool },
     /// A caller asks a replica, and the answer reaches it or not.
-    Ask { caller: u8, replica: u8, whole: bool, wait_is_over: bool },
+    Ask {
+        caller: u8,
+        replica: u8,
+        whole: bool,
+        wait_is_over: bool,
+    },
 }
 
 fn step(replicas: u8, restarts: bool) -> impl Strategy<Value = Step> {
@@ -53,8 +58,12 @@
 
 impl Upstream {
     fn new() -> Self {
-        let servers = (0..HOSTS).map(|host| (format!("s{host}"), "ready".to_owned())).collect();
-        Self { lists: BTreeMap::from([(FIRST_VERSION, servers)]) }
+        let servers = (0..HOSTS)
+            .map(|host| (format!("s{host}"), "ready".to_owned()))
+            .collect();
+        Self {
+            lists: BTreeMap::from([(FIRST_VERSION, servers)]),
+        }
     }
 
     fn version(&self) -> u64 {
@@ -77,17 +86,25 @@
 
     fn restart(&mut self, version: u64, steps_back: u8) {
         let servers = self.servers().iter().skip(usize::from(steps_back % 3));
-        let servers = servers.map(|(host, health)| (host.clone(), health.clone())).collect();
+        let servers = servers
+            .map(|(host, health)| (host.clone(), health.clone()))
+            .collect();
         self.lists = BTreeMap::from([(version, servers)]);
     }
 
     fn whole(&self) -> List {
-        let servers: Vec<_> = self.servers().iter().map(|(host, health)| (&**host, &**health)).collect();
+        let servers: Vec<_> = self
+            .servers()
+            .iter()
+            .map(|(host, health)| (&**host, &**health))
+            .collect();
         list(self.version(), true, &servers)
     }
 
     fn answer(&self, call: Call, forgets: bool) -> List {
-        let (Call::Watch(after) | Call::Confirm(after)) = call else { return self.whole() };
+        let (Call::Watch(after) | Call::Confirm(after)) = call else {
+            return self.whole();
+        };
         if forgets || !self.lists.contains_key(&after.0) {
             return self.whole();
         }
@@ -148,7 +165,11 @@
 
     /// Asks a replica without waiting.
     fn ask(&mut self, replica: usize, after: Option<u64>, wait_is_over: bool) -> Option<List> {
-        let question = Question { after: after.map(Version), came: self.now, wait_is_over };
+        let question = Question {
+            after: after.map(Version),
+            came: self.now,
+            wait_is_over,
+        };
         let reply = self.replicas[replica].answer(question, self.now).ok()?;
         if reply == Reply::Confirm {
             // It calls upstream at once, and asks for what it lacks.
@@ -175,14 +196,21 @@
     /// Where upstream numbers its lists anew up to a version that a replica holds of before, before that has called once,
     /// nothing in the protocol could show it.
     fn would_reach_what_is_held(&self) -> bool {
-        self.replicas.iter().any(|replica| replica.version() == Some(Version(self.upstream.version() + 1)))
+        self.replicas
+            .iter()
+            .any(|replica| replica.version() == Some(Version(self.upstream.version() + 1)))
     }
 
     /// Below all that is held: by the same number it could not be told.
     fn restart(&mut self, steps_back: u8) {
-        let held = self.replicas.iter().filter_map(|replica| replica.version()).map(|version| version.0);
+        let held = self
+            .replicas
+            .iter()
+            .filter_map(|replica| replica.version())
+            .map(|version| version.0);
         let lowest = held.chain([self.upstream.version()]).min().unwrap();
-        self.upstream.restart(lowest - 1 - u64::from(steps_back), steps_back);
+        self.upstream
+            .restart(lowest - 1 - u64::from(steps_back), steps_back);
     }
 
     fn play(&mut self, step: &Step) {
@@ -192,7 +220,12 @@
             Step::Change(host, health) => self.upstream.change(host, health),
             Step::Restart(steps_back) => self.restart(steps_back),
             Step::Call { replica, forgets } => self.call(usize::from(replica), forgets),
-            Step::Ask { caller, replica, whole, wait_is_over } => {
+            Step::Ask {
+                caller,
+                replica,
+                whole,
+                wait_is_over,
+            } => {
                 let (caller, replica) = (usize::from(caller), usize::from(replica));
                 let after = self.callers[caller].version.filter(|_| !whole);
                 if let Some(list) = self.ask(replica, after, wait_is_over) {
@@ -205,7 +238,11 @@
 
 fn check(replicas: u8, restarts: bool, holds: impl Fn(&[Step]) -> Result<(), TestCaseError>) {
     for seed in SEEDS {
-        let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
+        let config = Config {
+            cases: CASES,
+            failure_persistence: None,
+            ..Config::default()
+        };
         let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
         let steps = prop::collection::vec(step(replicas, restarts), 1..STEPS);
         let result = TestRunner::new_with_rng(config, random).run(&steps, |steps| holds(&steps));
@@ -231,7 +268,10 @@
             prop_assert!(list.is_some(), "it is answered");
             world.callers[caller].take(&list.unwrap());
             prop_assert_eq!(&world.callers[caller].servers, world.upstream.servers());
-            prop_assert_eq!(world.callers[caller].version, Some(world.upstream.version()));
+            prop_assert_eq!(
+                world.callers[caller].version,
+                Some(world.upstream.version())
+            );
         }
         Ok(())
     });
@@ -246,8 +286,18 @@
         for step in steps {
             match step.clone() {
                 // Nobody moves: relays that have noticed a restart and others are not told apart by a caller.
-                Step::Ask { caller, whole, wait_is_over, .. } => {
-                    world.play(&Step::Ask { caller, replica: SITE, whole, wait_is_over });
+                Step::Ask {
+                    caller,
+                    whole,
+                    wait_is_over,
+                    ..
+                } => {
+                    world.play(&Step::Ask {
+                        caller,
+                        replica: SITE,
+                        whole,
+                        wait_is_over,
+                    });
                 }
                 step => world.play(&step),
             }
@@ -280,7 +330,11 @@
             let before: Vec<_> = world.callers.iter().map(|caller| caller.version).collect();
             world.play(step);
             for (caller, before) in world.callers.iter().zip(before) {
-                prop_assert!(caller.version >= before, "{:?} after {before:?}", caller.version);
+                prop_assert!(
+                    caller.version >= before,
+                    "{:?} after {before:?}",
+                    caller.version
+                );
                 if let Some(version) = caller.version {
                     prop_assert_eq!(&caller.servers, &world.upstream.lists[&version]);
                 }
@@ -294,13 +348,33 @@
 #[test]
 fn the_properties_see_answers_of_each_kind() {
     let mut world = World::new(3);
-    let ask = |caller, replica| Step::Ask { caller, replica, whole: false, wait_is_over: true };
-    let call = |replica| Step::Call { replica, forgets: false };
-    for step in [call(0), call(2), ask(0, 2), Step::Change(1, 2), call(0), ask(1, 0), ask(1, 2), ask(0, 2)] {
+    let ask = |caller, replica| Step::Ask {
+        caller,
+        replica,
+        whole: false,
+        wait_is_over: true,
+    };
+    let call = |replica| Step::Call {
+        replica,
+        forgets: false,
+    };
+    for step in [
+        call(0),
+        call(2),
+        ask(0, 2),
+        Step::Change(1, 2),
+        call(0),
+        ask(1, 0),
+        ask(1, 2),
+        ask(0, 2),
+    ] {
         world.play(&step);
     }
     let versions: Vec<_> = world.callers.iter().map(|caller| caller.version).collect();
-    assert_eq!(versions, [Some(FIRST_VERSION + 1), Some(FIRST_VERSION + 1), None]);
+    assert_eq!(
+        versions,
+        [Some(FIRST_VERSION + 1), Some(FIRST_VERSION + 1), None]
+    );
     assert_eq!(world.callers[0].servers, *world.upstream.servers());
     assert_eq!(world.now, ms(8_000));
 }
