--- a/crates/membership/tests/replica.rs
+++ b/crates/membership/tests/replica.rs
@@ -4,8 +4,8 @@
 
 use common::{ask, holding, list, ms, pairs, words, LEASE};
 use slatelink_membership::{
-    Applied, Call, List, Question, RejectedList, Replica, Reply, Unavailable, Version, CHANGES_BYTES,
-    EPOCH_OVERLAP, LIST_BYTES,
+    Applied, Call, List, Question, RejectedList, Replica, Reply, Unavailable, Version,
+    CHANGES_BYTES, EPOCH_OVERLAP, LIST_BYTES,
 };
 
 const THREE: [(&str, &str); 3] = [("a", "ready"), ("b", "ready"), ("c", "ready")];
@@ -28,64 +28,110 @@
     assert_eq!(read.encode().unwrap(), text);
     let mut replica = Replica::new(LEASE);
     replica.apply(Call::Whole, read, ms(0), ms(0)).unwrap();
-    assert_eq!(replica.message(Reply::Whole).unwrap().encode().unwrap(), text);
+    assert_eq!(
+        replica.message(Reply::Whole).unwrap().encode().unwrap(),
+        text
+    );
 }
 
 // Guards against a message that is half read: nothing of it may be applied.
 #[test]
 fn what_is_no_list_is_refused_with_its_place() {
-    let error =
-        List::parse(br#"{"seq":7,"whole":true,"hosts":[{"host":"a","health":"ready"},{"host":"b"}]}"#);
+    let error = List::parse(
+        br#"{"seq":7,"whole":true,"hosts":[{"host":"a","health":"ready"},{"host":"b"}]}"#,
+    );
     let text = error.unwrap_err().to_string();
-    assert!(text.starts_with("entry 1 of list 7 has no name or no health: missing field `health`"), "{text}");
-    assert!(List::parse(b"{\"seq\":-1}").unwrap_err().to_string().starts_with("not a list: "));
+    assert!(
+        text.starts_with("entry 1 of list 7 has no name or no health: missing field `health`"),
+        "{text}"
+    );
+    assert!(List::parse(b"{\"seq\":-1}")
+        .unwrap_err()
+        .to_string()
+        .starts_with("not a list: "));
 }
 
 // Guards against deltas that repeat a server, leave out one that is gone, or begin at another version than the caller's.
 #[test]
 fn a_caller_gets_the_newest_state_of_what_changed_since_its_version() {
     let mut replica = holding(1, &THREE);
-    let changes = [(2, ("b", "draining")), (3, ("b", "gone")), (4, ("c", "draining"))];
+    let changes = [
+        (2, ("b", "draining")),
+        (3, ("b", "gone")),
+        (4, ("c", "draining")),
+    ];
     for (version, change) in changes {
         let call = replica.next_call();
         assert_eq!(call, watch(version - 1));
         let applied = replica.apply(call, list(version, false, &[change]), ms(1), ms(1));
-        assert_eq!(applied, Ok(Applied { news: true, new_epoch: false, duplicates: 0 }));
+        assert_eq!(
+            applied,
+            Ok(Applied {
+                news: true,
+                new_epoch: false,
+                duplicates: 0
+            })
+        );
     }
     let mut since = |version| {
         let reply = ask(&mut replica, Some(version), ms(1)).unwrap();
         told(&replica, reply)
     };
-    assert_eq!(since(1), (4, false, pairs(&[("b", "gone"), ("c", "draining")])));
-    assert_eq!(since(2), (4, false, pairs(&[("b", "gone"), ("c", "draining")])));
+    assert_eq!(
+        since(1),
+        (4, false, pairs(&[("b", "gone"), ("c", "draining")]))
+    );
+    assert_eq!(
+        since(2),
+        (4, false, pairs(&[("b", "gone"), ("c", "draining")]))
+    );
     assert_eq!(since(3), (4, false, pairs(&[("c", "draining")])));
     assert_eq!(since(4), (4, false, vec![]));
     assert_eq!(ask(&mut replica, None, ms(1)), Ok(Reply::Whole));
-    assert_eq!(told(&replica, Reply::Whole), (4, true, pairs(&[("a", "ready"), ("c", "draining")])));
+    assert_eq!(
+        told(&replica, Reply::Whole),
+        (4, true, pairs(&[("a", "ready"), ("c", "draining")]))
+    );
 }
 
 // Guards against a delta for a version that was jumped over: what came and went in between is not known.
 #[test]
 fn a_version_that_was_never_held_gets_the_whole_list() {
     let mut replica = holding(5, &THREE);
-    replica.apply(watch(5), list(9, false, &[("a", "draining")]), ms(0), ms(0)).unwrap();
+    replica
+        .apply(watch(5), list(9, false, &[("a", "draining")]), ms(0), ms(0))
+        .unwrap();
     for version in [4, 6, 8] {
-        assert_eq!(ask(&mut replica, Some(version), ms(0)), Ok(Reply::Whole), "{version}");
+        assert_eq!(
+            ask(&mut replica, Some(version), ms(0)),
+            Ok(Reply::Whole),
+            "{version}"
+        );
     }
-    assert_eq!(ask(&mut replica, Some(5), ms(0)), Ok(Reply::ChangesSince(Version(5))));
+    assert_eq!(
+        ask(&mut replica, Some(5), ms(0)),
+        Ok(Reply::ChangesSince(Version(5)))
+    );
 }
 
 // Guards against a whole list that brings back, or does not take away, what it lacks.
 #[test]
 fn a_whole_list_is_told_as_its_difference() {
     let mut replica = holding(1, &THREE);
-    let whole = list(4, true, &[("a", "ready"), ("c", "draining"), ("d", "ready")]);
+    let whole = list(
+        4,
+        true,
+        &[("a", "ready"), ("c", "draining"), ("d", "ready")],
+    );
     replica.apply(watch(1), whole, ms(0), ms(0)).unwrap();
     let reply = ask(&mut replica, Some(1), ms(0)).unwrap();
     let (version, whole, mut entries) = told(&replica, reply);
     entries.sort();
     assert_eq!((version, whole), (4, false));
-    assert_eq!(entries, pairs(&[("b", "gone"), ("c", "draining"), ("d", "ready")]));
+    assert_eq!(
+        entries,
+        pairs(&[("b", "gone"), ("c", "draining"), ("d", "ready")])
+    );
 }
 
 // Guards against memory that grows with every change, and against a caller behind the bound that misses some.
@@ -95,11 +141,25 @@
     let padding = "x".repeat(CHANGES_BYTES / 8);
     for version in 2..40 {
         let host = format!("{version}-{padding}");
-        replica.apply(watch(version - 1), list(version, false, &[(&host, "ready")]), ms(0), ms(0)).unwrap();
-        assert!(replica.history_bytes() <= CHANGES_BYTES, "{}", replica.history_bytes());
+        replica
+            .apply(
+                watch(version - 1),
+                list(version, false, &[(&host, "ready")]),
+                ms(0),
+                ms(0),
+            )
+            .unwrap();
+        assert!(
+            replica.history_bytes() <= CHANGES_BYTES,
+            "{}",
+            replica.history_bytes()
+        );
     }
     assert_eq!(ask(&mut replica, Some(2), ms(0)), Ok(Reply::Whole));
-    assert_eq!(ask(&mut replica, Some(38), ms(0)), Ok(Reply::ChangesSince(Version(38))));
+    assert_eq!(
+        ask(&mut replica, Some(38), ms(0)),
+        Ok(Reply::ChangesSince(Version(38)))
+    );
 }
 
 // Guards against an old list that is told as if it were new, and against a relay that answers before it has one.
@@ -108,19 +168,32 @@
     let mut replica = Replica::new(LEASE);
     assert_eq!(replica.next_call(), Call::Whole);
     assert_eq!(ask(&mut replica, None, ms(0)), Err(Unavailable::NoList));
-    replica.apply(Call::Whole, list(3, true, &THREE), ms(50), ms(100)).unwrap();
+    replica
+        .apply(Call::Whole, list(3, true, &THREE), ms(50), ms(100))
+        .unwrap();
     let end = ms(100) + LEASE;
     assert_eq!(replica.expires(), Some(end));
     assert_eq!(ask(&mut replica, None, end), Ok(Reply::Whole));
     let late = end + ms(1);
     for after in [None, Some(1), Some(3), Some(9)] {
         let silent = LEASE + ms(1);
-        assert_eq!(ask(&mut replica, after, late), Err(Unavailable::LeaseExpired { silent, lease: LEASE }));
+        assert_eq!(
+            ask(&mut replica, after, late),
+            Err(Unavailable::LeaseExpired {
+                silent,
+                lease: LEASE
+            })
+        );
     }
     // A word without news is a word.
-    let applied = replica.apply(watch(3), list(3, false, &[]), late, late).unwrap();
+    let applied = replica
+        .apply(watch(3), list(3, false, &[]), late, late)
+        .unwrap();
     assert!(!applied.news);
-    assert_eq!(ask(&mut replica, Some(3), late), Ok(Reply::ChangesSince(Version(3))));
+    assert_eq!(
+        ask(&mut replica, Some(3), late),
+        Ok(Reply::ChangesSince(Version(3)))
+    );
 }
 
 // Guards against servers that come back by an old delta, and against deltas that mix two numberings.
@@ -128,27 +201,58 @@
 fn after_versions_went_back_nothing_is_told_but_whole_lists() {
     let mut replica = holding(50, &THREE);
     let back = replica.apply(watch(50), list(4, false, &[("a", "ready")]), ms(0), ms(0));
-    assert_eq!(back, Err(RejectedList::WentBack { held: Version(50), listed: Version(4) }));
-    assert_eq!(replica.version(), Some(Version(50)), "what it says is not told");
+    assert_eq!(
+        back,
+        Err(RejectedList::WentBack {
+            held: Version(50),
+            listed: Version(4)
+        })
+    );
+    assert_eq!(
+        replica.version(),
+        Some(Version(50)),
+        "what it says is not told"
+    );
     assert_eq!(replica.next_call(), Call::Whole);
     let now = ms(1000);
-    let applied = replica.apply(Call::Whole, list(4, true, &THREE), now, now).unwrap();
+    let applied = replica
+        .apply(Call::Whole, list(4, true, &THREE), now, now)
+        .unwrap();
     assert!(applied.new_epoch && applied.news);
     assert_eq!(replica.epochs(), 2);
     // A watch that was open when versions went back is answered, whatever its number.
-    let waiting = Question { after: Some(Version(4)), came: ms(999), wait_is_over: false };
+    let waiting = Question {
+        after: Some(Version(4)),
+        came: ms(999),
+        wait_is_over: false,
+    };
     assert_eq!(replica.answer(waiting, now), Ok(Reply::Whole));
     // Of this epoch, for all that is known: it waits.
-    let new = Question { after: Some(Version(4)), came: now, wait_is_over: false };
+    let new = Question {
+        after: Some(Version(4)),
+        came: now,
+        wait_is_over: false,
+    };
     assert_eq!(replica.answer(new, now), Ok(Reply::Wait));
-    replica.apply(watch(4), list(5, false, &[("a", "gone")]), now, now).unwrap();
+    replica
+        .apply(watch(4), list(5, false, &[("a", "gone")]), now, now)
+        .unwrap();
     for version in [3, 4, 5, 49, 50] {
-        assert_eq!(ask(&mut replica, Some(version), now), Ok(Reply::Whole), "{version}");
+        assert_eq!(
+            ask(&mut replica, Some(version), now),
+            Ok(Reply::Whole),
+            "{version}"
+        );
     }
     // By then each caller has heard something of this epoch.
     let later = now + EPOCH_OVERLAP + ms(1);
-    replica.apply(watch(5), list(5, false, &[]), later, later).unwrap();
-    assert_eq!(ask(&mut replica, Some(4), later), Ok(Reply::ChangesSince(Version(4))));
+    replica
+        .apply(watch(5), list(5, false, &[]), later, later)
+        .unwrap();
+    assert_eq!(
+        ask(&mut replica, Some(4), later),
+        Ok(Reply::ChangesSince(Version(4)))
+    );
 }
 
 // Guards against a version that upstream uses for another list: who has the first one would never hear of the second.
@@ -156,18 +260,32 @@
 fn a_version_that_is_used_again_for_another_list_begins_an_epoch() {
     let mut replica = holding(7, &THREE);
     let again = replica.apply(watch(7), list(7, false, &[("a", "draining")]), ms(0), ms(0));
-    assert!(matches!(again, Err(RejectedList::WentBack { .. })), "{again:?}");
+    assert!(
+        matches!(again, Err(RejectedList::WentBack { .. })),
+        "{again:?}"
+    );
     let other = [("a", "draining"), ("b", "ready"), ("c", "ready")];
-    let applied = replica.apply(Call::Whole, list(7, true, &other), ms(5), ms(5)).unwrap();
+    let applied = replica
+        .apply(Call::Whole, list(7, true, &other), ms(5), ms(5))
+        .unwrap();
     assert!(applied.new_epoch && applied.news);
-    let waiting = Question { after: Some(Version(7)), came: ms(1), wait_is_over: false };
+    let waiting = Question {
+        after: Some(Version(7)),
+        came: ms(1),
+        wait_is_over: false,
+    };
     assert_eq!(replica.answer(waiting, ms(5)), Ok(Reply::Whole));
 }
 
 // Guards against a fault upstream that empties the list and takes the whole fleet out of service.
 #[test]
 fn a_list_that_is_suddenly_empty_or_halved_is_believed_only_when_said_twice() {
-    let four = [("a", "ready"), ("b", "ready"), ("c", "ready"), ("d", "ready")];
+    let four = [
+        ("a", "ready"),
+        ("b", "ready"),
+        ("c", "ready"),
+        ("d", "ready"),
+    ];
     for small in [&[][..], &four[..1]] {
         let mut replica = holding(1, &four);
         let call = replica.next_call();
@@ -179,22 +297,40 @@
             servers: small.len(),
         };
         assert_eq!(doubted, Err(shrunk));
-        assert_eq!((replica.servers(), replica.expires()), (4, Some(LEASE)), "and it renews no lease");
-        assert_eq!(replica.next_call(), Call::Whole, "it is asked for again at once");
-        replica.apply(Call::Whole, list(2, true, small), ms(10), ms(10)).unwrap();
+        assert_eq!(
+            (replica.servers(), replica.expires()),
+            (4, Some(LEASE)),
+            "and it renews no lease"
+        );
+        assert_eq!(
+            replica.next_call(),
+            Call::Whole,
+            "it is asked for again at once"
+        );
+        replica
+            .apply(Call::Whole, list(2, true, small), ms(10), ms(10))
+            .unwrap();
         assert_eq!(replica.servers(), small.len());
         let reply = ask(&mut replica, Some(1), ms(10)).unwrap();
-        assert_eq!(told(&replica, reply).2.len(), 4 - small.len(), "those that are gone");
+        assert_eq!(
+            told(&replica, reply).2.len(),
+            4 - small.len(),
+            "those that are gone"
+        );
     }
     let mut replica = holding(1, &four);
     let half = replica.apply(watch(1), list(2, true, &four[..2]), ms(0), ms(0));
     assert!(half.is_ok(), "half of them is no doubt: {half:?}");
     // A doubt of one upstream is no reason to believe another one.
     let mut replica = holding(1, &four);
-    replica.apply(watch(1), list(2, true, &[]), ms(0), ms(0)).unwrap_err();
+    replica
+        .apply(watch(1), list(2, true, &[]), ms(0), ms(0))
+        .unwrap_err();
     replica.upstream_changed();
     assert_eq!(replica.next_call(), watch(1));
-    replica.apply(watch(1), list(2, true, &[]), ms(0), ms(0)).unwrap_err();
+    replica
+        .apply(watch(1), list(2, true, &[]), ms(0), ms(0))
+        .unwrap_err();
 }
 
 // Guards against an upstream that names new servers without end.
@@ -211,13 +347,26 @@
             Err(error) => break error,
         }
     };
-    assert!(matches!(last, RejectedList::TooLarge { bytes, .. } if bytes > LIST_BYTES), "{last}");
+    assert!(
+        matches!(last, RejectedList::TooLarge { bytes, .. } if bytes > LIST_BYTES),
+        "{last}"
+    );
     assert_eq!(replica.version(), Some(Version(version)));
-    assert_eq!(replica.expires(), Some(ms(version - 1) + LEASE), "it renews no lease");
-    let again = list(version + 1, false, &[(&host(1), "draining"), (&host(2), "gone")]);
+    assert_eq!(
+        replica.expires(),
+        Some(ms(version - 1) + LEASE),
+        "it renews no lease"
+    );
+    let again = list(
+        version + 1,
+        false,
+        &[(&host(1), "draining"), (&host(2), "gone")],
+    );
     replica.apply(watch(version), again, ms(0), ms(0)).unwrap();
     let added = list(version + 2, false, &[(&host(version), "ready")]);
-    replica.apply(watch(version + 1), added, ms(0), ms(0)).unwrap();
+    replica
+        .apply(watch(version + 1), added, ms(0), ms(0))
+        .unwrap();
 }
 
 // Guards against two entries of one server at a caller, where the order of reading would decide.
@@ -225,9 +374,14 @@
 fn of_duplicate_entries_the_later_one_stands() {
     let mut replica = Replica::new(LEASE);
     let twice = [("a", "ready"), ("b", "ready"), ("a", "draining")];
-    let applied = replica.apply(Call::Whole, list(1, true, &twice), ms(0), ms(0)).unwrap();
+    let applied = replica
+        .apply(Call::Whole, list(1, true, &twice), ms(0), ms(0))
+        .unwrap();
     assert_eq!((applied.duplicates, replica.servers()), (1, 2));
-    assert_eq!(told(&replica, Reply::Whole).2, pairs(&[("a", "draining"), ("b", "ready")]));
+    assert_eq!(
+        told(&replica, Reply::Whole).2,
+        pairs(&[("a", "draining"), ("b", "ready")])
+    );
     let delta = list(2, false, &[("b", "draining"), ("b", "gone")]);
     let applied = replica.apply(watch(1), delta, ms(0), ms(0)).unwrap();
     assert_eq!((applied.duplicates, replica.servers()), (1, 1));
@@ -246,21 +400,46 @@
     // Upstream knows it: this one was behind, and asks for what it lacks.
     let other = behind.apply(call, list(9, false, &[]), ms(11), ms(12));
     assert_eq!(other, Err(RejectedList::OtherBase { listed: Version(9) }));
-    assert_eq!(ask(&mut behind, Some(9), ms(12)), Ok(Reply::Confirm), "also while it asks again");
+    assert_eq!(
+        ask(&mut behind, Some(9), ms(12)),
+        Ok(Reply::Confirm),
+        "also while it asks again"
+    );
     assert_eq!(behind.next_call(), watch(5));
-    behind.apply(watch(5), list(9, false, &[("a", "gone")]), ms(13), ms(14)).unwrap();
-    assert_eq!(ask(&mut behind, Some(9), ms(14)), Ok(Reply::ChangesSince(Version(9))));
+    behind
+        .apply(watch(5), list(9, false, &[("a", "gone")]), ms(13), ms(14))
+        .unwrap();
+    assert_eq!(
+        ask(&mut behind, Some(9), ms(14)),
+        Ok(Reply::ChangesSince(Version(9)))
+    );
 
     let mut restarted = holding(5, &THREE);
     assert_eq!(ask(&mut restarted, Some(9), ms(10)), Ok(Reply::Confirm));
     // The answer to a call that was made before says nothing about it.
-    restarted.apply(watch(5), list(5, false, &[]), ms(9), ms(11)).unwrap();
+    restarted
+        .apply(watch(5), list(5, false, &[]), ms(9), ms(11))
+        .unwrap();
     assert_eq!(ask(&mut restarted, Some(9), ms(11)), Ok(Reply::Confirm));
     let call = restarted.next_call();
-    restarted.apply(call, list(5, true, &THREE), ms(12), ms(13)).unwrap();
-    let came = |ms_after| Question { after: Some(Version(9)), came: ms(ms_after), wait_is_over: false };
-    assert_eq!(restarted.answer(came(10), ms(13)), Ok(Reply::Whole), "upstream does not know that version");
-    assert_eq!(restarted.answer(came(13), ms(13)), Ok(Reply::Confirm), "it came after that call");
+    restarted
+        .apply(call, list(5, true, &THREE), ms(12), ms(13))
+        .unwrap();
+    let came = |ms_after| Question {
+        after: Some(Version(9)),
+        came: ms(ms_after),
+        wait_is_over: false,
+    };
+    assert_eq!(
+        restarted.answer(came(10), ms(13)),
+        Ok(Reply::Whole),
+        "upstream does not know that version"
+    );
+    assert_eq!(
+        restarted.answer(came(13), ms(13)),
+        Ok(Reply::Confirm),
+        "it came after that call"
+    );
 }
 
 // Guards against callers that wait for ever where upstream answers an unknown version by a delta.
@@ -269,9 +448,17 @@
     let mut replica = holding(5, &THREE);
     assert_eq!(ask(&mut replica, Some(9), ms(1)), Ok(Reply::Confirm));
     let call = replica.next_call();
-    replica.apply(call, list(5, false, &[]), ms(2), ms(2)).unwrap_err();
+    replica
+        .apply(call, list(5, false, &[]), ms(2), ms(2))
+        .unwrap_err();
     assert_eq!(replica.next_call(), Call::Whole);
-    replica.apply(Call::Whole, list(5, true, &THREE), ms(3), ms(3)).unwrap();
-    let question = Question { after: Some(Version(9)), came: ms(1), wait_is_over: false };
+    replica
+        .apply(Call::Whole, list(5, true, &THREE), ms(3), ms(3))
+        .unwrap();
+    let question = Question {
+        after: Some(Version(9)),
+        came: ms(1),
+        wait_is_over: false,
+    };
     assert_eq!(replica.answer(question, ms(3)), Ok(Reply::Whole));
 }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -8,8 +8,8 @@
 use crate::driver::Input;
 use slatelink_config::Listing;
 use slatelink_decide::{
-    Action, Balancer, ClassId, Event, LoadReport, Outcome, Request, RequestId, ServerEntry, ServerId,
-    ServerList, Settings, Status,
+    Action, Balancer, ClassId, Event, LoadReport, Outcome, Request, RequestId, ServerEntry,
+    ServerId, ServerList, Settings, Status,
 };
 use slatelink_observe::Log;
 use std::collections::BTreeSet;
@@ -57,7 +57,14 @@
 
 /// Runs a control plane, with no list at first, for as long as the future lives; within a `LocalSet`.
 pub async fn run(options: ControlOptions, observer: Rc<dyn ControlObserver>) {
-    let ControlOptions { settings, seed, discovery, request_rate, processor_clock, log } = options;
+    let ControlOptions {
+        settings,
+        seed,
+        discovery,
+        request_rate,
+        processor_clock,
+        log,
+    } = options;
     let (events, inputs) = mpsc::unbounded_channel();
     let follow = Rc::new(Notify::new());
     let mut random = fastrand::Rng::with_seed(seed);
@@ -158,7 +165,8 @@
         self.decisions.push(Event::Request(request));
         self.handle_due();
         let processor = (self.processor_clock)().saturating_sub(begun);
-        self.observer.request_handled(self.sent > sent_before, processor);
+        self.observer
+            .request_handled(self.sent > sent_before, processor);
     }
 
     fn handle_due(&mut self) {
@@ -181,7 +189,8 @@
             }
             Action::Follow => self.follow.notify_one(),
             // There are no clients to answer and no connections to close.
-            Action::Refuse { .. } | Action::Fail { .. } | Action::Close { .. } | Action::Log(_) => {}
+            Action::Refuse { .. } | Action::Fail { .. } | Action::Close { .. } | Action::Log(_) => {
+            }
         }
     }
 }
@@ -213,8 +222,17 @@
 impl Requests {
     fn new(settings: &Settings, rate: f64, random: fastrand::Rng) -> Self {
         let deadlines = settings.classes.iter().map(|class| class.deadline);
-        let classes: Vec<_> = deadlines.enumerate().map(|(i, deadline)| (ClassId(i), deadline)).collect();
-        let mut requests = Self { classes, rate, random, drawn: 0, next: None };
+        let classes: Vec<_> = deadlines
+            .enumerate()
+            .map(|(i, deadline)| (ClassId(i), deadline))
+            .collect();
+        let mut requests = Self {
+            classes,
+            rate,
+            random,
+            drawn: 0,
+            next: None,
+        };
         requests.schedule(Instant::now());
         requests
     }
--- a/crates/node/src/decisions.rs
+++ b/crates/node/src/decisions.rs
@@ -15,8 +15,13 @@
 
 impl Clock {
     fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { origin: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Self {
+            origin: Instant::now(),
+            unix,
+        }
     }
 
     fn at(&self, instant: Instant) -> Timestamp {
@@ -35,7 +40,11 @@
 impl Decisions {
     /// With a clock that starts now.
     pub fn new(balancer: Balancer) -> Self {
-        Self { balancer, clock: Clock::start(), due: VecDeque::new() }
+        Self {
+            balancer,
+            clock: Clock::start(),
+            due: VecDeque::new(),
+        }
     }
 
     /// This instant on the module's clock.
@@ -50,15 +59,22 @@
 
     /// The same for a list of servers.
     pub fn push_list(&mut self, entries: Arc<[ServerEntry]>, whole: bool) {
-        let list = if whole { ServerList::Full(entries) } else { ServerList::Changes(entries) };
+        let list = if whole {
+            ServerList::Full(entries)
+        } else {
+            ServerList::Changes(entries)
+        };
         self.push(Event::Servers(list));
     }
 
     /// Has the module handle the event that has waited for longest, and appends what it wants done. `false` where none
     /// waits.
     pub fn handle_next(&mut self, actions: &mut Vec<Action>) -> bool {
-        let Some(event) = self.due.pop_front() else { return false };
-        self.balancer.handle(self.clock.at(Instant::now()), event, actions);
+        let Some(event) = self.due.pop_front() else {
+            return false;
+        };
+        self.balancer
+            .handle(self.clock.at(Instant::now()), event, actions);
         true
     }
 }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -85,7 +85,16 @@
 
 impl Client {
     fn new(begin: Discovery) -> Self {
-        let Discovery { seq, pushed, stop_sending_within, ask_within, random, events, log, .. } = begin;
+        let Discovery {
+            seq,
+            pushed,
+            stop_sending_within,
+            ask_within,
+            random,
+            events,
+            log,
+            ..
+        } = begin;
         Self {
             seq,
             pushed,
@@ -137,10 +146,13 @@
                     }
                     Err(error) => {
                         self.log.often("discovery", &format!("discovery: {error}"));
-                        let new_there = self.seq.is_none() && moved.is_some_and(|at| at.elapsed() < MOVED);
+                        let new_there =
+                            self.seq.is_none() && moved.is_some_and(|at| at.elapsed() < MOVED);
                         at_once = new_there || self.failed_late;
                         // The module's word is waited for but where it has no say.
-                        if (self.pushed || !at_once) && self.events.send(Input::ListingFailed).is_err() {
+                        if (self.pushed || !at_once)
+                            && self.events.send(Input::ListingFailed).is_err()
+                        {
                             return;
                         }
                         let pause = self.pause_after(&error, unsure, new_there);
@@ -198,7 +210,14 @@
 
     /// Heeds the answer to a call that another has taken the place of: written, it counts as told.
     fn heed(&mut self, answered: Answered) {
-        let Answered { source, called: (Ok(listing), _), .. } = answered else { return };
+        let Answered {
+            source,
+            called: (Ok(listing), _),
+            ..
+        } = answered
+        else {
+            return;
+        };
         // Whether the driver is there shows at the next list.
         if source != self.source || self.seq.is_none() {
             self.tell_leaving(listing, source);
@@ -212,8 +231,10 @@
         // It would bring servers back that are gone. Discovery may have lost its versions all the same: the whole list is
         // taken as it comes, and until then what this one says of servers that leave.
         if let Some(held) = self.seq.filter(|held| listing.seq < *held) {
-            let text =
-                format!("discovery: list {} is older than {held}: asking for the whole list", listing.seq);
+            let text = format!(
+                "discovery: list {} is older than {held}: asking for the whole list",
+                listing.seq
+            );
             self.log.often("discovery", &text);
             self.seq = None;
             self.tell_leaving(listing, self.source);
@@ -229,7 +250,9 @@
     /// Hands on what a list that is not taken tells of servers that leave.
     fn tell_leaving(&mut self, mut listing: Listing, source: Source) {
         listing.whole = false;
-        listing.hosts.retain(|host| host.availability() != Availability::Ready);
+        listing
+            .hosts
+            .retain(|host| host.availability() != Availability::Ready);
         self.tell(listing, source);
     }
 
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -55,7 +55,9 @@
 impl Ask {
     fn path(self) -> String {
         match self {
-            Self::After(seq, wait) => format!("/v1/servers?after={seq}&wait_ms={}", wait.as_millis()),
+            Self::After(seq, wait) => {
+                format!("/v1/servers?after={seq}&wait_ms={}", wait.as_millis())
+            }
             Self::Whole => "/v1/servers".to_owned(),
         }
     }
@@ -79,7 +81,11 @@
     (called, link)
 }
 
-async fn call_on(address: SocketAddr, ask: Ask, link: &mut Option<Link>) -> Result<Listing, CallError> {
+async fn call_on(
+    address: SocketAddr,
+    ask: Ask,
+    link: &mut Option<Link>,
+) -> Result<Listing, CallError> {
     // A kept connection that discovery has closed meanwhile is no failure of the call.
     let usable = match link {
         Some(Link { sender, connection }) => driven(connection, sender.ready()).await.is_ok(),
@@ -92,13 +98,18 @@
         Some(link) => link,
         None => link.insert(connect(address).await?),
     };
-    let request = Request::get(ask.path()).header(HOST, address.to_string()).body(Empty::new())?;
+    let request = Request::get(ask.path())
+        .header(HOST, address.to_string())
+        .body(Empty::new())?;
     let exchange = async {
         let response = sender.send_request(request).await?;
         if response.status() != StatusCode::OK {
             return Err(CallError::Status(response.status()));
         }
-        let body = Limited::new(response.into_body(), LARGEST_LIST).collect().await?.to_bytes();
+        let body = Limited::new(response.into_body(), LARGEST_LIST)
+            .collect()
+            .await?
+            .to_bytes();
         Ok(serde_json::from_slice(&body)?)
     };
     driven(connection, exchange).await
@@ -109,7 +120,10 @@
     let stream = connecting.await.map_err(|_| CallError::Overdue)??;
     stream.set_nodelay(true)?;
     let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    Ok(Link { sender, connection: Some(Box::pin(connection)) })
+    Ok(Link {
+        sender,
+        connection: Some(Box::pin(connection)),
+    })
 }
 
 /// Does something that needs the connection to be driven meanwhile. How that ends shows at what is done on it.
@@ -117,7 +131,9 @@
     let mut work = pin!(work);
     poll_fn(|context| {
         for _ in 0..POLL_ROUNDS {
-            let ended = connection.as_mut().is_some_and(|driving| driving.as_mut().poll(context).is_ready());
+            let ended = connection
+                .as_mut()
+                .is_some_and(|driving| driving.as_mut().poll(context).is_ready());
             if ended {
                 *connection = None;
             }
--- a/crates/node/src/discovery/departures.rs
+++ b/crates/node/src/discovery/departures.rs
@@ -43,18 +43,27 @@
     /// Notes what a list says of servers that leave, and has those left alone that it calls ready by older knowledge.
     /// Whether there were any of these.
     pub fn amend(&mut self, listing: &mut Listing, source: Source, now: Instant) -> bool {
-        self.servers.retain(|_, departure| now - departure.announced < REMEMBERED);
+        self.servers
+            .retain(|_, departure| now - departure.announced < REMEMBERED);
         let version = listing.seq;
         let newer = self.advance(listing, source, now);
         let mut amended = false;
         for host in &mut listing.hosts {
             if host.availability() != Availability::Ready {
-                let departure = Departure { source, version, started: host.started_ms(), announced: now };
+                let departure = Departure {
+                    source,
+                    version,
+                    started: host.started_ms(),
+                    announced: now,
+                };
                 self.note(host.id(), departure);
                 continue;
             }
             let Some(departure) = self.servers.get(host.id()) else {
-                let unlisted = self.listed.as_ref().is_some_and(|listed| !listed.contains(host.id()));
+                let unlisted = self
+                    .listed
+                    .as_ref()
+                    .is_some_and(|listed| !listed.contains(host.id()));
                 if unlisted && !newer {
                     host.set_draining();
                     amended = true;
@@ -81,9 +90,19 @@
         if self.newest.as_ref().filter(outweighs).is_some() {
             return false;
         }
-        self.newest = Some(Newest { source, version: listing.seq, taken: now });
+        self.newest = Some(Newest {
+            source,
+            version: listing.seq,
+            taken: now,
+        });
         if listing.whole {
-            self.listed = Some(listing.hosts.iter().map(|host| host.id().to_owned()).collect());
+            self.listed = Some(
+                listing
+                    .hosts
+                    .iter()
+                    .map(|host| host.id().to_owned())
+                    .collect(),
+            );
         } else if let Some(listed) = &mut self.listed {
             for host in &listing.hosts {
                 match host.availability() {
--- a/crates/node/src/discovery/in_flight.rs
+++ b/crates/node/src/discovery/in_flight.rs
@@ -61,7 +61,12 @@
         }
         self.started += 1;
         let id = CallId(self.started);
-        self.calls.push(Open { id, source, call, superseded: None });
+        self.calls.push(Open {
+            id,
+            source,
+            call,
+            superseded: None,
+        });
         id
     }
 
@@ -100,6 +105,7 @@
     /// Only after these have been polled: what has come meanwhile is read.
     fn drop_expired(&mut self) {
         let now = Instant::now();
-        self.calls.retain(|open| open.superseded.is_none_or(|until| now < until));
+        self.calls
+            .retain(|open| open.superseded.is_none_or(|until| now < until));
     }
 }
--- a/crates/node/src/discovery/leaving_tests.rs
+++ b/crates/node/src/discovery/leaving_tests.rs
@@ -27,12 +27,18 @@
 
 impl Asked {
     fn write(&self, text: &str) {
-        let wrote = self.stream.try_write(text.as_bytes()).expect("a connection that stands");
+        let wrote = self
+            .stream
+            .try_write(text.as_bytes())
+            .expect("a connection that stands");
         assert_eq!(wrote, text.len());
     }
 
     fn answer(&self, body: &str) {
-        self.write(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+        self.write(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ));
     }
 
     fn refuse(&self) {
@@ -46,7 +52,9 @@
 
     /// Ends its connection.
     fn reset(&self) {
-        SockRef::from((*self.stream).as_ref()).shutdown(Shutdown::Both).unwrap();
+        SockRef::from((*self.stream).as_ref())
+            .shutdown(Shutdown::Both)
+            .unwrap();
     }
 }
 
@@ -66,11 +74,20 @@
                     if !head.ends_with(b"\r\n\r\n") {
                         continue;
                     }
-                    let path = String::from_utf8_lossy(&head).split(' ').nth(1).unwrap().to_owned();
+                    let path = String::from_utf8_lossy(&head)
+                        .split(' ')
+                        .nth(1)
+                        .unwrap()
+                        .to_owned();
                     head.clear();
                     // A test that is over takes no more calls.
                     let (at, stream, closed) = (Instant::now(), writing.clone(), closed.clone());
-                    let _ = came.send(Asked { at, path, stream, closed });
+                    let _ = came.send(Asked {
+                        at,
+                        path,
+                        stream,
+                        closed,
+                    });
                 }
                 closed.set(true);
             });
@@ -84,7 +101,10 @@
         .iter()
         .map(|(name, health)| format!("{{\"host\":\"{name}\",\"health\":\"{health}\"}}"))
         .collect();
-    format!("{{\"seq\":{seq},\"whole\":false,\"hosts\":[{}]}}", hosts.join(","))
+    format!(
+        "{{\"seq\":{seq},\"whole\":false,\"hosts\":[{}]}}",
+        hosts.join(",")
+    )
 }
 
 /// Waits until the driver hears that this server leaves; `None` if it does not in this time.
@@ -95,7 +115,9 @@
 ) -> Option<Instant> {
     let until = Instant::now() + within;
     while let Ok(Some((at, input))) = timeout_at(until, heard.recv()).await {
-        let Input::Listing(listing) = input else { continue };
+        let Input::Listing(listing) = input else {
+            continue;
+        };
         let leaves = |host: &slatelink_config::Host| {
             host.entry().id.as_str() == name && host.entry().availability != Availability::Ready
         };
@@ -119,7 +141,11 @@
             let old = calls.recv().await.unwrap();
             let new = calls.recv().await.unwrap();
             assert_eq!(old.path, new.path, "a renewal");
-            let (first, second) = if later_on == "new" { (&old, &new) } else { (&new, &old) };
+            let (first, second) = if later_on == "new" {
+                (&old, &new)
+            } else {
+                (&new, &old)
+            };
             // The word of the later version is long: the other one is read before it.
             let mut later = vec![("s-1", "draining"), ("s-2", "draining")];
             later.extend([("s-other", "ready")].repeat(2_000));
@@ -132,7 +158,10 @@
             missed.push(later_on);
         }
     }
-    assert!(missed.is_empty(), "the drain that was told on the watch that is {missed:?} is not heeded");
+    assert!(
+        missed.is_empty(),
+        "the drain that was told on the watch that is {missed:?} is not heeded"
+    );
 }
 
 // The same for the old discovery's watch, where the new one's list comes in that moment.
@@ -156,7 +185,12 @@
 // Guards against the older of two words, on the two watches of a renewal, that undoes what the later one told.
 #[test]
 fn an_older_word_on_the_other_watch_of_a_renewal_does_not_undo_a_drain() {
-    for (later_on, written_first) in [("new", "new"), ("new", "old"), ("old", "new"), ("old", "old")] {
+    for (later_on, written_first) in [
+        ("new", "new"),
+        ("new", "old"),
+        ("old", "new"),
+        ("old", "old"),
+    ] {
         play(async |log| {
             let (address, mut calls) = manual().await;
             let mut heard = client_at(address, 1, false, &log).0;
@@ -172,10 +206,16 @@
             let until = Instant::now() + AT_ONCE;
             let mut drained = false;
             while let Ok(Some((_, input))) = timeout_at(until, heard.recv()).await {
-                let Input::Listing(listing) = input else { continue };
+                let Input::Listing(listing) = input else {
+                    continue;
+                };
                 for host in &listing.hosts {
                     let ready = host.entry().availability == Availability::Ready;
-                    assert!(!(ready && drained), "{later_on}, {written_first}: version {}", listing.seq);
+                    assert!(
+                        !(ready && drained),
+                        "{later_on}, {written_first}: version {}",
+                        listing.seq
+                    );
                     drained |= !ready;
                 }
             }
@@ -224,7 +264,14 @@
 fn after_two_calls_in_a_row_that_fail_late_a_change_is_brought_before_it_counts_as_told() {
     let mut late = Vec::new();
     // An open watch that is reset, or a renewal beside a silent one that is refused, and two more.
-    for (first, meets) in [(0, "Xrr"), (0, "X--"), (0, "Xr-"), (0, "X-r"), (1, "-rr"), (1, "-R--")] {
+    for (first, meets) in [
+        (0, "Xrr"),
+        (0, "X--"),
+        (0, "Xr-"),
+        (0, "X-r"),
+        (1, "-rr"),
+        (1, "-R--"),
+    ] {
         let took = (0..2).map(|seed| after(first, meets, seed)).max().unwrap();
         println!("{meets}: {took:?}");
         assert!(took >= QUEUE, "{meets}: {took:?}");
@@ -232,13 +279,20 @@
             late.push((meets, took));
         }
     }
-    assert!(late.is_empty(), "later than {TOLD_AFTER_FAILURE:?}: {late:?}");
+    assert!(
+        late.is_empty(),
+        "later than {TOLD_AFTER_FAILURE:?}: {late:?}"
+    );
 }
 
 // Guards against a first call that fails, or is still in the queue, as a drain is told.
 #[test]
 fn a_first_call_that_is_refused_or_waits_in_the_queue_brings_a_drain_in_time() {
-    for (meets, most) in [("", QUEUE + AT_ONCE), ("R", TOLD_AFTER_FAILURE), ("r", TOLD_AFTER_FAILURE)] {
+    for (meets, most) in [
+        ("", QUEUE + AT_ONCE),
+        ("R", TOLD_AFTER_FAILURE),
+        ("r", TOLD_AFTER_FAILURE),
+    ] {
         for seed in 0..3 {
             let took = match meets {
                 "" => play(async |log| {
@@ -269,7 +323,12 @@
 async fn renewed(
     seed: u64,
     log: &Log,
-) -> (UnboundedReceiver<(Instant, Input)>, UnboundedReceiver<Asked>, Asked, Asked) {
+) -> (
+    UnboundedReceiver<(Instant, Input)>,
+    UnboundedReceiver<Asked>,
+    Asked,
+    Asked,
+) {
     let (address, mut calls) = manual().await;
     let heard = client_at(address, seed, false, log).0;
     let old = calls.recv().await.unwrap();
@@ -296,7 +355,10 @@
                 // It is written to all watches that are still open but to the silent one, and to a call that comes later once
                 // that has had its turn.
                 let change = changes(2, &[("s-1", "draining")]);
-                watching.iter().filter(|call| call.stands()).for_each(|call| call.answer(&change));
+                watching
+                    .iter()
+                    .filter(|call| call.stands())
+                    .for_each(|call| call.answer(&change));
                 spawn_local(async move {
                     while let Some(call) = calls.recv().await {
                         sleep(QUEUE).await;
@@ -310,7 +372,10 @@
             }
         }
     }
-    assert!(late.is_empty(), "change after the renewal, seed, brought so long after it: {late:?}");
+    assert!(
+        late.is_empty(),
+        "change after the renewal, seed, brought so long after it: {late:?}"
+    );
 }
 
 // Guards against a node that hears a change by the watch that it renewed, and goes on with the silent one that renewed it: what
@@ -401,7 +466,11 @@
     let (told, heard) = unbounded_channel();
     let (addresses, address) = watch::channel(address);
     let random = fastrand::Rng::with_seed(seed);
-    let Settings { stop_sending_within, ask_within, .. } = Settings::default();
+    let Settings {
+        stop_sending_within,
+        ask_within,
+        ..
+    } = Settings::default();
     let watching = Discovery {
         address,
         seq: Some(1),
@@ -440,7 +509,9 @@
     for (nodes, takes) in FLEETS {
         let took = play(async |log| {
             let (address, lose, refused) = in_turn(takes).await;
-            let mut fleet: Vec<_> = (0..nodes).map(|seed| drawn_client(address, seed, &log)).collect();
+            let mut fleet: Vec<_> = (0..nodes)
+                .map(|seed| drawn_client(address, seed, &log))
+                .collect();
             sleep(Duration::from_secs(3)).await;
             lose.notify_one();
             let lost = Instant::now();
@@ -457,10 +528,16 @@
             );
             took
         });
-        let missed = took.iter().filter(|took| **took >= TOLD_AFTER_FAILURE).count();
+        let missed = took
+            .iter()
+            .filter(|took| **took >= TOLD_AFTER_FAILURE)
+            .count();
         if missed > 0 {
             late.push((nodes, missed, took[took.len() - 1]));
         }
     }
-    assert!(late.is_empty(), "of so many nodes so many were late, the last one by then: {late:?}");
+    assert!(
+        late.is_empty(),
+        "of so many nodes so many were late, the last one by then: {late:?}"
+    );
 }
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -31,12 +31,17 @@
 pub(super) type Calls = Rc<RefCell<Vec<(Instant, String)>>>;
 
 /// A discovery that answers the calls, numbered from 0 as they come, as `reply` says.
-pub(super) async fn stand_in(reply: impl Fn(usize, &str) -> Reply + 'static) -> (SocketAddr, Calls) {
+pub(super) async fn stand_in(
+    reply: impl Fn(usize, &str) -> Reply + 'static,
+) -> (SocketAddr, Calls) {
     stand_in_on(TcpListener::bind("127.0.0.1:0").await.unwrap(), reply)
 }
 
 /// The same, on this listener.
-fn stand_in_on(listener: TcpListener, reply: impl Fn(usize, &str) -> Reply + 'static) -> (SocketAddr, Calls) {
+fn stand_in_on(
+    listener: TcpListener,
+    reply: impl Fn(usize, &str) -> Reply + 'static,
+) -> (SocketAddr, Calls) {
     let address = listener.local_addr().unwrap();
     let (calls, reply) = (Calls::default(), Rc::new(reply));
     let all = calls.clone();
@@ -49,7 +54,11 @@
                     if !head.ends_with(b"\r\n\r\n") {
                         continue;
                     }
-                    let path = String::from_utf8_lossy(&head).split(' ').nth(1).unwrap().to_owned();
+                    let path = String::from_utf8_lossy(&head)
+                        .split(' ')
+                        .nth(1)
+                        .unwrap()
+                        .to_owned();
                     head.clear();
                     let number = calls.borrow().len();
                     let said = reply(number, &path);
@@ -64,7 +73,8 @@
                             seq
                         }
                         Reply::Refused => {
-                            let text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+                            let text =
+                                "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
                             stream.write_all(text.as_bytes()).await.unwrap();
                             continue;
                         }
@@ -72,11 +82,16 @@
                         // Until the client gives it up.
                         Reply::Nothing => continue,
                     };
-                    let host =
-                        |name: &str, health: &str| format!("{{\"host\":\"{name}\",\"health\":\"{health}\"}}");
-                    let hosts = [host("s-leaving", "draining"), host("s-staying", "ready")].join(",");
+                    let host = |name: &str, health: &str| {
+                        format!("{{\"host\":\"{name}\",\"health\":\"{health}\"}}")
+                    };
+                    let hosts =
+                        [host("s-leaving", "draining"), host("s-staying", "ready")].join(",");
                     let body = format!("{{\"seq\":{seq},\"whole\":true,\"hosts\":[{hosts}]}}");
-                    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                    let text = format!(
+                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                        body.len()
+                    );
                     if stream.write_all(text.as_bytes()).await.is_err() {
                         return;
                     }
@@ -98,8 +113,19 @@
     seed: u64,
     pushed: bool,
     log: &Log,
-) -> (UnboundedReceiver<(Instant, Input)>, Rc<watch::Sender<SocketAddr>>) {
-    client_with(address, seed, &Settings { must_follow: !pushed, ..Settings::default() }, log)
+) -> (
+    UnboundedReceiver<(Instant, Input)>,
+    Rc<watch::Sender<SocketAddr>>,
+) {
+    client_with(
+        address,
+        seed,
+        &Settings {
+            must_follow: !pushed,
+            ..Settings::default()
+        },
+        log,
+    )
 }
 
 /// The same, with these settings.
@@ -108,16 +134,33 @@
     seed: u64,
     settings: &Settings,
     log: &Log,
-) -> (UnboundedReceiver<(Instant, Input)>, Rc<watch::Sender<SocketAddr>>) {
+) -> (
+    UnboundedReceiver<(Instant, Input)>,
+    Rc<watch::Sender<SocketAddr>>,
+) {
     let (events, mut inputs) = unbounded_channel();
     let (told, heard) = unbounded_channel();
     let (addresses, address) = watch::channel(address);
     let addresses = Rc::new(addresses);
     let kept = addresses.clone();
     let random = fastrand::Rng::with_seed(seed);
-    let &Settings { stop_sending_within, ask_within, must_follow, .. } = settings;
+    let &Settings {
+        stop_sending_within,
+        ask_within,
+        must_follow,
+        ..
+    } = settings;
     let (log, seq, pushed) = (log.clone(), Some(1), !must_follow);
-    let watching = Discovery { address, seq, pushed, stop_sending_within, ask_within, random, events, log };
+    let watching = Discovery {
+        address,
+        seq,
+        pushed,
+        stop_sending_within,
+        ask_within,
+        random,
+        events,
+        log,
+    };
     let follow = Rc::new(Notify::new());
     if !pushed {
         follow.notify_one();
@@ -142,7 +185,10 @@
 /// Plays in virtual time. It moves on in small steps between which the sockets have their turns: left to itself a
 /// paused clock jumps to the next timer whenever no task is ready, also over bytes that are on their way.
 pub(super) fn play<T>(day: impl AsyncFnOnce(Log) -> T) -> T {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
     LocalSet::new().block_on(&runtime.unwrap(), async {
         spawn_local(async {
             loop {
@@ -178,14 +224,25 @@
 fn what_a_silent_watch_misses_is_brought_well_before_it_counts_as_told() {
     for seed in 0..4 {
         play(async |log| {
-            let reply = |call, _: &str| if call == 0 { Reply::Nothing } else { Reply::List(2) };
+            let reply = |call, _: &str| {
+                if call == 0 {
+                    Reply::Nothing
+                } else {
+                    Reply::List(2)
+                }
+            };
             let (address, calls) = stand_in(reply).await;
             let came = list(&mut client(address, seed, &log), 2).await;
             let (asked, path) = calls.borrow()[0].clone();
             let told = asked + wait_of(&path) + TOLD;
             // Discovery's queue is 2 s long at times, and its connection may fail: there must be time for more tries.
             let most = told - Duration::from_secs(10);
-            assert!(came <= most, "{:?} after the call, told at {:?}", came - asked, told - asked);
+            assert!(
+                came <= most,
+                "{:?} after the call, told at {:?}",
+                came - asked,
+                told - asked
+            );
             assert!(came - asked < Duration::from_secs(20), "{:?}", came - asked);
         });
     }
@@ -222,11 +279,19 @@
         let (address, calls) = stand_in(reply).await;
         let mut heard = client(address, 1, &log);
         let (came, first) = heard.recv().await.unwrap();
-        assert!(matches!(first, Input::Listing(listing) if listing.seq == 2), "no failure before");
+        assert!(
+            matches!(first, Input::Listing(listing) if listing.seq == 2),
+            "no failure before"
+        );
         let late = came - (calls.borrow()[4].0 + pause);
         assert!(late < Duration::from_millis(200), "{late:?}");
         let calls = calls.borrow();
-        assert!(calls[1..5].windows(2).all(|two| two[1].0 - two[0].0 >= RENEW_AGAIN / 2), "{calls:?}");
+        assert!(
+            calls[1..5]
+                .windows(2)
+                .all(|two| two[1].0 - two[0].0 >= RENEW_AGAIN / 2),
+            "{calls:?}"
+        );
     });
 }
 
@@ -247,11 +312,23 @@
         list(&mut heard, 2).await;
         list(&mut heard, 4).await;
         let calls = calls.borrow();
-        assert!(calls.iter().all(|(_, path)| path.contains("after=")), "{calls:?}");
+        assert!(
+            calls.iter().all(|(_, path)| path.contains("after=")),
+            "{calls:?}"
+        );
         let pauses: Vec<_> = calls.windows(2).map(|two| two[1].0 - two[0].0).collect();
-        assert!(pauses.iter().all(|pause| *pause < Duration::from_millis(250)), "{pauses:?}");
         assert!(
-            pauses[4] >= Settings::default().stop_sending_within.mul_f64(PUSHED_AGAIN_PART) / 2,
+            pauses
+                .iter()
+                .all(|pause| *pause < Duration::from_millis(250)),
+            "{pauses:?}"
+        );
+        assert!(
+            pauses[4]
+                >= Settings::default()
+                    .stop_sending_within
+                    .mul_f64(PUSHED_AGAIN_PART)
+                    / 2,
             "an agent that fails is not asked without end: {pauses:?}"
         );
     });
@@ -260,22 +337,32 @@
 // Guards against a fixed time that stands where the settings' should: where lists are pushed, what the agent has counts as
 // told at once, and a drain's time may be as short as this.
 #[test]
-fn where_lists_are_pushed_an_agent_that_fails_is_asked_again_within_the_time_that_the_settings_leave() {
+fn where_lists_are_pushed_an_agent_that_fails_is_asked_again_within_the_time_that_the_settings_leave(
+) {
     for grace in [60, 250, 1_000].map(Duration::from_millis) {
         for seed in 0..4 {
             let pauses = play(async |log| {
                 let (address, calls) = stand_in(|_, _| Reply::Reset).await;
-                let settings =
-                    Settings { must_follow: false, stop_sending_within: grace, ..Settings::default() };
+                let settings = Settings {
+                    must_follow: false,
+                    stop_sending_within: grace,
+                    ..Settings::default()
+                };
                 let _client = client_with(address, seed, &settings, &log);
                 while calls.borrow().len() < 18 {
                     sleep(Duration::from_millis(10)).await;
                 }
                 let calls = calls.borrow();
                 // The first pause after an open watch is none.
-                calls[1..].windows(2).map(|two| two[1].0 - two[0].0).collect::<Vec<_>>()
+                calls[1..]
+                    .windows(2)
+                    .map(|two| two[1].0 - two[0].0)
+                    .collect::<Vec<_>>()
             });
-            assert!(pauses.iter().all(|pause| *pause <= grace), "{pauses:?} of {grace:?}");
+            assert!(
+                pauses.iter().all(|pause| *pause <= grace),
+                "{pauses:?} of {grace:?}"
+            );
             let total: Duration = pauses.iter().sum();
             assert!(
                 total >= grace.mul_f64(PUSHED_AGAIN_PART / 2.0) * pauses.len() as u32,
@@ -289,8 +376,13 @@
 // its queue, and has no list from there when all of it counts as told.
 #[test]
 fn after_a_move_calls_that_fail_are_made_again_while_their_answer_would_be_in_time() {
-    let swallowed: fn(usize, &str) -> Reply =
-        |call, _| if call == 0 { Reply::Nothing } else { Reply::List(7) };
+    let swallowed: fn(usize, &str) -> Reply = |call, _| {
+        if call == 0 {
+            Reply::Nothing
+        } else {
+            Reply::List(7)
+        }
+    };
     let queue = Duration::from_secs(2);
     let refused: fn(usize, &str) -> Reply = |call, _| match call {
         0..=1 => Reply::Refused,
@@ -306,7 +398,11 @@
                 let moved = Instant::now();
                 addresses.send_replace(new);
                 let took = list(&mut heard, 7).await - moved;
-                assert!(took >= least && took < MOVED, "{took:?}, {:?}", calls.borrow());
+                assert!(
+                    took >= least && took < MOVED,
+                    "{took:?}, {:?}",
+                    calls.borrow()
+                );
                 assert!(calls.borrow().iter().all(|(_, path)| path == "/v1/servers"));
             });
         }
@@ -333,16 +429,34 @@
         addresses.send_replace(new);
         let moved = Instant::now();
         let (told, word) = heard.recv().await.unwrap();
-        let Input::Listing(word) = word else { panic!("a list: {word:?}") };
-        let names: Vec<_> = word.hosts.iter().map(|host| (host.entry().id, host.health())).collect();
-        assert_eq!(names, [("s-leaving".into(), "draining")], "and nothing of those that stay");
-        assert!(!word.whole && told - moved < Duration::from_secs(1), "{:?}", told - moved);
+        let Input::Listing(word) = word else {
+            panic!("a list: {word:?}")
+        };
+        let names: Vec<_> = word
+            .hosts
+            .iter()
+            .map(|host| (host.entry().id, host.health()))
+            .collect();
+        assert_eq!(
+            names,
+            [("s-leaving".into(), "draining")],
+            "and nothing of those that stay"
+        );
+        assert!(
+            !word.whole && told - moved < Duration::from_secs(1),
+            "{:?}",
+            told - moved
+        );
         let came = list(&mut heard, 7).await;
         assert!(came - moved < MOVED, "{:?}", came - moved);
         while calls.borrow().len() < 2 {
             sleep(Duration::from_millis(10)).await;
         }
-        assert!(calls.borrow()[1].1.contains("after=7&"), "{:?}", calls.borrow());
+        assert!(
+            calls.borrow()[1].1.contains("after=7&"),
+            "{:?}",
+            calls.borrow()
+        );
     });
 }
 
@@ -353,16 +467,25 @@
     play(async |log| {
         const NODES: usize = 64;
         let (address, calls) = stand_in(|_, _| Reply::Nothing).await;
-        let _heard: Vec<_> = (0..NODES as u64).map(|seed| client(address, seed, &log)).collect();
+        let _heard: Vec<_> = (0..NODES as u64)
+            .map(|seed| client(address, seed, &log))
+            .collect();
         while calls.borrow().len() < 2 * NODES {
             sleep(Duration::from_millis(100)).await;
         }
         let calls = calls.borrow();
         let again: Vec<_> = calls[NODES..2 * NODES].iter().map(|(at, _)| *at).collect();
-        let most =
-            (again.iter()).map(|from| again.iter().filter(|at| **at >= *from && **at - *from < TOLD).count());
+        let most = (again.iter()).map(|from| {
+            again
+                .iter()
+                .filter(|at| **at >= *from && **at - *from < TOLD)
+                .count()
+        });
         let most = most.max().unwrap();
-        assert!(most <= NODES / 2, "{most} of {NODES} within discovery's queue");
+        assert!(
+            most <= NODES / 2,
+            "{most} of {NODES} within discovery's queue"
+        );
     });
 }
 
@@ -387,7 +510,11 @@
                 let (address, calls) = stand_in(reply).await;
                 let came = list(&mut client(address, seed, &log), 2).await;
                 let took = came - calls.borrow()[first].0;
-                assert!(took < TOLD_AFTER_FAILURE, "{fails}: {took:?} of {:?}", calls.borrow());
+                assert!(
+                    took < TOLD_AFTER_FAILURE,
+                    "{fails}: {took:?} of {:?}",
+                    calls.borrow()
+                );
                 assert!(took >= QUEUE, "{fails}: {took:?}");
             });
         }
@@ -400,13 +527,18 @@
 fn after_a_discovery_that_could_not_be_connected_to_a_change_is_brought_before_it_counts_as_told() {
     play(async |log| {
         // With its queue full a listener lets no connection come up.
-        let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        let listener =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        listener
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         listener.listen(0).unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
         let mut filling = Vec::new();
-        while let Ok(stream) = std::net::TcpStream::connect_timeout(&address, Duration::from_millis(200)) {
+        while let Ok(stream) =
+            std::net::TcpStream::connect_timeout(&address, Duration::from_millis(200))
+        {
             filling.push(stream);
         }
         let mut heard = client(address, 1, &log);
@@ -424,7 +556,10 @@
         let (_, calls) = stand_in_on(TcpListener::from_std(listener.into()).unwrap(), reply);
         let took = list(&mut heard, 2).await - reached;
         assert!(took < TOLD_AFTER_FAILURE, "{took:?}, {:?}", calls.borrow());
-        assert!(took > QUEUE + CONNECT_TIMEOUT / 2, "it met the node at a call that nobody took: {took:?}");
+        assert!(
+            took > QUEUE + CONNECT_TIMEOUT / 2,
+            "it met the node at a call that nobody took: {took:?}"
+        );
     });
 }
 
@@ -449,12 +584,27 @@
             let waits: Vec<_> = calls[..3].iter().map(|(_, path)| wait_of(path)).collect();
             assert_eq!(waits, [WAIT, WAIT, BRIEF]);
             let verified = calls[2].0 - calls[1].0;
-            assert!(verified >= QUEUE, "the watch has had its turn: {verified:?}");
+            assert!(
+                verified >= QUEUE,
+                "the watch has had its turn: {verified:?}"
+            );
             let answered = calls[2].0 - calls[0].0 + QUEUE;
-            assert!(answered < TOLD_AFTER_FAILURE, "its answer may be too late: {answered:?}");
+            assert!(
+                answered < TOLD_AFTER_FAILURE,
+                "its answer may be too late: {answered:?}"
+            );
             let late = came - (calls[2].0 + Duration::from_secs(5));
-            assert!(late < Duration::from_millis(200), "the watch still stands: {late:?}");
-            assert!(calls.iter().skip(3).all(|(at, _)| *at >= came - Duration::from_millis(20)), "{calls:?}");
+            assert!(
+                late < Duration::from_millis(200),
+                "the watch still stands: {late:?}"
+            );
+            assert!(
+                calls
+                    .iter()
+                    .skip(3)
+                    .all(|(at, _)| *at >= came - Duration::from_millis(20)),
+                "{calls:?}"
+            );
         });
     }
 }
--- a/crates/node/src/discovery/watches.rs
+++ b/crates/node/src/discovery/watches.rs
@@ -15,7 +15,10 @@
 
 impl Watches {
     pub fn new(newest: CallId) -> Self {
-        Self { newest: Some(newest), previous: None }
+        Self {
+            newest: Some(newest),
+            previous: None,
+        }
     }
 
     /// The calls, the older first.
@@ -49,7 +52,8 @@
 
     /// Another call takes the place of all: their answers are read for so long.
     pub fn supersede(&mut self, in_flight: &mut InFlight, read_for: Duration) {
-        self.open().for_each(|watch| in_flight.supersede(watch, read_for));
+        self.open()
+            .for_each(|watch| in_flight.supersede(watch, read_for));
         *self = Self::default();
     }
 }
--- a/crates/node/src/discovery/watching.rs
+++ b/crates/node/src/discovery/watching.rs
@@ -39,7 +39,10 @@
     async fn whole_list(&mut self, address: SocketAddr, link: Option<Link>) -> Called {
         let asked = Instant::now();
         let hedge = self.failed_late.then_some(HEDGE);
-        let called = match self.prompt(address, Ask::Whole, link, hedge, &mut Watches::default()).await {
+        let called = match self
+            .prompt(address, Ask::Whole, link, hedge, &mut Watches::default())
+            .await
+        {
             Prompt::Answered(called) | Prompt::Watch(called) => called,
             Prompt::Failed(error) => (Err(error), None),
         };
@@ -55,9 +58,11 @@
         let mut watches = Watches::new(self.start(address, Ask::After(seq, WAIT), link));
         loop {
             let over = opened + WAIT + OVERDUE;
-            if let Ok(called) = timeout_at(next_call.min(over), self.answer_of(&mut watches)).await {
+            if let Ok(called) = timeout_at(next_call.min(over), self.answer_of(&mut watches)).await
+            {
                 let waited = opened.elapsed();
-                self.failed_late = unverified && called.0.is_err() && (LATE_FAILURE..TURN).contains(&waited);
+                self.failed_late =
+                    unverified && called.0.is_err() && (LATE_FAILURE..TURN).contains(&waited);
                 return called;
             }
             if over <= next_call {
@@ -85,7 +90,10 @@
                     return (Err(error), None);
                 }
                 Beside::Failed(error) => {
-                    self.log.often("discovery", &format!("discovery: watch not renewed: {error}"));
+                    self.log.often(
+                        "discovery",
+                        &format!("discovery: watch not renewed: {error}"),
+                    );
                     self.unsure = true;
                     next_call = Instant::now() + self.spread(RENEW_AGAIN, RENEW_AGAIN_SPREAD);
                 }
@@ -108,7 +116,10 @@
     /// Makes sure of a watch that was opened after a failed call.
     async fn verify(&mut self, address: SocketAddr, seq: u64, watches: &mut Watches) -> Beside {
         let ask = Ask::After(seq, BRIEF);
-        match self.prompt(address, ask, None, Some(VERIFY_HEDGE), watches).await {
+        match self
+            .prompt(address, ask, None, Some(VERIFY_HEDGE), watches)
+            .await
+        {
             Prompt::Answered((Ok(listing), _)) if listing.seq == seq && !watches.is_broken() => {
                 self.unsure = false;
                 self.failed_late = false;
@@ -125,7 +136,11 @@
         if !confirm && !self.unsure {
             return self.renew_by_watch(address, seq, watches).await;
         }
-        let ask = if confirm { Ask::Whole } else { Ask::After(seq, BRIEF) };
+        let ask = if confirm {
+            Ask::Whole
+        } else {
+            Ask::After(seq, BRIEF)
+        };
         let prompt = self.prompt(address, ask, None, None, watches).await;
         if confirm && matches!(prompt, Prompt::Answered(_)) {
             self.confirm_at = None;
@@ -146,7 +161,12 @@
         }
     }
 
-    async fn renew_by_watch(&mut self, address: SocketAddr, seq: u64, watches: &mut Watches) -> Beside {
+    async fn renew_by_watch(
+        &mut self,
+        address: SocketAddr,
+        seq: u64,
+        watches: &mut Watches,
+    ) -> Beside {
         let fresh = self.start(address, Ask::After(seq, WAIT), None);
         let until = Instant::now() + OVERLAP;
         loop {
@@ -159,7 +179,9 @@
                 (Ok(listing), link) => {
                     if ended == fresh && listing.seq > seq {
                         let news = listing.seq;
-                        let text = format!("discovery: list {news} came by a new watch, not by the old one");
+                        let text = format!(
+                            "discovery: list {news} came by a new watch, not by the old one"
+                        );
                         self.log.often("discovery", &text);
                     }
                     watches.remove(ended);
@@ -170,7 +192,9 @@
                     return Beside::Called((Ok(listing), link));
                 }
                 // Those that are open are as good as they were.
-                (Err(error), _) if ended == fresh && !watches.is_broken() => return Beside::Failed(error),
+                (Err(error), _) if ended == fresh && !watches.is_broken() => {
+                    return Beside::Failed(error)
+                }
                 (Err(error), link) if ended == fresh => return Beside::Called((Err(error), link)),
                 // What is left of a watch that broke just now is the new one.
                 (Err(_), _) => watches.remove(ended),
@@ -221,7 +245,9 @@
     }
 
     fn supersede(&mut self, calls: &[CallId], read_for: Duration) {
-        calls.iter().for_each(|call| self.in_flight.supersede(*call, read_for));
+        calls
+            .iter()
+            .for_each(|call| self.in_flight.supersede(*call, read_for));
     }
 
     /// How long after a watch was opened another call is made beside it.
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -7,8 +7,8 @@
 use hyper::StatusCode;
 use slatelink_config::Listing;
 use slatelink_decide::{
-    Action, Availability, Balancer, ClassId, Event, Outcome, Request, RequestId, ServerEntry, ServerId,
-    ServerList,
+    Action, Availability, Balancer, ClassId, Event, Outcome, Request, RequestId, ServerEntry,
+    ServerId, ServerList,
 };
 use slatelink_observe::{End, Observer};
 use std::cell::Cell;
@@ -167,7 +167,10 @@
         mut lists: UnboundedReceiver<Input>,
         mut inputs: UnboundedReceiver<Input>,
     ) {
-        let entries = self.learn(&Listing { whole: true, ..known });
+        let entries = self.learn(&Listing {
+            whole: true,
+            ..known
+        });
         self.decisions.push(Event::Restored(entries));
         self.handle_due();
         loop {
@@ -201,7 +204,8 @@
                 let id = request_id(ticket);
                 if let Some(open) = self.open.get_mut(&id).filter(|open| open.answer.is_some()) {
                     drop(open.close());
-                    self.observer.answered(open.class, open.last(), open.at.elapsed(), End::Left);
+                    self.observer
+                        .answered(open.class, open.last(), open.at.elapsed(), End::Left);
                     self.decisions.push(Event::Abandoned(id.clone()));
                     self.tidy(&id);
                 }
@@ -226,7 +230,8 @@
         self.observer.learned(listing);
         let entries: Arc<[ServerEntry]> = listing.hosts.iter().map(|host| host.entry()).collect();
         if listing.whole {
-            self.upstream.retain(|id| entries.iter().any(|entry| entry.id == *id));
+            self.upstream
+                .retain(|id| entries.iter().any(|entry| entry.id == *id));
         }
         for (host, entry) in listing.hosts.iter().zip(entries.iter()) {
             match entry.availability {
@@ -234,7 +239,9 @@
                 _ => self.upstream.learn(entry, host.dial()),
             }
         }
-        self.some_ready |= entries.iter().any(|entry| entry.availability == Availability::Ready);
+        self.some_ready |= entries
+            .iter()
+            .any(|entry| entry.availability == Availability::Ready);
         self.be_ready();
         entries
     }
@@ -249,7 +256,8 @@
     fn request(&mut self, taken: Taken) {
         let id = request_id(taken.ticket);
         let until = taken.at + taken.patience.saturating_sub(MARGIN);
-        self.observer.taken(taken.class, taken.message.target.path());
+        self.observer
+            .taken(taken.class, taken.message.target.path());
         let open = Open {
             message: Rc::new(taken.message),
             answer: Some(taken.answer),
@@ -260,7 +268,8 @@
             attempts: Vec::new(),
         };
         self.open.insert(id.clone(), open);
-        self.timers.insert((until + GUARD, Timer::Guard(id.clone())));
+        self.timers
+            .insert((until + GUARD, Timer::Guard(id.clone())));
         self.decisions.push(Event::Request(Request {
             id,
             class: Some(taken.class),
@@ -273,8 +282,12 @@
     }
 
     fn ended(&mut self, id: RequestId, attempt: u32, ended: Ended) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(sent) = open.attempts.get_mut(attempt as usize) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
+        let Some(sent) = open.attempts.get_mut(attempt as usize) else {
+            return;
+        };
         sent.out = false;
         let (server, took) = (sent.server.clone(), sent.at.elapsed());
         self.observer.ended(open.class, &server, ended.status);
@@ -282,7 +295,9 @@
             reply(&*self.observer, open, Some(&server), Answer::Served(body));
         }
         let finished = open.answer.is_none();
-        let Ended { status, note, load, .. } = ended;
+        let Ended {
+            status, note, load, ..
+        } = ended;
         self.tidy(&id);
         self.decisions.push(Event::Outcome(Outcome {
             id,
@@ -298,10 +313,12 @@
 
     /// Drops a request that has its answer and no attempt out.
     fn tidy(&mut self, id: &RequestId) {
-        let over = |open: &Open| open.answer.is_none() && open.attempts.iter().all(|sent| !sent.out);
+        let over =
+            |open: &Open| open.answer.is_none() && open.attempts.iter().all(|sent| !sent.out);
         if let Some(open) = self.open.get(id).filter(|open| over(open)) {
             // Left to fire, the timers of what is long done would outnumber what is open.
-            self.timers.remove(&(open.until + GUARD, Timer::Guard(id.clone())));
+            self.timers
+                .remove(&(open.until + GUARD, Timer::Guard(id.clone())));
             self.open.remove(id);
         }
     }
@@ -320,7 +337,9 @@
     /// A request that the module has left open until its time is all but over would be lost: it fails here,
     /// and the module learns that nothing is owed any more. What its attempts come to is still reported.
     fn guard(&mut self, id: RequestId) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| open.answer.is_some()) else { return };
+        let Some(open) = self.open.get_mut(&id).filter(|open| open.answer.is_some()) else {
+            return;
+        };
         let last = open.last().cloned();
         reply(&*self.observer, open, last.as_ref(), Answer::Failed);
         self.tidy(&id);
@@ -338,7 +357,12 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, timeout, begin_within } => {
+            Action::Send {
+                id,
+                server,
+                timeout,
+                begin_within,
+            } => {
                 self.send(id, server, timeout, begin_within);
             }
             Action::Refuse { id, retry_after } => self.finish(&id, Answer::Refused { retry_after }),
@@ -353,10 +377,16 @@
     }
 
     fn send(&mut self, id: RequestId, server: ServerId, timeout: Duration, begin_within: Duration) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let (at, attempt) = (Instant::now(), open.attempts.len() as u32);
         let (until, over) = (open.until.min(at + timeout), open.over.clone());
-        let bounds = Bounds { begin_by: until.min(at + begin_within), until, over };
+        let bounds = Bounds {
+            begin_by: until.min(at + begin_within),
+            until,
+            over,
+        };
         self.observer.sent(&server);
         let (upstream, events) = (self.upstream.clone(), self.events.clone());
         let (message, target) = (open.message.clone(), server.clone());
@@ -365,7 +395,11 @@
             // The driver only goes when the node does.
             let _ = events.send(Input::Ended { id, attempt, ended });
         });
-        open.attempts.push(Sent { server, at, out: true });
+        open.attempts.push(Sent {
+            server,
+            at,
+            out: true,
+        });
     }
 
     fn finish(&mut self, id: &RequestId, answer: Answer) {
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -67,9 +67,21 @@
     // Before anything else: a signal without a handler ends the process.
     let mut terminate = signal(SignalKind::terminate())?;
     let hangup = signal(SignalKind::hangup())?;
-    let Config { name, listen, discovery, seed, sockets, memory, known, settings, path, text } = config;
-    let listener =
-        TcpListener::bind(listen).await.map_err(|error| format!("cannot listen on {listen}: {error}"))?;
+    let Config {
+        name,
+        listen,
+        discovery,
+        seed,
+        sockets,
+        memory,
+        known,
+        settings,
+        path,
+        text,
+    } = config;
+    let listener = TcpListener::bind(listen)
+        .await
+        .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
     let side = match wanted.side_port() {
         Some(port) => {
             let beside = SocketAddr::new(listen.ip(), port);
@@ -78,7 +90,11 @@
         }
         None => None,
     };
-    let classes: Vec<_> = settings.classes.iter().map(|class| class.name.clone()).collect();
+    let classes: Vec<_> = settings
+        .classes
+        .iter()
+        .map(|class| class.name.clone())
+        .collect();
     let beside = side.as_ref().map_or(0, |_| MultiGet::DESCRIPTORS);
     let places = sockets.saturating_sub(SPARE_SOCKETS + Observers::descriptors(&wanted) + beside);
     let budget = shares(&wanted, places, sockets, memory)?;
@@ -86,7 +102,10 @@
     let observers = Observers::start(&wanted, &classes, format)?;
     let log = observers.log.clone();
     let stops = observers.stops()?;
-    log.line(&format!("node {name} listens on {}", listener.local_addr()?));
+    log.line(&format!(
+        "node {name} listens on {}",
+        listener.local_addr()?
+    ));
     observers.started(&name);
     observers.loaded(&path, &text);
     drop(text);
@@ -98,9 +117,24 @@
     let (follow, ready) = (Rc::new(Notify::new()), Rc::default());
     let table = Table::new(budget.clone(), Side::Clients, connection_limits.clone());
     let (connect, keepalive) = (settings.connect_timeout, settings.keepalive);
-    let upstream = Rc::new(Upstream::new(budget.clone(), table.clone(), connect, keepalive));
-    let room = Room { table: table.clone(), servers: upstream.clone() };
-    let front = Rc::new(Front::new(&settings, Rc::clone(&ready), stage, events.clone(), log.clone(), room));
+    let upstream = Rc::new(Upstream::new(
+        budget.clone(),
+        table.clone(),
+        connect,
+        keepalive,
+    ));
+    let room = Room {
+        table: table.clone(),
+        servers: upstream.clone(),
+    };
+    let front = Rc::new(Front::new(
+        &settings,
+        Rc::clone(&ready),
+        stage,
+        events.clone(),
+        log.clone(),
+        room,
+    ));
     // Where lists are pushed, what the agent has counts as told from a process's first moment: it is asked for at
     // once, and the node is ready when it has that. Elsewhere a whole list has a price, and the node holds its own.
     let pushed = !settings.must_follow;
@@ -126,7 +160,15 @@
     let (told, to_driver) = mpsc::unbounded_channel();
     let heeding = heed_departures(lists, told, upstream.clone());
     let following = discovery.run(follow.clone());
-    let driver = Driver::new(balancer, upstream.clone(), follow, ready, pushed, events, observers.clone());
+    let driver = Driver::new(
+        balancer,
+        upstream.clone(),
+        follow,
+        ready,
+        pushed,
+        events,
+        observers.clone(),
+    );
     spawn_local(driver.run(known, to_driver, inputs));
     let beside = match side {
         Some(listener) => {
@@ -138,7 +180,10 @@
                 per_class: Vec::new(),
                 ..connection_limits
             };
-            let room = Room { table: Table::new(budget, Side::Beside, connection_limits), servers: upstream };
+            let room = Room {
+                table: Table::new(budget, Side::Beside, connection_limits),
+                servers: upstream,
+            };
             let multiget = MultiGet::new(front.clone(), wanted.multiget.unwrap_or_default(), room);
             Some(spawn_local(multiget.serve(listener)))
         }
@@ -179,7 +224,11 @@
     };
     observers.stop(by).await;
     // As a shell tells of a process that a signal has ended.
-    Ok(if by == Stop::TERMINATE { ExitCode::SUCCESS } else { ExitCode::from(128 + by.number) })
+    Ok(if by == Stop::TERMINATE {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(128 + by.number)
+    })
 }
 
 /// Has the connections heed what a list tells of servers that leave at once, and hands the list on to the driver, whose
@@ -214,10 +263,19 @@
             .max(ACTIVE_CONNECTION_BYTES * 32)
     });
     let most = places.min(bytes / 3 / SERVERS);
-    let servers = Share { floor: wanted.front.servers_floor(places).min(most), most };
+    let servers = Share {
+        floor: wanted.front.servers_floor(places).min(most),
+        most,
+    };
     let left = places.saturating_sub(servers.floor + beside);
-    let clients = Share { floor: (sockets / 3).min(places / 2).min(left), most: places };
-    let beside = Share { floor: beside, most: beside };
+    let clients = Share {
+        floor: (sockets / 3).min(places / 2).min(left),
+        most: places,
+    };
+    let beside = Share {
+        floor: beside,
+        most: beside,
+    };
     let budget = Budget::new(places, [clients, servers, beside], bytes / 3 * 2);
     let usable = |budget: &Budget| budget.most(Side::Clients) > 0 && budget.most(Side::Servers) > 0;
     budget.filter(usable).ok_or_else(|| {
@@ -236,15 +294,24 @@
     budget: &Budget,
     sockets: usize,
 ) -> Result<ConnectionLimits, String> {
-    if let Some(name) =
-        wanted.per_class.keys().find(|name| !classes.iter().any(|class| class.as_str() == *name))
+    if let Some(name) = wanted
+        .per_class
+        .keys()
+        .find(|name| !classes.iter().any(|class| class.as_str() == *name))
     {
         let known: Vec<_> = classes.iter().map(Name::as_str).collect();
-        return Err(format!("front.per_class names {name:?}: the classes are {}", known.join(", ")));
+        return Err(format!(
+            "front.per_class names {name:?}: the classes are {}",
+            known.join(", ")
+        ));
     }
     let usable = budget.most(Side::Clients).min(wanted.clients_part(sockets));
-    let share =
-        |class: &Name| wanted.per_class.get(class.as_str()).map(|part| (usable * part.0 / 100).max(1));
+    let share = |class: &Name| {
+        wanted
+            .per_class
+            .get(class.as_str())
+            .map(|part| (usable * part.0 / 100).max(1))
+    };
     Ok(ConnectionLimits {
         crowded_at: (usable - usable / FREE_PART).max(1),
         idle_timeout: wanted.idle(),
@@ -266,18 +333,30 @@
 
 /// Takes the configuration's `discovery` anew at each SIGHUP; the rest of it holds from the start. A file that
 /// cannot be used is one line in the log, and what the node had goes on.
-async fn reload(mut hangup: Signal, discovery: watch::Sender<SocketAddr>, observers: Rc<Observers>) {
+async fn reload(
+    mut hangup: Signal,
+    discovery: watch::Sender<SocketAddr>,
+    observers: Rc<Observers>,
+) {
     let log = &observers.log;
     while hangup.recv().await.is_some() {
         loop {
-            let variable = |name: &str| std::env::var(name).ok().filter(|_| name != platform::DISCOVERY);
+            let variable = |name: &str| {
+                std::env::var(name)
+                    .ok()
+                    .filter(|_| name != platform::DISCOVERY)
+            };
             match platform::load(variable) {
                 Ok(new) => {
-                    log.line(&format!("configuration read again: discovery at {}", new.discovery));
+                    log.line(&format!(
+                        "configuration read again: discovery at {}",
+                        new.discovery
+                    ));
                     observers.loaded(&new.path, &new.text);
                     // One that stays is not asked again: its watch is as good as it was.
-                    discovery
-                        .send_if_modified(|held| std::mem::replace(held, new.discovery) != new.discovery);
+                    discovery.send_if_modified(|held| {
+                        std::mem::replace(held, new.discovery) != new.discovery
+                    });
                     break;
                 }
                 Err(error) => {
--- a/crates/node/src/multiget.rs
+++ b/crates/node/src/multiget.rs
@@ -50,13 +50,19 @@
 impl Item {
     fn check(self) -> Option<Checked> {
         // One segment of a path: anything else would be another request than the one that is named.
-        let segment = |byte: &u8| byte.is_ascii_alphanumeric() || b"-._~!$&'()*+,;=:@%".contains(byte);
-        if self.key.is_empty() || self.req_id.is_empty() || !self.key.as_bytes().iter().all(segment) {
+        let segment =
+            |byte: &u8| byte.is_ascii_alphanumeric() || b"-._~!$&'()*+,;=:@%".contains(byte);
+        if self.key.is_empty() || self.req_id.is_empty() || !self.key.as_bytes().iter().all(segment)
+        {
             return None;
         }
         let target = PathAndQuery::try_from(format!("/api/{}", self.key)).ok()?;
         let id = HeaderValue::from_str(&self.req_id).ok()?;
-        Some(Checked { key: self.key, target, id })
+        Some(Checked {
+            key: self.key,
+            target,
+            id,
+        })
     }
 }
 
@@ -78,7 +84,14 @@
 
 impl<'a> Line<'a> {
     fn new(i: usize, key: &'a str) -> Self {
-        Self { i, key, status: None, body: None, body_hex: None, partial: None }
+        Self {
+            i,
+            key,
+            status: None,
+            body: None,
+            body_hex: None,
+            partial: None,
+        }
     }
 
     fn write(&self) -> Option<Bytes> {
@@ -101,7 +114,9 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.lines.poll_recv(cx).map(|line| line.map(|line| Ok(Frame::data(line))))
+        self.lines
+            .poll_recv(cx)
+            .map(|line| line.map(|line| Ok(Frame::data(line))))
     }
 }
 
@@ -121,7 +136,11 @@
     pub const CONNECTIONS: usize = 8;
 
     pub fn new(front: Rc<Front>, settings: Settings, room: Room) -> Rc<Self> {
-        Rc::new(Self { front, settings, room: Rc::new(room) })
+        Rc::new(Self {
+            front,
+            settings,
+            room: Rc::new(room),
+        })
     }
 
     /// Serves until the node closes and every connection has ended.
@@ -139,16 +158,24 @@
     let place = Rc::new(place);
     let service = service_fn(async |request| {
         place.on_request_head();
-        let response = respond(&side, &place, request).await.unwrap_or_else(|rejected| {
-            place.on_response();
-            rejected.map(Either::Left)
-        });
+        let response = respond(&side, &place, request)
+            .await
+            .unwrap_or_else(|rejected| {
+                place.on_response();
+                rejected.map(Either::Left)
+            });
         Ok::<_, Infallible>(response)
     });
     let mut http = http1::Builder::new();
     // One call a connection: so its time has a bound, whatever its client takes of the answer.
     http.max_buf_size(server::LARGEST_HEAD).keep_alive(false);
-    let longest = side.front.classes.iter().map(|(_, deadline)| *deadline).max().unwrap_or_default();
+    let longest = side
+        .front
+        .classes
+        .iter()
+        .map(|(_, deadline)| *deadline)
+        .max()
+        .unwrap_or_default();
     let mut serving = http.serve_connection(ReportingSocket(place.clone()), service);
     // With one call a connection it is never idle for long, and parked is as good as over.
     let driven = place.drive(&mut serving, |serving| serving.graceful_shutdown());
@@ -172,13 +199,16 @@
         return Err(server::wrong_method("POST"));
     }
     if head.headers.contains_key(TRANSFER_ENCODING) {
-        return Err(plain(StatusCode::LENGTH_REQUIRED, "a body needs a Content-Length"));
+        return Err(plain(
+            StatusCode::LENGTH_REQUIRED,
+            "a body needs a Content-Length",
+        ));
     }
     let bad = |what| plain(StatusCode::BAD_REQUEST, what);
     let terms = read_terms(&side.front, &head.headers).map_err(bad)?;
     let body = read_body(body).await?;
-    let items: Vec<Item> =
-        serde_json::from_slice(&body).map_err(|_| bad("not a list of items with key and req_id"))?;
+    let items: Vec<Item> = serde_json::from_slice(&body)
+        .map_err(|_| bad("not a list of items with key and req_id"))?;
     if items.len() > side.settings.max_items() {
         return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "too many items"));
     }
@@ -198,8 +228,14 @@
         // What is unfinished then is given up, as if its client had left.
         let _ = timeout_at(until - EARLY.min(until - at), all).await;
     });
-    let mut response = Response::new(Either::Right(Lines { lines, _items: running }));
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/x-ndjson"));
+    let mut response = Response::new(Either::Right(Lines {
+        lines,
+        _items: running,
+    }));
+    response.headers_mut().insert(
+        CONTENT_TYPE,
+        HeaderValue::from_static("application/x-ndjson"),
+    );
     Ok(response)
 }
 
@@ -219,7 +255,9 @@
             let Some((i, item)) = left.next() else { break };
             out.spawn_local(run_item(front.clone(), terms, i, item, until));
         }
-        let Some(ended) = out.join_next().await else { return };
+        let Some(ended) = out.join_next().await else {
+            return;
+        };
         if let Ok(Some(line)) = ended {
             if lines.send(line).await.is_err() {
                 return;
@@ -229,7 +267,13 @@
 }
 
 /// One item: a client's request in all but its connection, whose place among those it takes all the same.
-async fn run_item(front: Rc<Front>, terms: Terms, i: usize, item: Checked, until: Instant) -> Option<Bytes> {
+async fn run_item(
+    front: Rc<Front>,
+    terms: Terms,
+    i: usize,
+    item: Checked,
+    until: Instant,
+) -> Option<Bytes> {
     let mut line = Line::new(i, &item.key);
     let Some(id) = front.open.enter(item.id) else {
         line.status = Some(StatusCode::CONFLICT.as_u16());
@@ -237,9 +281,18 @@
     };
     let _place = front.room.lease().await;
     let at = Instant::now();
-    let terms = Terms { patience: until.saturating_duration_since(at), ..terms };
+    let terms = Terms {
+        patience: until.saturating_duration_since(at),
+        ..terms
+    };
     let (target, key) = (item.target, key_number(&item.key));
-    let message = Message { method: Method::GET, target, id, idempotency_key: None, body: Bytes::new() };
+    let message = Message {
+        method: Method::GET,
+        target,
+        id,
+        idempotency_key: None,
+        body: Bytes::new(),
+    };
     let answer = ask(&front, at, key, terms, message).await;
     line.status = Some(answer.status().as_u16());
     if let Answer::Served(body) = &answer {
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -59,7 +59,10 @@
 /// Runs a relay until SIGTERM or SIGINT; on a current-thread runtime, within a `LocalSet`.
 pub async fn run(settings: RelaySettings, format: Format) -> Result<(), RelayError> {
     // Before anything else: a signal without a handler ends the process.
-    let (mut terminate, mut interrupt) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
+    let (mut terminate, mut interrupt) = (
+        signal(SignalKind::terminate())?,
+        signal(SignalKind::interrupt())?,
+    );
     let most_callers = most_callers(settings.callers)?;
     let listener = TcpListener::bind(settings.listen).await;
     let listener = listener.map_err(|error| RelayError::Listen(settings.listen, error))?;
@@ -70,8 +73,18 @@
 
     let publisher = Rc::new(Publisher::new(settings.lease()));
     let counts = Rc::default();
-    let upstream = Upstream::new(&settings, publisher.clone(), Rc::clone(&counts), log.clone());
-    let callers = Rc::new(Callers::new(publisher.clone(), most_callers, counts, log.clone()));
+    let upstream = Upstream::new(
+        &settings,
+        publisher.clone(),
+        Rc::clone(&counts),
+        log.clone(),
+    );
+    let callers = Rc::new(Callers::new(
+        publisher.clone(),
+        most_callers,
+        counts,
+        log.clone(),
+    ));
     spawn_local(upstream.run());
     spawn_local(publisher.clone().watch_lease(log.clone()));
     spawn_local(turn_log(log.clone()));
@@ -97,7 +110,9 @@
 /// Connections of callers that the limit on descriptors allows, or those that are wanted if it does.
 fn most_callers(wanted: Option<usize>) -> Result<usize, RelayError> {
     let limit = getrlimit(Resource::Nofile).current;
-    let limit = limit.map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX));
+    let limit = limit.map_or(usize::MAX, |limit| {
+        usize::try_from(limit).unwrap_or(usize::MAX)
+    });
     let allowed = limit.saturating_sub(SPARE_DESCRIPTORS);
     let callers = wanted.unwrap_or(allowed.max(1));
     if callers > allowed {
--- a/crates/node/src/relay/answers.rs
+++ b/crates/node/src/relay/answers.rs
@@ -18,7 +18,11 @@
 
 impl EncodedList {
     fn new(list: &List) -> serde_json::Result<Self> {
-        Ok(Self { body: list.encode()?.into(), whole: list.whole, entries: list.entries.len() })
+        Ok(Self {
+            body: list.encode()?.into(),
+            whole: list.whole,
+            entries: list.entries.len(),
+        })
     }
 }
 
--- a/crates/node/src/relay/callers.rs
+++ b/crates/node/src/relay/callers.rs
@@ -77,7 +77,15 @@
         log: Log,
     ) -> Self {
         let (open, refusing) = (Cell::new(0), Cell::new(0));
-        Self { publisher, log, most_open, open, refusing, counts: Rc::default(), upstream }
+        Self {
+            publisher,
+            log,
+            most_open,
+            open,
+            refusing,
+            counts: Rc::default(),
+            upstream,
+        }
     }
 
     /// Accepts connections, for as long as the future lives.
@@ -113,8 +121,9 @@
         let meter = Rc::new(Meter::new(self.counts.clone()));
         let io = TokioIo::new(Metered::new(stream, meter.clone()));
         if let Some(_place) = Place::take(&self.open, self.most_open) {
-            let service =
-                service_fn(async |request| Ok::<_, Infallible>(self.respond(&meter, request).await));
+            let service = service_fn(async |request| {
+                Ok::<_, Infallible>(self.respond(&meter, request).await)
+            });
             let mut serving = pin!(http().serve_connection(io, service));
             tokio::select! {
                 // How a connection ends is its caller's affair.
@@ -124,10 +133,18 @@
             let _ = serving.await;
         } else {
             self.counts.add(|counts| counts.connections_refused += 1);
-            self.log.often("callers", "relay: a connection is refused: there are as many as may be");
-            let Some(_place) = Place::take(&self.refusing, MOST_REFUSALS) else { return };
+            self.log.often(
+                "callers",
+                "relay: a connection is refused: there are as many as may be",
+            );
+            let Some(_place) = Place::take(&self.refusing, MOST_REFUSALS) else {
+                return;
+            };
             let service = service_fn(async |_: Request<Incoming>| {
-                let text = format!("there are {} connections already: ask another source", self.most_open);
+                let text = format!(
+                    "there are {} connections already: ask another source",
+                    self.most_open
+                );
                 Ok::<_, Infallible>(closing(plain(StatusCode::SERVICE_UNAVAILABLE, text)))
             });
             let _ = timeout(REFUSAL, http().serve_connection(io, service)).await;
@@ -189,8 +206,9 @@
 
     fn status(&self) -> Reply {
         let now = self.publisher.now();
-        let left =
-            |expires: Duration| u64::try_from(expires.saturating_sub(now).as_millis()).unwrap_or(u64::MAX);
+        let left = |expires: Duration| {
+            u64::try_from(expires.saturating_sub(now).as_millis()).unwrap_or(u64::MAX)
+        };
         let status = self.publisher.look(|replica| Status {
             version: replica.version().map(|version| version.0),
             servers: replica.servers(),
@@ -203,7 +221,10 @@
             callers: self.counts.get(),
             upstream: self.upstream.get(),
         });
-        match serde_json::to_vec(&Status { waiting: self.publisher.waiting(), ..status }) {
+        match serde_json::to_vec(&Status {
+            waiting: self.publisher.waiting(),
+            ..status
+        }) {
             Ok(body) => json(body.into()),
             Err(error) => plain(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
         }
@@ -226,11 +247,15 @@
 
 fn json(body: Bytes) -> Reply {
     let mut reply = Response::new(Full::new(body));
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    reply
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     reply
 }
 
 fn closing(mut reply: Reply) -> Reply {
-    reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    reply
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     reply
 }
--- a/crates/node/src/relay/meter.rs
+++ b/crates/node/src/relay/meter.rs
@@ -41,7 +41,12 @@
 
 impl Meter {
     pub fn new(counts: Rc<Counts>) -> Self {
-        Self { counts, unclaimed: Cell::new(0), counted: Cell::new(false), is_caller: Cell::new(false) }
+        Self {
+            counts,
+            unclaimed: Cell::new(0),
+            counted: Cell::new(false),
+            is_caller: Cell::new(false),
+        }
     }
 
     /// A request was read; `counted` if it is one for the list.
@@ -63,7 +68,8 @@
 
     fn written(&self, bytes: usize) {
         if self.counted.get() {
-            self.counts.add(|counts| counts.answer_bytes += bytes as u64);
+            self.counts
+                .add(|counts| counts.answer_bytes += bytes as u64);
         }
     }
 }
--- a/crates/node/src/relay/publisher.rs
+++ b/crates/node/src/relay/publisher.rs
@@ -29,7 +29,9 @@
     #[error(transparent)]
     Unavailable(#[from] Unavailable),
     /// Upstream has not said whether the caller's version is known.
-    #[error("the caller has version {0}, which is not known here, and upstream has not answered for it")]
+    #[error(
+        "the caller has version {0}, which is not known here, and upstream has not answered for it"
+    )]
     Unconfirmed(Version),
     /// The list cannot be written.
     #[error("the list cannot be encoded: {0}")]
@@ -110,7 +112,10 @@
 
     /// Takes in upstream's answer, and wakes all callers that wait if it has news for them.
     pub fn apply(&self, call: Call, list: List, sent: Duration) -> Result<Applied, RejectedList> {
-        let applied = self.replica.borrow_mut().apply(call, list, sent, self.now());
+        let applied = self
+            .replica
+            .borrow_mut()
+            .apply(call, list, sent, self.now());
         let news = applied.as_ref().is_ok_and(|applied| applied.news);
         if news {
             self.answers.borrow_mut().clear();
@@ -141,7 +146,11 @@
                 return Err(PublishError::Stops);
             }
             let wait_is_over = Instant::now() >= ends;
-            let question = Question { after: request.after, came, wait_is_over };
+            let question = Question {
+                after: request.after,
+                came,
+                wait_is_over,
+            };
             let reply = self.replica.borrow_mut().answer(question, self.now())?;
             let (until, _waiting) = match (reply, request.after) {
                 (Reply::Wait, Some(version)) => (ends, Some(Waiting::begin(self, version))),
@@ -164,7 +173,10 @@
 
     fn encoded(&self, reply: Reply) -> Result<EncodedList, PublishError> {
         let replica = self.replica.borrow();
-        let encoded = self.answers.borrow_mut().encoded(reply, || replica.message(reply));
+        let encoded = self
+            .answers
+            .borrow_mut()
+            .encoded(reply, || replica.message(reply));
         Ok(encoded.ok_or(Unavailable::NoList)??)
     }
 
@@ -194,7 +206,11 @@
 
     /// Why callers are failed now, if they are.
     pub fn unavailable(&self) -> Option<Unavailable> {
-        let question = Question { after: None, came: self.now(), wait_is_over: true };
+        let question = Question {
+            after: None,
+            came: self.now(),
+            wait_is_over: true,
+        };
         self.replica.borrow_mut().answer(question, self.now()).err()
     }
 
@@ -206,7 +222,9 @@
     /// Callers that have the version held and wait for a newer one.
     pub fn waiting(&self) -> usize {
         let version = self.replica.borrow().version();
-        version.and_then(|version| self.waiting.borrow().get(&version).copied()).unwrap_or(0)
+        version
+            .and_then(|version| self.waiting.borrow().get(&version).copied())
+            .unwrap_or(0)
     }
 
     /// Fails all callers from now on.
--- a/crates/node/src/relay/request.rs
+++ b/crates/node/src/relay/request.rs
@@ -76,13 +76,21 @@
         if Duration::from_millis(wait) > LONGEST_WAIT {
             return Err(RequestError::Wait(wait));
         }
-        Ok(Self { after, wait: Duration::from_millis(wait) })
+        Ok(Self {
+            after,
+            wait: Duration::from_millis(wait),
+        })
     }
 }
 
 /// A parameter's value; `None` where it is not there.
 fn number(query: &str, name: &'static str) -> Result<Option<u64>, RequestError> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-    let Some((_, value)) = pairs.find(|pair| pair.0 == name) else { return Ok(None) };
-    value.parse().map(Some).map_err(|_| RequestError::Number { name, value: value.to_owned() })
+    let Some((_, value)) = pairs.find(|pair| pair.0 == name) else {
+        return Ok(None);
+    };
+    value.parse().map(Some).map_err(|_| RequestError::Number {
+        name,
+        value: value.to_owned(),
+    })
 }
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream.rs
@@ -28,7 +28,8 @@
 /// A watch waits for this part of the lease, and has as much again to be answered: the rest is for another source.
 const WAIT_PART: u32 = 3;
 /// An answer that has nothing to wait for comes within this: a call may stand in discovery's queue for 2 s.
-const PATIENCE: std::ops::RangeInclusive<Duration> = Duration::from_millis(250)..=Duration::from_secs(3);
+const PATIENCE: std::ops::RangeInclusive<Duration> =
+    Duration::from_millis(250)..=Duration::from_secs(3);
 /// A connection that has not come up after this is given up.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A longer answer is no list.
@@ -74,16 +75,24 @@
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let mut driving = JoinSet::new();
         driving.spawn_local(connection);
-        Ok(Self { sender, _driving: driving })
+        Ok(Self {
+            sender,
+            _driving: driving,
+        })
     }
 
     async fn exchange(&mut self, address: SocketAddr, path: &str) -> Result<List, CallError> {
-        let request = Request::get(path).header(HOST, address.to_string()).body(Empty::new())?;
+        let request = Request::get(path)
+            .header(HOST, address.to_string())
+            .body(Empty::new())?;
         let response = self.sender.send_request(request).await?;
         if response.status() != StatusCode::OK {
             return Err(CallError::Status(response.status()));
         }
-        let body = Limited::new(response.into_body(), LARGEST_LIST).collect().await?.to_bytes();
+        let body = Limited::new(response.into_body(), LARGEST_LIST)
+            .collect()
+            .await?
+            .to_bytes();
         Ok(List::parse(&body)?)
     }
 }
@@ -151,7 +160,8 @@
             let address = self.addresses[place];
             let Err(error) = self.follow(address).await;
             self.count(|counts| counts.failed += 1);
-            self.log.often("upstream", &format!("upstream {address}: {error}"));
+            self.log
+                .often("upstream", &format!("upstream {address}: {error}"));
             if self.addresses.len() > 1 {
                 self.publisher.upstream_changed();
             }
@@ -165,7 +175,9 @@
 
     /// The pause after so many rounds in which all sources failed.
     fn backoff(&mut self, rounds: u32) -> Duration {
-        let pause = BACKOFF.saturating_mul(1 << (rounds - 1).min(16)).min(LONGEST_BACKOFF);
+        let pause = BACKOFF
+            .saturating_mul(1 << (rounds - 1).min(16))
+            .min(LONGEST_BACKOFF);
         pause.mul_f64(0.5 + self.random.f64())
     }
 
@@ -178,7 +190,9 @@
     async fn follow(&mut self, address: SocketAddr) -> Result<std::convert::Infallible, CallError> {
         let mut link = Link::connect(address).await?;
         loop {
-            let may_confirm = self.confirmed.is_none_or(|last| last.elapsed() >= CONFIRM_PACE);
+            let may_confirm = self
+                .confirmed
+                .is_none_or(|last| last.elapsed() >= CONFIRM_PACE);
             let call = self.publisher.next_call(may_confirm);
             let (begun, sent) = (Instant::now(), self.publisher.now());
             match self.call(&mut link, address, call).await? {
@@ -194,7 +208,12 @@
         }
     }
 
-    async fn call(&mut self, link: &mut Link, address: SocketAddr, call: Call) -> Result<Called, CallError> {
+    async fn call(
+        &mut self,
+        link: &mut Link,
+        address: SocketAddr,
+        call: Call,
+    ) -> Result<Called, CallError> {
         self.count(|counts| counts.calls += 1);
         let (path, patience) = match call {
             Call::Whole => ("/v1/servers".to_owned(), self.patience),
@@ -204,7 +223,10 @@
             ),
             Call::Confirm(wanted) => {
                 self.confirmed = Some(Instant::now());
-                (format!("/v1/servers?after={wanted}&wait_ms=0"), self.patience)
+                (
+                    format!("/v1/servers?after={wanted}&wait_ms=0"),
+                    self.patience,
+                )
             }
         };
         let answer = timeout(patience, link.exchange(address, &path));
@@ -225,7 +247,8 @@
 
     /// The first call after a rejection asks for what was missing; one that goes on being rejected asks ever less often.
     fn pace_after_rejection(&self) -> Duration {
-        PACE.saturating_mul(1 << (self.rejections.saturating_sub(1)).min(16)).min(LONGEST_BACKOFF)
+        PACE.saturating_mul(1 << (self.rejections.saturating_sub(1)).min(16))
+            .min(LONGEST_BACKOFF)
     }
 
     /// Hands a list on.
@@ -236,10 +259,15 @@
                 (self.failures, self.rejections) = (0, 0);
                 self.count(|counts| counts.applied += 1);
                 if applied.new_epoch {
-                    self.log.line(&format!("upstream's versions went back: list {version} begins an epoch"));
+                    self.log.line(&format!(
+                        "upstream's versions went back: list {version} begins an epoch"
+                    ));
                 }
                 if applied.duplicates > 0 {
-                    let text = format!("list {version} names {} servers more than once", applied.duplicates);
+                    let text = format!(
+                        "list {version} names {} servers more than once",
+                        applied.duplicates
+                    );
                     self.log.often("duplicates", &text);
                 }
                 if applied.news {
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -2,7 +2,9 @@
 
 use crate::driver::{Answer, Input, Taken};
 use crate::table::{Driven, Place, ReportingSocket, Table};
-use crate::upstream::{Message, OpenIds, Upstream, IDEMPOTENCY_KEY, LARGEST_BODY, REQ_DEADLINE, REQ_ID};
+use crate::upstream::{
+    Message, OpenIds, Upstream, IDEMPOTENCY_KEY, LARGEST_BODY, REQ_DEADLINE, REQ_ID,
+};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
@@ -72,7 +74,11 @@
         room: Room,
     ) -> Self {
         Self {
-            classes: settings.classes.iter().map(|class| (class.name.clone(), class.deadline)).collect(),
+            classes: settings
+                .classes
+                .iter()
+                .map(|class| (class.name.clone(), class.deadline))
+                .collect(),
             tenants: settings.tenants.clone(),
             ready,
             stage,
@@ -141,7 +147,10 @@
 
 async fn admit(room: &Room, stream: TcpStream, from: IpAddr) -> std::io::Result<Option<Place>> {
     stream.set_nodelay(true)?;
-    Ok(room.table.admit(stream, from, |side| room.others(side)).await)
+    Ok(room
+        .table
+        .admit(stream, from, |side| room.others(side))
+        .await)
 }
 
 /// A client's connection, to its end. Between requests it holds nothing but its socket: hyper's part, with buffers and
@@ -160,7 +169,11 @@
 
 impl Connection {
     pub fn new(place: Place, front: Rc<Front>) -> Self {
-        Self { place: Rc::new(place), front, state: State::Parked }
+        Self {
+            place: Rc::new(place),
+            front,
+            state: State::Parked,
+        }
     }
 }
 
@@ -199,7 +212,9 @@
     let mut http = http1::Builder::new();
     http.max_buf_size(LARGEST_HEAD);
     let mut serving = http.serve_connection(ReportingSocket(place.clone()), service);
-    let driven = place.drive(&mut serving, |serving| serving.graceful_shutdown()).await;
+    let driven = place
+        .drive(&mut serving, |serving| serving.graceful_shutdown())
+        .await;
     match driven {
         Driven::Over => {
             // Its buffers are not needed for that.
@@ -236,8 +251,14 @@
     // the others the least of waits between two.
     // Where places run out an answered connection makes room at once: kept, it would stand idle for its time while
     // others wait unaccepted, or cannot connect at all.
-    if !usable || place.closes_with_response() || place.overrun() || *front.stage.borrow() >= Stage::Leaving {
-        response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    if !usable
+        || place.closes_with_response()
+        || place.overrun()
+        || *front.stage.borrow() >= Stage::Leaving
+    {
+        response
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
@@ -247,8 +268,11 @@
 async fn answer(front: &Front, place: &Place, request: Request<Incoming>) -> Result<Reply, Reply> {
     let at = Instant::now();
     let (head, body) = request.into_parts();
-    let target =
-        head.uri.path_and_query().cloned().ok_or_else(|| plain(StatusCode::BAD_REQUEST, "no path"))?;
+    let target = head
+        .uri
+        .path_and_query()
+        .cloned()
+        .ok_or_else(|| plain(StatusCode::BAD_REQUEST, "no path"))?;
     if target.path() == "/healthz" {
         return match head.method {
             Method::GET if front.ready.get() && *front.stage.borrow() == Stage::Serving => {
@@ -258,7 +282,10 @@
             _ => Err(wrong_method("GET")),
         };
     }
-    let key = target.path().strip_prefix("/api/").and_then(|rest| rest.rsplit('/').next());
+    let key = target
+        .path()
+        .strip_prefix("/api/")
+        .and_then(|rest| rest.rsplit('/').next());
     let Some(key) = key.filter(|key| !key.is_empty()).map(key_number) else {
         return Err(plain(StatusCode::NOT_FOUND, "no such path"));
     };
@@ -267,9 +294,13 @@
     }
     // hyper drops a length that stands beside it, and what the two disagree on may hide another request.
     if head.headers.contains_key(TRANSFER_ENCODING) {
-        return Err(plain(StatusCode::LENGTH_REQUIRED, "a body needs a Content-Length"));
+        return Err(plain(
+            StatusCode::LENGTH_REQUIRED,
+            "a body needs a Content-Length",
+        ));
     }
-    let mut asked = read_head(front, &head.headers).map_err(|what| plain(StatusCode::BAD_REQUEST, what))?;
+    let mut asked =
+        read_head(front, &head.headers).map_err(|what| plain(StatusCode::BAD_REQUEST, what))?;
     // Where there is no memory for it the body stays unread: the request is refused.
     let large = body.size_hint().lower().min(LARGEST_BODY as u64) as usize;
     let (fits, body) = match place.reserve_request_bytes(large) {
@@ -281,16 +312,29 @@
         return Err(plain(StatusCode::BAD_REQUEST, "its client has gone"));
     }
     // Sent on, it would be a second copy of another client's request.
-    let id =
-        front.open.enter(asked.id).ok_or_else(|| plain(StatusCode::CONFLICT, "Req-Id is open already"))?;
+    let id = front
+        .open
+        .enter(asked.id)
+        .ok_or_else(|| plain(StatusCode::CONFLICT, "Req-Id is open already"))?;
     asked.terms.over_share = place.on_request(asked.terms.class.0) || !fits;
-    let message = Message { method: head.method, target, id, idempotency_key: asked.idempotency_key, body };
+    let message = Message {
+        method: head.method,
+        target,
+        id,
+        idempotency_key: asked.idempotency_key,
+        body,
+    };
     Ok(reply(ask(front, at, key, asked.terms, message).await))
 }
 
 /// A request's body, whole.
 pub async fn read_body(body: Incoming) -> Result<Bytes, Reply> {
-    let too_large = || plain(StatusCode::PAYLOAD_TOO_LARGE, "the body is larger than 64 KiB");
+    let too_large = || {
+        plain(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "the body is larger than 64 KiB",
+        )
+    };
     if body.size_hint().lower() > LARGEST_BODY as u64 {
         return Err(too_large());
     }
@@ -320,7 +364,10 @@
 
 fn read_head(front: &Front, headers: &HeaderMap) -> Result<Asked, &'static str> {
     Ok(Asked {
-        id: single(headers, &REQ_ID)?.filter(|id| !id.is_empty()).ok_or("no Req-Id")?.clone(),
+        id: single(headers, &REQ_ID)?
+            .filter(|id| !id.is_empty())
+            .ok_or("no Req-Id")?
+            .clone(),
         idempotency_key: single(headers, &IDEMPOTENCY_KEY)?.cloned(),
         terms: read_terms(front, headers)?,
     })
@@ -328,18 +375,25 @@
 
 pub fn read_terms(front: &Front, headers: &HeaderMap) -> Result<Terms, &'static str> {
     let class = text(headers, &REQ_KIND)?.ok_or("no Req-Kind")?;
-    let class =
-        front.classes.iter().position(|(name, _)| name.as_str() == class).ok_or("unknown Req-Kind")?;
+    let class = front
+        .classes
+        .iter()
+        .position(|(name, _)| name.as_str() == class)
+        .ok_or("unknown Req-Kind")?;
     // Where there are no tenants, whatever stands there means nothing.
     let owner = text(headers, &REQ_OWNER)?;
     if !front.tenants.is_empty() {
         let owner = owner.ok_or("no Req-Owner")?;
-        front.tenants.iter().find(|name| name.as_str() == owner).ok_or("unknown Req-Owner")?;
+        front
+            .tenants
+            .iter()
+            .find(|name| name.as_str() == owner)
+            .ok_or("unknown Req-Owner")?;
     }
     // In 32 bits it is under 50 days and safe to add to a clock. No client waits longer than its class does,
     // and what the node holds for a request it would hold as long.
-    let patience: u32 =
-        number(headers, &REQ_DEADLINE, "unreadable Req-Deadline-Ms")?.ok_or("no Req-Deadline-Ms")?;
+    let patience: u32 = number(headers, &REQ_DEADLINE, "unreadable Req-Deadline-Ms")?
+        .ok_or("no Req-Deadline-Ms")?;
     let cost: Option<u32> = number(headers, &REQ_COST, "unreadable Req-Cost")?;
     Ok(Terms {
         patience: Duration::from_millis(patience.into()).min(front.classes[class].1),
@@ -350,14 +404,21 @@
 }
 
 /// A header that must not stand twice: the two ends could each go by another one.
-fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a HeaderValue>, &'static str> {
+fn single<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<&'a HeaderValue>, &'static str> {
     let mut values = headers.get_all(name).iter();
     let first = values.next();
-    values.next().map_or(Ok(first), |_| Err("a header stands twice"))
+    values
+        .next()
+        .map_or(Ok(first), |_| Err("a header stands twice"))
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Result<Option<&'a str>, &'static str> {
-    single(headers, name)?.map(|value| value.to_str().map_err(|_| "unreadable header")).transpose()
+    single(headers, name)?
+        .map(|value| value.to_str().map_err(|_| "unreadable header"))
+        .transpose()
 }
 
 fn number<T: FromStr>(
@@ -365,7 +426,9 @@
     name: &HeaderName,
     error: &'static str,
 ) -> Result<Option<T>, &'static str> {
-    text(headers, name)?.map(|text| text.parse().map_err(|_| error)).transpose()
+    text(headers, name)?
+        .map(|text| text.parse().map_err(|_| error))
+        .transpose()
 }
 
 /// Keys are 64-bit numbers in hexadecimal; any other name goes by its hash, the same at every node.
@@ -393,7 +456,11 @@
         message,
         answer: sender,
     };
-    let mut waiting = Waiting { ticket, events: front.events.clone(), answered: false };
+    let mut waiting = Waiting {
+        ticket,
+        events: front.events.clone(),
+        answered: false,
+    };
     // The driver only goes when the node does; its silence is a failure all the same.
     let _ = front.events.send(Input::Taken(Box::new(taken)));
     let answer = receiver.await.unwrap_or(Answer::Failed);
@@ -407,7 +474,8 @@
         Answer::Served(body) => Response::new(Full::new(body)),
         Answer::Refused { retry_after } => {
             let mut response = plain(status, "refused: try again later");
-            if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after.as_secs_f64())) {
+            if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after.as_secs_f64()))
+            {
                 response.headers_mut().insert(RETRY_AFTER, seconds);
             }
             response
@@ -418,7 +486,9 @@
 
 pub fn wrong_method(allowed: &'static str) -> Reply {
     let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "no such method");
-    response.headers_mut().insert(ALLOW, HeaderValue::from_static(allowed));
+    response
+        .headers_mut()
+        .insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
 
--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -9,7 +9,8 @@
 pub use socket::MAX_READ_AHEAD;
 
 use slatelink_front::{
-    Budget, Cause, ConnectionId, ConnectionLimits, ConnectionStats, ConnectionTable, Lease, Short, Side,
+    Budget, Cause, ConnectionId, ConnectionLimits, ConnectionStats, ConnectionTable, Lease, Short,
+    Side,
 };
 use socket::Socket;
 use std::cell::RefCell;
@@ -103,13 +104,20 @@
             self.wake(oldest?);
         }
         let lease = self.lease(others).await;
-        let id = self.connections.borrow_mut().insert(self.now(), address, lease);
+        let id = self
+            .connections
+            .borrow_mut()
+            .insert(self.now(), address, lease);
         let mut wakers = self.wakers.borrow_mut();
         if wakers.len() <= id as usize {
             wakers.resize(id as usize + 1, None);
         }
         wakers[id as usize] = None;
-        Some(Place { table: self.clone(), id, socket: Socket::new(stream) })
+        Some(Place {
+            table: self.clone(),
+            id,
+            socket: Socket::new(stream),
+        })
     }
 
     /// Waits for a descriptor. Clients keep their connections open: idle ones would keep all other clients out.
@@ -151,7 +159,10 @@
         loop {
             turns.tick().await;
             loop {
-                let done = self.connections.borrow_mut().advance(self.now(), BATCH, &mut woken);
+                let done = self
+                    .connections
+                    .borrow_mut()
+                    .advance(self.now(), BATCH, &mut woken);
                 woken.drain(..).for_each(|id| self.wake(id));
                 if done {
                     break;
--- a/crates/node/src/table/place.rs
+++ b/crates/node/src/table/place.rs
@@ -37,30 +37,45 @@
 
     /// Whether the connection closes with the response that it is about to write.
     pub fn closes_with_response(&self) -> bool {
-        let (closes, other) =
-            self.table.connections.borrow_mut().closes_with_response(self.table.now(), self.id);
+        let (closes, other) = self
+            .table
+            .connections
+            .borrow_mut()
+            .closes_with_response(self.table.now(), self.id);
         self.table.wake_one(other);
         closes
     }
 
     /// A request's head has come; its body may follow.
     pub fn on_request_head(&self) {
-        self.table.connections.borrow_mut().on_request_head(self.table.now(), self.id);
+        self.table
+            .connections
+            .borrow_mut()
+            .on_request_head(self.table.now(), self.id);
     }
 
     /// A request of this class has come whole. Whether its class has more of them open than its share.
     pub fn on_request(&self, class: usize) -> bool {
-        self.table.connections.borrow_mut().on_request(self.table.now(), self.id, class)
+        self.table
+            .connections
+            .borrow_mut()
+            .on_request(self.table.now(), self.id, class)
     }
 
     /// So many more bytes are held for its request, until the answer. `false` where there is no memory for them.
     pub fn reserve_request_bytes(&self, bytes: usize) -> bool {
-        self.table.connections.borrow_mut().reserve_request_bytes(self.id, bytes)
+        self.table
+            .connections
+            .borrow_mut()
+            .reserve_request_bytes(self.id, bytes)
     }
 
     /// Its answer is at hand.
     pub fn on_response(&self) {
-        self.table.connections.borrow_mut().on_response(self.table.now(), self.id);
+        self.table
+            .connections
+            .borrow_mut()
+            .on_response(self.table.now(), self.id);
     }
 
     /// The connection gives up all but its socket; `before` was read from that and not used.
@@ -109,7 +124,9 @@
     /// Keeps a connection that was shut for as long as its client may still be reading, and reads nothing from it: what
     /// crossed the end is its client's to send again, elsewhere.
     pub async fn linger(&self) {
-        let Some(wrote) = self.socket.wrote.get().filter(|_| self.socket.shut.get()) else { return };
+        let Some(wrote) = self.socket.wrote.get().filter(|_| self.socket.shut.get()) else {
+            return;
+        };
         if self.socket.ended.get() || !self.table.connections.borrow().may_linger(self.id) {
             return;
         }
@@ -138,8 +155,14 @@
             return Poll::Ready(false);
         }
         if spoken.is_ready() {
-            let reserved = self.table.connections.borrow_mut().on_readable(self.table.now(), self.id);
-            let Err(other) = reserved else { return Poll::Ready(true) };
+            let reserved = self
+                .table
+                .connections
+                .borrow_mut()
+                .on_readable(self.table.now(), self.id);
+            let Err(other) = reserved else {
+                return Poll::Ready(true);
+            };
             self.table.wake_one(other);
             return Poll::Pending;
         }
--- a/crates/node/src/table/reporting_socket.rs
+++ b/crates/node/src/table/reporting_socket.rs
@@ -21,7 +21,12 @@
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let Place { table, id, socket } = &*self.0;
-        let note_read = || table.connections.borrow_mut().on_bytes_read(table.now(), *id);
+        let note_read = || {
+            table
+                .connections
+                .borrow_mut()
+                .on_bytes_read(table.now(), *id)
+        };
         let mut ahead = socket.ahead.borrow_mut();
         if !ahead.is_empty() {
             let part = ahead.len().min(buf.remaining());
@@ -55,7 +60,11 @@
 }
 
 impl Write for ReportingSocket {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let socket = &self.0.socket;
         socket.poll_write(cx, || socket.stream.try_write(buf))
     }
--- a/crates/node/src/table/socket.rs
+++ b/crates/node/src/table/socket.rs
@@ -33,7 +33,14 @@
 impl Socket {
     pub(super) fn new(stream: TcpStream) -> Self {
         let (ended, overrun, shut) = (Cell::default(), Cell::default(), Cell::default());
-        Self { stream, ahead: RefCell::default(), ended, overrun, wrote: Cell::default(), shut }
+        Self {
+            stream,
+            ahead: RefCell::default(),
+            ended,
+            overrun,
+            wrote: Cell::default(),
+            shut,
+        }
     }
 
     /// What there is to be read, without a wait. Unlike a runtime's read this goes on until the socket is empty, so that
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -66,7 +66,12 @@
 
 impl Upstream {
     /// Its connections are the servers' side of the budget.
-    pub fn new(budget: Budget, clients: Rc<Table>, connect_timeout: Duration, keepalive: Duration) -> Self {
+    pub fn new(
+        budget: Budget,
+        clients: Rc<Table>,
+        connect_timeout: Duration,
+        keepalive: Duration,
+    ) -> Self {
         Self {
             peers: RefCell::default(),
             budget,
@@ -91,12 +96,21 @@
                 peer.idle.borrow_mut().clear();
             }
         } else if let Some(dial) = dial {
-            let (dial, accepts_requests, started) =
-                (Cell::new(dial), Cell::new(accepts_requests), Cell::new(entry.started));
+            let (dial, accepts_requests, started) = (
+                Cell::new(dial),
+                Cell::new(accepts_requests),
+                Cell::new(entry.started),
+            );
             let (incarnation, idle) = (Cell::default(), RefCell::default());
             peers.insert(
                 entry.id.clone(),
-                Rc::new(Peer { dial, started, incarnation, accepts_requests, idle }),
+                Rc::new(Peer {
+                    dial,
+                    started,
+                    incarnation,
+                    accepts_requests,
+                    idle,
+                }),
             );
         }
     }
@@ -104,7 +118,10 @@
     /// Begins nothing more at the servers that a list tells to leave. Whatever else it says is left to `learn`.
     pub fn heed_departures(&self, listing: &Listing) {
         let peers = self.peers.borrow();
-        let leaving = listing.hosts.iter().filter(|host| host.availability() != Availability::Ready);
+        let leaving = listing
+            .hosts
+            .iter()
+            .filter(|host| host.availability() != Availability::Ready);
         for peer in leaving.filter_map(|host| peers.get(&ServerId::from(host.id()))) {
             peer.accepts_requests.set(false);
             peer.idle.borrow_mut().clear();
@@ -121,7 +138,13 @@
 
     /// Forgets all servers but those that `keep` names: a whole list lacks the others.
     pub fn retain(&self, keep: impl Fn(&ServerId) -> bool) {
-        let left: Vec<_> = self.peers.borrow().keys().filter(|id| !keep(id)).cloned().collect();
+        let left: Vec<_> = self
+            .peers
+            .borrow()
+            .keys()
+            .filter(|id| !keep(id))
+            .cloned()
+            .collect();
         left.iter().for_each(|id| self.forget(id));
     }
 
@@ -143,14 +166,21 @@
     }
 
     fn fresh(&self, connection: &Connection) -> bool {
-        !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_history.borrow().limit()
+        !connection.sender.is_closed()
+            && connection.idle_since.elapsed() < self.idle_history.borrow().limit()
     }
 
     /// One attempt, until its answer is whole, its connection breaks or its time is up.
     pub async fn attempt(&self, server: &ServerId, message: &Message, bounds: Bounds) -> Ended {
-        let Bounds { begin_by, until, over } = bounds;
+        let Bounds {
+            begin_by,
+            until,
+            over,
+        } = bounds;
         let peer = self.peers.borrow().get(server).cloned();
-        let Some(peer) = peer else { return Ended::without_answer(Status::ConnectError) };
+        let Some(peer) = peer else {
+            return Ended::without_answer(Status::ConnectError);
+        };
         loop {
             // A request may be over before its attempt has its first turn.
             if over.get() {
@@ -162,7 +192,9 @@
             let mut connection = match timeout_at(begin_by, self.connection(&peer)).await {
                 Ok(Ok(connection)) => connection,
                 // The node's own want says nothing of the server.
-                Ok(Err(error)) if own_fault(&error) => return Ended::without_answer(Status::Ignored),
+                Ok(Err(error)) if own_fault(&error) => {
+                    return Ended::without_answer(Status::Ignored)
+                }
                 _ => return Ended::without_answer(Status::ConnectError),
             };
             // The news may have come while the connection was being made: nothing new after a drain.
@@ -175,7 +207,11 @@
             // So may the client's end have: who has gone is served by nothing that begins now. Nor may a repeat begin
             // once servers no longer know it for one; time may have passed since the connection came up.
             if over.get() || Instant::now() >= begin_by {
-                let status = if over.get() { Status::Ignored } else { Status::ConnectError };
+                let status = if over.get() {
+                    Status::Ignored
+                } else {
+                    Status::ConnectError
+                };
                 peer.keep(connection);
                 return Ended::without_answer(status);
             }
@@ -191,16 +227,25 @@
             connection.progress.reset(permit);
             let idle = connection.idle_since.elapsed();
             let answer = timeout_at(until, exchange(&mut connection.sender, request)).await;
-            let WriteProgress { begun, whole, reused, .. } = &*connection.progress;
+            let WriteProgress {
+                begun,
+                whole,
+                reused,
+                ..
+            } = &*connection.progress;
             if begun.get() {
                 // On a new one idleness is no cause: what breaks there shows how often others do.
                 let idle = if reused.get() { idle } else { Duration::ZERO };
-                self.idle_history.borrow_mut().note(idle, matches!(answer, Ok(Err(_))), Instant::now());
+                self.idle_history.borrow_mut().note(
+                    idle,
+                    matches!(answer, Ok(Err(_))),
+                    Instant::now(),
+                );
             }
             return match answer {
                 Ok(Ok((ended, reusable))) => {
-                    let kept =
-                        peer.accepts_requests.get() && connection.incarnation == peer.incarnation.get();
+                    let kept = peer.accepts_requests.get()
+                        && connection.incarnation == peer.incarnation.get();
                     if reusable && kept && !connection.sender.is_closed() {
                         peer.keep(connection);
                     }
@@ -208,7 +253,11 @@
                 }
                 // Not a byte went out: a kept connection that turned out to be spent, or a request that is not permitted
                 // any more. Another connection serves, or the checks above end it.
-                Ok(Err(_)) if !begun.get() && (reused.get() || !connection.progress.permitted()) => continue,
+                Ok(Err(_))
+                    if !begun.get() && (reused.get() || !connection.progress.permitted()) =>
+                {
+                    continue
+                }
                 Ok(Err(_)) if whole.get() => Ended::without_answer(Status::Reset),
                 Err(_) if whole.get() => Ended::without_answer(Status::TimedOut),
                 _ => Ended::without_answer(Status::ConnectError),
@@ -223,7 +272,9 @@
                 let rested = |kept: &Connection| {
                     !kept.progress.reused.get() || kept.idle_since.elapsed() >= REST_AFTER_ANSWER
                 };
-                idle.iter().rposition(rested).map(|place| idle.remove(place))
+                idle.iter()
+                    .rposition(rested)
+                    .map(|place| idle.remove(place))
             };
             let Some(mut kept) = kept else { break };
             if self.fresh(&kept) && kept.sender.ready().await.is_ok() {
@@ -236,7 +287,10 @@
             let stream = TcpStream::connect(peer.dial.get()).await?;
             stream.set_nodelay(true)?;
             let progress = Rc::new(WriteProgress::default());
-            let watched = WatchedSocket { stream: TokioIo::new(stream), progress: progress.clone() };
+            let watched = WatchedSocket {
+                stream: TokioIo::new(stream),
+                progress: progress.clone(),
+            };
             let mut http = http1::Builder::new();
             http.max_buf_size(LARGEST_HEAD);
             let (sender, driving) = http.handshake(watched).await.map_err(io::Error::other)?;
@@ -245,9 +299,18 @@
                 let _ = driving.await;
             });
             let task = task.abort_handle();
-            Ok(Connection { incarnation, sender, progress, task, idle_since: Instant::now(), _lease: lease })
+            Ok(Connection {
+                incarnation,
+                sender,
+                progress,
+                task,
+                idle_since: Instant::now(),
+                _lease: lease,
+            })
         };
-        timeout(self.connect_timeout, connecting).await.unwrap_or(Err(io::ErrorKind::TimedOut.into()))
+        timeout(self.connect_timeout, connecting)
+            .await
+            .unwrap_or(Err(io::ErrorKind::TimedOut.into()))
     }
 
     /// A descriptor for a new connection. Where all are in use, the connection that has been idle for longest closes: unused
@@ -275,17 +338,29 @@
     /// Closes the connection that has been idle for longest. `false` where there is none.
     pub fn close_oldest_idle(&self) -> bool {
         let peers = self.peers.borrow();
-        let oldest =
-            peers.values().filter_map(|p| Some((p.idle.borrow().first()?.idle_since, p))).min_by_key(|o| o.0);
-        oldest.map(|(_, peer)| drop(peer.idle.borrow_mut().remove(0))).is_some()
+        let oldest = peers
+            .values()
+            .filter_map(|p| Some((p.idle.borrow().first()?.idle_since, p)))
+            .min_by_key(|o| o.0);
+        oldest
+            .map(|(_, peer)| drop(peer.idle.borrow_mut().remove(0)))
+            .is_some()
     }
 }
 
 /// Whether an operation failed because this process ran out of descriptors, memory or addresses.
 pub fn own_fault(error: &io::Error) -> bool {
-    const WANTS: [i32; 5] = [libc::ENOMEM, libc::ENFILE, libc::EMFILE, libc::EADDRNOTAVAIL, libc::ENOBUFS];
+    const WANTS: [i32; 5] = [
+        libc::ENOMEM,
+        libc::ENFILE,
+        libc::EMFILE,
+        libc::EADDRNOTAVAIL,
+        libc::ENOBUFS,
+    ];
     error.kind() == io::ErrorKind::QuotaExceeded
-        || error.raw_os_error().is_some_and(|code| WANTS.contains(&code))
+        || error
+            .raw_os_error()
+            .is_some_and(|code| WANTS.contains(&code))
 }
 
 #[cfg(test)]
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -45,7 +45,12 @@
 impl Ended {
     /// An end that came with no answer.
     pub fn without_answer(status: Status) -> Self {
-        Self { status, note: None, load: LoadReport::default(), body: None }
+        Self {
+            status,
+            note: None,
+            load: LoadReport::default(),
+            body: None,
+        }
     }
 }
 
@@ -74,7 +79,12 @@
 ) -> Result<(Ended, bool), hyper::Error> {
     let response = sender.send_request(request).await?;
     let status = outcome(&response);
-    let text = |name: &HeaderName| response.headers().get(name).and_then(|value| value.to_str().ok());
+    let text = |name: &HeaderName| {
+        response
+            .headers()
+            .get(name)
+            .and_then(|value| value.to_str().ok())
+    };
     let note = match text(&CACHE) {
         Some("hit") => Some(Note::Hit),
         Some("miss") => Some(Note::Miss),
@@ -83,26 +93,58 @@
     let load = text(&LOAD).map_or_else(LoadReport::default, |text| read_load(text, '='));
     // What is stated to be larger than any answer may be is not waited for.
     if response.body().size_hint().lower() > LARGEST_BODY as u64 {
-        return Ok((Ended { status: Status::Failed, note, load, body: None }, false));
+        return Ok((
+            Ended {
+                status: Status::Failed,
+                note,
+                load,
+                body: None,
+            },
+            false,
+        ));
     }
-    match Limited::new(response.into_body(), LARGEST_BODY).collect().await {
+    match Limited::new(response.into_body(), LARGEST_BODY)
+        .collect()
+        .await
+    {
         Ok(body) => {
             let body = (status == Status::Ok).then(|| body.to_bytes());
-            Ok((Ended { status, note, load, body }, true))
+            Ok((
+                Ended {
+                    status,
+                    note,
+                    load,
+                    body,
+                },
+                true,
+            ))
         }
         Err(error) => match error.downcast::<hyper::Error>() {
             Ok(broken) => Err(*broken),
             // Larger than any answer may be: it ran, and what it says is of no use.
-            Err(_) => Ok((Ended { status: Status::Failed, note, load, body: None }, false)),
+            Err(_) => Ok((
+                Ended {
+                    status: Status::Failed,
+                    note,
+                    load,
+                    body: None,
+                },
+                false,
+            )),
         },
     }
 }
 
 fn outcome(response: &Response<Incoming>) -> Status {
-    let declined = response.headers().get(DECLINED).is_some_and(|value| value == "1");
+    let declined = response
+        .headers()
+        .get(DECLINED)
+        .is_some_and(|value| value == "1");
     match response.status() {
         StatusCode::OK => Status::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Status::QueueFull,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
+            Status::QueueFull
+        }
         _ => Status::Failed,
     }
 }
--- a/crates/node/src/upstream/idle_history.rs
+++ b/crates/node/src/upstream/idle_history.rs
@@ -28,7 +28,11 @@
     const SPANS: usize = 17;
 
     pub(super) fn new(stated: Duration, now: Instant) -> Self {
-        Self { stated, spans: [(0, 0); Self::SPANS], since: now }
+        Self {
+            stated,
+            spans: [(0, 0); Self::SPANS],
+            since: now,
+        }
     }
 
     pub(super) fn note(&mut self, idle: Duration, dropped: bool, now: Instant) {
@@ -47,7 +51,10 @@
         for (bits, span) in self.spans.iter().enumerate() {
             let share = f64::from(span.1) / f64::from(span.0.max(1));
             let usual = f64::from(lost) / f64::from(all.max(1));
-            if all > 0 && span.1 >= MIN_DROPS && share >= MIN_DROP_SHARE.max(usual * MIN_DROP_EXCESS) {
+            if all > 0
+                && span.1 >= MIN_DROPS
+                && share >= MIN_DROP_SHARE.max(usual * MIN_DROP_EXCESS)
+            {
                 return Duration::from_millis(1 << bits >> 1).min(self.stated);
             }
             (all, lost) = (all + span.0, lost + span.1);
--- a/crates/node/src/upstream/open_ids.rs
+++ b/crates/node/src/upstream/open_ids.rs
@@ -13,7 +13,10 @@
     /// `None` for one that is open already.
     pub fn enter(&self, value: HeaderValue) -> Option<OpenId> {
         let new = self.0.borrow_mut().insert(value.clone());
-        new.then(|| OpenId { value, ids: self.clone() })
+        new.then(|| OpenId {
+            value,
+            ids: self.clone(),
+        })
     }
 }
 
--- a/crates/node/src/upstream/socket.rs
+++ b/crates/node/src/upstream/socket.rs
@@ -103,7 +103,11 @@
 }
 
 impl hyper::rt::Write for WatchedSocket {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.check()?;
         let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
         self.note(wrote)
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -42,29 +42,46 @@
 #[tokio::test]
 async fn a_kept_connection_with_something_to_read_takes_no_request() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let stream = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     let mut server = listener.accept().unwrap().0;
     let progress = Rc::new(WriteProgress::default());
-    let mut watched = WatchedSocket { stream: TokioIo::new(stream), progress: progress.clone() };
+    let mut watched = WatchedSocket {
+        stream: TokioIo::new(stream),
+        progress: progress.clone(),
+    };
     let write = |watched: &mut WatchedSocket| {
         let mut cx = Context::from_waker(std::task::Waker::noop());
         hyper::rt::Write::poll_write(Pin::new(watched), &mut cx, b"GET")
     };
     progress.reused.set(true);
-    assert!(matches!(write(&mut watched), Poll::Ready(Ok(3))), "nothing lies there");
+    assert!(
+        matches!(write(&mut watched), Poll::Ready(Ok(3))),
+        "nothing lies there"
+    );
     io::Write::write_all(&mut server, b"HTTP/1.1 200 OK\r\n").unwrap();
-    while SockRef::from(watched.stream.inner()).peek(&mut [MaybeUninit::uninit()]).is_err() {
+    while SockRef::from(watched.stream.inner())
+        .peek(&mut [MaybeUninit::uninit()])
+        .is_err()
+    {
         std::thread::yield_now();
     }
     // An answer may come while a request is still being written.
-    assert!(matches!(write(&mut watched), Poll::Ready(Ok(3))), "the request's own answer");
+    assert!(
+        matches!(write(&mut watched), Poll::Ready(Ok(3))),
+        "the request's own answer"
+    );
     progress.begun.set(false);
     let refused = write(&mut watched);
     assert!(
         matches!(&refused, Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::ConnectionAborted),
         "{refused:?}"
     );
-    assert!(!progress.begun.get(), "not a byte went out: another connection serves");
+    assert!(
+        !progress.begun.get(),
+        "not a byte went out: another connection serves"
+    );
     // On a new one there can be nothing of a request before.
     progress.reused.set(false);
     assert!(matches!(write(&mut watched), Poll::Ready(Ok(3))));
@@ -73,10 +90,18 @@
 // Guards against a node's own want of memory that is held against the server it meant to ask.
 #[test]
 fn a_want_of_descriptors_memory_or_addresses_is_the_nodes_own() {
-    for code in [libc::ENOMEM, libc::ENFILE, libc::EMFILE, libc::EADDRNOTAVAIL, libc::ENOBUFS] {
+    for code in [
+        libc::ENOMEM,
+        libc::ENFILE,
+        libc::EMFILE,
+        libc::EADDRNOTAVAIL,
+        libc::ENOBUFS,
+    ] {
         assert!(own_fault(&io::Error::from_raw_os_error(code)), "{code}");
     }
-    assert!(!own_fault(&io::Error::from_raw_os_error(libc::ECONNREFUSED)));
+    assert!(!own_fault(&io::Error::from_raw_os_error(
+        libc::ECONNREFUSED
+    )));
 }
 
 // Guards against a connection that is kept though it has carried nothing, and taken for a new one: what lies in it is looked
@@ -85,9 +110,14 @@
 async fn a_connection_kept_unused_is_looked_at_before_its_first_request() {
     let run = async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+        let stream = TcpStream::connect(listener.local_addr().unwrap())
+            .await
+            .unwrap();
         let progress = Rc::new(WriteProgress::default());
-        let watched = WatchedSocket { stream: TokioIo::new(stream), progress: progress.clone() };
+        let watched = WatchedSocket {
+            stream: TokioIo::new(stream),
+            progress: progress.clone(),
+        };
         let (sender, driving) = http1::Builder::new().handshake(watched).await.unwrap();
         let task = tokio::task::spawn_local(async move { drop(driving.await) }).abort_handle();
         let share = slatelink_front::Share { floor: 0, most: 1 };
@@ -102,8 +132,15 @@
             _lease,
         };
         let (dial, started) = (Cell::new(listener.local_addr().unwrap()), Cell::default());
-        let (incarnation, accepts_requests, idle) = (Cell::default(), Cell::new(true), RefCell::default());
-        let peer = Peer { dial, started, incarnation, accepts_requests, idle };
+        let (incarnation, accepts_requests, idle) =
+            (Cell::default(), Cell::new(true), RefCell::default());
+        let peer = Peer {
+            dial,
+            started,
+            incarnation,
+            accepts_requests,
+            idle,
+        };
         assert!(!progress.reused.get(), "a new one");
         peer.keep(connection);
         assert!(progress.reused.get());
--- a/crates/observe/src/audit.rs
+++ b/crates/observe/src/audit.rs
@@ -45,7 +45,9 @@
     pub fn open(path: Option<&Path>, writer: &Writer) -> Result<Self, String> {
         let (trail, torn) = match path {
             None => (Trail::default(), None),
-            Some(path) => Trail::open(path).map_err(|error| format!("audit: {}: {error}", path.display()))?,
+            Some(path) => {
+                Trail::open(path).map_err(|error| format!("audit: {}: {error}", path.display()))?
+            }
         };
         let audit = Self {
             sender: writer.sender(MAX_QUEUED_RECORDS),
@@ -60,23 +62,37 @@
 
     pub fn start(&self, node: &str) {
         let (pid, version) = (std::process::id(), env!("CARGO_PKG_VERSION"));
-        self.record(Event::Start { node: truncated(node), pid, version });
+        self.record(Event::Start {
+            node: truncated(node),
+            pid,
+            version,
+        });
     }
 
     pub fn stop(&self, stop: Stop) {
-        self.record(Event::Stop { signal: stop.signal });
+        self.record(Event::Stop {
+            signal: stop.signal,
+        });
         self.stopped.set(true);
     }
 
     /// A configuration is in force.
     pub fn loaded(&self, file: &'static str, path: &Path, sha256: String) {
-        self.record(Event::Config { file, path: path.display().to_string(), sha256 });
+        self.record(Event::Config {
+            file,
+            path: path.display().to_string(),
+            sha256,
+        });
     }
 
     /// Discovery's word of hosts.
     pub fn learned(&self, listing: &Listing) {
         let mut health = self.health.borrow_mut();
-        let mut previous = if listing.whole { std::mem::take(&mut *health) } else { BTreeMap::new() };
+        let mut previous = if listing.whole {
+            std::mem::take(&mut *health)
+        } else {
+            BTreeMap::new()
+        };
         for host in &listing.hosts {
             let (id, to) = (host.entry().id, truncated(host.health()));
             let from = health.remove(&id).or_else(|| previous.remove(&id));
@@ -84,14 +100,22 @@
             let from = from.unwrap_or_else(|| ABSENT.to_owned());
             let gone = to == "gone";
             if from != to && (known || !gone) {
-                self.record(Event::Health { host: truncated(id.as_str()), from, to: to.clone() });
+                self.record(Event::Health {
+                    host: truncated(id.as_str()),
+                    from,
+                    to: to.clone(),
+                });
             }
             if !gone {
                 health.insert(id, to);
             }
         }
         for (id, from) in previous {
-            self.record(Event::Health { host: truncated(id.as_str()), from, to: ABSENT.to_owned() });
+            self.record(Event::Health {
+                host: truncated(id.as_str()),
+                from,
+                to: ABSENT.to_owned(),
+            });
         }
     }
 
@@ -99,7 +123,9 @@
         if self.stopped.get() {
             return;
         }
-        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let since_epoch = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let at_ms = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
         let (trail, lost) = (self.trail.clone(), self.lost.get());
         let queued = self.sender.try_send(move |stderr| {
--- a/crates/observe/src/audit/signals.rs
+++ b/crates/observe/src/audit/signals.rs
@@ -13,7 +13,10 @@
 
 impl Stop {
     /// The platform's own way: it drains the node.
-    pub const TERMINATE: Self = Self { signal: "SIGTERM", number: libc::SIGTERM as u8 };
+    pub const TERMINATE: Self = Self {
+        signal: "SIGTERM",
+        number: libc::SIGTERM as u8,
+    };
 }
 
 /// Signals that end a process which does nothing about them, and that can be caught without harm.
@@ -35,9 +38,18 @@
 /// Catches them from now on, but for those in `except`, which have another use.
 pub fn catch_signals(except: &[i32]) -> io::Result<UnboundedReceiver<Stop>> {
     let (caught, stops) = unbounded_channel();
-    for (name, number) in TERMINATING_SIGNALS.iter().filter(|(_, number)| !except.contains(number)) {
+    for (name, number) in TERMINATING_SIGNALS
+        .iter()
+        .filter(|(_, number)| !except.contains(number))
+    {
         let mut signals = signal(SignalKind::from_raw(*number))?;
-        let (caught, stop) = (caught.clone(), Stop { signal: name, number: *number as u8 });
+        let (caught, stop) = (
+            caught.clone(),
+            Stop {
+                signal: name,
+                number: *number as u8,
+            },
+        );
         tokio::task::spawn_local(async move {
             if signals.recv().await.is_some() {
                 // The first of them ends the node.
--- a/crates/observe/src/audit/tests.rs
+++ b/crates/observe/src/audit/tests.rs
@@ -16,7 +16,11 @@
 }
 
 fn health(host: &str) -> Event {
-    Event::Health { host: host.to_owned(), from: "ready".to_owned(), to: "draining".to_owned() }
+    Event::Health {
+        host: host.to_owned(),
+        from: "ready".to_owned(),
+        to: "draining".to_owned(),
+    }
 }
 
 fn trail(name: &str, records: usize) -> (PathBuf, Vec<u8>) {
@@ -24,7 +28,13 @@
     let (mut trail, torn) = Trail::open(&path).unwrap();
     assert!(torn.is_none());
     for i in 0..records {
-        trail.append(&mut stderr(), 1_718_000_000_123, &health(&format!("s-\u{e9}{i}"))).unwrap();
+        trail
+            .append(
+                &mut stderr(),
+                1_718_000_000_123,
+                &health(&format!("s-\u{e9}{i}")),
+            )
+            .unwrap();
     }
     let bytes = std::fs::read(&path).unwrap();
     (path, bytes)
@@ -47,7 +57,10 @@
         let body = body.strip_suffix('}').unwrap();
         assert_eq!(*line, format!("{body},\"hash\":\"{prev}\"}}"));
     }
-    assert_eq!(digest(b""), "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855");
+    assert_eq!(
+        digest(b""),
+        "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
+    );
     std::fs::remove_file(path).unwrap();
 }
 
@@ -62,11 +75,23 @@
             line += 1;
             continue;
         }
-        for new in [byte ^ 1, byte ^ 0x20, byte.wrapping_add(1), b' ', b'\n', 0, 0xff] {
+        for new in [
+            byte ^ 1,
+            byte ^ 0x20,
+            byte.wrapping_add(1),
+            b' ',
+            b'\n',
+            0,
+            0xff,
+        ] {
             let mut edited = bytes.clone();
             edited[i] = new;
             let verdict = verify(&edited[..]).unwrap();
-            let expected = if new == byte { Verdict::Ok(3) } else { Verdict::Broken(line) };
+            let expected = if new == byte {
+                Verdict::Ok(3)
+            } else {
+                Verdict::Broken(line)
+            };
             assert_eq!(verdict, expected, "byte {i} from {byte} to {new}");
         }
     }
@@ -77,7 +102,11 @@
 #[test]
 fn a_last_line_without_its_end_is_torn_unless_one_before_it_is_broken() {
     let (path, bytes) = trail("torn", 3);
-    let start = bytes[..bytes.len() - 1].iter().rposition(|&byte| byte == b'\n').unwrap() + 1;
+    let start = bytes[..bytes.len() - 1]
+        .iter()
+        .rposition(|&byte| byte == b'\n')
+        .unwrap()
+        + 1;
     for end in start + 1..bytes.len() {
         assert_eq!(verify(&bytes[..end]).unwrap(), Verdict::Torn(3));
     }
@@ -89,7 +118,10 @@
     assert_eq!(verify(&b"\n"[..]).unwrap(), Verdict::Broken(1));
     let long = vec![b' '; 3 * MAX_LINE_BYTES];
     assert_eq!(verify(&long[..]).unwrap(), Verdict::Torn(1));
-    assert_eq!(verify(&[&long[..], b"\n"].concat()[..]).unwrap(), Verdict::Broken(1));
+    assert_eq!(
+        verify(&[&long[..], b"\n"].concat()[..]).unwrap(),
+        Verdict::Broken(1)
+    );
     // A line taken out breaks the one that came after it.
     assert_eq!(
         verify(&bytes[bytes.iter().position(|&b| b == b'\n').unwrap() + 1..]).unwrap(),
@@ -122,9 +154,17 @@
 fn a_trail_that_is_in_use_or_is_none_is_not_opened() {
     let (path, bytes) = trail("use", 1);
     let held = Trail::open(&path).unwrap();
-    assert_eq!(Trail::open(&path).err().unwrap(), "another node writes there");
+    assert_eq!(
+        Trail::open(&path).err().unwrap(),
+        "another node writes there"
+    );
     drop(held);
-    for other in [&b"some words"[..], b"a line\n", &bytes[1..], &[&bytes[..], b"x\n"].concat()] {
+    for other in [
+        &b"some words"[..],
+        b"a line\n",
+        &bytes[1..],
+        &[&bytes[..], b"x\n"].concat(),
+    ] {
         std::fs::write(&path, other).unwrap();
         assert!(Trail::open(&path).is_err(), "{other:?}");
         assert_eq!(std::fs::read(&path).unwrap(), other, "left as it was");
@@ -137,10 +177,20 @@
 fn what_a_failed_write_left_goes_before_the_next_record() {
     let (path, _) = trail("spoiled", 1);
     let (mut trail, _) = Trail::open(&path).unwrap();
-    trail.file.as_mut().unwrap().write_all(b"{\"seq\":2,\"at").unwrap();
+    trail
+        .file
+        .as_mut()
+        .unwrap()
+        .write_all(b"{\"seq\":2,\"at")
+        .unwrap();
     trail.write_failed = true;
-    trail.append(&mut stderr(), 1, &Event::Lost { records: 1 }).unwrap();
-    assert_eq!(verify(&std::fs::read(&path).unwrap()[..]).unwrap(), Verdict::Ok(2));
+    trail
+        .append(&mut stderr(), 1, &Event::Lost { records: 1 })
+        .unwrap();
+    assert_eq!(
+        verify(&std::fs::read(&path).unwrap()[..]).unwrap(),
+        Verdict::Ok(2)
+    );
     std::fs::remove_file(path).unwrap();
 }
 
@@ -158,9 +208,14 @@
     let record = |text: &str, i: usize| -> serde_json::Value {
         serde_json::from_str(text.lines().nth(i).unwrap()).unwrap()
     };
-    assert_eq!((&record(&new, 0)["event"], &record(&new, 0)["records"]), (&"vanished".into(), &2.into()));
+    assert_eq!(
+        (&record(&new, 0)["event"], &record(&new, 0)["records"]),
+        (&"vanished".into(), &2.into())
+    );
     assert_eq!(record(&new, 0)["last"], record(&old, 1)["hash"]);
-    [path, moved].iter().for_each(|path| std::fs::remove_file(path).unwrap());
+    [path, moved]
+        .iter()
+        .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
 // Guards against a record glued to half of one that a FIFO's full buffer has cut.
@@ -188,7 +243,11 @@
         let n = reader.read(&mut bytes).unwrap();
         text.extend_from_slice(&bytes[..n]);
     }
-    assert!(matches!(verify(&text[..]).unwrap(), Verdict::Ok(_)), "{}", verify(&text[..]).unwrap());
+    assert!(
+        matches!(verify(&text[..]).unwrap(), Verdict::Ok(_)),
+        "{}",
+        verify(&text[..]).unwrap()
+    );
     assert!(String::from_utf8_lossy(&text).contains("\"event\":\"lost\",\"records\":3,"));
     std::fs::remove_file(path).unwrap();
 }
@@ -200,7 +259,9 @@
     let writer = Writer::start().unwrap();
     let audit = Audit::open(Some(&path), &writer).unwrap();
     let (release, held) = std::sync::mpsc::channel::<()>();
-    assert!(writer.sender(1).try_send(move |_| held.recv().unwrap_or_default()));
+    assert!(writer
+        .sender(1)
+        .try_send(move |_| held.recv().unwrap_or_default()));
     (0..MAX_QUEUED_RECORDS + 5).for_each(|i| audit.record(health(&i.to_string())));
     release.send(()).unwrap();
     let lines = || std::fs::read_to_string(&path).unwrap().lines().count();
@@ -216,9 +277,20 @@
     audit.record(health("after the stop"));
     wait(MAX_QUEUED_RECORDS + 2);
     let text = std::fs::read_to_string(&path).unwrap();
-    assert_eq!(verify(text.as_bytes()).unwrap(), Verdict::Ok(MAX_QUEUED_RECORDS as u64 + 2));
+    assert_eq!(
+        verify(text.as_bytes()).unwrap(),
+        Verdict::Ok(MAX_QUEUED_RECORDS as u64 + 2)
+    );
     let last: Vec<_> = text.lines().skip(MAX_QUEUED_RECORDS).collect();
-    assert!(last[0].contains("\"event\":\"lost\",\"records\":5,"), "{}", last[0]);
-    assert!(last[1].contains("\"event\":\"stop\",\"signal\":\"SIGTERM\""), "{}", last[1]);
+    assert!(
+        last[0].contains("\"event\":\"lost\",\"records\":5,"),
+        "{}",
+        last[0]
+    );
+    assert!(
+        last[1].contains("\"event\":\"stop\",\"signal\":\"SIGTERM\""),
+        "{}",
+        last[1]
+    );
     std::fs::remove_file(path).unwrap();
 }
--- a/crates/observe/src/audit/trail.rs
+++ b/crates/observe/src/audit/trail.rs
@@ -110,12 +110,19 @@
         let is_new = !path.exists();
         let mut options = File::options();
         // Neither opening nor writing waits for a FIFO's reader.
-        options.read(true).append(true).create(true).custom_flags(libc::O_NONBLOCK);
+        options
+            .read(true)
+            .append(true)
+            .create(true)
+            .custom_flags(libc::O_NONBLOCK);
         let mut file = options.open(path).map_err(describe)?;
         if is_new {
             // The name must outlive a crash as well. Where the folder cannot be synced the file still is.
-            let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
-            let _ = File::open(folder.unwrap_or(Path::new("."))).and_then(|folder| folder.sync_all());
+            let folder = path
+                .parent()
+                .filter(|folder| !folder.as_os_str().is_empty());
+            let _ =
+                File::open(folder.unwrap_or(Path::new("."))).and_then(|folder| folder.sync_all());
         }
         let state = file.metadata().map_err(describe)?;
         // A device holds no trail that two could break.
@@ -127,30 +134,55 @@
         }
         // Its length only once no other node writes.
         let state = file.metadata().map_err(describe)?;
-        let (regular, len) = (state.is_file(), if state.is_file() { state.len() } else { 0 });
+        let (regular, len) = (
+            state.is_file(),
+            if state.is_file() { state.len() } else { 0 },
+        );
         let from = len.saturating_sub(2 * MAX_LINE_BYTES as u64);
         let mut last_bytes = Vec::new();
         if len > 0 {
             file.seek(SeekFrom::Start(from)).map_err(describe)?;
-            (&mut file).take(len - from).read_to_end(&mut last_bytes).map_err(describe)?;
+            (&mut file)
+                .take(len - from)
+                .read_to_end(&mut last_bytes)
+                .map_err(describe)?;
         }
-        let whole_lines = last_bytes.iter().rposition(|&byte| byte == b'\n').map_or(0, |last| last + 1);
+        let whole_lines = last_bytes
+            .iter()
+            .rposition(|&byte| byte == b'\n')
+            .map_or(0, |last| last + 1);
         let (lines, tail) = last_bytes.split_at(whole_lines);
         let (file, path) = (Some(file), path.to_owned());
-        let mut trail = Self { file, path, regular, len: from + whole_lines as u64, ..Self::default() };
+        let mut trail = Self {
+            file,
+            path,
+            regular,
+            len: from + whole_lines as u64,
+            ..Self::default()
+        };
         if let Some(lines) = lines.strip_suffix(b"\n") {
-            let last = lines.rsplit(|&byte| byte == b'\n').next().unwrap_or_default();
+            let last = lines
+                .rsplit(|&byte| byte == b'\n')
+                .next()
+                .unwrap_or_default();
             let found = check(last).and_then(|record| Some((record.seq?, record.hash)));
-            (trail.seq, trail.prev) = found.ok_or("its last whole line is no record of an audit trail")?;
-        } else if from > 0 || !(tail.starts_with(FIRST_RECORD_START) || FIRST_RECORD_START.starts_with(tail))
+            (trail.seq, trail.prev) =
+                found.ok_or("its last whole line is no record of an audit trail")?;
+        } else if from > 0
+            || !(tail.starts_with(FIRST_RECORD_START) || FIRST_RECORD_START.starts_with(tail))
         {
             return Err("it is no audit trail".to_owned());
         }
         if tail.is_empty() {
             return Ok((trail, None));
         }
-        let torn = String::from_utf8_lossy(&tail[..tail.len().min(MAX_LINE_BYTES / 16)]).into_owned();
-        let torn = Event::Torn { bytes: tail.len(), sha256: digest(tail), text: torn };
+        let torn =
+            String::from_utf8_lossy(&tail[..tail.len().min(MAX_LINE_BYTES / 16)]).into_owned();
+        let torn = Event::Torn {
+            bytes: tail.len(),
+            sha256: digest(tail),
+            text: torn,
+        };
         trail.truncate_to_last_record().map_err(describe)?;
         Ok((trail, Some(torn)))
     }
@@ -167,10 +199,17 @@
 
     /// Writes a record, and before it one of those that are missing there.
     pub(super) fn write(&mut self, stderr: &mut File, at_ms: u64, event: &Event) -> io::Result<()> {
-        if self.file.as_ref().is_some_and(|file| has_vanished(file, &self.path).unwrap_or(false)) {
+        if self
+            .file
+            .as_ref()
+            .is_some_and(|file| has_vanished(file, &self.path).unwrap_or(false))
+        {
             let (mut reopened, torn) = Self::open(&self.path).map_err(io::Error::other)?;
             reopened.lost = self.lost;
-            let vanished = Event::Vanished { records: self.seq, last: self.prev.clone() };
+            let vanished = Event::Vanished {
+                records: self.seq,
+                last: self.prev.clone(),
+            };
             *self = reopened;
             for event in torn.iter().chain([&vanished]) {
                 self.append(stderr, at_ms, event)?;
@@ -184,18 +223,30 @@
     }
 
     /// Writes a record and has it on disk before it returns.
-    pub(super) fn append(&mut self, stderr: &mut File, at_ms: u64, event: &Event) -> io::Result<()> {
+    pub(super) fn append(
+        &mut self,
+        stderr: &mut File,
+        at_ms: u64,
+        event: &Event,
+    ) -> io::Result<()> {
         if self.write_failed {
             self.truncate_to_last_record()?;
         }
         let seq = self.seq + 1;
-        let mut line = serde_json::to_string(&Record { seq, at_ms, event, prev: &self.prev })?;
+        let mut line = serde_json::to_string(&Record {
+            seq,
+            at_ms,
+            event,
+            prev: &self.prev,
+        })?;
         let hash = digest(line.as_bytes());
         line.pop();
         line.push_str(&format!(",\"hash\":\"{hash}\"}}\n"));
         let written = match &mut self.file {
             None => stderr.write_all(line.as_bytes()),
-            Some(file) if self.regular => file.write_all(line.as_bytes()).and_then(|()| file.sync_all()),
+            Some(file) if self.regular => file
+                .write_all(line.as_bytes())
+                .and_then(|()| file.sync_all()),
             Some(file) => {
                 let (taken, written) = write_part(file, &self.unwritten);
                 self.unwritten.drain(..taken);
--- a/crates/observe/src/audit/verify.rs
+++ b/crates/observe/src/audit/verify.rs
@@ -56,13 +56,18 @@
     loop {
         count += 1;
         line.clear();
-        (&mut trail).take(MAX_LINE_BYTES as u64 + 1).read_until(b'\n', &mut line)?;
+        (&mut trail)
+            .take(MAX_LINE_BYTES as u64 + 1)
+            .read_until(b'\n', &mut line)?;
         if line.is_empty() {
             return Ok(Verdict::Ok(count - 1));
         }
         let Some(whole) = line.strip_suffix(b"\n") else {
             // The file's end, or a line longer than any record, which may end somewhere all the same.
-            let ended = trail.by_ref().bytes().find(|byte| !matches!(byte, Ok(byte) if *byte != b'\n'));
+            let ended = trail
+                .by_ref()
+                .bytes()
+                .find(|byte| !matches!(byte, Ok(byte) if *byte != b'\n'));
             return match ended.transpose()? {
                 None => Ok(Verdict::Torn(count)),
                 Some(_) => Ok(Verdict::Broken(count)),
--- a/crates/observe/src/figures.rs
+++ b/crates/observe/src/figures.rs
@@ -93,11 +93,17 @@
             format,
             batch: settings.batch(),
             flush: settings.flush(),
-            classes: classes.iter().map(|name| escape_tag(format, name.as_str()).into_owned()).collect(),
+            classes: classes
+                .iter()
+                .map(|name| escape_tag(format, name.as_str()).into_owned())
+                .collect(),
             no_host: NO_HOST.into(),
             output,
             log,
-            state: RefCell::new(State { open_requests: vec![0; classes.len()], ..State::default() }),
+            state: RefCell::new(State {
+                open_requests: vec![0; classes.len()],
+                ..State::default()
+            }),
         };
         Ok((figures, finished_batches))
     }
@@ -118,7 +124,10 @@
         let host = host.unwrap_or(&self.no_host);
         self.count(state, ("req.count", class.0, host.clone(), end.word()));
         let now = Instant::now();
-        if state.timer_second.is_none_or(|second| now - second >= Duration::from_secs(1)) {
+        if state
+            .timer_second
+            .is_none_or(|second| now - second >= Duration::from_secs(1))
+        {
             (state.timer_second, state.timers_this_second) = (Some(now), 0);
         }
         if state.timers_this_second == MAX_TIMERS_PER_SECOND {
@@ -147,14 +156,31 @@
     /// Turns what was counted into lines.
     fn write_counts(&self, state: &mut State) {
         for ((name, class, host, last), count) in std::mem::take(&mut state.counts) {
-            let last = (if name == "req.count" { "status" } else { "outcome" }, last);
+            let last = (
+                if name == "req.count" {
+                    "status"
+                } else {
+                    "outcome"
+                },
+                last,
+            );
             let host = escape_tag(self.format, host.as_str());
-            let tags = [("kind", self.class_name(ClassId(class))), ("host", &*host), last];
+            let tags = [
+                ("kind", self.class_name(ClassId(class))),
+                ("host", &*host),
+                last,
+            ];
             self.add_line(state, name, &tags, count, MetricKind::Counter);
         }
         let omitted = std::mem::take(&mut state.timers_omitted);
         if omitted > 0 {
-            self.add_line(state, "figures.times_left_out", &[], omitted, MetricKind::Counter);
+            self.add_line(
+                state,
+                "figures.times_left_out",
+                &[],
+                omitted,
+                MetricKind::Counter,
+            );
         }
     }
 
@@ -174,7 +200,11 @@
     /// Discovery's word of hosts.
     pub fn learned(&self, listing: &Listing) {
         let blocked = &mut self.state.borrow_mut().blocked;
-        let mut previous = if listing.whole { std::mem::take(blocked) } else { BTreeMap::new() };
+        let mut previous = if listing.whole {
+            std::mem::take(blocked)
+        } else {
+            BTreeMap::new()
+        };
         for entry in listing.hosts.iter().map(Host::entry) {
             if entry.availability == Availability::Gone {
                 blocked.remove(&entry.id);
@@ -190,9 +220,21 @@
         let state = &mut *self.state.borrow_mut();
         let previous = std::mem::replace(&mut state.connections, now.clone());
         for (phase, count) in Phase::ALL.iter().zip(now.phases) {
-            self.add_line(state, "conn.open", &[("phase", phase.label())], count as u64, MetricKind::Gauge);
+            self.add_line(
+                state,
+                "conn.open",
+                &[("phase", phase.label())],
+                count as u64,
+                MetricKind::Gauge,
+            );
         }
-        self.add_line(state, "conn.waiting", &[], now.waiting as u64, MetricKind::Gauge);
+        self.add_line(
+            state,
+            "conn.waiting",
+            &[],
+            now.waiting as u64,
+            MetricKind::Gauge,
+        );
         for (index, cause) in Cause::ALL.iter().enumerate() {
             let tags = [("cause", cause.label())];
             for (name, count) in [
@@ -265,7 +307,13 @@
         let blocked = std::mem::take(&mut state.blocked);
         for (host, &blocked) in &blocked {
             let host = escape_tag(self.format, host.as_str());
-            self.add_line(state, "host.blocked", &[("host", &host)], u64::from(blocked), MetricKind::Gauge);
+            self.add_line(
+                state,
+                "host.blocked",
+                &[("host", &host)],
+                u64::from(blocked),
+                MetricKind::Gauge,
+            );
         }
         state.blocked = blocked;
         state.due_bytes = state.lines.len();
@@ -278,7 +326,9 @@
         if state.dropped_total > state.dropped_reported {
             state.dropped_reported = state.dropped_total;
             let total = state.dropped_total;
-            self.log.line(&format!("slatelink.figures.dropped: {total} batches so far"));
+            self.log.line(&format!(
+                "slatelink.figures.dropped: {total} batches so far"
+            ));
         }
     }
 
@@ -296,9 +346,15 @@
     ) {
         let line = self.format_line(state, name, tags, value, metric_kind);
         let in_flight_bytes = state.in_flight.map_or(0, |flight| flight.bytes);
-        while state.lines.len() + in_flight_bytes + line.len() > MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES {
+        while state.lines.len() + in_flight_bytes + line.len()
+            > MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES
+        {
             // At most a batch is being written, so some line of those that wait can go.
-            let oldest_end = state.lines.iter().position(|&byte| byte == b'\n').map_or(0, |end| end + 1);
+            let oldest_end = state
+                .lines
+                .iter()
+                .position(|&byte| byte == b'\n')
+                .map_or(0, |end| end + 1);
             if oldest_end == 0 {
                 return;
             }
@@ -309,7 +365,9 @@
         let needed = state.lines.len() + line.len();
         if needed > state.lines.capacity() {
             // Grown by itself, it could take twice its bound.
-            state.lines.reserve_exact(needed.next_power_of_two().min(MAX_BUFFERED_BYTES) - state.lines.len());
+            state.lines.reserve_exact(
+                needed.next_power_of_two().min(MAX_BUFFERED_BYTES) - state.lines.len(),
+            );
         }
         state.lines.extend(line.as_bytes());
         self.send_batches(state);
--- a/crates/observe/src/figures/batch.rs
+++ b/crates/observe/src/figures/batch.rs
@@ -17,19 +17,27 @@
 impl Figures {
     /// Sends batches while one is full or due and none is on its way.
     pub(super) fn send_batches(&self, state: &mut State) {
-        while state.in_flight.is_none() && (state.lines.len() >= self.batch || state.due_bytes > 0) {
+        while state.in_flight.is_none() && (state.lines.len() >= self.batch || state.due_bytes > 0)
+        {
             let batch = self.next_batch(state);
             match &self.output {
                 Output::Udp(socket) => {
                     let sent = socket.send(batch.trim_ascii_end());
                     self.batch_finished(state, sent.is_ok());
                 }
-                Output::Queue { sender, sink, results } => {
+                Output::Queue {
+                    sender,
+                    sink,
+                    results,
+                } => {
                     let (sink, results) = (sink.clone(), results.clone());
                     let queued = sender.try_send(move |stderr| {
                         let written = match &sink {
                             None => stderr.write_all(&batch),
-                            Some(sink) => sink.lock().unwrap_or_else(PoisonError::into_inner).write(&batch),
+                            Some(sink) => sink
+                                .lock()
+                                .unwrap_or_else(PoisonError::into_inner)
+                                .write(&batch),
                         };
                         // The node may have stopped meanwhile.
                         let _ = results.send(written.is_ok());
@@ -46,18 +54,32 @@
     pub(super) fn next_batch(&self, state: &mut State) -> Vec<u8> {
         let mut batch = Vec::with_capacity(self.batch);
         let (dropped, pushed_out) = (state.dropped, state.pushed_out);
-        for (name, count) in [("figures.dropped", dropped), ("figures.pushed_out", pushed_out)] {
+        for (name, count) in [
+            ("figures.dropped", dropped),
+            ("figures.pushed_out", pushed_out),
+        ] {
             if count > 0 {
-                batch.extend(self.format_line(state, name, &[], count, MetricKind::Counter).bytes());
+                batch.extend(
+                    self.format_line(state, name, &[], count, MetricKind::Counter)
+                        .bytes(),
+                );
             }
         }
         let remaining_bytes = self.batch - batch.len();
-        let mut line_ends =
-            state.lines.iter().enumerate().take(remaining_bytes).filter(|(_, &byte)| byte == b'\n');
+        let mut line_ends = state
+            .lines
+            .iter()
+            .enumerate()
+            .take(remaining_bytes)
+            .filter(|(_, &byte)| byte == b'\n');
         let taken = line_ends.next_back().map_or(0, |(end, _)| end + 1);
         batch.extend(state.lines.drain(..taken));
         state.due_bytes = state.due_bytes.saturating_sub(taken);
-        state.in_flight = Some(InFlightBatch { bytes: batch.len(), dropped, pushed_out });
+        state.in_flight = Some(InFlightBatch {
+            bytes: batch.len(),
+            dropped,
+            pushed_out,
+        });
         batch
     }
 
--- a/crates/observe/src/figures/line.rs
+++ b/crates/observe/src/figures/line.rs
@@ -51,12 +51,19 @@
                 };
                 let _ = write!(line, ":{value}|{unit}");
                 for (index, (name, value)) in tags.iter().enumerate() {
-                    let _ = write!(line, "{}{name}:{value}", if index == 0 { "|#" } else { "," });
+                    let _ = write!(
+                        line,
+                        "{}{name}:{value}",
+                        if index == 0 { "|#" } else { "," }
+                    );
                 }
                 writeln!(line)
             }
             Format::Influx => {
-                let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos();
+                let now = SystemTime::now()
+                    .duration_since(UNIX_EPOCH)
+                    .unwrap_or_default()
+                    .as_nanos();
                 state.last_timestamp = now.max(state.last_timestamp + 1);
                 for (name, value) in tags {
                     let _ = write!(line, ",{name}={value}");
--- a/crates/observe/src/figures/output.rs
+++ b/crates/observe/src/figures/output.rs
@@ -30,7 +30,11 @@
         results: UnboundedSender<bool>,
     ) -> Result<Self, String> {
         // A second place: the first is given back only after its batch's result is told.
-        let queue = |sink| Self::Queue { sender: writer.sender(2), sink, results };
+        let queue = |sink| Self::Queue {
+            sender: writer.sender(2),
+            sink,
+            results,
+        };
         Ok(match target {
             Target::Stderr => queue(None),
             Target::File(path) => {
@@ -38,9 +42,15 @@
                     Ok(file) => Some(file),
                     // A FIFO without a reader: one may come.
                     Err(error) if error.raw_os_error() == Some(libc::ENXIO) => None,
-                    Err(error) => return Err(format!("figures: cannot open {}: {error}", path.display())),
+                    Err(error) => {
+                        return Err(format!("figures: cannot open {}: {error}", path.display()))
+                    }
                 };
-                queue(Some(Arc::new(Mutex::new(Sink { path: path.clone(), file, torn: false }))))
+                queue(Some(Arc::new(Mutex::new(Sink {
+                    path: path.clone(),
+                    file,
+                    torn: false,
+                }))))
             }
             Target::Udp(address) => {
                 let any = match address.ip() {
@@ -53,7 +63,10 @@
                     socket.connect(address)?;
                     Ok(socket)
                 });
-                Self::Udp(socket.map_err(|error| format!("figures: cannot send to {address}: {error}"))?)
+                Self::Udp(
+                    socket
+                        .map_err(|error| format!("figures: cannot send to {address}: {error}"))?,
+                )
             }
         })
     }
@@ -71,11 +84,19 @@
 impl Sink {
     fn open(path: &Path) -> io::Result<File> {
         // Neither opening nor writing waits for a FIFO's reader.
-        File::options().append(true).create(true).custom_flags(libc::O_NONBLOCK).open(path)
+        File::options()
+            .append(true)
+            .create(true)
+            .custom_flags(libc::O_NONBLOCK)
+            .open(path)
     }
 
     pub(super) fn write(&mut self, batch: &[u8]) -> io::Result<()> {
-        if self.file.as_ref().is_some_and(|file| has_vanished(file, &self.path).unwrap_or(false)) {
+        if self
+            .file
+            .as_ref()
+            .is_some_and(|file| has_vanished(file, &self.path).unwrap_or(false))
+        {
             (self.file, self.torn) = (None, false);
         }
         let file = match &mut self.file {
--- a/crates/observe/src/figures/tests.rs
+++ b/crates/observe/src/figures/tests.rs
@@ -6,8 +6,13 @@
 
 fn figures(text: &str, writer: &Writer) -> (Figures, UnboundedReceiver<bool>) {
     let settings: Settings = toml::from_str(text).unwrap();
-    Figures::open(&settings, &["look up".into(), "put".into()], writer, Log::new(writer, crate::Format::Text))
-        .unwrap()
+    Figures::open(
+        &settings,
+        &["look up".into(), "put".into()],
+        writer,
+        Log::new(writer, crate::Format::Text),
+    )
+    .unwrap()
 }
 
 /// The lines that `events` come to, sent in one datagram or more.
@@ -15,15 +20,28 @@
     let receiver = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let target = receiver.local_addr().unwrap();
     let writer = Writer::start().unwrap();
-    let (figures, _) = figures(&format!("format = \"{format}\"\ntarget = \"udp:{target}\""), &writer);
+    let (figures, _) = figures(
+        &format!("format = \"{format}\"\ntarget = \"udp:{target}\""),
+        &writer,
+    );
     events(&figures);
     figures.flush();
     let (mut lines, mut buffer) = (Vec::new(), [0; 2000]);
-    receiver.set_read_timeout(Some(Duration::from_secs(60))).unwrap();
-    while !lines.iter().any(|line: &String| line.starts_with("slatelink.req.open") && line.contains("put")) {
+    receiver
+        .set_read_timeout(Some(Duration::from_secs(60)))
+        .unwrap();
+    while !lines
+        .iter()
+        .any(|line: &String| line.starts_with("slatelink.req.open") && line.contains("put"))
+    {
         let n = receiver.recv(&mut buffer).unwrap();
         assert!(n <= 1400, "{n} bytes in a datagram");
-        lines.extend(std::str::from_utf8(&buffer[..n]).unwrap().lines().map(str::to_owned));
+        lines.extend(
+            std::str::from_utf8(&buffer[..n])
+                .unwrap()
+                .lines()
+                .map(str::to_owned),
+        );
     }
     lines
 }
@@ -34,7 +52,12 @@
     figures.taken(ClassId(0));
     figures.sent(&host);
     figures.ended(ClassId(0), &host, Status::TimedOut);
-    figures.answered(ClassId(0), None, Duration::from_micros(411_600), End::Refused);
+    figures.answered(
+        ClassId(0),
+        None,
+        Duration::from_micros(411_600),
+        End::Refused,
+    );
 }
 
 // Guards against lines that a StatsD server reads as something else.
@@ -56,7 +79,10 @@
 #[test]
 fn influx_lines_are_escaped_and_no_two_are_of_one_instant() {
     let lines = lines("influx", some_events);
-    let (texts, stamps): (Vec<_>, Vec<_>) = lines.iter().map(|line| line.rsplit_once(' ').unwrap()).unzip();
+    let (texts, stamps): (Vec<_>, Vec<_>) = lines
+        .iter()
+        .map(|line| line.rsplit_once(' ').unwrap())
+        .unzip();
     assert_eq!(
         texts,
         [
@@ -68,7 +94,10 @@
         ]
     );
     let stamps: Vec<u64> = stamps.iter().map(|stamp| stamp.parse().unwrap()).collect();
-    assert!(stamps.windows(2).all(|pair| pair[0] < pair[1]), "{stamps:?}");
+    assert!(
+        stamps.windows(2).all(|pair| pair[0] < pair[1]),
+        "{stamps:?}"
+    );
 }
 
 // Guards against memory that grows behind a writer that is stuck, and against losing the newest lines.
@@ -83,9 +112,17 @@
     for i in 0..20_000 {
         let state = &mut *figures.state.borrow_mut();
         for name in ["req.count", "req.time"] {
-            figures.add_line(state, name, &[("kind", "put"), ("host", "h")], i, MetricKind::Timer);
+            figures.add_line(
+                state,
+                name,
+                &[("kind", "put"), ("host", "h")],
+                i,
+                MetricKind::Timer,
+            );
         }
-        assert!(state.lines.len() + state.in_flight.unwrap_or_default().bytes <= MAX_BUFFERED_BYTES);
+        assert!(
+            state.lines.len() + state.in_flight.unwrap_or_default().bytes <= MAX_BUFFERED_BYTES
+        );
         assert!(state.lines.capacity() <= MAX_BUFFERED_BYTES);
     }
     let state = figures.state.borrow();
@@ -95,12 +132,22 @@
         "{} used",
         state.lines.len()
     );
-    assert!(text.starts_with("slatelink.") && text.ends_with("\n"), "whole lines only");
-    assert!(text.lines().last().unwrap().starts_with("slatelink.req.time:19999|ms|"));
+    assert!(
+        text.starts_with("slatelink.") && text.ends_with("\n"),
+        "whole lines only"
+    );
+    assert!(text
+        .lines()
+        .last()
+        .unwrap()
+        .starts_with("slatelink.req.time:19999|ms|"));
     let kept = text.lines().count() as u64;
     let flown = state.in_flight.unwrap().bytes as u64;
     assert!(state.pushed_out > 0 && state.pushed_out + kept < 40_000 && flown > 0);
-    assert!(40_000 - state.pushed_out - kept <= flown / 40, "no line is uncounted");
+    assert!(
+        40_000 - state.pushed_out - kept <= flown / 40,
+        "no line is uncounted"
+    );
     drop(state);
     drop(release);
     assert_eq!(landed.blocking_recv(), Some(true));
@@ -120,15 +167,21 @@
     for i in 0..100_000 {
         figures.taken(ClassId(1));
         figures.ended(ClassId(1), &host, Status::Ok);
-        figures.answered(ClassId(1), Some(&host), Duration::from_millis(5), End::Served);
+        figures.answered(
+            ClassId(1),
+            Some(&host),
+            Duration::from_millis(5),
+            End::Served,
+        );
         if i % 1_000 == 0 {
             figures.flush();
         }
     }
     let seconds = start.elapsed().as_secs() + 1;
     drop(release);
-    let ended =
-        |state: &State| state.in_flight.is_none() && state.lines.is_empty() && state.counts.is_empty();
+    let ended = |state: &State| {
+        state.in_flight.is_none() && state.lines.is_empty() && state.counts.is_empty()
+    };
     while !ended(&figures.state.borrow()) {
         if figures.state.borrow().in_flight.is_some() {
             let well = landed.blocking_recv().unwrap();
@@ -141,13 +194,20 @@
     }
     let text = std::fs::read_to_string(&path).unwrap();
     let sum = |name: &str| -> u64 {
-        let values = text.lines().filter_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
-        values.map(|rest| rest.split('|').next().unwrap().parse::<u64>().unwrap()).sum()
+        let values = text
+            .lines()
+            .filter_map(|line| line.strip_prefix(name)?.strip_prefix(':'));
+        values
+            .map(|rest| rest.split('|').next().unwrap().parse::<u64>().unwrap())
+            .sum()
     };
     assert_eq!(sum("slatelink.req.count"), 100_000);
     assert_eq!(sum("slatelink.attempt.count"), 100_000);
     let timers = text.matches("slatelink.req.time:").count() as u64;
-    assert!(timers <= u64::from(MAX_TIMERS_PER_SECOND) * seconds, "{timers} timers in {seconds} s");
+    assert!(
+        timers <= u64::from(MAX_TIMERS_PER_SECOND) * seconds,
+        "{timers} timers in {seconds} s"
+    );
     assert_eq!(sum("slatelink.figures.times_left_out") + timers, 100_000);
     std::fs::remove_file(&path).unwrap();
 }
@@ -156,16 +216,25 @@
 #[test]
 fn a_file_that_was_moved_away_is_made_anew() {
     let path = std::env::temp_dir().join(format!("slatelink-moved-{}", std::process::id()));
-    let mut sink = Sink { path: path.clone(), file: None, torn: false };
+    let mut sink = Sink {
+        path: path.clone(),
+        file: None,
+        torn: false,
+    };
     sink.write(b"one\n").unwrap();
     let moved = path.with_extension("1");
     std::fs::rename(&path, &moved).unwrap();
     sink.write(b"two\n").unwrap();
     assert_eq!(
-        (std::fs::read(&moved).unwrap(), std::fs::read(&path).unwrap()),
+        (
+            std::fs::read(&moved).unwrap(),
+            std::fs::read(&path).unwrap()
+        ),
         (b"one\n".to_vec(), b"two\n".to_vec())
     );
-    [path, moved].iter().for_each(|path| std::fs::remove_file(path).unwrap());
+    [path, moved]
+        .iter()
+        .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
 // Guards against a count of lost batches that is lost with the next batch.
@@ -194,14 +263,19 @@
     assert_eq!(long.len(), 2 * MAX_TAG_BYTES);
     let state = &mut State::default();
     let mut size = |name, tags: &[(&str, &str)], value, metric_kind| {
-        figures.format_line(state, name, tags, value, metric_kind).len()
+        figures
+            .format_line(state, name, tags, value, metric_kind)
+            .len()
     };
     let tags = [("kind", &*long), ("host", &long), ("outcome", "canceled")];
     let attempt = size("attempt.count", &tags, 1, MetricKind::Counter);
     let time = size("req.time", &tags[..2], u64::MAX, MetricKind::Timer);
     let carried = size("figures.dropped", &[], u64::MAX, MetricKind::Counter)
         + size("figures.pushed_out", &[], u64::MAX, MetricKind::Counter);
-    assert!(carried + attempt.max(time) <= figures.batch, "{carried} {attempt} {time}");
+    assert!(
+        carried + attempt.max(time) <= figures.batch,
+        "{carried} {attempt} {time}"
+    );
     assert!(carried <= LOSS_COUNTER_BYTES);
 }
 
@@ -210,7 +284,11 @@
 #[test]
 fn a_line_that_broke_off_does_not_take_the_next_one_with_it() {
     let path = std::env::temp_dir().join(format!("slatelink-torn-{}", std::process::id()));
-    let mut sink = Sink { path: path.clone(), file: None, torn: false };
+    let mut sink = Sink {
+        path: path.clone(),
+        file: None,
+        torn: false,
+    };
     sink.write(b"half").unwrap();
     sink.torn = true;
     sink.write(b"whole\n").unwrap();
--- a/crates/observe/src/hotlist.rs
+++ b/crates/observe/src/hotlist.rs
@@ -47,10 +47,23 @@
         let key = Key::new(key);
         let (hash, full) = (key.hash(), self.entries.len() >= capacity);
         // Walked as a whole: of a few hundred entries that takes less than the request's other work.
-        let index = self.entries.iter().position(|entry| entry.hash == hash && key.matches(&entry.key));
+        let index = self
+            .entries
+            .iter()
+            .position(|entry| entry.hash == hash && key.matches(&entry.key));
         let index = index.unwrap_or_else(|| {
-            let new = |count| Entry { key: key.text(), hash, count, recent: 0.0, at: now };
-            let smallest = self.entries.iter_mut().enumerate().min_by_key(|(_, entry)| entry.count);
+            let new = |count| Entry {
+                key: key.text(),
+                hash,
+                count,
+                recent: 0.0,
+                at: now,
+            };
+            let smallest = self
+                .entries
+                .iter_mut()
+                .enumerate()
+                .min_by_key(|(_, entry)| entry.count);
             match smallest.filter(|_| full) {
                 Some((index, smallest)) => {
                     *smallest = new(smallest.count);
@@ -82,7 +95,10 @@
 impl<'a> Key<'a> {
     fn new(key: &'a str) -> Self {
         if key.len() <= MAX_KEY_BYTES {
-            return Self { head: key, truncated: false };
+            return Self {
+                head: key,
+                truncated: false,
+            };
         }
         Self {
             head: &key[..key.floor_char_boundary(MAX_KEY_BYTES - TRUNCATION_MARK.len_utf8())],
@@ -123,7 +139,12 @@
 
 impl HotList {
     /// `capacity` entries for each class. More than fit the memory is an error.
-    pub fn new(capacity: usize, window: Duration, classes: &[Name], writer: &Writer) -> Result<Self, String> {
+    pub fn new(
+        capacity: usize,
+        window: Duration,
+        classes: &[Name],
+        writer: &Writer,
+    ) -> Result<Self, String> {
         let max_capacity = MAX_MEMORY_BYTES / (ENTRY_BYTES * classes.len().max(1));
         if capacity > max_capacity {
             return Err(format!(
@@ -131,8 +152,11 @@
             ));
         }
         // All room that there will be: a list that grew would take twice what it needs.
-        let list =
-            |class: &Name| List { class: class.clone(), total: 0, entries: Vec::with_capacity(capacity) };
+        let list = |class: &Name| List {
+            class: class.clone(),
+            total: 0,
+            entries: Vec::with_capacity(capacity),
+        };
         Ok(Self {
             capacity,
             window: window.as_secs_f64(),
@@ -161,7 +185,9 @@
             let mut out = io::BufWriter::new(stderr);
             // There is nowhere to report an error to.
             let _ = lists.into_iter().try_for_each(|list| {
-                print(&mut out, list, capacity, |entry| decayed(entry.recent, now - entry.at, window) / span)
+                print(&mut out, list, capacity, |entry| {
+                    decayed(entry.recent, now - entry.at, window) / span
+                })
             });
         };
         self.sender.try_send(write);
@@ -180,10 +206,15 @@
         writeln!(out, "hot {class} none")?;
     }
     let bound = list.total / capacity;
-    list.entries.sort_unstable_by(|a, b| b.count.cmp(&a.count).then_with(|| a.key.cmp(&b.key)));
+    list.entries
+        .sort_unstable_by(|a, b| b.count.cmp(&a.count).then_with(|| a.key.cmp(&b.key)));
     for entry in &list.entries {
         let (key, rate) = (escaped(&entry.key), rate(entry));
-        writeln!(out, "hot {class} {key} rate={rate:.1}/s count={} err<={bound}", entry.count)?;
+        writeln!(
+            out,
+            "hot {class} {key} rate={rate:.1}/s count={} err<={bound}",
+            entry.count
+        )?;
     }
     out.flush()
 }
--- a/crates/observe/src/hotlist/tests.rs
+++ b/crates/observe/src/hotlist/tests.rs
@@ -2,13 +2,21 @@
 use std::collections::HashMap;
 
 fn list(capacity: usize) -> List {
-    List { class: "look\nup".into(), total: 0, entries: Vec::with_capacity(capacity) }
+    List {
+        class: "look\nup".into(),
+        total: 0,
+        entries: Vec::with_capacity(capacity),
+    }
 }
 
 fn printed(list: List, capacity: u64) -> Vec<String> {
     let mut out = Vec::new();
     print(&mut out, list, capacity, |entry| entry.recent).unwrap();
-    String::from_utf8(out).unwrap().lines().map(str::to_owned).collect()
+    String::from_utf8(out)
+        .unwrap()
+        .lines()
+        .map(str::to_owned)
+        .collect()
 }
 
 // Guards against a count outside its bound, and against a hot key that is missing: the method's promises.
@@ -37,14 +45,29 @@
     );
     for entry in &list.entries {
         let real = tally[&*entry.key];
-        assert!(real <= entry.count && entry.count - real <= bound, "{entry:?} {real}");
+        assert!(
+            real <= entry.count && entry.count - real <= bound,
+            "{entry:?} {real}"
+        );
     }
     let held = |key: &str| list.entries.iter().any(|entry| *entry.key == *key);
-    assert!(tally.iter().filter(|(_, &count)| count > bound).all(|(key, _)| held(key)));
+    assert!(tally
+        .iter()
+        .filter(|(_, &count)| count > bound)
+        .all(|(key, _)| held(key)));
     let lines = printed(list, CAPACITY as u64);
     let counts: Vec<u64> = lines
         .iter()
-        .map(|line| line.split("count=").nth(1).unwrap().split(' ').next().unwrap().parse().unwrap())
+        .map(|line| {
+            line.split("count=")
+                .nth(1)
+                .unwrap()
+                .split(' ')
+                .next()
+                .unwrap()
+                .parse()
+                .unwrap()
+        })
         .collect();
     assert!(counts.is_sorted_by(|a, b| a >= b), "{counts:?}");
     assert!(
@@ -67,7 +90,10 @@
         ("k".repeat(128), "k".repeat(128)),
         ("k".repeat(129), "k".repeat(125) + "…"),
         ("é".repeat(65), "é".repeat(62) + "…"),
-        (format!("k{}", "é".repeat(64)), format!("k{}…", "é".repeat(62))),
+        (
+            format!("k{}", "é".repeat(64)),
+            format!("k{}…", "é".repeat(62)),
+        ),
     ] {
         let mut list = list(4);
         list.count(&key, 4, 60.0, Instant::now());
@@ -98,7 +124,11 @@
     }
     let lists = hot.lists.borrow();
     let held = |list: &List| {
-        let keys: usize = list.entries.iter().map(|entry| entry.key.len() + ALLOCATION_OVERHEAD).sum();
+        let keys: usize = list
+            .entries
+            .iter()
+            .map(|entry| entry.key.len() + ALLOCATION_OVERHEAD)
+            .sum();
         list.entries.capacity() * size_of::<Entry>() + keys
     };
     let all: usize = lists.iter().map(held).sum();
