--- a/crates/observe/src/lib.rs
+++ b/crates/observe/src/lib.rs
@@ -91,14 +91,26 @@
 
 impl Observers {
     /// Begins what the settings name, for these classes of requests. Its tasks run on the present local set.
-    pub fn start(settings: &Settings, classes: &[Name], format: Format) -> Result<Rc<Self>, String> {
-        let writer = Writer::start().map_err(|error| format!("cannot start the writer: {error}"))?;
+    pub fn start(
+        settings: &Settings,
+        classes: &[Name],
+        format: Format,
+    ) -> Result<Rc<Self>, String> {
+        let writer =
+            Writer::start().map_err(|error| format!("cannot start the writer: {error}"))?;
         let log = Log::new(&writer, format);
         // A file that may grow no further is an error of the write, not the process's end. Standard error may be one.
         let caught = signal(SignalKind::from_raw(libc::SIGXFSZ));
         drop(caught.map_err(|error| format!("cannot catch SIGXFSZ: {error}"))?);
         let source = settings.source.clone();
-        let mut observers = Self { log, writer, figures: None, audit: None, hotlist: None, source };
+        let mut observers = Self {
+            log,
+            writer,
+            figures: None,
+            audit: None,
+            hotlist: None,
+            source,
+        };
         if let Some(settings) = &settings.figures {
             let (figures, landed) =
                 Figures::open(settings, classes, &observers.writer, observers.log.clone())?;
@@ -114,7 +126,12 @@
             // Caught before it is known to be on: uncaught, it ends the process.
             let caught = signal(SignalKind::user_defined1());
             prints = Some(caught.map_err(|error| format!("cannot catch SIGUSR1: {error}"))?);
-            let list = HotList::new(settings.capacity, settings.window(), classes, &observers.writer)?;
+            let list = HotList::new(
+                settings.capacity,
+                settings.window(),
+                classes,
+                &observers.writer,
+            )?;
             observers.hotlist = Some(list);
         }
         let observers = Rc::new(observers);
@@ -135,14 +152,24 @@
 
     /// Descriptors that they hold: they come out of the node's limit.
     pub fn descriptors(settings: &Settings) -> usize {
-        let figures = settings.figures.as_ref().map_or(0, |_| Figures::DESCRIPTORS);
+        let figures = settings
+            .figures
+            .as_ref()
+            .map_or(0, |_| Figures::DESCRIPTORS);
         Writer::DESCRIPTORS + figures + settings.audit.as_ref().map_or(0, |_| Audit::DESCRIPTORS)
     }
 
     /// The signals, beside those that have a use, which end the node: caught where their names are wanted.
     pub fn stops(&self) -> io::Result<Option<UnboundedReceiver<Stop>>> {
-        let except: &[i32] = if self.hotlist.is_some() { &[libc::SIGUSR1] } else { &[] };
-        self.audit.as_ref().map(|_| audit::catch_signals(except)).transpose()
+        let except: &[i32] = if self.hotlist.is_some() {
+            &[libc::SIGUSR1]
+        } else {
+            &[]
+        };
+        self.audit
+            .as_ref()
+            .map(|_| audit::catch_signals(except))
+            .transpose()
     }
 
     /// The node of this name listens.
@@ -220,8 +247,11 @@
 
     fn said(&self, text: &str) {
         if let Some(figures) = &self.figures {
-            let host = text.strip_prefix("breaker of ").and_then(|rest| rest.strip_suffix(" tripped"));
-            host.into_iter().for_each(|host| figures.tripped(&host.into()));
+            let host = text
+                .strip_prefix("breaker of ")
+                .and_then(|rest| rest.strip_suffix(" tripped"));
+            host.into_iter()
+                .for_each(|host| figures.tripped(&host.into()));
         }
         self.log.often("module", text);
     }
--- a/crates/observe/src/log.rs
+++ b/crates/observe/src/log.rs
@@ -89,20 +89,33 @@
         }
         let omitted = std::mem::take(&mut self.omitted);
         let (count, took) = (self.count, (self.last - self.started_at).as_secs_f64());
-        Some(format!("{omitted} more lines left out, {count} in {took:.1} s; the last: {}", self.text))
+        Some(format!(
+            "{omitted} more lines left out, {count} in {took:.1} s; the last: {}",
+            self.text
+        ))
     }
 }
 
 impl Log {
     /// A log that writes through `writer`.
     pub(crate) fn new(writer: &Writer, format: Format) -> Self {
-        let sink = Sink { sender: Arc::new(writer.sender(MAX_QUEUED_LINES)), lost: Arc::default(), format };
-        let lines = tracing_subscriber::fmt().with_writer(sink).with_ansi(false).with_target(false);
+        let sink = Sink {
+            sender: Arc::new(writer.sender(MAX_QUEUED_LINES)),
+            lost: Arc::default(),
+            format,
+        };
+        let lines = tracing_subscriber::fmt()
+            .with_writer(sink)
+            .with_ansi(false)
+            .with_target(false);
         let lines = match format {
             Format::Text => Dispatch::new(lines.with_level(false).without_time().finish()),
             Format::Json => Dispatch::new(lines.json().flatten_event(true).finish()),
         };
-        Self { lines, topics: Rc::default() }
+        Self {
+            lines,
+            topics: Rc::default(),
+        }
     }
 
     /// Writes a line.
@@ -114,8 +127,12 @@
     /// Writes a line of a topic that may have very many: past a few they are counted, and [`Log::turn`] tells of them.
     pub fn often(&self, topic: &'static str, text: &str) {
         let now = Instant::now();
-        let admitted =
-            self.topics.borrow_mut().entry(topic).or_insert_with(|| Topic::new(now)).admit(now, text);
+        let admitted = self
+            .topics
+            .borrow_mut()
+            .entry(topic)
+            .or_insert_with(|| Topic::new(now))
+            .admit(now, text);
         if admitted {
             self.line(text);
         }
@@ -144,7 +161,10 @@
 impl<'a> MakeWriter<'a> for Sink {
     type Writer = Line;
     fn make_writer(&'a self) -> Line {
-        Line { sink: self.clone(), bytes: Vec::new() }
+        Line {
+            sink: self.clone(),
+            bytes: Vec::new(),
+        }
     }
 }
 
@@ -168,14 +188,21 @@
 impl Drop for Line {
     fn drop(&mut self) {
         let line = std::mem::take(&mut self.bytes);
-        let Sink { sender, lost, format } = &self.sink;
+        let Sink {
+            sender,
+            lost,
+            format,
+        } = &self.sink;
         let lost_lines = lost.load(Ordering::Relaxed);
         let mut lines = match (lost_lines, format) {
             (0, _) => Vec::new(),
             (_, Format::Text) => {
-                format!("{lost_lines} lines of the log are lost: standard error is not read\n").into_bytes()
+                format!("{lost_lines} lines of the log are lost: standard error is not read\n")
+                    .into_bytes()
+            }
+            (_, Format::Json) => {
+                format!("{{\"level\":\"WARN\",\"lost\":{lost_lines}}}\n").into_bytes()
             }
-            (_, Format::Json) => format!("{{\"level\":\"WARN\",\"lost\":{lost_lines}}}\n").into_bytes(),
         };
         lines.extend_from_slice(&line);
         // Where it cannot be written there is nowhere to report that to.
--- a/crates/observe/src/log/tests.rs
+++ b/crates/observe/src/log/tests.rs
@@ -12,10 +12,27 @@
         told.extend((i % 1_000 == 0).then(|| topic.summary(now)).flatten());
     }
     told.extend(topic.summary(now + TOPIC_EXPIRY));
-    assert_eq!(topic.summary(now + TOPIC_EXPIRY * 2), None, "nothing more to tell");
-    let left_out: u64 = told.iter().map(|text| text.split(' ').next().unwrap().parse::<u64>().unwrap()).sum();
-    assert_eq!(written + left_out, 30_000, "every line is counted once: {told:?}");
-    assert!(written <= 3 * LINES_PER_WINDOW && told.len() <= 3, "{written} lines, {told:?}");
+    assert_eq!(
+        topic.summary(now + TOPIC_EXPIRY * 2),
+        None,
+        "nothing more to tell"
+    );
+    let left_out: u64 = told
+        .iter()
+        .map(|text| text.split(' ').next().unwrap().parse::<u64>().unwrap())
+        .sum();
+    assert_eq!(
+        written + left_out,
+        30_000,
+        "every line is counted once: {told:?}"
+    );
+    assert!(
+        written <= 3 * LINES_PER_WINDOW && told.len() <= 3,
+        "{written} lines, {told:?}"
+    );
     let last = told.last().unwrap();
-    assert!(last.ends_with("30000 in 30.0 s; the last: no room 29999"), "{last}");
+    assert!(
+        last.ends_with("30000 in 30.0 s; the last: no room 29999"),
+        "{last}"
+    );
 }
--- a/crates/observe/src/writer.rs
+++ b/crates/observe/src/writer.rs
@@ -31,17 +31,23 @@
     pub fn start() -> io::Result<Self> {
         let mut stderr = File::from(io::stderr().as_fd().try_clone_to_owned()?);
         let (jobs, queue) = sync_channel::<Job>(QUEUE_CAPACITY);
-        thread::Builder::new().name("writer".to_owned()).spawn(move || {
-            for job in queue {
-                job(&mut stderr);
-            }
-        })?;
+        thread::Builder::new()
+            .name("writer".to_owned())
+            .spawn(move || {
+                for job in queue {
+                    job(&mut stderr);
+                }
+            })?;
         Ok(Self { jobs })
     }
 
     /// A share of the queue: one that is full takes no place from the others.
     pub fn sender(&self, capacity: usize) -> BoundedSender {
-        BoundedSender { jobs: self.jobs.clone(), queued: Arc::default(), capacity }
+        BoundedSender {
+            jobs: self.jobs.clone(),
+            queued: Arc::default(),
+            capacity,
+        }
     }
 
     /// Waits until all that was sent before is written, or for `limit`: a stop must not wait for a stuck pipe.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -60,7 +60,13 @@
 
 impl<'a> Fields<'a> {
     fn new(line: &'a str, rest: &'a str) -> Self {
-        Self { line, pairs: rest.split(' ').filter_map(|part| part.split_once('=')).collect() }
+        Self {
+            line,
+            pairs: rest
+                .split(' ')
+                .filter_map(|part| part.split_once('='))
+                .collect(),
+        }
     }
 
     fn bad(&self, what: &str) -> WireError {
@@ -69,21 +75,30 @@
     }
 
     fn text(&self, name: &str) -> Option<&'a str> {
-        self.pairs.iter().find(|pair| pair.0 == name).map(|pair| pair.1)
+        self.pairs
+            .iter()
+            .find(|pair| pair.0 == name)
+            .map(|pair| pair.1)
     }
 
     fn optional<T: FromStr>(&self, name: &str) -> Result<Option<T>, WireError> {
-        let parse = |text: &str| text.parse().map_err(|_| self.bad(&format!("unreadable {name}")));
+        let parse = |text: &str| {
+            text.parse()
+                .map_err(|_| self.bad(&format!("unreadable {name}")))
+        };
         self.text(name).map(parse).transpose()
     }
 
     fn need<T: FromStr>(&self, name: &str) -> Result<T, WireError> {
-        self.optional(name)?.ok_or_else(|| self.bad(&format!("no {name}")))
+        self.optional(name)?
+            .ok_or_else(|| self.bad(&format!("no {name}")))
     }
 
     /// A number from 0 to `most`; one that is not finite or lies outside is passed over.
     fn number(&self, name: &str, most: f64) -> Result<Option<f64>, WireError> {
-        Ok(self.optional::<f64>(name)?.filter(|value| (0.0..=most).contains(value)))
+        Ok(self
+            .optional::<f64>(name)?
+            .filter(|value| (0.0..=most).contains(value)))
     }
 
     fn micros(&self, name: &str) -> Result<Option<Duration>, WireError> {
@@ -100,7 +115,9 @@
     }
 
     fn request_id(&self) -> Result<RequestId, WireError> {
-        self.text("request_id").map(RequestId::from).ok_or_else(|| self.bad("no request_id"))
+        self.text("request_id")
+            .map(RequestId::from)
+            .ok_or_else(|| self.bad("no request_id"))
     }
 }
 
@@ -128,13 +145,15 @@
             )));
         }
         let fields = match word {
-            "tick" | "power_on" | "roster" | "peers_known" | "submit" | "timer" | "retire" | "abandoned"
-            | "returned" => Fields::new(line, rest),
+            "tick" | "power_on" | "roster" | "peers_known" | "submit" | "timer" | "retire"
+            | "abandoned" | "returned" => Fields::new(line, rest),
             "your_turn" => return Ok(Some(Input::Turn)),
             _ => return Ok(None),
         };
         if word == "tick" {
-            return Ok(Some(Input::Tick(Timestamp::from_micros(fields.need("t_us")?))));
+            return Ok(Some(Input::Tick(Timestamp::from_micros(
+                fields.need("t_us")?,
+            ))));
         }
         if word == "roster" {
             let (bank, hosts) = (fields.need("bank")?, fields.need("hosts")?);
@@ -146,9 +165,17 @@
         let event = match word {
             "power_on" => {
                 let settings = Box::new(settings(&fields)?);
-                let classes = settings.classes.iter().map(|class| class.name.clone()).collect();
+                let classes = settings
+                    .classes
+                    .iter()
+                    .map(|class| class.name.clone())
+                    .collect();
                 self.classes.insert(who, classes);
-                return Ok(Some(Input::Start { who, seed: fields.need("prng")?, settings }));
+                return Ok(Some(Input::Start {
+                    who,
+                    seed: fields.need("prng")?,
+                    settings,
+                }));
             }
             "retire" => return Ok(Some(Input::Stop { who })),
             "peers_known" => match fields.need::<String>("how")?.as_str() {
@@ -203,7 +230,9 @@
     }
 
     fn server(&mut self, fields: &Fields) -> Result<ServerId, WireError> {
-        let name = fields.text("server").ok_or_else(|| fields.bad("no server"))?;
+        let name = fields
+            .text("server")
+            .ok_or_else(|| fields.bad("no server"))?;
         if let Some(id) = self.server_names.get(name) {
             return Ok(id.clone());
         }
@@ -226,7 +255,10 @@
                 None => return Err(fields.bad("no availability")),
             },
             weight: fields.number("capacity_hint", f64::MAX)?.unwrap_or(1.0),
-            started: fields.optional("born_us")?.filter(|&at| at > 0).map(Timestamp::from_micros),
+            started: fields
+                .optional("born_us")?
+                .filter(|&at| at > 0)
+                .map(Timestamp::from_micros),
         };
         let Some((bank, missing, entries)) = &mut self.open_bank else {
             return Err(fields.bad("an entry outside a roster"));
@@ -242,30 +274,44 @@
 }
 
 fn status(fields: &Fields) -> Result<Status, WireError> {
-    Ok(match fields.text("result").ok_or_else(|| fields.bad("no result"))? {
-        "Ok" => Status::Ok,
-        "QueueFull" => Status::QueueFull,
-        "TimedOut" => Status::TimedOut,
-        "ConnectError" => Status::ConnectError,
-        "ResetByPeer" => Status::Reset,
-        "Canceled" => Status::Canceled,
-        "Ignored" => Status::Ignored,
-        "Miss" => Status::Miss,
-        // An unknown outcome still ends its attempt: the careful reading is a failure that may have run.
-        _ => Status::Failed,
-    })
+    Ok(
+        match fields
+            .text("result")
+            .ok_or_else(|| fields.bad("no result"))?
+        {
+            "Ok" => Status::Ok,
+            "QueueFull" => Status::QueueFull,
+            "TimedOut" => Status::TimedOut,
+            "ConnectError" => Status::ConnectError,
+            "ResetByPeer" => Status::Reset,
+            "Canceled" => Status::Canceled,
+            "Ignored" => Status::Ignored,
+            "Miss" => Status::Miss,
+            // An unknown outcome still ends its attempt: the careful reading is a failure that may have run.
+            _ => Status::Failed,
+        },
+    )
 }
 
 fn wire_load(fields: &Fields) -> LoadReport {
-    fields.text("server_stats").map_or_else(LoadReport::default, |text| read_load(text, ':'))
+    fields
+        .text("server_stats")
+        .map_or_else(LoadReport::default, |text| read_load(text, ':'))
 }
 
 /// Reads a load report, its values set apart by commas and each from its name by `separator`. A value goes
 /// by its name on the wire or on the sockets; one that is no finite number from 0 up is passed over.
 pub fn read_load(text: &str, separator: char) -> LoadReport {
     let mut report = LoadReport::default();
-    for (name, value) in text.split(',').filter_map(|part| part.split_once(separator)) {
-        let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+    for (name, value) in text
+        .split(',')
+        .filter_map(|part| part.split_once(separator))
+    {
+        let value = value
+            .trim()
+            .parse::<f64>()
+            .ok()
+            .filter(|v| v.is_finite() && *v >= 0.0);
         match name.trim() {
             "avg_ms" | "latency_ms" => {
                 report.service_time = value.map(|ms| Duration::from_micros((ms * 1000.0) as u64));
@@ -280,8 +326,14 @@
 
 /// Reads start-up settings from their pairs of path and value.
 pub fn read_settings(pairs: &[(String, String)]) -> Result<Settings, WireError> {
-    let pairs = pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
-    settings(&Fields { line: "settings", pairs })
+    let pairs = pairs
+        .iter()
+        .map(|(path, value)| (path.as_str(), value.as_str()))
+        .collect();
+    settings(&Fields {
+        line: "settings",
+        pairs,
+    })
 }
 
 fn settings(fields: &Fields) -> Result<Settings, WireError> {
@@ -304,36 +356,56 @@
                 _ => Effect::Unsafe,
             },
             aim: fields.micros(&at("promise_us"))?.unwrap_or(other.aim),
-            deadline: fields.micros(&at("hard_limit_us"))?.unwrap_or(other.deadline),
+            deadline: fields
+                .micros(&at("hard_limit_us"))?
+                .unwrap_or(other.deadline),
         });
     }
     let mut tenants = Vec::new();
     for i in 0..fields.optional::<usize>("orgs.count")?.unwrap_or(0) {
-        tenants.push(fields.need::<String>(&format!("orgs.{i}.name"))?.as_str().into());
+        tenants.push(
+            fields
+                .need::<String>(&format!("orgs.{i}.name"))?
+                .as_str()
+                .into(),
+        );
     }
-    let origin = fields.optional::<i64>("family_info.origin_kind")?.unwrap_or(-1);
+    let origin = fields
+        .optional::<i64>("family_info.origin_kind")?
+        .unwrap_or(-1);
     let kinds = fields.text("shapes").unwrap_or("");
-    let origin_kind = usize::try_from(origin).ok().and_then(|kind| kinds.split(',').nth(kind));
-    let or = |name: &str, other: Duration| Ok::<_, WireError>(fields.micros(name)?.unwrap_or(other));
+    let origin_kind = usize::try_from(origin)
+        .ok()
+        .and_then(|kind| kinds.split(',').nth(kind));
+    let or =
+        |name: &str, other: Duration| Ok::<_, WireError>(fields.micros(name)?.unwrap_or(other));
     Ok(Settings {
         nodes: fields.optional("balancers")?.unwrap_or(base.nodes),
         classes,
         tenants,
         mode: match (fields.text("family_info.mode"), origin_kind) {
-            (Some("aside"), Some(kind)) => CacheMode::Aside { origin_kind: kind.into() },
+            (Some("aside"), Some(kind)) => CacheMode::Aside {
+                origin_kind: kind.into(),
+            },
             _ => CacheMode::Through,
         },
         sized: matches!(fields.text("weights"), None | Some("nominal")),
         must_follow: fields.text("membership_mode") == Some("subscribe"),
         ask_within: or("safety.ask_within_us", base.ask_within)?,
         stop_sending_within: or("safety.stop_sending_within_us", base.stop_sending_within)?,
-        max_attempts: fields.optional("limits.most_tries")?.unwrap_or(base.max_attempts),
+        max_attempts: fields
+            .optional("limits.most_tries")?
+            .unwrap_or(base.max_attempts),
         max_retry_after: or("limits.max_retry_after_us", base.max_retry_after)?,
         connect_timeout: or("limits.connect_timeout_us", base.connect_timeout)?,
         keepalive: or("limits.keepalive_us", base.keepalive)?,
-        cold_share: fields.number("safety.cold_share", 1.0)?.unwrap_or(base.cold_share),
+        cold_share: fields
+            .number("safety.cold_share", 1.0)?
+            .unwrap_or(base.cold_share),
         warm_within: or("safety.warm_within_us", base.warm_within)?,
-        fall_multiple: fields.number("safety.fall_multiple", f64::MAX)?.unwrap_or(base.fall_multiple),
+        fall_multiple: fields
+            .number("safety.fall_multiple", f64::MAX)?
+            .unwrap_or(base.fall_multiple),
         fall_span: or("safety.fall_us", base.fall_span)?,
     })
 }
@@ -341,17 +413,33 @@
 /// Appends an action of instance `who` to a reply.
 pub fn write_action(out: &mut String, who: u32, action: &Action) {
     let written = match action {
-        Action::Send { id, server, timeout, begin_within: _ } => {
+        Action::Send {
+            id,
+            server,
+            timeout,
+            begin_within: _,
+        } => {
             // 0 would mean no time-out at all. There, an attempt begins in the moment it is sent.
             let allow = timeout.as_micros().max(1);
-            writeln!(out, "send who={who} request_id={id} server={server} allow_for_us={allow}")
+            writeln!(
+                out,
+                "send who={who} request_id={id} server={server} allow_for_us={allow}"
+            )
         }
         Action::Refuse { id, retry_after } => {
-            writeln!(out, "busy who={who} request_id={id} hold_off_us={}", retry_after.as_micros())
+            writeln!(
+                out,
+                "busy who={who} request_id={id} hold_off_us={}",
+                retry_after.as_micros()
+            )
         }
         Action::Fail { id } => writeln!(out, "report_failure who={who} request_id={id}"),
         Action::Wake { after } => {
-            writeln!(out, "wake_at who={who} nonce=w sleep_for_us={}", after.as_micros())
+            writeln!(
+                out,
+                "wake_at who={who} nonce=w sleep_for_us={}",
+                after.as_micros()
+            )
         }
         Action::Close { server } => writeln!(out, "close who={who} server={server}"),
         Action::Follow => writeln!(out, "follow who={who} on=1"),
--- a/crates/wire/src/main.rs
+++ b/crates/wire/src/main.rs
@@ -32,7 +32,11 @@
         match parser.line(&line)? {
             None => {}
             Some(Input::Tick(at)) => now = at,
-            Some(Input::Start { who, seed, settings }) => {
+            Some(Input::Start {
+                who,
+                seed,
+                settings,
+            }) => {
                 instances.insert(who, Balancer::new(*settings, seed));
             }
             Some(Input::Stop { who }) => {
@@ -68,7 +72,9 @@
     }
     if let Err(panic) = handled {
         let text = panic.downcast_ref::<String>().map(String::as_str);
-        let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+        let text = text
+            .or_else(|| panic.downcast_ref::<&str>().copied())
+            .unwrap_or("panic");
         write_fault(reply, who, text);
     }
 }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -14,17 +14,35 @@
 
 fn parse(lines: &[&str]) -> Vec<Input> {
     let mut parser = Parser::default();
-    lines.iter().filter_map(|line| parser.line(line).expect("well-formed")).collect()
+    lines
+        .iter()
+        .filter_map(|line| parser.line(line).expect("well-formed"))
+        .collect()
 }
 
 #[test]
 fn settings_are_read_and_unknown_ones_skipped() {
-    let Input::Start { who: 3, seed: 5, settings } = parse(&[START]).remove(0) else { panic!("a start") };
+    let Input::Start {
+        who: 3,
+        seed: 5,
+        settings,
+    } = parse(&[START]).remove(0)
+    else {
+        panic!("a start")
+    };
     assert_eq!(settings.classes.len(), 2);
-    let keyed = Effect::Keyed { scope: Scope::Zone, window: Duration::from_millis(600) };
+    let keyed = Effect::Keyed {
+        scope: Scope::Zone,
+        window: Duration::from_millis(600),
+    };
     assert_eq!(settings.classes[1].effect, keyed);
     assert_eq!(settings.tenants, [Name::from("t1")]);
-    assert_eq!(settings.mode, CacheMode::Aside { origin_kind: "origin".into() });
+    assert_eq!(
+        settings.mode,
+        CacheMode::Aside {
+            origin_kind: "origin".into()
+        }
+    );
     assert_eq!(settings.max_retry_after, Duration::from_secs(1));
     assert!(settings.must_follow);
     assert_eq!(settings.ask_within, Duration::from_secs(7));
@@ -39,11 +57,18 @@
 #[test]
 fn a_request_is_read_whole() {
     let line = "submit who=3 request_id=c:x cls=log party=t1 object=17 valid_until_us=900 expected_us=12 options=7 odd=1";
-    let Input::Event { who: 3, event: Event::Request(request) } = parse(&[START, line]).remove(1) else {
+    let Input::Event {
+        who: 3,
+        event: Event::Request(request),
+    } = parse(&[START, line]).remove(1)
+    else {
         panic!("a request")
     };
     assert_eq!(request.class, Some(ClassId(1)));
-    assert_eq!((request.key, request.valid_until), (Some(17), Timestamp::from_micros(900)));
+    assert_eq!(
+        (request.key, request.valid_until),
+        (Some(17), Timestamp::from_micros(900))
+    );
     assert_eq!(request.expected_work, Some(Duration::from_micros(12)));
     assert!(request.write);
 }
@@ -53,12 +78,25 @@
     let line = "returned who=1 request_id=r result=Miss info=2 hop=2 server=s:1 spent_us=70 finished=1 server_stats=avg_ms:1.5,cpu:0.25,waiting:2,new:1";
     let odd = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
     let inputs = parse(&[line, odd]);
-    let Input::Event { event: Event::Outcome(outcome), .. } = &inputs[0] else { panic!("an outcome") };
-    assert_eq!((outcome.attempt, outcome.status, outcome.note), (2, Status::Miss, Some(Note::Miss)));
+    let Input::Event {
+        event: Event::Outcome(outcome),
+        ..
+    } = &inputs[0]
+    else {
+        panic!("an outcome")
+    };
+    assert_eq!(
+        (outcome.attempt, outcome.status, outcome.note),
+        (2, Status::Miss, Some(Note::Miss))
+    );
     assert!(outcome.finished);
     assert_eq!(
         outcome.load,
-        LoadReport { service_time: Some(Duration::from_micros(1500)), busy: Some(0.25), waiting: Some(2.0) }
+        LoadReport {
+            service_time: Some(Duration::from_micros(1500)),
+            busy: Some(0.25),
+            waiting: Some(2.0)
+        }
     );
     assert!(
         matches!(&inputs[1], Input::Event { event: Event::Outcome(o), .. } if o.status == Status::Failed)
@@ -85,9 +123,10 @@
     let ids: Vec<Vec<&str>> = inputs
         .iter()
         .map(|input| match input {
-            Input::Event { event: Event::Servers(ServerList::Full(list)), .. } => {
-                list.iter().map(|e| e.id.as_str()).collect()
-            }
+            Input::Event {
+                event: Event::Servers(ServerList::Full(list)),
+                ..
+            } => list.iter().map(|e| e.id.as_str()).collect(),
             other => panic!("{other:?}"),
         })
         .collect();
@@ -116,20 +155,49 @@
         (vec!["submit who=1 valid_until_us=1"], "request_id"),
         (vec!["submit request_id=r valid_until_us=1"], "who"),
         (vec!["returned who=1 request_id=r hop=0 server=s"], "result"),
-        (vec!["returned who=1 request_id=r result=Ok server=s"], "hop"),
-        (vec!["returned who=1 request_id=r result=Ok hop=0"], "server"),
+        (
+            vec!["returned who=1 request_id=r result=Ok server=s"],
+            "hop",
+        ),
+        (
+            vec!["returned who=1 request_id=r result=Ok hop=0"],
+            "server",
+        ),
         (vec!["peers_known who=1 how=replace bank=4"], "bank"),
-        (vec!["roster bank=0 hosts=2", "m server=a availability=U", "your_turn"], "missing"),
-        (vec!["roster bank=0 hosts=1", "m server=a availability=U", "m server=b availability=U"], "outside"),
+        (
+            vec![
+                "roster bank=0 hosts=2",
+                "m server=a availability=U",
+                "your_turn",
+            ],
+            "missing",
+        ),
+        (
+            vec![
+                "roster bank=0 hosts=1",
+                "m server=a availability=U",
+                "m server=b availability=U",
+            ],
+            "outside",
+        ),
         (vec!["roster bank=0 hosts=1", "m server=a"], "availability"),
         (vec!["power_on who=1"], "prng"),
-        (vec!["power_on who=1 prng=1 safety.cold_share=much"], "cold_share"),
+        (
+            vec!["power_on who=1 prng=1 safety.cold_share=much"],
+            "cold_share",
+        ),
     ] {
         let mut parser = Parser::default();
-        let errors: Vec<String> =
-            lines.iter().filter_map(|line| parser.line(line).err()).map(|e| e.to_string()).collect();
+        let errors: Vec<String> = lines
+            .iter()
+            .filter_map(|line| parser.line(line).err())
+            .map(|e| e.to_string())
+            .collect();
         assert_eq!(errors.len(), 1, "{lines:?}");
-        assert!(errors[0].contains(word) && !errors[0].contains('\n'), "{errors:?}");
+        assert!(
+            errors[0].contains(word) && !errors[0].contains('\n'),
+            "{errors:?}"
+        );
     }
 }
 
@@ -156,12 +224,24 @@
             },
             "send who=3 request_id=c:x server=s:1 allow_for_us=1\n",
         ),
-        (Action::Refuse { id: id.clone(), retry_after: time }, "busy who=3 request_id=c:x hold_off_us=250\n"),
+        (
+            Action::Refuse {
+                id: id.clone(),
+                retry_after: time,
+            },
+            "busy who=3 request_id=c:x hold_off_us=250\n",
+        ),
         (Action::Fail { id }, "report_failure who=3 request_id=c:x\n"),
-        (Action::Wake { after: time }, "wake_at who=3 nonce=w sleep_for_us=250\n"),
+        (
+            Action::Wake { after: time },
+            "wake_at who=3 nonce=w sleep_for_us=250\n",
+        ),
         (Action::Close { server }, "close who=3 server=s:1\n"),
         (Action::Follow, "follow who=3 on=1\n"),
-        (Action::Log("two\nlines".into()), "write_log who=3 body_text=two lines\n"),
+        (
+            Action::Log("two\nlines".into()),
+            "write_log who=3 body_text=two lines\n",
+        ),
     ] {
         let mut out = String::new();
         write_action(&mut out, 3, &action);
@@ -177,7 +257,11 @@
         .spawn()
         .expect("the host starts");
     // A host that ends early closes its input: that is no failure of the test.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
+    let _ = child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes());
     child.wait_with_output().expect("the host ends")
 }
 
@@ -191,9 +275,18 @@
     let done = host(&batch);
     assert!(done.status.success());
     let text = String::from_utf8(done.stdout).expect("UTF-8");
-    assert!(text.starts_with("ack\n") && text.ends_with("ack\n"), "{text}");
-    assert!(text.contains("send who=3 request_id=c:x server=s:1 "), "{text}");
-    assert!(!text.contains("who=9"), "an instance that was never started: {text}");
+    assert!(
+        text.starts_with("ack\n") && text.ends_with("ack\n"),
+        "{text}"
+    );
+    assert!(
+        text.contains("send who=3 request_id=c:x server=s:1 "),
+        "{text}"
+    );
+    assert!(
+        !text.contains("who=9"),
+        "an instance that was never started: {text}"
+    );
 }
 
 #[test]
@@ -203,7 +296,10 @@
     assert_eq!(String::from_utf8_lossy(&done.stdout), "ack\n");
     let errors = String::from_utf8_lossy(&done.stderr);
     assert_eq!(errors.lines().count(), 1, "{errors}");
-    assert!(errors.contains("valid_until_us") && errors.contains("submit who=1"), "{errors}");
+    assert!(
+        errors.contains("valid_until_us") && errors.contains("submit who=1"),
+        "{errors}"
+    );
 }
 
 /// Numbers that make no sense never reach the decisions: the default stands in for them.
@@ -215,21 +311,40 @@
              safety.cold_share={bad} safety.fall_multiple={bad}"
         );
         let entry = format!("m server=s availability=U capacity_hint={bad}");
-        let lines = [start.as_str(), "roster bank=0 hosts=1", &entry, "peers_known who=1 how=replace bank=0"];
+        let lines = [
+            start.as_str(),
+            "roster bank=0 hosts=1",
+            &entry,
+            "peers_known who=1 how=replace bank=0",
+        ];
         let mut inputs = parse(&lines);
-        let Input::Event { event: Event::Servers(ServerList::Full(list)), .. } = inputs.remove(1) else {
+        let Input::Event {
+            event: Event::Servers(ServerList::Full(list)),
+            ..
+        } = inputs.remove(1)
+        else {
             panic!("a list")
         };
         assert_eq!(list[0].weight, 1.0);
-        let Input::Start { settings, .. } = inputs.remove(0) else { panic!("a start") };
+        let Input::Start { settings, .. } = inputs.remove(0) else {
+            panic!("a start")
+        };
         let other = Settings::default();
-        assert_eq!((settings.cold_share, settings.fall_multiple), (other.cold_share, other.fall_multiple));
+        assert_eq!(
+            (settings.cold_share, settings.fall_multiple),
+            (other.cold_share, other.fall_multiple)
+        );
     }
-    let Input::Start { settings, .. } = parse(&["power_on who=1 prng=1 safety.cold_share=2"]).remove(0)
+    let Input::Start { settings, .. } =
+        parse(&["power_on who=1 prng=1 safety.cold_share=2"]).remove(0)
     else {
         panic!("a start")
     };
-    assert_eq!(settings.cold_share, Settings::default().cold_share, "a share is at most 1");
+    assert_eq!(
+        settings.cold_share,
+        Settings::default().cold_share,
+        "a share is at most 1"
+    );
 }
 
 #[test]
