--- a/crates/front/tests/front.rs
+++ b/crates/admission/tests/admission.rs
@@ -1,10 +1,10 @@
 //! Random interleavings against simple models of what is kept.
 
-#[path = "../../decide/tests/common/events.rs"]
+#[path = "../../policy/tests/common/events.rs"]
 mod events;
 
 use events::{check, Step};
-use slatelink_front::{
+use slatelink_admission::{
     Budget, Cause, ConnectionLimits, ConnectionTable, Directive, Lease, Phase, Share, Short, Side,
     Wheel,
 };
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -8,8 +8,8 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use slatelink_config::{operators, platform};
-use slatelink_observe::audit::{self, Verdict};
-use slatelink_observe::Format;
+use slatelink_telemetry::audit::{self, Verdict};
+use slatelink_telemetry::Format;
 use std::error::Error;
 use std::fs::File;
 use std::io::{self, BufReader, Write};
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -1,12 +1,12 @@
 //! The rules as properties of a whole node on loopback sockets, over sequences of events from fixed seeds.
 
-#[path = "../../decide/tests/common/events.rs"]
+#[path = "../../policy/tests/common/events.rs"]
 mod events;
 mod node_common;
 
 use events::{check_once, Change, Step, SERVERS};
 use node_common::*;
-use slatelink_decide::Status;
+use slatelink_policy::Status;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
--- a/crates/config/src/listing.rs
+++ b/crates/config/src/listing.rs
@@ -1,7 +1,7 @@
 //! The list of cache servers in discovery's form.
 
 use serde::Deserialize;
-use slatelink_decide::{Availability, ServerEntry, Timestamp};
+use slatelink_policy::{Availability, ServerEntry, Timestamp};
 use std::net::SocketAddr;
 
 /// Discovery's word for a server that finishes its work and wants no more.
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -3,7 +3,7 @@
 use crate::Listing;
 use serde::Deserialize;
 use serde_json::Value;
-use slatelink_decide::Settings;
+use slatelink_policy::Settings;
 use slatelink_wire::{read_settings, WireError};
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,12 +1,12 @@
 //! A simulated node against the scale run's stand-in for discovery: it is the real client and the real decision module.
 
 use slatelink_config::operators;
-use slatelink_decide::{Class, Settings};
 use slatelink_lab::scale::directory::{EntryChange, Health};
 use slatelink_lab::scale::service::{Caller, Peer, Service};
 use slatelink_lab::scale::Options;
 use slatelink_node::control::{run, ControlObserver, ControlOptions};
-use slatelink_observe::{Format, Observers};
+use slatelink_policy::{Class, Settings};
+use slatelink_telemetry::{Format, Observers};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -7,11 +7,11 @@
 use crate::discovery::Discovery;
 use crate::driver::Input;
 use slatelink_config::Listing;
-use slatelink_decide::{
+use slatelink_policy::{
     Action, Balancer, ClassId, Event, LoadReport, Outcome, Request, RequestId, ServerEntry,
     ServerId, ServerList, Settings, Status,
 };
-use slatelink_observe::Log;
+use slatelink_telemetry::Log;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/node/src/decisions.rs
+++ b/crates/node/src/decisions.rs
@@ -1,6 +1,6 @@
 //! The decision module with what feeds it: the clock that its times are told in, and the events that wait for it.
 
-use slatelink_decide::{Action, Balancer, Event, ServerEntry, ServerList, Timestamp};
+use slatelink_policy::{Action, Balancer, Event, ServerEntry, ServerList, Timestamp};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/node/src/discovery/departures.rs
+++ b/crates/node/src/discovery/departures.rs
@@ -6,7 +6,7 @@
 
 use super::in_flight::Source;
 use slatelink_config::Listing;
-use slatelink_decide::Availability;
+use slatelink_policy::Availability;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 use tokio::time::Instant;
--- a/crates/node/src/discovery/leaving_tests.rs
+++ b/crates/node/src/discovery/leaving_tests.rs
@@ -2,7 +2,7 @@
 
 use super::tests::{client_at, list, play, wait_of, QUEUE, TOLD_AFTER_FAILURE};
 use super::*;
-use slatelink_decide::Settings;
+use slatelink_policy::Settings;
 use socket2::SockRef;
 use std::cell::Cell;
 use std::net::Shutdown;
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::call::CONNECT_TIMEOUT;
 use super::*;
-use slatelink_decide::Settings;
-use slatelink_observe::{Format, Observers};
+use slatelink_policy::Settings;
+use slatelink_telemetry::{Format, Observers};
 use std::cell::RefCell;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use hyper::StatusCode;
 use slatelink_config::Listing;
-use slatelink_decide::{
+use slatelink_policy::{
     Action, Availability, Balancer, ClassId, Event, Outcome, Request, RequestId, ServerEntry,
     ServerId, ServerList,
 };
-use slatelink_observe::{End, Observer};
+use slatelink_telemetry::{End, Observer};
 use std::cell::Cell;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -18,7 +18,7 @@
 use rustix::process::{getrlimit, Resource};
 use slatelink_config::operators;
 use slatelink_config::relay::RelaySettings;
-use slatelink_observe::{Format, Observers};
+use slatelink_telemetry::{Format, Observers};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -99,7 +99,7 @@
     Ok(())
 }
 
-async fn turn_log(log: slatelink_observe::Log) {
+async fn turn_log(log: slatelink_telemetry::Log) {
     let mut turns = interval(LOG_TURN);
     loop {
         turns.tick().await;
--- a/crates/node/src/relay/callers.rs
+++ b/crates/node/src/relay/callers.rs
@@ -13,7 +13,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use slatelink_observe::Log;
+use slatelink_telemetry::Log;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::pin::pin;
--- a/crates/node/src/relay/publisher.rs
+++ b/crates/node/src/relay/publisher.rs
@@ -5,7 +5,7 @@
 use slatelink_membership::{
     Applied, Call, List, Question, RejectedList, Replica, Reply, Unavailable, Version,
 };
-use slatelink_observe::Log;
+use slatelink_telemetry::Log;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use slatelink_config::relay::RelaySettings;
 use slatelink_membership::{Call, List, MessageError};
-use slatelink_observe::Log;
+use slatelink_telemetry::Log;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -12,9 +12,9 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
-use slatelink_decide::{ClassId, Name, Settings};
-use slatelink_front::{Lease, Side};
-use slatelink_observe::Log;
+use slatelink_admission::{Lease, Side};
+use slatelink_policy::{ClassId, Name, Settings};
+use slatelink_telemetry::Log;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::future::Future;
--- a/crates/node/src/table.rs
+++ b/crates/node/src/table.rs
@@ -8,7 +8,7 @@
 pub use reporting_socket::ReportingSocket;
 pub use socket::MAX_READ_AHEAD;
 
-use slatelink_front::{
+use slatelink_admission::{
     Budget, Cause, ConnectionId, ConnectionLimits, ConnectionStats, ConnectionTable, Lease, Short,
     Side,
 };
--- a/crates/node/src/table/place.rs
+++ b/crates/node/src/table/place.rs
@@ -3,7 +3,7 @@
 use super::socket::Socket;
 use super::Table;
 use bytes::{Bytes, BytesMut};
-use slatelink_front::{ConnectionId, Directive, Phase};
+use slatelink_admission::{ConnectionId, Directive, Phase};
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::rc::Rc;
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -8,7 +8,7 @@
 use hyper::header::{HeaderName, HeaderValue, HOST};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use slatelink_decide::{LoadReport, Note, Status};
+use slatelink_policy::{LoadReport, Note, Status};
 use slatelink_wire::read_load;
 use std::net::SocketAddr;
 use tokio::time::Instant;
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -120,7 +120,7 @@
         };
         let (sender, driving) = http1::Builder::new().handshake(watched).await.unwrap();
         let task = tokio::task::spawn_local(async move { drop(driving.await) }).abort_handle();
-        let share = slatelink_front::Share { floor: 0, most: 1 };
+        let share = slatelink_admission::Share { floor: 0, most: 1 };
         let budget = Budget::new(1, [share; 3], 0).unwrap();
         let _lease = budget.lease(Side::Servers).unwrap();
         let connection = Connection {
--- a/crates/decide/examples/decision_cost.rs
+++ b/crates/policy/examples/decision_cost.rs
@@ -2,7 +2,7 @@
 //! list and for a list of one change, and resident memory.
 //!
 //! ```sh
-//! cargo run --release -p slatelink-decide --example decision_cost > docs/capacity/decision-cost.json
+//! cargo run --release -p slatelink-policy --example decision_cost > docs/capacity/decision-cost.json
 //! ```
 //!
 //! Prints one JSON object with a row for each number of servers, and for each figure a least-squares fit in that
@@ -12,7 +12,7 @@
 //! after `BATCHES` batches of about `BATCH_TIME`, or of one operation where that takes longer, and begins none after
 //! `CASE_TIME`. Fits take the least batch: what else the machine does can only add to it.
 
-use slatelink_decide::{
+use slatelink_policy::{
     Action, Balancer, Class, ClassId, Effect, Event, LoadReport, Outcome, Request, RequestId,
     Scope, ServerEntry, ServerId, ServerList, Settings, Status, Timestamp,
 };
--- a/crates/decide/tests/aside.rs
+++ b/crates/policy/tests/aside.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use slatelink_decide::*;
+use slatelink_policy::*;
 
 fn node() -> Node {
     let (settings, origin) = aside();
--- a/crates/decide/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use slatelink_decide::*;
+use slatelink_policy::*;
 
 /// Two servers and a key of the first of them.
 fn pair() -> (Node, ServerId) {
--- a/crates/decide/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use slatelink_decide::*;
+use slatelink_policy::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/decide/tests/common/events.rs
+++ b/crates/policy/tests/common/events.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
-use slatelink_decide::{Note, Status};
+use slatelink_policy::{Note, Status};
 
 /// Cache servers that discovery may name.
 pub const SERVERS: usize = 5;
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A node around a `Balancer`: it carries the actions out on paper and checks the rules from outside.
 #![allow(dead_code)]
 
-use slatelink_decide::*;
+use slatelink_policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/decide/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use slatelink_decide::*;
+use slatelink_policy::*;
 
 /// `nodes` nodes that know servers a, b, c and so on.
 fn fleet(nodes: u32, servers: u8) -> Vec<Node> {
--- a/crates/decide/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use slatelink_decide::*;
+use slatelink_policy::*;
 
 #[test]
 fn retries_stop_when_their_budget_is_spent() {
--- a/crates/decide/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -4,7 +4,7 @@
 mod events;
 
 use events::{check, Change, Step, SERVERS};
-use slatelink_decide::*;
+use slatelink_policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/observe/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -10,7 +10,7 @@
 
 use crate::writer::{BoundedSender, Writer};
 use slatelink_config::Listing;
-use slatelink_decide::ServerId;
+use slatelink_policy::ServerId;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::Write;
--- a/crates/observe/src/figures/line.rs
+++ b/crates/telemetry/src/figures/line.rs
@@ -2,7 +2,7 @@
 
 use super::{Figures, State};
 use slatelink_config::operators::Format;
-use slatelink_decide::Status;
+use slatelink_policy::Status;
 use std::borrow::Cow;
 use std::fmt::Write as _;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/crates/observe/src/hotlist.rs
+++ b/crates/telemetry/src/hotlist.rs
@@ -2,7 +2,7 @@
 //! the entry with the least count gives way, and its successor goes on from that count.
 
 use crate::writer::{BoundedSender, Writer};
-use slatelink_decide::{ClassId, Name};
+use slatelink_policy::{ClassId, Name};
 use std::cell::RefCell;
 use std::fs::File;
 use std::hash::{DefaultHasher, Hasher};
--- a/crates/observe/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -16,7 +16,7 @@
 use hotlist::HotList;
 use slatelink_config::operators::{Settings, Source};
 use slatelink_config::{digest, Listing};
-use slatelink_decide::{ClassId, Name, ServerId, Status};
+use slatelink_policy::{ClassId, Name, ServerId, Status};
 use std::io;
 use std::path::Path;
 use std::rc::Rc;
@@ -67,7 +67,7 @@
     fn learned(&self, _listing: &Listing) {}
 
     /// What the table of clients' connections is like; each second.
-    fn connections(&self, _table: &slatelink_front::ConnectionStats) {}
+    fn connections(&self, _table: &slatelink_admission::ConnectionStats) {}
 
     /// A line of the decision module's.
     fn said(&self, _text: &str) {}
@@ -238,7 +238,7 @@
         }
     }
 
-    fn connections(&self, table: &slatelink_front::ConnectionStats) {
+    fn connections(&self, table: &slatelink_admission::ConnectionStats) {
         self.log.turn();
         if let Some(figures) = &self.figures {
             figures.connections(table);
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,7 +4,7 @@
 //! output.
 #![warn(missing_docs)]
 
-use slatelink_decide::*;
+use slatelink_policy::*;
 use std::collections::HashMap;
 use std::fmt::{self, Write};
 use std::str::FromStr;
--- a/crates/wire/src/main.rs
+++ b/crates/wire/src/main.rs
@@ -1,6 +1,6 @@
 //! Hosts balancers on the simulator's wire: one isolated `Balancer` per instance, lines in, lines out.
 
-use slatelink_decide::{Action, Balancer, Event, Timestamp};
+use slatelink_policy::{Action, Balancer, Event, Timestamp};
 use slatelink_wire::{end_reply, write_action, write_fault, Input, Parser};
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Write};
@@ -11,7 +11,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("slatelink-wirehost: {error}");
+            eprintln!("slatelink-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The wire: lines in and out, and the host around it.
 
-use slatelink_decide::*;
+use slatelink_policy::*;
 use slatelink_wire::{write_action, Input, Parser};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -250,7 +250,7 @@
 }
 
 fn host(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_slatelink-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_slatelink-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
