--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -47,7 +47,7 @@
 fn does(status: Status) -> Does {
     match status {
         Status::Failed => Does::Answer(answer("500 No", "", "")),
-        Status::QueueFull => Does::Answer(answer("503 Full", "Srv-Declined: 1\r\n", "")),
+        Status::Rejected => Does::Answer(answer("503 Full", "Srv-Declined: 1\r\n", "")),
         Status::Reset | Status::ConnectError => Does::Close(String::new()),
         Status::TimedOut => Does::Nothing,
         _ => Does::Answer(answer("200 OK", "", "value")),
@@ -234,7 +234,7 @@
                 got.took
             );
             let tries = tries.get(id.as_str()).map_or(&[][..], Vec::as_slice);
-            let declined = |status: &Status| *status == Status::QueueFull;
+            let declined = |status: &Status| *status == Status::Rejected;
             // Resends only as the class allows.
             let again = tries.len().max(1) - 1;
             assert!(
--- a/crates/config/src/listing.rs
+++ b/crates/config/src/listing.rs
@@ -1,7 +1,7 @@
 //! The list of cache servers in discovery's form.
 
 use serde::Deserialize;
-use slatelink_policy::{Availability, ServerEntry, Timestamp};
+use slatelink_policy::{Availability, Endpoint, Timestamp};
 use std::net::SocketAddr;
 
 /// Discovery's word for a server that finishes its work and wants no more.
@@ -57,7 +57,7 @@
     pub fn availability(&self) -> Availability {
         match self.health.as_str() {
             "ready" => Availability::Ready,
-            "gone" => Availability::Gone,
+            "gone" => Availability::Removed,
             // Draining, or a state that this version does not know: keep away from that server.
             _ => Availability::Draining,
         }
@@ -69,9 +69,9 @@
     }
 
     /// The entry as the module knows it.
-    pub fn entry(&self) -> ServerEntry {
+    pub fn entry(&self) -> Endpoint {
         let started = self.started_ms();
-        ServerEntry {
+        Endpoint {
             id: self.host.as_str().into(),
             zone: self.site.as_deref().map(Into::into),
             kind: self.class.as_deref().map(Into::into),
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -63,7 +63,7 @@
 ) -> (ControlOptions, watch::Sender<SocketAddr>) {
     let (moves, address) = watch::channel(discovery);
     let settings = Settings {
-        must_follow: true,
+        polls_discovery: true,
         classes: vec![Class::default()],
         ..Settings::default()
     };
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -8,8 +8,8 @@
 use crate::driver::Input;
 use slatelink_config::Listing;
 use slatelink_policy::{
-    Action, Balancer, ClassId, Event, LoadReport, Outcome, Request, RequestId, ServerEntry,
-    ServerId, ServerList, Settings, Status,
+    Action, Balancer, ClassId, Endpoint, EndpointId, EndpointUpdate, Event, LoadReport, Outcome,
+    Request, RequestId, Settings, Status,
 };
 use slatelink_telemetry::Log;
 use std::collections::BTreeSet;
@@ -71,9 +71,9 @@
     let client = Discovery {
         address: discovery,
         seq: None,
-        pushed: !settings.must_follow,
-        stop_sending_within: settings.stop_sending_within,
-        ask_within: settings.ask_within,
+        pushed: !settings.polls_discovery,
+        drain_grace: settings.drain_grace,
+        max_poll_interval: settings.max_poll_interval,
         random: random.fork(),
         events,
         log,
@@ -107,7 +107,8 @@
 
 impl ControlDriver {
     async fn run(mut self, mut inputs: UnboundedReceiver<Input>) {
-        self.decisions.push(Event::Restored(Arc::from([])));
+        self.decisions
+            .push(Event::LastKnownEndpoints(Arc::from([])));
         self.handle_due();
         loop {
             let (wake, request) = (self.wakes.first().copied(), self.requests.next);
@@ -126,7 +127,8 @@
         match input {
             Input::Listing(listing) => self.learn(&listing),
             Input::ListingFailed => {
-                self.decisions.push(Event::Servers(ServerList::Unavailable));
+                self.decisions
+                    .push(Event::Endpoints(EndpointUpdate::Unavailable));
                 self.handle_due();
                 self.observer.discovery_failed();
             }
@@ -136,7 +138,7 @@
     }
 
     fn learn(&mut self, listing: &Listing) {
-        let entries: Arc<[ServerEntry]> = listing.hosts.iter().map(|host| host.entry()).collect();
+        let entries: Arc<[Endpoint]> = listing.hosts.iter().map(|host| host.entry()).collect();
         self.decisions.push_list(entries, listing.whole);
         self.handle_due();
         self.observer.in_force(listing.seq, listing.whole);
@@ -187,24 +189,26 @@
             Action::Wake { after } => {
                 self.wakes.insert(Instant::now() + after);
             }
-            Action::Follow => self.follow.notify_one(),
+            Action::PollDiscovery => self.follow.notify_one(),
             // There are no clients to answer and no connections to close.
-            Action::Refuse { .. } | Action::Fail { .. } | Action::Close { .. } | Action::Log(_) => {
-            }
+            Action::Shed { .. }
+            | Action::Fail { .. }
+            | Action::CloseIdleConnections { .. }
+            | Action::Log(_) => {}
         }
     }
 }
 
 /// The end of a request's first attempt, served: there is no second one.
-fn served(id: RequestId, server: ServerId) -> Event {
-    Event::Outcome(Outcome {
+fn served(id: RequestId, server: EndpointId) -> Event {
+    Event::AttemptEnded(Outcome {
         id,
         attempt: 0,
         server,
         status: Status::Ok,
-        note: None,
-        took: SERVICE_TIME,
-        finished: true,
+        cache_result: None,
+        latency: SERVICE_TIME,
+        answered: true,
         load: LoadReport::default(),
     })
 }
--- a/crates/node/src/decisions.rs
+++ b/crates/node/src/decisions.rs
@@ -1,6 +1,6 @@
 //! The decision module with what feeds it: the clock that its times are told in, and the events that wait for it.
 
-use slatelink_policy::{Action, Balancer, Event, ServerEntry, ServerList, Timestamp};
+use slatelink_policy::{Action, Balancer, Endpoint, EndpointUpdate, Event, Timestamp};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -58,13 +58,13 @@
     }
 
     /// The same for a list of servers.
-    pub fn push_list(&mut self, entries: Arc<[ServerEntry]>, whole: bool) {
+    pub fn push_list(&mut self, entries: Arc<[Endpoint]>, whole: bool) {
         let list = if whole {
-            ServerList::Full(entries)
+            EndpointUpdate::Snapshot(entries)
         } else {
-            ServerList::Changes(entries)
+            EndpointUpdate::Delta(entries)
         };
-        self.push(Event::Servers(list));
+        self.push(Event::Endpoints(list));
     }
 
     /// Has the module handle the event that has waited for longest, and appends what it wants done. `false` where none
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -33,9 +33,9 @@
     /// Whether changes come unprompted: a watch is open all the time then, and the module says nothing of it.
     pub pushed: bool,
     /// Nothing is sent to a server later than this after its departure was told.
-    pub stop_sending_within: Duration,
+    pub drain_grace: Duration,
     /// A node that has not called for so long counts as told.
-    pub ask_within: Duration,
+    pub max_poll_interval: Duration,
     pub random: fastrand::Rng,
     pub events: UnboundedSender<Input>,
     pub log: Log,
@@ -65,8 +65,8 @@
 struct Client {
     seq: Option<u64>,
     pushed: bool,
-    stop_sending_within: Duration,
-    ask_within: Duration,
+    drain_grace: Duration,
+    max_poll_interval: Duration,
     random: fastrand::Rng,
     events: UnboundedSender<Input>,
     log: Log,
@@ -88,8 +88,8 @@
         let Discovery {
             seq,
             pushed,
-            stop_sending_within,
-            ask_within,
+            drain_grace,
+            max_poll_interval,
             random,
             events,
             log,
@@ -98,8 +98,8 @@
         Self {
             seq,
             pushed,
-            stop_sending_within,
-            ask_within,
+            drain_grace,
+            max_poll_interval,
             random,
             events,
             log,
@@ -168,7 +168,7 @@
     fn pause_after(&mut self, error: &CallError, unsure: bool, new_there: bool) -> Duration {
         let pause = match error {
             _ if self.pushed && !unsure => Duration::ZERO,
-            _ if self.pushed => self.stop_sending_within.mul_f64(PUSHED_AGAIN_PART),
+            _ if self.pushed => self.drain_grace.mul_f64(PUSHED_AGAIN_PART),
             CallError::Overdue => Duration::ZERO,
             _ if new_there => MOVED_AGAIN,
             _ if self.failed_late => LATE_PAUSE,
--- a/crates/node/src/discovery/departures.rs
+++ b/crates/node/src/discovery/departures.rs
@@ -56,7 +56,7 @@
                     started: host.started_ms(),
                     announced: now,
                 };
-                self.note(host.id(), departure);
+                self.record(host.id(), departure);
                 continue;
             }
             let Some(departure) = self.servers.get(host.id()) else {
@@ -106,7 +106,7 @@
         } else if let Some(listed) = &mut self.listed {
             for host in &listing.hosts {
                 match host.availability() {
-                    Availability::Gone => drop(listed.remove(host.id())),
+                    Availability::Removed => drop(listed.remove(host.id())),
                     _ => drop(listed.insert(host.id().to_owned())),
                 }
             }
@@ -114,7 +114,7 @@
         true
     }
 
-    fn note(&mut self, server: &str, departure: Departure) {
+    fn record(&mut self, server: &str, departure: Departure) {
         match self.servers.get_mut(server) {
             // An older list that repeats it takes nothing from the newer one's weight.
             Some(known) if known.source == departure.source => {
--- a/crates/node/src/discovery/leaving_tests.rs
+++ b/crates/node/src/discovery/leaving_tests.rs
@@ -314,7 +314,7 @@
 // which counts as told once it has neither watched nor asked for the settings' time.
 #[test]
 fn a_first_call_that_is_swallowed_is_followed_before_the_settings_time_is_over() {
-    let within = Settings::default().ask_within;
+    let within = Settings::default().max_poll_interval;
     let took = (0..3).map(|seed| after(0, "-", seed)).max().unwrap();
     assert!(took < within, "{took:?} of {within:?}");
 }
@@ -467,16 +467,16 @@
     let (addresses, address) = watch::channel(address);
     let random = fastrand::Rng::with_seed(seed);
     let Settings {
-        stop_sending_within,
-        ask_within,
+        drain_grace,
+        max_poll_interval,
         ..
     } = Settings::default();
     let watching = Discovery {
         address,
         seq: Some(1),
         pushed: false,
-        stop_sending_within,
-        ask_within,
+        drain_grace,
+        max_poll_interval,
         random,
         events,
         log: log.clone(),
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -121,7 +121,7 @@
         address,
         seed,
         &Settings {
-            must_follow: !pushed,
+            polls_discovery: !pushed,
             ..Settings::default()
         },
         log,
@@ -145,18 +145,18 @@
     let kept = addresses.clone();
     let random = fastrand::Rng::with_seed(seed);
     let &Settings {
-        stop_sending_within,
-        ask_within,
-        must_follow,
+        drain_grace,
+        max_poll_interval,
+        polls_discovery,
         ..
     } = settings;
-    let (log, seq, pushed) = (log.clone(), Some(1), !must_follow);
+    let (log, seq, pushed) = (log.clone(), Some(1), !polls_discovery);
     let watching = Discovery {
         address,
         seq,
         pushed,
-        stop_sending_within,
-        ask_within,
+        drain_grace,
+        max_poll_interval,
         random,
         events,
         log,
@@ -324,11 +324,7 @@
             "{pauses:?}"
         );
         assert!(
-            pauses[4]
-                >= Settings::default()
-                    .stop_sending_within
-                    .mul_f64(PUSHED_AGAIN_PART)
-                    / 2,
+            pauses[4] >= Settings::default().drain_grace.mul_f64(PUSHED_AGAIN_PART) / 2,
             "an agent that fails is not asked without end: {pauses:?}"
         );
     });
@@ -344,8 +340,8 @@
             let pauses = play(async |log| {
                 let (address, calls) = stand_in(|_, _| Reply::Reset).await;
                 let settings = Settings {
-                    must_follow: false,
-                    stop_sending_within: grace,
+                    polls_discovery: false,
+                    drain_grace: grace,
                     ..Settings::default()
                 };
                 let _client = client_with(address, seed, &settings, &log);
--- a/crates/node/src/discovery/watching.rs
+++ b/crates/node/src/discovery/watching.rs
@@ -266,6 +266,6 @@
         }
         let Range { start, end } = FIRST_RENEWAL_PART;
         let part = start + (end - start) * self.random.f64();
-        self.ask_within.mul_f64(part).min(RENEW)
+        self.max_poll_interval.mul_f64(part).min(RENEW)
     }
 }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -7,8 +7,8 @@
 use hyper::StatusCode;
 use slatelink_config::Listing;
 use slatelink_policy::{
-    Action, Availability, Balancer, ClassId, Event, Outcome, Request, RequestId, ServerEntry,
-    ServerId, ServerList,
+    Action, Availability, Balancer, ClassId, Endpoint, EndpointId, EndpointUpdate, Event, Outcome,
+    Request, RequestId,
 };
 use slatelink_telemetry::{End, Observer};
 use std::cell::Cell;
@@ -39,7 +39,7 @@
     pub key: Option<u64>,
     pub expected_work: Option<Duration>,
     pub write: bool,
-    pub over_share: bool,
+    pub over_quota: bool,
     pub message: Message,
     pub answer: oneshot::Sender<Answer>,
 }
@@ -95,7 +95,7 @@
 
 impl Open {
     /// Who was tried last.
-    fn last(&self) -> Option<&ServerId> {
+    fn last(&self) -> Option<&EndpointId> {
         self.attempts.last().map(|sent| &sent.server)
     }
 
@@ -107,7 +107,7 @@
 }
 
 struct Sent {
-    server: ServerId,
+    server: EndpointId,
     at: Instant,
     /// Its end is not known yet.
     out: bool,
@@ -171,7 +171,7 @@
             whole: true,
             ..known
         });
-        self.decisions.push(Event::Restored(entries));
+        self.decisions.push(Event::LastKnownEndpoints(entries));
         self.handle_due();
         loop {
             let next = self.timers.first().map(|(at, _)| *at);
@@ -206,7 +206,7 @@
                     drop(open.close());
                     self.observer
                         .answered(open.class, open.last(), open.at.elapsed(), End::Left);
-                    self.decisions.push(Event::Abandoned(id.clone()));
+                    self.decisions.push(Event::RequestCanceled(id.clone()));
                     self.tidy(&id);
                 }
             }
@@ -219,23 +219,24 @@
             Input::ListingFailed => {
                 self.awaits = self.awaits.filter(|until| Instant::now() < *until);
                 self.be_ready();
-                self.decisions.push(Event::Servers(ServerList::Unavailable));
+                self.decisions
+                    .push(Event::Endpoints(EndpointUpdate::Unavailable));
             }
         }
     }
 
     /// Hands a list to the connections and gives its entries back as the module's. It goes to both in one
     /// step, so that no attempt of the module's can overtake it.
-    fn learn(&mut self, listing: &Listing) -> Arc<[ServerEntry]> {
+    fn learn(&mut self, listing: &Listing) -> Arc<[Endpoint]> {
         self.observer.learned(listing);
-        let entries: Arc<[ServerEntry]> = listing.hosts.iter().map(|host| host.entry()).collect();
+        let entries: Arc<[Endpoint]> = listing.hosts.iter().map(|host| host.entry()).collect();
         if listing.whole {
             self.upstream
                 .retain(|id| entries.iter().any(|entry| entry.id == *id));
         }
         for (host, entry) in listing.hosts.iter().zip(entries.iter()) {
             match entry.availability {
-                Availability::Gone => self.upstream.forget(&entry.id),
+                Availability::Removed => self.upstream.forget(&entry.id),
                 _ => self.upstream.learn(entry, host.dial()),
             }
         }
@@ -274,10 +275,10 @@
             id,
             class: Some(taken.class),
             key: taken.key,
-            valid_until: self.decisions.at(until),
+            deadline: self.decisions.at(until),
             expected_work: taken.expected_work,
             write: taken.write,
-            over_share: taken.over_share,
+            over_quota: taken.over_quota,
         }));
     }
 
@@ -294,19 +295,22 @@
         if let Some(body) = ended.body {
             reply(&*self.observer, open, Some(&server), Answer::Served(body));
         }
-        let finished = open.answer.is_none();
+        let answered = open.answer.is_none();
         let Ended {
-            status, note, load, ..
+            status,
+            cache_result,
+            load,
+            ..
         } = ended;
         self.tidy(&id);
-        self.decisions.push(Event::Outcome(Outcome {
+        self.decisions.push(Event::AttemptEnded(Outcome {
             id,
             attempt,
             server,
             status,
-            note,
-            took,
-            finished,
+            cache_result,
+            latency: took,
+            answered,
             load,
         }));
     }
@@ -343,7 +347,7 @@
         let last = open.last().cloned();
         reply(&*self.observer, open, last.as_ref(), Answer::Failed);
         self.tidy(&id);
-        self.decisions.push(Event::Abandoned(id));
+        self.decisions.push(Event::RequestCanceled(id));
     }
 
     fn handle_due(&mut self) {
@@ -365,18 +369,24 @@
             } => {
                 self.send(id, server, timeout, begin_within);
             }
-            Action::Refuse { id, retry_after } => self.finish(&id, Answer::Refused { retry_after }),
+            Action::Shed { id, retry_after } => self.finish(&id, Answer::Refused { retry_after }),
             Action::Fail { id } => self.finish(&id, Answer::Failed),
             Action::Wake { after } => {
                 self.timers.insert((Instant::now() + after, Timer::Wake));
             }
-            Action::Close { server } => self.upstream.close_idle(&server),
-            Action::Follow => self.follow.notify_one(),
+            Action::CloseIdleConnections { server } => self.upstream.close_idle(&server),
+            Action::PollDiscovery => self.follow.notify_one(),
             Action::Log(text) => self.observer.said(&text),
         }
     }
 
-    fn send(&mut self, id: RequestId, server: ServerId, timeout: Duration, begin_within: Duration) {
+    fn send(
+        &mut self,
+        id: RequestId,
+        server: EndpointId,
+        timeout: Duration,
+        begin_within: Duration,
+    ) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
@@ -411,7 +421,7 @@
     }
 }
 
-fn reply(observer: &dyn Observer, open: &mut Open, host: Option<&ServerId>, answer: Answer) {
+fn reply(observer: &dyn Observer, open: &mut Open, host: Option<&EndpointId>, answer: Answer) {
     if let Some(sender) = open.close() {
         let end = match &answer {
             Answer::Served(_) => End::Served,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -137,7 +137,7 @@
     ));
     // Where lists are pushed, what the agent has counts as told from a process's first moment: it is asked for at
     // once, and the node is ready when it has that. Elsewhere a whole list has a price, and the node holds its own.
-    let pushed = !settings.must_follow;
+    let pushed = !settings.polls_discovery;
     let seq = (!known.hosts.is_empty() && !pushed).then_some(known.seq);
     let random = fastrand::Rng::with_seed(seed);
     let (addresses, address) = watch::channel(discovery);
@@ -145,8 +145,8 @@
         address,
         seq,
         pushed,
-        stop_sending_within: settings.stop_sending_within,
-        ask_within: settings.ask_within,
+        drain_grace: settings.drain_grace,
+        max_poll_interval: settings.max_poll_interval,
         random,
         events: heard,
         log: log.clone(),
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -316,7 +316,7 @@
         .open
         .enter(asked.id)
         .ok_or_else(|| plain(StatusCode::CONFLICT, "Req-Id is open already"))?;
-    asked.terms.over_share = place.on_request(asked.terms.class.0) || !fits;
+    asked.terms.over_quota = place.on_request(asked.terms.class.0) || !fits;
     let message = Message {
         method: head.method,
         target,
@@ -359,7 +359,7 @@
     pub class: ClassId,
     pub expected_work: Option<Duration>,
     /// Its class, or all requests, hold all of what they may already.
-    pub over_share: bool,
+    pub over_quota: bool,
 }
 
 fn read_head(front: &Front, headers: &HeaderMap) -> Result<Asked, &'static str> {
@@ -399,7 +399,7 @@
         patience: Duration::from_millis(patience.into()).min(front.classes[class].1),
         class: ClassId(class),
         expected_work: cost.map(|us| Duration::from_micros(us.into())),
-        over_share: false,
+        over_quota: false,
     })
 }
 
@@ -452,7 +452,7 @@
         key: Some(key),
         expected_work: terms.expected_work,
         write: message.method == Method::PUT,
-        over_share: terms.over_share,
+        over_quota: terms.over_quota,
         message,
         answer: sender,
     };
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -17,7 +17,7 @@
 use peer::{Connection, Peer};
 use slatelink_admission::{Budget, Lease, Short, Side};
 use slatelink_config::Listing;
-use slatelink_policy::{Availability, ServerEntry, ServerId, Status};
+use slatelink_policy::{Availability, Endpoint, EndpointId, Status};
 use socket::{SendPermit, WatchedSocket, WriteProgress};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -56,7 +56,7 @@
 
 /// All cache servers, by id.
 pub struct Upstream {
-    peers: RefCell<HashMap<ServerId, Rc<Peer>>>,
+    peers: RefCell<HashMap<EndpointId, Rc<Peer>>>,
     budget: Budget,
     /// Its connections share the budget.
     clients: Rc<Table>,
@@ -82,7 +82,7 @@
     }
 
     /// Takes in what discovery says of a server.
-    pub fn learn(&self, entry: &ServerEntry, dial: Option<SocketAddr>) {
+    pub fn learn(&self, entry: &Endpoint, dial: Option<SocketAddr>) {
         let accepts_requests = entry.availability == Availability::Ready;
         let mut peers = self.peers.borrow_mut();
         if let Some(peer) = peers.get(&entry.id) {
@@ -122,14 +122,14 @@
             .hosts
             .iter()
             .filter(|host| host.availability() != Availability::Ready);
-        for peer in leaving.filter_map(|host| peers.get(&ServerId::from(host.id()))) {
+        for peer in leaving.filter_map(|host| peers.get(&EndpointId::from(host.id()))) {
             peer.accepts_requests.set(false);
             peer.idle.borrow_mut().clear();
         }
     }
 
     /// Forgets a server that is gone. An attempt on its way there sees that it takes no work any more.
-    pub fn forget(&self, server: &ServerId) {
+    pub fn forget(&self, server: &EndpointId) {
         if let Some(peer) = self.peers.borrow_mut().remove(server) {
             peer.accepts_requests.set(false);
             peer.idle.borrow_mut().clear();
@@ -137,7 +137,7 @@
     }
 
     /// Forgets all servers but those that `keep` names: a whole list lacks the others.
-    pub fn retain(&self, keep: impl Fn(&ServerId) -> bool) {
+    pub fn retain(&self, keep: impl Fn(&EndpointId) -> bool) {
         let left: Vec<_> = self
             .peers
             .borrow()
@@ -149,7 +149,7 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn close_idle(&self, server: &ServerId) {
+    pub fn close_idle(&self, server: &EndpointId) {
         if let Some(peer) = self.peers.borrow().get(server) {
             peer.idle.borrow_mut().clear();
         }
@@ -171,7 +171,7 @@
     }
 
     /// One attempt, until its answer is whole, its connection breaks or its time is up.
-    pub async fn attempt(&self, server: &ServerId, message: &Message, bounds: Bounds) -> Ended {
+    pub async fn attempt(&self, server: &EndpointId, message: &Message, bounds: Bounds) -> Ended {
         let Bounds {
             begin_by,
             until,
@@ -184,7 +184,7 @@
         loop {
             // A request may be over before its attempt has its first turn.
             if over.get() {
-                return Ended::without_answer(Status::Ignored);
+                return Ended::without_answer(Status::NotSent);
             }
             if !peer.accepts_requests.get() {
                 return Ended::without_answer(Status::ConnectError);
@@ -193,7 +193,7 @@
                 Ok(Ok(connection)) => connection,
                 // The node's own want says nothing of the server.
                 Ok(Err(error)) if own_fault(&error) => {
-                    return Ended::without_answer(Status::Ignored)
+                    return Ended::without_answer(Status::NotSent)
                 }
                 _ => return Ended::without_answer(Status::ConnectError),
             };
@@ -208,7 +208,7 @@
             // once servers no longer know it for one; time may have passed since the connection came up.
             if over.get() || Instant::now() >= begin_by {
                 let status = if over.get() {
-                    Status::Ignored
+                    Status::NotSent
                 } else {
                     Status::ConnectError
                 };
@@ -236,7 +236,7 @@
             if begun.get() {
                 // On a new one idleness is no cause: what breaks there shows how often others do.
                 let idle = if reused.get() { idle } else { Duration::ZERO };
-                self.idle_history.borrow_mut().note(
+                self.idle_history.borrow_mut().record(
                     idle,
                     matches!(answer, Ok(Err(_))),
                     Instant::now(),
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -8,7 +8,7 @@
 use hyper::header::{HeaderName, HeaderValue, HOST};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use slatelink_policy::{LoadReport, Note, Status};
+use slatelink_policy::{CacheResult, LoadReport, Status};
 use slatelink_wire::read_load;
 use std::net::SocketAddr;
 use tokio::time::Instant;
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub struct Ended {
     pub status: Status,
-    pub note: Option<Note>,
+    pub cache_result: Option<CacheResult>,
     pub load: LoadReport,
     /// The body of a 200 answer, whole.
     pub body: Option<Bytes>,
@@ -47,7 +47,7 @@
     pub fn without_answer(status: Status) -> Self {
         Self {
             status,
-            note: None,
+            cache_result: None,
             load: LoadReport::default(),
             body: None,
         }
@@ -85,9 +85,9 @@
             .get(name)
             .and_then(|value| value.to_str().ok())
     };
-    let note = match text(&CACHE) {
-        Some("hit") => Some(Note::Hit),
-        Some("miss") => Some(Note::Miss),
+    let cache_result = match text(&CACHE) {
+        Some("hit") => Some(CacheResult::Hit),
+        Some("miss") => Some(CacheResult::Miss),
         _ => None,
     };
     let load = text(&LOAD).map_or_else(LoadReport::default, |text| read_load(text, '='));
@@ -96,7 +96,7 @@
         return Ok((
             Ended {
                 status: Status::Failed,
-                note,
+                cache_result,
                 load,
                 body: None,
             },
@@ -112,7 +112,7 @@
             Ok((
                 Ended {
                     status,
-                    note,
+                    cache_result,
                     load,
                     body,
                 },
@@ -125,7 +125,7 @@
             Err(_) => Ok((
                 Ended {
                     status: Status::Failed,
-                    note,
+                    cache_result,
                     load,
                     body: None,
                 },
@@ -143,7 +143,7 @@
     match response.status() {
         StatusCode::OK => Status::Ok,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
-            Status::QueueFull
+            Status::Rejected
         }
         _ => Status::Failed,
     }
--- a/crates/node/src/upstream/idle_history.rs
+++ b/crates/node/src/upstream/idle_history.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    pub(super) fn note(&mut self, idle: Duration, dropped: bool, now: Instant) {
+    pub(super) fn record(&mut self, idle: Duration, dropped: bool, now: Instant) {
         if now - self.since >= HISTORY_LIFETIME {
             *self = Self::new(self.stated, now);
         }
--- a/crates/node/src/upstream/socket.rs
+++ b/crates/node/src/upstream/socket.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    fn note(&self, wrote: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn record(&self, wrote: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if matches!(wrote, Poll::Ready(Ok(n)) if n > 0) {
             self.progress.begun.set(true);
             // It would keep the server's record alive, which keeps this connection.
@@ -110,7 +110,7 @@
     ) -> Poll<io::Result<usize>> {
         self.check()?;
         let wrote = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note(wrote)
+        self.record(wrote)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -136,6 +136,6 @@
     ) -> Poll<io::Result<usize>> {
         self.check()?;
         let wrote = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note(wrote)
+        self.record(wrote)
     }
 }
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -9,7 +9,7 @@
 
 /// Requests on connections that had stood idle for so many milliseconds, of which so many were lost.
 fn notes(idle_history: &mut IdleHistory, idle: u64, all: u32, lost: u32, now: Instant) {
-    (0..all).for_each(|i| idle_history.note(Duration::from_millis(idle), i < lost, now));
+    (0..all).for_each(|i| idle_history.record(Duration::from_millis(idle), i < lost, now));
 }
 
 // Guards against requests lost on connections that servers have dropped without a word.
--- a/crates/policy/examples/decision_cost.rs
+++ b/crates/policy/examples/decision_cost.rs
@@ -13,8 +13,8 @@
 //! `CASE_TIME`. Fits take the least batch: what else the machine does can only add to it.
 
 use slatelink_policy::{
-    Action, Balancer, Class, ClassId, Effect, Event, LoadReport, Outcome, Request, RequestId,
-    Scope, ServerEntry, ServerId, ServerList, Settings, Status, Timestamp,
+    Action, Balancer, Class, ClassId, DeduplicationScope, Endpoint, EndpointId, EndpointUpdate,
+    Event, Idempotency, LoadReport, Outcome, Request, RequestId, Settings, Status, Timestamp,
 };
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -184,14 +184,14 @@
 }
 
 /// Requests with their outcomes, all served. `cold` says which servers have just started.
-fn requests(servers: usize, sized: bool, cold: impl Fn(usize) -> bool) -> Cost {
+fn requests(servers: usize, weights_include_speed: bool, cold: impl Fn(usize) -> bool) -> Cost {
     let mut entries = fleet(servers);
     for (_, entry) in entries.iter_mut().enumerate().filter(|(i, _)| cold(*i)) {
         entry.started = Some(START);
     }
     let mut balancer = filled(
         Settings {
-            sized,
+            weights_include_speed,
             ..settings()
         },
         entries,
@@ -217,7 +217,7 @@
         if let Some(server) = sent {
             balancer.handle(
                 now + ANSWER_TIME,
-                Event::Outcome(served(id, server)),
+                Event::AttemptEnded(served(id, server)),
                 &mut actions,
             );
             actions.clear();
@@ -229,13 +229,13 @@
 fn first_lists(servers: usize) -> Cost {
     let mut entries = fleet(servers);
     fastrand::Rng::with_seed(SEED).shuffle(&mut entries);
-    let entries: Arc<[ServerEntry]> = entries.into();
+    let entries: Arc<[Endpoint]> = entries.into();
     let mut actions = Vec::new();
     time(|| {
         let mut balancer = Balancer::new(settings(), SEED);
         balancer.handle(
             START,
-            Event::Servers(ServerList::Full(entries.clone())),
+            Event::Endpoints(EndpointUpdate::Snapshot(entries.clone())),
             &mut actions,
         );
         actions.clear();
@@ -248,12 +248,12 @@
     let mut random = fastrand::Rng::with_seed(SEED);
     let mut entries = fleet(servers);
     random.shuffle(&mut entries);
-    let entries: Arc<[ServerEntry]> = entries.into();
+    let entries: Arc<[Endpoint]> = entries.into();
     let mut actions = Vec::new();
     time(|| {
         balancer.handle(
             START,
-            Event::Servers(ServerList::Full(entries.clone())),
+            Event::Endpoints(EndpointUpdate::Snapshot(entries.clone())),
             &mut actions,
         );
         actions.clear();
@@ -269,13 +269,13 @@
     let mut actions = Vec::new();
     time(|| {
         started = started + Duration::from_micros(1);
-        let changed = ServerEntry {
+        let changed = Endpoint {
             started: Some(started),
             ..entries[random.usize(..servers)].clone()
         };
         balancer.handle(
             START,
-            Event::Servers(ServerList::Changes([changed].into())),
+            Event::Endpoints(EndpointUpdate::Delta([changed].into())),
             &mut actions,
         );
         actions.clear();
@@ -332,57 +332,57 @@
 }
 
 fn settings() -> Settings {
-    let class = |name: &str, effect| Class {
+    let class = |name: &str, idempotency| Class {
         name: name.into(),
-        effect,
+        idempotency,
         ..Class::default()
     };
-    let keyed = Effect::Keyed {
-        scope: Scope::All,
+    let keyed = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window: Duration::from_secs(4),
     };
     Settings {
         nodes: NODES,
         classes: vec![
-            class("read", Effect::Safe),
+            class("read", Idempotency::Idempotent),
             class("set", keyed),
-            class("pay", Effect::Unsafe),
+            class("pay", Idempotency::NonIdempotent),
         ],
-        must_follow: true,
-        warm_within: WARM_WITHIN,
+        polls_discovery: true,
+        slow_start_duration: WARM_WITHIN,
         ..Settings::default()
     }
 }
 
-fn fleet(servers: usize) -> Vec<ServerEntry> {
-    let entry = |i: usize| ServerEntry {
+fn fleet(servers: usize) -> Vec<Endpoint> {
+    let entry = |i: usize| Endpoint {
         zone: Some(format!("zone-{:02}", i % ZONES).as_str().into()),
         kind: Some("cache".into()),
         cell: (i / 8) as u64,
-        ..ServerEntry::new(&format!("s-{i:08x}"))
+        ..Endpoint::new(&format!("s-{i:08x}"))
     };
     (0..servers).map(entry).collect()
 }
 
-fn filled(settings: Settings, entries: Vec<ServerEntry>) -> Balancer {
+fn filled(settings: Settings, entries: Vec<Endpoint>) -> Balancer {
     let mut balancer = Balancer::new(settings, SEED);
     balancer.handle(
         START,
-        Event::Servers(ServerList::Full(entries.into())),
+        Event::Endpoints(EndpointUpdate::Snapshot(entries.into())),
         &mut Vec::new(),
     );
     balancer
 }
 
-fn served(id: RequestId, server: ServerId) -> Outcome {
+fn served(id: RequestId, server: EndpointId) -> Outcome {
     Outcome {
         id,
         attempt: 0,
         server,
         status: Status::Ok,
-        note: None,
-        took: ANSWER_TIME,
-        finished: true,
+        cache_result: None,
+        latency: ANSWER_TIME,
+        answered: true,
         load: LoadReport::default(),
     }
 }
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -30,7 +30,7 @@
 }
 
 name_type!(/// A server, by the name the caller knows it under; cheap to clone.
-    ServerId);
+    EndpointId);
 name_type!(/// A request, by a name that is never used twice; cheap to clone.
     RequestId);
 name_type!(/// Name of a zone, a kind of machine, a class or a tenant; compared, never interpreted.
@@ -71,7 +71,7 @@
 
 /// Which servers discard a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// Any server does.
     All,
     /// Those of the zone the request was first sent to.
@@ -82,18 +82,18 @@
 
 /// What running a request twice would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// No harm.
-    Safe,
+    Idempotent,
     /// No harm within `scope` for `window` from the first send that may have run.
     Keyed {
         /// The servers that discard repeats.
-        scope: Scope,
+        scope: DeduplicationScope,
         /// For how long they do.
         window: Duration,
     },
     /// Harm: it must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of requests.
@@ -102,9 +102,9 @@
     /// Its name.
     pub name: Name,
     /// What a repeat does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// Answers within this time are worth most.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Clients give up for good after this time.
     pub deadline: Duration,
 }
@@ -114,8 +114,8 @@
     fn default() -> Self {
         Self {
             name: "".into(),
-            effect: Effect::Unsafe,
-            aim: Duration::from_millis(500),
+            idempotency: Idempotency::NonIdempotent,
+            latency_objective: Duration::from_millis(500),
             deadline: Duration::from_secs(1),
         }
     }
@@ -125,9 +125,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum CacheMode {
     /// Cache servers fetch them and forward writes.
-    Through,
+    ReadThrough,
     /// The balancer sends misses and writes to the origin: the list entry of this kind.
-    Aside {
+    CacheAside {
         /// Kind of the origin's entry.
         origin_kind: Name,
     },
@@ -145,13 +145,13 @@
     /// Where missing values come from.
     pub mode: CacheMode,
     /// Whether the weights of servers tell their speed, and not just how many cores they have.
-    pub sized: bool,
+    pub weights_include_speed: bool,
     /// Whether the list must be asked for (`Follow`) rather than pushed.
-    pub must_follow: bool,
+    pub polls_discovery: bool,
     /// Without a subscription, a node that has not asked for so long counts as told.
-    pub ask_within: Duration,
+    pub max_poll_interval: Duration,
     /// Nothing is sent to a server later than this after its departure was told.
-    pub stop_sending_within: Duration,
+    pub drain_grace: Duration,
     /// Attempts a request may have.
     pub max_attempts: u32,
     /// Longest stay-away advice a client honours.
@@ -161,13 +161,13 @@
     /// Servers close a connection that has stood idle for this long.
     pub keepalive: Duration,
     /// Share of its capacity that a fresh server has at least.
-    pub cold_share: f64,
+    pub slow_start_min_capacity: f64,
     /// A fresh server is warm after this time.
-    pub warm_within: Duration,
+    pub slow_start_duration: Duration,
     /// A cold server sent more than this multiple of its present capacity falls over.
-    pub fall_multiple: f64,
+    pub slow_start_overload_factor: f64,
     /// The span over which that is counted.
-    pub fall_span: Duration,
+    pub slow_start_overload_window: Duration,
 }
 
 impl Default for Settings {
@@ -176,19 +176,19 @@
             nodes: 1,
             classes: Vec::new(),
             tenants: Vec::new(),
-            mode: CacheMode::Through,
-            sized: true,
-            must_follow: false,
-            ask_within: Duration::from_secs(10),
-            stop_sending_within: Duration::from_millis(250),
+            mode: CacheMode::ReadThrough,
+            weights_include_speed: true,
+            polls_discovery: false,
+            max_poll_interval: Duration::from_secs(10),
+            drain_grace: Duration::from_millis(250),
             max_attempts: 3,
             max_retry_after: Duration::ZERO,
             connect_timeout: Duration::from_millis(250),
             keepalive: Duration::from_secs(15),
-            cold_share: 0.3,
-            warm_within: Duration::from_secs(10),
-            fall_multiple: 2.0,
-            fall_span: Duration::from_secs(1),
+            slow_start_min_capacity: 0.3,
+            slow_start_duration: Duration::from_secs(10),
+            slow_start_overload_factor: 2.0,
+            slow_start_overload_window: Duration::from_secs(1),
         }
     }
 }
@@ -201,14 +201,14 @@
     /// Finishes its work and must be sent no more.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One server, as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServerEntry {
+pub struct Endpoint {
     /// Its id.
-    pub id: ServerId,
+    pub id: EndpointId,
     /// Its zone.
     pub zone: Option<Name>,
     /// Its kind.
@@ -223,7 +223,7 @@
     pub started: Option<Timestamp>,
 }
 
-impl ServerEntry {
+impl Endpoint {
     /// A ready server of weight 1 that started long ago.
     pub fn new(id: &str) -> Self {
         Self {
@@ -240,11 +240,11 @@
 
 /// Word from discovery.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ServerList {
+pub enum EndpointUpdate {
     /// The complete list: what it lacks is gone.
-    Full(Arc<[ServerEntry]>),
+    Snapshot(Arc<[Endpoint]>),
     /// Entries that changed.
-    Changes(Arc<[ServerEntry]>),
+    Delta(Arc<[Endpoint]>),
     /// A call failed or the subscription broke; the list held stays.
     Unavailable,
 }
@@ -259,26 +259,26 @@
     /// The object it is about.
     pub key: Option<u64>,
     /// When the client gives this try up.
-    pub valid_until: Timestamp,
+    pub deadline: Timestamp,
     /// Rough forecast of its work, as time on a standard core.
     pub expected_work: Option<Duration>,
     /// Whether it changes the object.
     pub write: bool,
     /// Whether its class has more requests open than its share, or there is no memory for it: it is refused.
-    pub over_share: bool,
+    pub over_quota: bool,
 }
 
 impl Request {
-    /// A read of an unnamed class, to be answered before `valid_until`.
-    pub fn new(id: &str, valid_until: Timestamp) -> Self {
+    /// A read of an unnamed class, to be answered before `deadline`.
+    pub fn new(id: &str, deadline: Timestamp) -> Self {
         Self {
             id: id.into(),
             class: None,
             key: None,
-            valid_until,
+            deadline,
             expected_work: None,
             write: false,
-            over_share: false,
+            over_quota: false,
         }
     }
 }
@@ -291,7 +291,7 @@
     /// The server answered with an error; the request may have run.
     Failed,
     /// Turned away unseen; it never ran.
-    QueueFull,
+    Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection; it never ran.
@@ -301,7 +301,7 @@
     /// Cancelled by this node; it may have run.
     Canceled,
     /// Never sent.
-    Ignored,
+    NotSent,
     /// The server holds no value for the key; it never ran.
     Miss,
 }
@@ -311,7 +311,7 @@
     pub const fn never_ran(self) -> bool {
         matches!(
             self,
-            Self::QueueFull | Self::ConnectError | Self::Ignored | Self::Miss
+            Self::Rejected | Self::ConnectError | Self::NotSent | Self::Miss
         )
     }
 }
@@ -322,14 +322,14 @@
     /// Recent service time without waiting.
     pub service_time: Option<Duration>,
     /// How busy its cores are, 0 to 1.
-    pub busy: Option<f64>,
+    pub utilization: Option<f64>,
     /// Requests that wait for a core.
-    pub waiting: Option<f64>,
+    pub queue_length: Option<f64>,
 }
 
 /// What a cache server says of how it came by an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum CacheResult {
     /// It held the value.
     Hit,
     /// It did not.
@@ -344,15 +344,15 @@
     /// Number of the attempt, from 0 in the order of sending.
     pub attempt: u32,
     /// The server.
-    pub server: ServerId,
+    pub server: EndpointId,
     /// How it ended.
     pub status: Status,
     /// Where the answer came from.
-    pub note: Option<Note>,
+    pub cache_result: Option<CacheResult>,
     /// Time since it was sent.
-    pub took: Duration,
+    pub latency: Duration,
     /// The request has its final answer.
-    pub finished: bool,
+    pub answered: bool,
     /// The server's load.
     pub load: LoadReport,
 }
@@ -361,15 +361,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The node starts with the list it held last, possibly stale.
-    Restored(Arc<[ServerEntry]>),
+    LastKnownEndpoints(Arc<[Endpoint]>),
     /// Word from discovery.
-    Servers(ServerList),
+    Endpoints(EndpointUpdate),
     /// A client asks.
     Request(Request),
     /// An attempt ended.
-    Outcome(Outcome),
+    AttemptEnded(Outcome),
     /// The client left; nothing more is owed.
-    Abandoned(RequestId),
+    RequestCanceled(RequestId),
     /// A time asked for with [`Action::Wake`] has come.
     Timer,
 }
@@ -382,7 +382,7 @@
         /// The request.
         id: RequestId,
         /// Where to.
-        server: ServerId,
+        server: EndpointId,
         /// Time-out of the attempt; the client's own end of patience cuts it short.
         timeout: Duration,
         /// A repeat's window may close while its connection is still being made: nothing of it may be written once this
@@ -390,7 +390,7 @@
         begin_within: Duration,
     },
     /// Final answer: not done, and safe to try again.
-    Refuse {
+    Shed {
         /// The request.
         id: RequestId,
         /// How long the client should stay away; zero for no advice.
@@ -407,12 +407,12 @@
         after: Duration,
     },
     /// Close the idle connections to a server.
-    Close {
+    CloseIdleConnections {
         /// Which.
-        server: ServerId,
+        server: EndpointId,
     },
     /// Ask discovery to push changes.
-    Follow,
+    PollDiscovery,
     /// A line for whoever is on call.
     Log(String),
 }
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -191,7 +191,7 @@
 
 #[derive(Debug)]
 struct Server {
-    entry: ServerEntry,
+    entry: Endpoint,
     /// Of all that were ever started or named anew, the how-manieth: what was sent to the one before it tells
     /// nothing of this one, and holds no place at it.
     life: u64,
@@ -224,7 +224,7 @@
 
 #[derive(Debug)]
 struct Attempt {
-    entry: ServerEntry,
+    entry: Endpoint,
     /// Of the server, when it was sent.
     life: u64,
     sent: Timestamp,
@@ -260,7 +260,7 @@
     fn turned_away(&self) -> bool {
         self.attempts
             .last()
-            .is_some_and(|a| a.status == Some(Status::QueueFull))
+            .is_some_and(|a| a.status == Some(Status::Rejected))
     }
 
     fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
@@ -346,7 +346,7 @@
         let usual = settings
             .classes
             .iter()
-            .map(|class| class.aim.as_secs_f64())
+            .map(|class| class.latency_objective.as_secs_f64())
             .collect();
         Self {
             settings,
@@ -385,13 +385,13 @@
         self.ends = self.ends.map(|(all, failed)| (all * faded, failed * faded));
         self.warm.turn(now);
         match event {
-            Event::Restored(list) | Event::Servers(ServerList::Full(list)) => {
+            Event::LastKnownEndpoints(list) | Event::Endpoints(EndpointUpdate::Snapshot(list)) => {
                 self.learn(now, &list, true)
             }
-            Event::Servers(ServerList::Changes(list)) => self.learn(now, &list, false),
-            Event::Servers(ServerList::Unavailable) => {
+            Event::Endpoints(EndpointUpdate::Delta(list)) => self.learn(now, &list, false),
+            Event::Endpoints(EndpointUpdate::Unavailable) => {
                 let spread = 1.0 + FOLLOW_SPREAD * (2.0 * self.draw() - 1.0);
-                let pause = FOLLOW_AGAIN.min(self.settings.ask_within / ASKING_PART);
+                let pause = FOLLOW_AGAIN.min(self.settings.max_poll_interval / ASKING_PART);
                 self.follow_at = Some(now + pause.mul_f64(spread));
             }
             Event::Request(request) => {
@@ -403,22 +403,22 @@
                     arrived: now,
                     done: false,
                 };
-                match held.request.over_share {
+                match held.request.over_quota {
                     true => self.end(now, held, actions),
                     false => self.decide(now, held, actions),
                 }
             }
-            Event::Outcome(outcome) => self.outcome(now, &outcome, actions),
-            Event::Abandoned(id) => self
+            Event::AttemptEnded(outcome) => self.outcome(now, &outcome, actions),
+            Event::RequestCanceled(id) => self
                 .held
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|held| held.done = true),
             Event::Timer => self.armed = None,
         }
-        if self.settings.must_follow && self.follow_at.is_some_and(|at| now >= at) {
+        if self.settings.polls_discovery && self.follow_at.is_some_and(|at| now >= at) {
             self.follow_at = None;
-            actions.push(Action::Follow);
+            actions.push(Action::PollDiscovery);
         }
         while self.due.first().is_some_and(|(at, _)| *at <= now) {
             if let Some(held) = self
@@ -430,7 +430,7 @@
             }
         }
         let due = self.due.first().map(|(at, _)| *at);
-        let follow = self.follow_at.filter(|_| self.settings.must_follow);
+        let follow = self.follow_at.filter(|_| self.settings.polls_discovery);
         let next = due.into_iter().chain(follow).min();
         if let Some(at) = next.filter(|at| self.armed.is_none_or(|armed| *at < armed)) {
             self.armed = Some(at);
@@ -440,7 +440,7 @@
         }
     }
 
-    fn learn(&mut self, now: Timestamp, entries: &[ServerEntry], full: bool) {
+    fn learn(&mut self, now: Timestamp, entries: &[Endpoint], full: bool) {
         if self.kinds.len() > KINDS_KNOWN {
             let servers = &self.servers;
             self.kinds
@@ -462,7 +462,7 @@
                 .servers
                 .binary_search_by(|server| server.entry.id.cmp(&entry.id));
             match place {
-                Ok(i) if entry.availability == Availability::Gone => {
+                Ok(i) if entry.availability == Availability::Removed => {
                     self.servers.remove(i);
                 }
                 Ok(i) => {
@@ -479,7 +479,7 @@
                     }
                     server.entry = entry.clone();
                 }
-                Err(_) if entry.availability == Availability::Gone => {}
+                Err(_) if entry.availability == Availability::Removed => {}
                 Err(i) => {
                     let hash = mix(hash_text(entry.id.as_str()));
                     let (entry, breaker, gap) =
@@ -543,8 +543,8 @@
     ) -> Option<String> {
         let heard = match status {
             Status::TimedOut | Status::ConnectError => Some(false),
-            Status::Ok | Status::Failed | Status::QueueFull | Status::Miss => Some(true),
-            Status::Reset | Status::Canceled | Status::Ignored => None,
+            Status::Ok | Status::Failed | Status::Rejected | Status::Miss => Some(true),
+            Status::Reset | Status::Canceled | Status::NotSent => None,
         };
         let place = self.zone(zone)?;
         let trial = self.zones[place].1.is_half_open();
@@ -586,17 +586,17 @@
         &self.settings.classes[self.class_slot(request)]
     }
 
-    fn is_origin(&self, entry: &ServerEntry) -> bool {
-        let CacheMode::Aside { origin_kind } = &self.settings.mode else {
+    fn is_origin(&self, entry: &Endpoint) -> bool {
+        let CacheMode::CacheAside { origin_kind } = &self.settings.mode else {
             return false;
         };
         entry.kind.as_ref() == Some(origin_kind)
     }
 
-    fn warmth(&self, entry: &ServerEntry, now: Timestamp) -> f64 {
-        let warm = self.settings.warm_within.as_secs_f64().max(1e-6);
+    fn warmth(&self, entry: &Endpoint, now: Timestamp) -> f64 {
+        let warm = self.settings.slow_start_duration.as_secs_f64().max(1e-6);
         let age = entry.started.map_or(warm, |at| now.since(at).as_secs_f64());
-        let cold = self.settings.cold_share;
+        let cold = self.settings.slow_start_min_capacity;
         (cold + (1.0 - cold) * age / warm).min(1.0)
     }
 
@@ -606,7 +606,7 @@
                 .get(&server.entry.kind)
                 .map_or(0.0, |kind| kind.pace)
         };
-        let speed = if self.settings.sized {
+        let speed = if self.settings.weights_include_speed {
             1.0
         } else {
             (-pace()).exp()
@@ -615,7 +615,7 @@
     }
 
     fn slot(&self, now: Timestamp) -> u64 {
-        now.as_micros() / (self.settings.fall_span.as_micros() as u64 / 2).max(1)
+        now.as_micros() / (self.settings.slow_start_overload_window.as_micros() as u64 / 2).max(1)
     }
 
     /// Pushed over by all nodes, a cold server never comes back: each sends its part of what its size
@@ -629,8 +629,10 @@
         let caches = self.servers.iter().filter(|server| self.in_use(server));
         let fleet: f64 = caches.map(|server| self.capacity(server, now)).sum();
         let share = self.capacity(server, now) / fleet;
-        let spans = self.settings.fall_span.as_secs_f64() / RATE_SPAN.as_secs_f64();
-        let part = self.good * spans / 2.0 * share * self.settings.fall_multiple * COLD_PART;
+        let spans =
+            self.settings.slow_start_overload_window.as_secs_f64() / RATE_SPAN.as_secs_f64();
+        let part =
+            self.good * spans / 2.0 * share * self.settings.slow_start_overload_factor * COLD_PART;
         let used = if server.slot == slot { server.used } else { 0 };
         f64::from(used) < (part + unit(mix(self.seed ^ server.hash ^ slot))).floor()
     }
@@ -677,7 +679,7 @@
     /// Whether a read at this server will be fetched from the origin, as far as can be told from what that
     /// server answered here. Other nodes may have warmed the key: some of these are hits.
     fn likely_miss(&self, request: &Request, server: &Server) -> bool {
-        self.settings.mode == CacheMode::Through
+        self.settings.mode == CacheMode::ReadThrough
             && !request.write
             && request
                 .key
@@ -731,7 +733,8 @@
             return self.keep(held);
         };
         attempt.status = Some(outcome.status);
-        let fetched = outcome.note == Some(Note::Miss) && self.settings.mode == CacheMode::Through;
+        let fetched = outcome.cache_result == Some(CacheResult::Miss)
+            && self.settings.mode == CacheMode::ReadThrough;
         // A time-out brings no report. Where answers of late met no queue it was not that server's load (a
         // miss waits for the origin, say): less work and a breaker for that server help nobody, and its keys
         // would be missed elsewhere.
@@ -760,12 +763,12 @@
         let ok = match outcome.status {
             Status::Ok | Status::Miss => Some(true),
             _ if excused => None,
-            Status::Canceled | Status::Ignored => None,
+            Status::Canceled | Status::NotSent => None,
             // A failed fetch is the origin's failure, not the server's: another would ask the same origin.
             _ if fetched || origins => None,
             _ => Some(false),
         };
-        if fetched || outcome.note == Some(Note::Hit) {
+        if fetched || outcome.cache_result == Some(CacheResult::Hit) {
             if self.kept.len() > KEYS_KNOWN {
                 self.kept.clear();
             }
@@ -791,48 +794,51 @@
             .map_or(0.0, |work| work.as_secs_f64());
         let share = (AIM_SHARE * work / self.usual_work.max(1e-9)).clamp(AIM_SHARE, 1.0);
         self.usual_work += (work - self.usual_work) / 100.0;
-        let in_time = outcome.took <= self.class(&held.request).aim.mul_f64(share);
-        let spare = outcome.load.busy.is_some_and(|busy| busy < BUSY);
+        let in_time = outcome.latency <= self.class(&held.request).latency_objective.mul_f64(share);
+        let spare = outcome.load.utilization.is_some_and(|busy| busy < BUSY);
         // Where nobody waits it is most often the work itself that takes long.
-        let reported = outcome.load.waiting.map(|waiting| waiting < 1.0);
+        let reported = outcome.load.queue_length.map(|waiting| waiting < 1.0);
         let unqueued = excused || self.settings.nodes <= FEW_NODES && reported == Some(true);
         if outcome.status == Status::Ok {
             let slot = self.class_slot(&held.request);
-            self.usual[slot] += (outcome.took.as_secs_f64() - self.usual[slot]) / 20.0;
+            self.usual[slot] += (outcome.latency.as_secs_f64() - self.usual[slot]) / 20.0;
         }
         let class = self.class_slot(&held.request);
         let par = held
             .request
             .expected_work
-            .unwrap_or(self.class(&held.request).aim)
+            .unwrap_or(self.class(&held.request).latency_objective)
             .as_secs_f64()
             .max(1e-6);
         if let Some(i) = place {
             let told = matches!(outcome.status, Status::Ok | Status::TimedOut) && !fetched;
-            if !self.settings.sized && told && self.warmth(&self.servers[i].entry, now) >= 1.0 {
+            if !self.settings.weights_include_speed
+                && told
+                && self.warmth(&self.servers[i].entry, now) >= 1.0
+            {
                 let kind = self.kinds.entry(self.servers[i].entry.kind.clone());
                 let kind = kind.or_insert(Kind {
                     pace: 0.0,
                     answers: PACE_PRIOR,
                 });
                 kind.answers = (kind.answers + 1.0).min(PACE_SPAN);
-                kind.pace +=
-                    ((outcome.took.as_secs_f64() / par).max(1e-3).ln() - kind.pace) / kind.answers;
+                kind.pace += ((outcome.latency.as_secs_f64() / par).max(1e-3).ln() - kind.pace)
+                    / kind.answers;
             }
             // One of very many nodes cannot keep servers from being full for a moment: while the request
             // goes on to another one nothing is lost.
-            let goes_on = self.one_of_many() && outcome.status == Status::QueueFull;
+            let goes_on = self.one_of_many() && outcome.status == Status::Rejected;
             let server = &mut self.servers[i];
             if let Some(unqueued) = reported {
                 server.unqueued = unqueued.then_some(now);
             }
             let (answered, failed) = (ok == Some(true), ok == Some(false));
             // Turned away where nobody waits: how much is sent there changes nothing.
-            let barred = outcome.status == Status::QueueFull && lately && reported != Some(false);
+            let barred = outcome.status == Status::Rejected && lately && reported != Some(false);
             let jammed = excused
                 || failed
                     && !barred
-                    && matches!(outcome.status, Status::QueueFull | Status::TimedOut);
+                    && matches!(outcome.status, Status::Rejected | Status::TimedOut);
             if answered && (in_time || spare || unqueued) {
                 self.good += 1.0;
             }
@@ -849,12 +855,12 @@
                 server.answered = Some(now);
             }
             // What it still holds of this node's will be answered or time out, and tell more.
-            let busy = outcome.status == Status::QueueFull
+            let busy = outcome.status == Status::Rejected
                 && (server.in_flight > 0
                     || server.answered.is_some_and(|at| now.since(at) < BUSY_SPAN));
             // Each of many nodes meets a server now and then: left open, their connections fill its table.
             if server.in_flight == 0 && server.gap > KEPT_OPEN / self.settings.nodes.max(1) {
-                actions.push(Action::Close {
+                actions.push(Action::CloseIdleConnections {
                     server: server.entry.id.clone(),
                 });
             }
@@ -895,7 +901,7 @@
                 )));
             }
         }
-        held.done |= outcome.finished;
+        held.done |= outcome.answered;
         self.decide(now, held, actions);
     }
 
@@ -923,8 +929,7 @@
         self.bad += if excess { REFUSED } else { 0.0 };
         // An origin with a queue longer than anyone waits serves nobody until likely misses leave it alone.
         let kept = !held.request.write && self.kept.get(&key_of(&held.request)) == Some(&true);
-        if excess || barred || now >= held.request.valid_until || !(kept || self.origin.admits(now))
-        {
+        if excess || barred || now >= held.request.deadline || !(kept || self.origin.admits(now)) {
             return self.end(now, held, actions);
         }
         let full = self.fetches_full(&held);
@@ -933,11 +938,12 @@
                 return self.end(now, held, actions);
             }
             // A burst passes: without room a request waits, while thrice a usual answer would be in time.
-            let aim = self.class(&held.request).aim;
+            let latency_objective = self.class(&held.request).latency_objective;
             let usual = Duration::from_secs_f64(self.usual[self.class_slot(&held.request)]);
-            let again = now + aim.mul_f64(HOLD_STEP);
+            let again = now + latency_objective.mul_f64(HOLD_STEP);
             if held.attempts.is_empty()
-                && again + usual * 3 <= (held.arrived + aim).min(held.request.valid_until)
+                && again + usual * 3
+                    <= (held.arrived + latency_objective).min(held.request.deadline)
                 && self.servers.iter().any(|server| self.in_use(server))
             {
                 self.due.insert((again, held.request.id.clone()));
@@ -948,7 +954,7 @@
         self.retry_budget =
             (self.retry_budget + if retry { -price } else { RETRY_SHARE }).min(RETRY_SAVED);
         let (slot, class) = (self.slot(now), self.class_slot(&held.request));
-        let timeout = held.request.valid_until.since(now);
+        let timeout = held.request.deadline.since(now);
         let begin_within = self.window_left(now, &held).min(timeout);
         let cold = self.likely_miss(&held.request, &self.servers[i]);
         self.fetching += u32::from(cold);
@@ -1004,17 +1010,17 @@
     }
 
     /// Whether rule 2 lets the request go to this server now.
-    fn may_send(&self, now: Timestamp, held: &Held, entry: &ServerEntry) -> bool {
-        let effect = self.class(&held.request).effect;
-        held.may_have_run().all(|earlier| match effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { scope, window } => {
+    fn may_send(&self, now: Timestamp, held: &Held, entry: &Endpoint) -> bool {
+        let idempotency = self.class(&held.request).idempotency;
+        held.may_have_run().all(|earlier| match idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { scope, window } => {
                 now < earlier.sent + window
                     && match scope {
-                        Scope::All => true,
-                        Scope::Zone => earlier.entry.zone == entry.zone,
-                        Scope::Cell => earlier.entry.cell == entry.cell,
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => earlier.entry.zone == entry.zone,
+                        DeduplicationScope::Cell => earlier.entry.cell == entry.cell,
                     }
             }
         })
@@ -1022,7 +1028,7 @@
 
     /// For how long servers still drop a repeat of the request.
     fn window_left(&self, now: Timestamp, held: &Held) -> Duration {
-        let Effect::Keyed { window, .. } = self.class(&held.request).effect else {
+        let Idempotency::Keyed { window, .. } = self.class(&held.request).idempotency else {
             return Duration::MAX;
         };
         let left = held
@@ -1052,7 +1058,7 @@
                 && !held.attempts.iter().any(|a| a.entry.id == entry.id)
         };
         let room = |i: usize, share: f64| self.has_room(i, share, now, held);
-        let aside = matches!(self.settings.mode, CacheMode::Aside { .. });
+        let aside = matches!(self.settings.mode, CacheMode::CacheAside { .. });
         let missed = held.attempts.iter().any(|a| a.status == Some(Status::Miss));
         if aside && (held.request.write || missed) {
             let mut origins =
@@ -1123,7 +1129,7 @@
             .servers
             .iter()
             .find(|server| self.is_origin(&server.entry));
-        let shortly = self.class(request).aim.mul_f64(AWAY_STEP);
+        let shortly = self.class(request).latency_objective.mul_f64(AWAY_STEP);
         let advice = match origin.map_or(self.origin.state, |server| server.breaker.state) {
             // Its time may be over with no trial out yet.
             State::Open { until } => until.since(now).max(shortly),
@@ -1135,19 +1141,19 @@
     fn end(&mut self, now: Timestamp, held: Held, actions: &mut Vec<Action>) {
         // It went on from a full server, to none: what was not counted then counts now.
         self.bad += f64::from(u8::from(self.one_of_many() && held.turned_away()));
-        let effect = self.class(&held.request).effect;
+        let idempotency = self.class(&held.request).idempotency;
         let safe_again = matches!(
-            effect,
-            Effect::Safe
-                | Effect::Keyed {
-                    scope: Scope::All,
+            idempotency,
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DeduplicationScope::All,
                     ..
                 }
         ) || held.may_have_run().next().is_none();
-        if safe_again && now < held.request.valid_until {
+        if safe_again && now < held.request.deadline {
             let retry_after = self.retry_after(now, &held.request);
             let id = held.request.id;
-            actions.push(Action::Refuse { id, retry_after });
+            actions.push(Action::Shed { id, retry_after });
         } else {
             actions.push(Action::Fail {
                 id: held.request.id,
--- a/crates/policy/tests/aside.rs
+++ b/crates/policy/tests/aside.rs
@@ -7,7 +7,7 @@
 fn node() -> Node {
     let (settings, origin) = aside();
     let mut node = Node::new(settings, 1);
-    node.full_list(vec![ServerEntry::new("a"), ServerEntry::new("b"), origin]);
+    node.full_list(vec![Endpoint::new("a"), Endpoint::new("b"), origin]);
     node
 }
 
@@ -49,7 +49,7 @@
     let miss = node.request(0, 7, ms(400));
     let refused = node.answer(&miss, Status::Miss);
     assert!(
-        matches!(&refused[..], [Action::Refuse { retry_after, .. }] if *retry_after == ms(1000)),
+        matches!(&refused[..], [Action::Shed { retry_after, .. }] if *retry_after == ms(1000)),
         "{refused:?}"
     );
     assert!(
--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -5,13 +5,13 @@
 use slatelink_policy::*;
 
 /// Two servers and a key of the first of them.
-fn pair() -> (Node, ServerId) {
+fn pair() -> (Node, EndpointId) {
     let mut node = Node::with_servers(settings(), 2);
     let own = node.call(7, Status::Ok).expect("served");
     (node, own)
 }
 
-fn trip(node: &mut Node, own: &ServerId) {
+fn trip(node: &mut Node, own: &EndpointId) {
     for _ in 0..20 {
         if node.call(7, Status::Failed).as_ref() != Some(own) {
             return;
@@ -126,9 +126,9 @@
     let (mut node, own) = pair();
     trip(&mut node, &own);
     let long_ago = Timestamp::from_micros(node.now.as_micros() - 60_000_000);
-    node.changes(vec![ServerEntry {
+    node.changes(vec![Endpoint {
         started: Some(long_ago),
-        ..ServerEntry::new(own.as_str())
+        ..Endpoint::new(own.as_str())
     }]);
     assert_eq!(node.call(7, Status::Ok), Some(own));
 }
@@ -200,18 +200,18 @@
 #[test]
 fn failed_fetches_trip_the_origins_breaker_and_no_servers() {
     let mut node = Node::with_servers(settings(), 4);
-    let read = |node: &mut Node, key, status, note| {
+    let read = |node: &mut Node, key, status, cache_result| {
         let id = node.request(0, key, ms(400));
         while let Some((attempt, _)) = node.out(&id) {
-            node.end_attempt_noted(&id, attempt, status, Some(note));
+            node.end_attempt_noted(&id, attempt, status, Some(cache_result));
         }
         !node.requests[&id].sent.is_empty()
     };
     for key in 0..8 {
-        assert!(read(&mut node, key, Status::Ok, Note::Hit));
+        assert!(read(&mut node, key, Status::Ok, CacheResult::Hit));
     }
     for key in 100..108 {
-        read(&mut node, key, Status::Failed, Note::Miss);
+        read(&mut node, key, Status::Failed, CacheResult::Miss);
         node.pass(ms(10));
     }
     let tripped = |node: &Node, of: &str| {
@@ -223,11 +223,11 @@
         (1, 1)
     );
     assert!(
-        !read(&mut node, 200, Status::Ok, Note::Miss),
+        !read(&mut node, 200, Status::Ok, CacheResult::Miss),
         "a likely miss is refused"
     );
     assert!(
-        read(&mut node, 3, Status::Ok, Note::Hit),
+        read(&mut node, 3, Status::Ok, CacheResult::Hit),
         "a key that is held is served"
     );
     let write = Request {
@@ -240,11 +240,14 @@
     node.pass(ms(9_000));
     for key in 300..303 {
         assert!(
-            read(&mut node, key, Status::Ok, Note::Miss),
+            read(&mut node, key, Status::Ok, CacheResult::Miss),
             "a trial after the cooldown"
         );
     }
-    assert!(read(&mut node, 303, Status::Ok, Note::Miss), "closed again");
+    assert!(
+        read(&mut node, 303, Status::Ok, CacheResult::Miss),
+        "closed again"
+    );
 }
 
 /// A half-open trial of the origin that times out tells nothing of it and gives its place back.
@@ -254,7 +257,7 @@
     for key in 100..108 {
         let id = node.request(0, key, ms(400));
         while let Some((attempt, _)) = node.out(&id) {
-            node.end_attempt_noted(&id, attempt, Status::Failed, Some(Note::Miss));
+            node.end_attempt_noted(&id, attempt, Status::Failed, Some(CacheResult::Miss));
         }
     }
     node.pass(ms(9_000));
@@ -301,7 +304,7 @@
         let ids: Vec<RequestId> = (0..5).map(|_| node.request(0, 7, ms(400))).collect();
         for id in &ids[1..] {
             assert_eq!(node.out(id).expect("sent").1, own);
-            node.answer(id, Status::QueueFull);
+            node.answer(id, Status::Rejected);
         }
         node.pass(ms(50));
         for id in &ids {
@@ -317,7 +320,7 @@
     let (mut node, own) = pair();
     node.pass(ms(1_000));
     let declined = (0..50)
-        .take_while(|_| node.call(7, Status::QueueFull).as_ref() == Some(&own))
+        .take_while(|_| node.call(7, Status::Rejected).as_ref() == Some(&own))
         .count();
     assert_eq!(declined, 2, "two of three calls of the window");
 }
@@ -328,8 +331,8 @@
     trip(&mut node, &own);
     node.pass(ms(6_000));
     let ids: Vec<RequestId> = (0..3).map(|_| node.request(0, 7, ms(400))).collect();
-    node.answer(&ids[1], Status::QueueFull);
-    node.answer(&ids[2], Status::QueueFull);
+    node.answer(&ids[1], Status::Rejected);
+    node.answer(&ids[2], Status::Rejected);
     node.answer(&ids[0], Status::Ok);
     assert_eq!(node.call(7, Status::Ok), Some(own), "not reopened");
 }
@@ -339,7 +342,7 @@
     // The danger: each such request loses its time there, and what was served before hides it for a whole window;
     // or the server loses the keys of all classes for one.
     let (mut node, own) = pair();
-    node.load.waiting = Some(0.0);
+    node.load.queue_length = Some(0.0);
     let ask = |node: &mut Node, status| {
         let id = node.request(1, 7, ms(400));
         let (_, server) = node.out(&id).expect("sent");
@@ -354,7 +357,7 @@
     }
     node.pass(ms(1_000));
     let declined = (0..50)
-        .take_while(|_| ask(&mut node, Status::QueueFull) == own)
+        .take_while(|_| ask(&mut node, Status::Rejected) == own)
         .count();
     assert!(
         (3..=6).contains(&declined),
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -20,9 +20,9 @@
     load: f64,
 }
 
-fn list() -> Vec<ServerEntry> {
+fn list() -> Vec<Endpoint> {
     (0..SERVERS)
-        .map(|i| ServerEntry::new(&format!("s{i}")))
+        .map(|i| Endpoint::new(&format!("s{i}")))
         .collect()
 }
 
@@ -30,7 +30,7 @@
 fn owned_key() -> u64 {
     let mut probe = Node::new(settings(), 9);
     let mut list = list();
-    list[0].weight = settings().cold_share;
+    list[0].weight = settings().slow_start_min_capacity;
     probe.full_list(list);
     (0..)
         .find(|&key| {
@@ -46,10 +46,10 @@
     let mut random = fastrand::Rng::with_seed(fleet.seed);
     let settings = Settings {
         nodes: fleet.nodes,
-        fall_multiple: 3.0,
-        fall_span: ms(1_500),
-        warm_within: ms(9_000),
-        cold_share: 0.31,
+        slow_start_overload_factor: 3.0,
+        slow_start_overload_window: ms(1_500),
+        slow_start_duration: ms(9_000),
+        slow_start_min_capacity: 0.31,
         ..settings()
     };
     let mut nodes: Vec<_> = (0..fleet.nodes)
@@ -89,7 +89,7 @@
             node.pass(when.since(node.now));
             if node.requests[&id].sent[attempt as usize].status.is_none() {
                 node.end_attempt(&id, attempt, status);
-                note(
+                cache_result(
                     &mut nodes,
                     i,
                     &id,
@@ -115,9 +115,9 @@
         if !*told && arrives.since(origin) >= *told_at {
             *told = true;
             let started = Some(origin + START);
-            node.changes(vec![ServerEntry {
+            node.changes(vec![Endpoint {
                 started,
-                ..ServerEntry::new("s0")
+                ..Endpoint::new("s0")
             }]);
         }
         node.requests
@@ -130,7 +130,7 @@
             1 << 32 | key
         };
         let id = nodes[i].0.request(0, wanted, ms(400));
-        note(
+        cache_result(
             &mut nodes,
             i,
             &id,
@@ -145,7 +145,7 @@
 
 /// Takes in the attempt that was just made, if any, and draws how it will end.
 #[allow(clippy::too_many_arguments)]
-fn note(
+fn cache_result(
     nodes: &mut [(Node, f64, Duration, bool)],
     i: usize,
     id: &RequestId,
@@ -165,7 +165,7 @@
     // A cold one fails more often, and each failure asks for a second try.
     let fails = if server.as_str() == "s0" { 0.15 } else { 0.03 };
     let status = match random.f64() {
-        luck if luck < fails => Status::QueueFull,
+        luck if luck < fails => Status::Rejected,
         luck if luck < fails * 1.5 => Status::Failed,
         _ => Status::Ok,
     };
@@ -192,18 +192,21 @@
                 load,
             });
             sent += to_cold.len();
-            let span = settings.fall_span;
+            let span = settings.slow_start_overload_window;
             for (first, from) in to_cold.iter().enumerate() {
-                if *from + span > START + settings.warm_within {
+                if *from + span > START + settings.slow_start_duration {
                     break;
                 }
                 let within = to_cold[first..]
                     .iter()
                     .take_while(|at| **at <= *from + span)
                     .count() as f64;
-                let age = (*from - START).as_secs_f64() / settings.warm_within.as_secs_f64();
-                let able = capacity * (settings.cold_share + (1.0 - settings.cold_share) * age);
-                let budget = settings.fall_multiple * able * span.as_secs_f64();
+                let age =
+                    (*from - START).as_secs_f64() / settings.slow_start_duration.as_secs_f64();
+                let able = capacity
+                    * (settings.slow_start_min_capacity
+                        + (1.0 - settings.slow_start_min_capacity) * age);
+                let budget = settings.slow_start_overload_factor * able * span.as_secs_f64();
                 let chance = 2.0 * budget.sqrt() + 2.0;
                 most_used = most_used.max(within / (budget + chance));
                 assert!(
--- a/crates/policy/tests/common/events.rs
+++ b/crates/policy/tests/common/events.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
-use slatelink_policy::{Note, Status};
+use slatelink_policy::{CacheResult, Status};
 
 /// Cache servers that discovery may name.
 pub const SERVERS: usize = 5;
@@ -19,13 +19,13 @@
         key: u64,
         patience_ms: u64,
         write: bool,
-        over_share: bool,
+        over_quota: bool,
     },
     /// An attempt that is out ends so.
     End {
         which: usize,
         how: Status,
-        note: Option<Note>,
+        cache_result: Option<CacheResult>,
     },
     /// An outcome comes that belongs to no attempt that is out.
     Stray { which: usize, how: Status },
@@ -57,12 +57,12 @@
     use Status::*;
     let bad = vec![
         Failed,
-        QueueFull,
+        Rejected,
         TimedOut,
         ConnectError,
         Reset,
         Canceled,
-        Ignored,
+        NotSent,
         Miss,
     ];
     prop_oneof![1 => Just(Ok), 2 => proptest::sample::select(bad)]
@@ -71,13 +71,14 @@
 fn step() -> impl Strategy<Value = Step> {
     use Change::*;
     let change = proptest::sample::select(vec![Ready, Draining, Gone, Restarted, Moved]);
-    let note = proptest::sample::select(vec![None, Some(Note::Hit), Some(Note::Miss)]);
+    let cache_result =
+        proptest::sample::select(vec![None, Some(CacheResult::Hit), Some(CacheResult::Miss)]);
     let ask = (0..4usize, 0..8u64, 0..600u64, any::<bool>(), 0..20u8);
     prop_oneof![
         8 => ask.prop_map(|(class, key, patience_ms, write, over)| {
-            Step::Ask { class, key, patience_ms, write, over_share: over == 0 }
+            Step::Ask { class, key, patience_ms, write, over_quota: over == 0 }
         }),
-        8 => (any::<usize>(), status(), note).prop_map(|(which, how, note)| Step::End { which, how, note }),
+        8 => (any::<usize>(), status(), cache_result).prop_map(|(which, how, cache_result)| Step::End { which, how, cache_result }),
         1 => (any::<usize>(), status()).prop_map(|(which, how)| Step::Stray { which, how }),
         1 => any::<usize>().prop_map(|which| Step::Leave { which }),
         2 => (0..SERVERS, change).prop_map(|(server, to)| Step::Change { server, to }),
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -10,7 +10,7 @@
 }
 
 pub struct Sent {
-    pub server: ServerEntry,
+    pub server: Endpoint,
     pub at: Timestamp,
     pub ends: Timestamp,
     pub status: Option<Status>,
@@ -26,7 +26,7 @@
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: Timestamp,
-    pub list: BTreeMap<ServerId, ServerEntry>,
+    pub list: BTreeMap<EndpointId, Endpoint>,
     pub requests: BTreeMap<RequestId, Open>,
     pub timers: BTreeSet<Timestamp>,
     pub trace: Vec<Action>,
@@ -57,24 +57,24 @@
     /// A node that knows `n` warm servers, named a, b, c and so on.
     pub fn with_servers(settings: Settings, n: u8) -> Self {
         let mut node = Self::new(settings, 1);
-        let entries = (0..n).map(|i| ServerEntry::new(&char::from(b'a' + i).to_string()));
+        let entries = (0..n).map(|i| Endpoint::new(&char::from(b'a' + i).to_string()));
         node.full_list(entries.collect());
         node
     }
 
-    pub fn full_list(&mut self, entries: Vec<ServerEntry>) {
+    pub fn full_list(&mut self, entries: Vec<Endpoint>) {
         self.list.clear();
         for entry in &entries {
             self.list.insert(entry.id.clone(), entry.clone());
         }
-        self.feed(Event::Servers(ServerList::Full(entries.into())));
+        self.feed(Event::Endpoints(EndpointUpdate::Snapshot(entries.into())));
     }
 
-    pub fn changes(&mut self, entries: Vec<ServerEntry>) {
+    pub fn changes(&mut self, entries: Vec<Endpoint>) {
         for entry in &entries {
             self.list.insert(entry.id.clone(), entry.clone());
         }
-        self.feed(Event::Servers(ServerList::Changes(entries.into())));
+        self.feed(Event::Endpoints(EndpointUpdate::Delta(entries.into())));
     }
 
     pub fn class_of(&self, request: &Request) -> Class {
@@ -129,18 +129,20 @@
                     .count();
                 assert_eq!(out, 0, "two attempts out at once");
                 for earlier in open.sent.iter().filter(|sent| may_have_run(sent)) {
-                    match class.effect {
-                        Effect::Safe => {}
-                        Effect::Unsafe => panic!("rule 2: an unsafe request sent again"),
-                        Effect::Keyed { scope, window } => {
+                    match class.idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NonIdempotent => {
+                            panic!("rule 2: an unsafe request sent again")
+                        }
+                        Idempotency::Keyed { scope, window } => {
                             assert!(
                                 now < earlier.at + window,
                                 "rule 2: sent again after its window"
                             );
                             let near = match scope {
-                                Scope::All => true,
-                                Scope::Zone => earlier.server.zone == entry.zone,
-                                Scope::Cell => earlier.server.cell == entry.cell,
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => earlier.server.zone == entry.zone,
+                                DeduplicationScope::Cell => earlier.server.cell == entry.cell,
                             };
                             assert!(near, "rule 2: sent again outside its scope");
                             let last = now + *begin_within;
@@ -151,7 +153,7 @@
                         }
                     }
                 }
-                let ends = (now + *timeout).min(open.request.valid_until);
+                let ends = (now + *timeout).min(open.request.deadline);
                 open.sent.push(Sent {
                     server: entry,
                     at: now,
@@ -159,18 +161,18 @@
                     status: None,
                 });
             }
-            Action::Refuse { id, .. } => {
-                let effect = self.class_of(&self.requests[id].request).effect;
+            Action::Shed { id, .. } => {
+                let idempotency = self.class_of(&self.requests[id].request).idempotency;
                 let open = self
                     .requests
                     .get_mut(id)
                     .expect("a refusal of an unknown request");
                 assert!(!open.ended, "rule 1: a second final answer");
                 let all = matches!(
-                    effect,
-                    Effect::Safe
-                        | Effect::Keyed {
-                            scope: Scope::All,
+                    idempotency,
+                    Idempotency::Idempotent
+                        | Idempotency::Keyed {
+                            scope: DeduplicationScope::All,
                             ..
                         }
                 );
@@ -192,7 +194,7 @@
                 self.timers
                     .insert(self.now + (*after).max(Duration::from_micros(1)));
             }
-            Action::Close { .. } | Action::Follow | Action::Log(_) => {}
+            Action::CloseIdleConnections { .. } | Action::PollDiscovery | Action::Log(_) => {}
         }
     }
 
@@ -220,7 +222,7 @@
     }
 
     /// The server of the request's attempt that is out, if one is.
-    pub fn out(&self, id: &RequestId) -> Option<(u32, ServerId)> {
+    pub fn out(&self, id: &RequestId) -> Option<(u32, EndpointId)> {
         let sent = &self.requests[id].sent;
         let at = sent.iter().position(|sent| sent.status.is_none())?;
         Some((at as u32, sent[at].server.id.clone()))
@@ -244,23 +246,23 @@
         id: &RequestId,
         attempt: u32,
         status: Status,
-        note: Option<Note>,
+        cache_result: Option<CacheResult>,
     ) -> Vec<Action> {
         let now = self.now;
         let open = self.requests.get_mut(id).expect("known");
         let sent = &mut open.sent[attempt as usize];
         sent.status = Some(status);
-        let (server, took) = (sent.server.id.clone(), now.since(sent.at));
+        let (server, latency) = (sent.server.id.clone(), now.since(sent.at));
         open.ended |= status == Status::Ok;
-        let (finished, load) = (open.ended, self.load);
-        self.feed(Event::Outcome(Outcome {
+        let (answered, load) = (open.ended, self.load);
+        self.feed(Event::AttemptEnded(Outcome {
             id: id.clone(),
             attempt,
             server,
             status,
-            note,
-            took,
-            finished,
+            cache_result,
+            latency,
+            answered,
             load,
         }))
     }
@@ -272,7 +274,7 @@
     }
 
     /// One read of `key`, answered with `status` by whichever server is asked first.
-    pub fn call(&mut self, key: u64, status: Status) -> Option<ServerId> {
+    pub fn call(&mut self, key: u64, status: Status) -> Option<EndpointId> {
         let id = self.request(0, key, ms(400));
         let (attempt, server) = self.out(&id)?;
         self.end_attempt(&id, attempt, status);
@@ -315,7 +317,7 @@
 
     pub fn check_none_lost(&self) {
         for (id, open) in &self.requests {
-            let overdue = !open.ended && self.now > open.request.valid_until;
+            let overdue = !open.ended && self.now > open.request.deadline;
             assert!(!overdue, "rule 1: {id} has no final answer in time");
         }
     }
@@ -327,21 +329,21 @@
 
 /// Read, keyed for one second, and unsafe; aims of 150 ms.
 pub fn settings() -> Settings {
-    let class = |name: &str, effect| Class {
+    let class = |name: &str, idempotency| Class {
         name: name.into(),
-        effect,
-        aim: ms(150),
+        idempotency,
+        latency_objective: ms(150),
         deadline: ms(400),
     };
-    let keyed = Effect::Keyed {
-        scope: Scope::All,
+    let keyed = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window: ms(1000),
     };
     Settings {
         classes: vec![
-            class("read", Effect::Safe),
+            class("read", Idempotency::Idempotent),
             class("keyed", keyed),
-            class("unsafe", Effect::Unsafe),
+            class("unsafe", Idempotency::NonIdempotent),
         ],
         max_attempts: 6,
         max_retry_after: ms(1000),
@@ -350,13 +352,13 @@
 }
 
 /// Settings of a fleet whose balancers fetch misses, with its origin entry.
-pub fn aside() -> (Settings, ServerEntry) {
-    let mode = CacheMode::Aside {
+pub fn aside() -> (Settings, Endpoint) {
+    let mode = CacheMode::CacheAside {
         origin_kind: "origin".into(),
     };
-    let origin = ServerEntry {
+    let origin = Endpoint {
         kind: Some("origin".into()),
-        ..ServerEntry::new("zz-origin")
+        ..Endpoint::new("zz-origin")
     };
     (Settings { mode, ..settings() }, origin)
 }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -14,7 +14,7 @@
             },
             u64::from(seed),
         );
-        let entries = (0..servers).map(|i| ServerEntry::new(&char::from(b'a' + i).to_string()));
+        let entries = (0..servers).map(|i| Endpoint::new(&char::from(b'a' + i).to_string()));
         node.full_list(entries.collect());
         node
     };
@@ -31,9 +31,9 @@
         seed,
     );
     let zones = ["n", "e", "s", "w"];
-    let entry = |i: usize| ServerEntry {
+    let entry = |i: usize| Endpoint {
         zone: Some(zones[i % 4].into()),
-        ..ServerEntry::new(&format!("s{i}"))
+        ..Endpoint::new(&format!("s{i}"))
     };
     node.full_list((0..100).map(entry).collect());
     node
@@ -48,8 +48,8 @@
     let mut rng = fastrand::Rng::with_seed(5);
     // A key that server a owns even at the size it has when it is cold.
     let mut probe = Node::new(settings(), 9);
-    let mut list: Vec<ServerEntry> = nodes[0].list.values().cloned().collect();
-    list[0].weight = settings().cold_share;
+    let mut list: Vec<Endpoint> = nodes[0].list.values().cloned().collect();
+    list[0].weight = settings().slow_start_min_capacity;
     probe.full_list(list);
     let hot = (0..).find(|&key| {
         probe
@@ -66,7 +66,7 @@
         let now = Timestamp::from_micros(now.as_micros() - 6_000_000);
         node.pass(now.since(node.now));
         if now >= born && node.list.values().all(|entry| entry.started.is_none()) {
-            let mut list: Vec<ServerEntry> = node.list.values().cloned().collect();
+            let mut list: Vec<Endpoint> = node.list.values().cloned().collect();
             list[0].started = Some(born);
             node.changes(list);
         }
@@ -90,7 +90,7 @@
         to_cold.len()
     );
     // Spans that end while it is still cold.
-    let cold_for = settings.warm_within - settings.fall_span;
+    let cold_for = settings.slow_start_duration - settings.slow_start_overload_window;
     for (i, at) in to_cold
         .iter()
         .enumerate()
@@ -98,11 +98,14 @@
     {
         let within = to_cold[i..]
             .iter()
-            .take_while(|later| later.since(*at) <= settings.fall_span)
+            .take_while(|later| later.since(*at) <= settings.slow_start_overload_window)
             .count();
-        let age = at.since(born).as_secs_f64() / settings.warm_within.as_secs_f64();
-        let now_able = capacity * (settings.cold_share + (1.0 - settings.cold_share) * age);
-        let most = settings.fall_multiple * now_able * settings.fall_span.as_secs_f64();
+        let age = at.since(born).as_secs_f64() / settings.slow_start_duration.as_secs_f64();
+        let now_able = capacity
+            * (settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * age);
+        let most = settings.slow_start_overload_factor
+            * now_able
+            * settings.slow_start_overload_window.as_secs_f64();
         assert!(
             (within as f64) <= most * 1.1,
             "{within} in a span, {most} allowed at age {age}"
@@ -122,7 +125,7 @@
         // Turned away by every server that it tries.
         let id = node.request(0, key, ms(400));
         while node.out(&id).is_some() {
-            node.answer(&id, Status::QueueFull);
+            node.answer(&id, Status::Rejected);
         }
     }
     let mut sent = 0;
@@ -154,7 +157,7 @@
             let id = node.request(0, rng.u64(..), ms(400));
             untried += usize::from(node.requests[&id].ended);
             if node.out(&id).is_some() && step % 2 == 0 {
-                node.answer(&id, Status::QueueFull);
+                node.answer(&id, Status::Rejected);
             }
             node.pass(ms(20));
             if node.out(&id).is_some() {
@@ -175,7 +178,7 @@
         let id = node.request(0, rng.u64(..), ms(400));
         jammed += usize::from(node.out(&id).is_none() && node.requests[&id].ended);
         while node.out(&id).is_some() {
-            node.answer(&id, Status::QueueFull);
+            node.answer(&id, Status::Rejected);
         }
         node.pass(ms(80));
         node.requests.clear();
@@ -212,7 +215,7 @@
         }
         served
     };
-    let served = play(Status::QueueFull, &mut 0);
+    let served = play(Status::Rejected, &mut 0);
     assert!(served >= 480, "{served} of 500 served");
     // What may have run costs its server work: that budget stays as it was.
     let mut sends = 0;
@@ -306,7 +309,7 @@
         }
         node.trace
             .iter()
-            .filter(|action| matches!(action, Action::Close { .. }))
+            .filter(|action| matches!(action, Action::CloseIdleConnections { .. }))
             .count()
     };
     assert!(closes(300, ms(20_000)) >= 19);
@@ -319,17 +322,17 @@
 /// Where listed weights do not tell speeds, machines of a slow kind would get as many keys as fast ones and jam.
 #[test]
 fn a_slow_kind_gets_fewer_keys_where_weights_do_not_tell_speeds() {
-    let share = |sized| {
+    let share = |weights_include_speed| {
         let mut node = Node::new(
             Settings {
-                sized,
+                weights_include_speed,
                 ..settings()
             },
             1,
         );
-        let entry = |i: u8| ServerEntry {
+        let entry = |i: u8| Endpoint {
             kind: Some(Name::from(if i < 5 { "x" } else { "y" })),
-            ..ServerEntry::new(&char::from(b'a' + i).to_string())
+            ..Endpoint::new(&char::from(b'a' + i).to_string())
         };
         node.full_list((0..10).map(entry).collect());
         let mut rng = fastrand::Rng::with_seed(3);
@@ -354,16 +357,16 @@
 fn kinds_of_servers_that_are_gone_are_forgotten() {
     let mut node = Node::new(
         Settings {
-            sized: false,
+            weights_include_speed: false,
             ..settings()
         },
         1,
     );
     let mut held = |round: u32| {
         let kind = Some(Name::from(format!("kind-{round}").as_str()));
-        node.full_list(vec![ServerEntry {
+        node.full_list(vec![Endpoint {
             kind,
-            ..ServerEntry::new(&format!("s{round}"))
+            ..Endpoint::new(&format!("s{round}"))
         }]);
         node.call(7, Status::Ok);
         node.requests.clear();
--- a/crates/policy/tests/hashing.rs
+++ b/crates/policy/tests/hashing.rs
@@ -5,7 +5,7 @@
 use slatelink_policy::*;
 use std::collections::BTreeMap;
 
-fn owners(node: &mut Node) -> BTreeMap<u64, ServerId> {
+fn owners(node: &mut Node) -> BTreeMap<u64, EndpointId> {
     let mut owners = BTreeMap::new();
     for key in 0..2_000u64 {
         owners.insert(key, node.call(key, Status::Ok).expect("served"));
@@ -15,7 +15,7 @@
     owners
 }
 
-fn share(owners: &BTreeMap<u64, ServerId>, server: &str) -> f64 {
+fn share(owners: &BTreeMap<u64, EndpointId>, server: &str) -> f64 {
     owners.values().filter(|id| id.as_str() == server).count() as f64 / owners.len() as f64
 }
 
@@ -23,9 +23,9 @@
 fn a_leaver_moves_its_own_keys_only_and_a_return_brings_them_back() {
     let mut node = Node::with_servers(settings(), 8);
     let before = owners(&mut node);
-    let gone = ServerEntry {
-        availability: Availability::Gone,
-        ..ServerEntry::new("d")
+    let gone = Endpoint {
+        availability: Availability::Removed,
+        ..Endpoint::new("d")
     };
     node.changes(vec![gone]);
     let without = owners(&mut node);
@@ -40,18 +40,22 @@
             "the leaver's keys spread over all the others"
         );
     }
-    node.changes(vec![ServerEntry::new("d")]);
+    node.changes(vec![Endpoint::new("d")]);
     assert_eq!(owners(&mut node), before);
 }
 
 #[test]
 fn shares_follow_weights() {
     let mut node = Node::new(settings(), 1);
-    let sized = |id: &str, weight| ServerEntry {
+    let weighted = |id: &str, weight| Endpoint {
         weight,
-        ..ServerEntry::new(id)
+        ..Endpoint::new(id)
     };
-    node.full_list(vec![sized("a", 1.0), sized("b", 1.0), sized("c", 2.0)]);
+    node.full_list(vec![
+        weighted("a", 1.0),
+        weighted("b", 1.0),
+        weighted("c", 2.0),
+    ]);
     let owners = owners(&mut node);
     assert!((share(&owners, "a") - 0.25).abs() < 0.04);
     assert!((share(&owners, "c") - 0.5).abs() < 0.04);
@@ -61,7 +65,7 @@
 fn nodes_with_other_seeds_and_lists_in_other_order_agree() {
     let mut one = Node::with_servers(settings(), 5);
     let mut two = Node::new(settings(), 99);
-    two.full_list(["e", "c", "a", "b", "d"].map(ServerEntry::new).to_vec());
+    two.full_list(["e", "c", "a", "b", "d"].map(Endpoint::new).to_vec());
     assert_eq!(owners(&mut one), owners(&mut two));
 }
 
@@ -72,7 +76,7 @@
     // So much may be sent to a cold server that nothing but the order keeps keys from it.
     let mut node = Node::with_servers(
         Settings {
-            fall_multiple: 1e6,
+            slow_start_overload_factor: 1e6,
             ..settings()
         },
         4,
@@ -84,9 +88,9 @@
     };
     let warm = first(&mut node);
     let started = Some(node.now);
-    node.changes(vec![ServerEntry {
+    node.changes(vec![Endpoint {
         started,
-        ..ServerEntry::new("a")
+        ..Endpoint::new("a")
     }]);
     // What it got in the present slot of time is spent.
     node.pass(ms(1_000));
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -28,12 +28,17 @@
 
 /// Offers a request a millisecond of 300 keys, each attempt answered after `took`, or 300 ms by the slow server;
 /// returns how many were sent, and how many to the slow one.
-fn offer(node: &mut Node, took: u64, slow: Option<&ServerId>) -> (usize, usize) {
-    offer_every(node, 1, took, slow)
+fn offer(node: &mut Node, latency: u64, slow: Option<&EndpointId>) -> (usize, usize) {
+    offer_every(node, 1, latency, slow)
 }
 
 /// The same with one request in so many milliseconds.
-fn offer_every(node: &mut Node, every: u64, took: u64, slow: Option<&ServerId>) -> (usize, usize) {
+fn offer_every(
+    node: &mut Node,
+    every: u64,
+    latency: u64,
+    slow: Option<&EndpointId>,
+) -> (usize, usize) {
     let (mut sent, mut to_slow) = (0, 0);
     node.requests.clear();
     for step in 0..3_000 {
@@ -44,7 +49,7 @@
         let now = node.now;
         let answered = node.requests.iter().filter(|(_, open)| {
             let out = open.sent.first().filter(|sent| sent.status.is_none());
-            let takes = |server: &ServerId| ms(if Some(server) == slow { 300 } else { took });
+            let takes = |server: &EndpointId| ms(if Some(server) == slow { 300 } else { latency });
             out.is_some_and(|sent| sent.at + takes(&sent.server.id) <= now)
         });
         for id in answered.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
@@ -65,7 +70,7 @@
 fn a_slow_server_is_sent_less() {
     // The danger: it answers inside its time-out, so its breaker stays closed and its keys are late for good.
     let mut node = Node::with_servers(settings(), 6);
-    let slow = ServerId::from("c");
+    let slow = EndpointId::from("c");
     let (sent, before) = offer(&mut node, 10, None);
     assert!(sent > 2_900 && before == 0, "{sent} of 3000 were sent");
     let (_, to_slow) = offer(&mut node, 10, Some(&slow));
@@ -194,7 +199,7 @@
     );
     node.full_list(
         (0..3_000)
-            .map(|i| ServerEntry::new(&format!("s{i}")))
+            .map(|i| Endpoint::new(&format!("s{i}")))
             .collect(),
     );
     let mut rng = fastrand::Rng::with_seed(2);
@@ -212,8 +217,8 @@
         sent
     };
     assert_eq!(sent(&mut node, Status::Ok, 100), 100);
-    sent(&mut node, Status::QueueFull, 300);
-    let jammed = sent(&mut node, Status::QueueFull, 100);
+    sent(&mut node, Status::Rejected, 300);
+    let jammed = sent(&mut node, Status::Rejected, 100);
     assert!(jammed < 60, "{jammed} of 100 sent into the jam");
     sent(&mut node, Status::Ok, 500);
     let after = sent(&mut node, Status::Ok, 100);
@@ -231,7 +236,7 @@
             },
             6,
         );
-        node.load.waiting = Some(waiting);
+        node.load.queue_length = Some(waiting);
         offer_every(&mut node, 30, 140, None).0
     };
     assert!(
@@ -264,7 +269,7 @@
             },
             6,
         );
-        node.load.waiting = Some(waiting);
+        node.load.queue_length = Some(waiting);
         let mut sent = 0;
         for key in 0..900 {
             let id = node.request(0, key, ms(400));
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -26,20 +26,20 @@
     /// With the entry as it was told last.
     Sent {
         id: RequestId,
-        server: ServerEntry,
+        server: Endpoint,
     },
     Ended {
         id: RequestId,
-        server: ServerEntry,
+        server: Endpoint,
         status: Status,
-        note: Option<Note>,
+        cache_result: Option<CacheResult>,
     },
     Answered {
         id: RequestId,
         refused: Option<Duration>,
     },
     Left(RequestId),
-    Told(Vec<ServerEntry>),
+    Told(Vec<Endpoint>),
     Said(String),
     /// All that came of one event has been seen.
     Done,
@@ -48,7 +48,7 @@
 struct Out {
     id: RequestId,
     attempt: u32,
-    server: ServerEntry,
+    server: Endpoint,
     at: Timestamp,
     ends: Timestamp,
 }
@@ -58,7 +58,7 @@
     balancer: Balancer,
     settings: Settings,
     now: Timestamp,
-    list: BTreeMap<ServerId, ServerEntry>,
+    list: BTreeMap<EndpointId, Endpoint>,
     out: Vec<Out>,
     /// By request: when its client gives up, and how many attempts were made.
     open: BTreeMap<RequestId, (Timestamp, u32)>,
@@ -72,28 +72,32 @@
 impl World {
     /// What the seed leaves open: who fetches misses, where repeats are dropped, how many attempts there are.
     fn new(seed: u64) -> Self {
-        let class = |name: &str, effect| Class {
+        let class = |name: &str, idempotency| Class {
             name: name.into(),
-            effect,
-            aim: ms(150),
+            idempotency,
+            latency_objective: ms(150),
             deadline: ms(600),
         };
-        let scope = [Scope::All, Scope::Zone, Scope::Cell][seed as usize % 3];
-        let keyed = Effect::Keyed {
+        let scope = [
+            DeduplicationScope::All,
+            DeduplicationScope::Zone,
+            DeduplicationScope::Cell,
+        ][seed as usize % 3];
+        let keyed = Idempotency::Keyed {
             scope,
             window: ms(200),
         };
-        let aside = CacheMode::Aside {
+        let aside = CacheMode::CacheAside {
             origin_kind: "origin".into(),
         };
         let settings = Settings {
             classes: vec![
-                class("read", Effect::Safe),
+                class("read", Idempotency::Idempotent),
                 class("keyed", keyed),
-                class("once", Effect::Unsafe),
+                class("once", Idempotency::NonIdempotent),
             ],
             mode: if seed.is_multiple_of(2) {
-                CacheMode::Through
+                CacheMode::ReadThrough
             } else {
                 aside
             },
@@ -119,43 +123,43 @@
         world
     }
 
-    fn entry(i: usize) -> ServerEntry {
+    fn entry(i: usize) -> Endpoint {
         let zone = Some(Name::from(["x", "y"][i % 2]));
-        ServerEntry {
+        Endpoint {
             zone,
             cell: i as u64 % 3,
-            ..ServerEntry::new(&format!("s{i}"))
+            ..Endpoint::new(&format!("s{i}"))
         }
     }
 
     fn tell(
         &mut self,
-        list: impl Fn(std::sync::Arc<[ServerEntry]>) -> ServerList,
-        entries: Vec<ServerEntry>,
+        list: impl Fn(std::sync::Arc<[Endpoint]>) -> EndpointUpdate,
+        entries: Vec<Endpoint>,
     ) {
         self.list
-            .retain(|_, entry| entry.availability != Availability::Gone);
+            .retain(|_, entry| entry.availability != Availability::Removed);
         let told = self.list.values().cloned().collect();
         self.facts.push((self.now, Fact::Told(told)));
-        self.feed(Event::Servers(list(entries.into())));
+        self.feed(Event::Endpoints(list(entries.into())));
     }
 
     fn tell_whole(&mut self, lacks: u8) {
         let all = (0..SERVERS)
             .filter(|i| lacks & 1 << i == 0)
             .map(Self::entry);
-        let origin = ServerEntry {
+        let origin = Endpoint {
             kind: Some("origin".into()),
-            ..ServerEntry::new("zz")
+            ..Endpoint::new("zz")
         };
-        let aside = self.settings.mode != CacheMode::Through;
-        let held = |entry: ServerEntry| self.list.get(&entry.id).cloned().unwrap_or(entry);
+        let aside = self.settings.mode != CacheMode::ReadThrough;
+        let held = |entry: Endpoint| self.list.get(&entry.id).cloned().unwrap_or(entry);
         let entries: Vec<_> = all.map(held).chain(aside.then_some(origin)).collect();
         self.list = entries
             .iter()
             .map(|entry| (entry.id.clone(), entry.clone()))
             .collect();
-        self.tell(ServerList::Full, entries);
+        self.tell(EndpointUpdate::Snapshot, entries);
     }
 
     fn change(&mut self, i: usize, to: Change) {
@@ -167,14 +171,14 @@
         match to {
             Change::Ready | Change::Moved => entry.availability = Availability::Ready,
             Change::Draining => entry.availability = Availability::Draining,
-            Change::Gone => entry.availability = Availability::Gone,
+            Change::Gone => entry.availability = Availability::Removed,
             Change::Restarted => {
                 entry.availability = Availability::Ready;
                 entry.started = Some(self.now);
             }
         }
         self.list.insert(entry.id.clone(), entry.clone());
-        self.tell(ServerList::Changes, vec![entry]);
+        self.tell(EndpointUpdate::Delta, vec![entry]);
     }
 
     fn feed(&mut self, event: Event) {
@@ -188,14 +192,10 @@
                     timeout,
                     ..
                 } => {
-                    let server = self
-                        .list
-                        .get(&server)
-                        .cloned()
-                        .unwrap_or_else(|| ServerEntry {
-                            availability: Availability::Gone,
-                            ..ServerEntry::new(server.as_str())
-                        });
+                    let server = self.list.get(&server).cloned().unwrap_or_else(|| Endpoint {
+                        availability: Availability::Removed,
+                        ..Endpoint::new(server.as_str())
+                    });
                     self.facts.push((
                         self.now,
                         Fact::Sent {
@@ -217,7 +217,7 @@
                         ends,
                     });
                 }
-                Action::Refuse { id, retry_after } => self.answered(id, Some(retry_after)),
+                Action::Shed { id, retry_after } => self.answered(id, Some(retry_after)),
                 Action::Fail { id } => self.answered(id, None),
                 Action::Wake { after } => {
                     self.timers
@@ -235,22 +235,22 @@
         self.facts.push((self.now, Fact::Answered { id, refused }));
     }
 
-    fn ask(&mut self, class: usize, key: u64, patience: Duration, write: bool, over_share: bool) {
+    fn ask(&mut self, class: usize, key: u64, patience: Duration, write: bool, over_quota: bool) {
         self.count += 1;
-        let valid_until = self.now + patience;
+        let deadline = self.now + patience;
         let request = Request {
             class: (class < self.settings.classes.len()).then_some(ClassId(class)),
             key: Some(key),
             write,
-            over_share,
-            ..Request::new(&format!("r{}", self.count), valid_until)
+            over_quota,
+            ..Request::new(&format!("r{}", self.count), deadline)
         };
-        self.open.insert(request.id.clone(), (valid_until, 0));
+        self.open.insert(request.id.clone(), (deadline, 0));
         self.facts.push((self.now, Fact::Took(request.clone())));
         self.feed(Event::Request(request));
     }
 
-    fn end(&mut self, place: usize, status: Status, note: Option<Note>) {
+    fn end(&mut self, place: usize, status: Status, cache_result: Option<CacheResult>) {
         let Out {
             id,
             attempt,
@@ -262,22 +262,22 @@
             id: id.clone(),
             server: server.clone(),
             status,
-            note,
+            cache_result,
         };
         self.facts.push((self.now, fact));
         if status == Status::Ok && !self.over.contains(&id) {
             self.answered(id.clone(), None);
         }
-        let (finished, took, server) = (self.over.contains(&id), self.now.since(at), server.id);
+        let (answered, latency, server) = (self.over.contains(&id), self.now.since(at), server.id);
         let load = LoadReport::default();
-        self.feed(Event::Outcome(Outcome {
+        self.feed(Event::AttemptEnded(Outcome {
             id,
             attempt,
             server,
             status,
-            note,
-            took,
-            finished,
+            cache_result,
+            latency,
+            answered,
             load,
         }));
     }
@@ -320,13 +320,18 @@
                     key,
                     patience_ms,
                     write,
-                    over_share,
+                    over_quota,
                 } => {
-                    self.ask(class, key, ms(patience_ms), write, over_share);
+                    self.ask(class, key, ms(patience_ms), write, over_quota);
                 }
-                Step::End { which, how, note } if !self.out.is_empty() => {
-                    let note = note.filter(|_| self.settings.mode == CacheMode::Through);
-                    self.end(which % self.out.len(), how, note);
+                Step::End {
+                    which,
+                    how,
+                    cache_result,
+                } if !self.out.is_empty() => {
+                    let cache_result =
+                        cache_result.filter(|_| self.settings.mode == CacheMode::ReadThrough);
+                    self.end(which % self.out.len(), how, cache_result);
                 }
                 // Of an attempt that has ended, or of one that was never made.
                 Step::Stray { which, how: status } => {
@@ -348,20 +353,20 @@
                             )
                         }
                     };
-                    let (server, finished) =
+                    let (server, answered) =
                         (Self::entry(which % SERVERS).id, self.over.contains(&id));
-                    let (note, took, load) = (None, ms(1), LoadReport::default());
+                    let (cache_result, latency, load) = (None, ms(1), LoadReport::default());
                     let stray = Outcome {
                         id,
                         attempt,
                         server,
                         status,
-                        note,
-                        took,
-                        finished,
+                        cache_result,
+                        latency,
+                        answered,
                         load,
                     };
-                    self.feed(Event::Outcome(stray));
+                    self.feed(Event::AttemptEnded(stray));
                 }
                 Step::Leave { which } => {
                     let open: Vec<_> = self
@@ -373,12 +378,12 @@
                     if let Some(id) = open.get(which % open.len().max(1)) {
                         self.over.insert(id.clone());
                         self.facts.push((self.now, Fact::Left(id.clone())));
-                        self.feed(Event::Abandoned(id.clone()));
+                        self.feed(Event::RequestCanceled(id.clone()));
                     }
                 }
                 Step::Change { server, to } => self.change(server, to),
                 Step::Whole { lacks } => self.tell_whole(lacks),
-                Step::NoList => self.feed(Event::Servers(ServerList::Unavailable)),
+                Step::NoList => self.feed(Event::Endpoints(EndpointUpdate::Unavailable)),
                 Step::Pass { ms: time } => self.pass(ms(time)),
                 Step::End { .. } => {}
             }
@@ -406,7 +411,7 @@
         let mut open = BTreeMap::new();
         for (at, fact) in World::facts(seed, steps).facts {
             match fact {
-                Fact::Took(request) => drop(open.insert(request.id, request.valid_until)),
+                Fact::Took(request) => drop(open.insert(request.id, request.deadline)),
                 Fact::Answered { id, .. } => {
                     let until = open
                         .remove(&id)
@@ -430,20 +435,20 @@
         for (at, fact) in &world.facts {
             match fact {
                 Fact::Took(request) => {
-                    drop(classes.insert(request.id.clone(), world.class(request).effect))
+                    classes.insert(request.id.clone(), world.class(request).idempotency);
                 }
                 Fact::Sent { id, server } => {
                     let earlier = ran.entry(id.clone()).or_default();
                     for (sent, before) in earlier.iter() {
-                        let near = |scope: Scope, before: &ServerEntry| match scope {
-                            Scope::All => true,
-                            Scope::Zone => before.zone == server.zone,
-                            Scope::Cell => before.cell == server.cell,
+                        let near = |scope: DeduplicationScope, before: &Endpoint| match scope {
+                            DeduplicationScope::All => true,
+                            DeduplicationScope::Zone => before.zone == server.zone,
+                            DeduplicationScope::Cell => before.cell == server.cell,
                         };
                         let allowed = match classes[id] {
-                            Effect::Safe => true,
-                            Effect::Unsafe => false,
-                            Effect::Keyed { scope, window } => {
+                            Idempotency::Idempotent => true,
+                            Idempotency::NonIdempotent => false,
+                            Idempotency::Keyed { scope, window } => {
                                 *at < *sent + window && near(scope, before)
                             }
                         };
@@ -467,9 +472,9 @@
                 } => {
                     let harmless = matches!(
                         classes[id],
-                        Effect::Safe
-                            | Effect::Keyed {
-                                scope: Scope::All,
+                        Idempotency::Idempotent
+                            | Idempotency::Keyed {
+                                scope: DeduplicationScope::All,
                                 ..
                             }
                     );
@@ -504,8 +509,8 @@
 fn busy(
     world: &mut World,
     count: u64,
-    note: impl Fn(u64) -> Option<Note>,
-    status: impl Fn(u64, &ServerId) -> Status,
+    cache_result: impl Fn(u64) -> Option<CacheResult>,
+    status: impl Fn(u64, &EndpointId) -> Status,
 ) {
     for i in 0..count {
         // The keys are many, and every one of them comes again.
@@ -513,7 +518,11 @@
         world.ask(0, key, ms(400), false, false);
         while let Some(place) = world.out.iter().position(|out| out.at == world.now) {
             let status = status(key, &world.out[place].server.id);
-            world.end(place, status, note(key).filter(|_| status == Status::Ok));
+            world.end(
+                place,
+                status,
+                cache_result(key).filter(|_| status == Status::Ok),
+            );
         }
         world.pass(ms(4));
     }
@@ -530,20 +539,20 @@
             busy(&mut world, 150, |_| None, |_, _| Status::Ok);
         }
         let Settings {
-            fall_multiple,
-            fall_span,
-            cold_share,
-            warm_within,
+            slow_start_overload_factor,
+            slow_start_overload_window,
+            slow_start_min_capacity,
+            slow_start_duration,
             ..
         } = world.settings;
-        let warmth = |entry: &ServerEntry, now: Timestamp| {
+        let warmth = |entry: &Endpoint, now: Timestamp| {
             let age = entry.started.map_or(1.0, |at| {
-                now.since(at).as_secs_f64() / warm_within.as_secs_f64()
+                now.since(at).as_secs_f64() / slow_start_duration.as_secs_f64()
             });
-            (cold_share + (1.0 - cold_share) * age).min(1.0)
+            (slow_start_min_capacity + (1.0 - slow_start_min_capacity) * age).min(1.0)
         };
         let (mut told, mut good, mut counted) = (Vec::new(), 0.0, world.now);
-        let mut sent = BTreeMap::<ServerId, Vec<(Timestamp, f64)>>::new();
+        let mut sent = BTreeMap::<EndpointId, Vec<(Timestamp, f64)>>::new();
         for (at, fact) in &world.facts {
             // What the node has seen answered of late, fading over two seconds, is the fleet's use a second, twice.
             good *= (-at.since(counted).as_secs_f64() / 2.0).exp();
@@ -558,16 +567,17 @@
                         entry.availability == Availability::Ready && entry.kind.is_none()
                     });
                     let fleet: f64 = ready.map(|entry| warmth(entry, *at)).sum();
-                    let can = good / 2.0 * warmth(server, *at) / fleet * fall_span.as_secs_f64();
+                    let can = good / 2.0 * warmth(server, *at) / fleet
+                        * slow_start_overload_window.as_secs_f64();
                     let all = sent.entry(server.id.clone()).or_default();
                     all.push((*at, can));
                     let span = all
                         .iter()
                         .rev()
-                        .take_while(|(then, _)| at.since(*then) <= fall_span);
+                        .take_while(|(then, _)| at.since(*then) <= slow_start_overload_window);
                     let (within, most) =
                         span.fold((0, 0.0f64), |(n, most), (_, can)| (n + 1, most.max(*can)));
-                    let most = most * fall_multiple * 1.1 + 3.0;
+                    let most = most * slow_start_overload_factor * 1.1 + 3.0;
                     assert!(
                         f64::from(within) <= most,
                         "{within} in a span to {}, {most} allowed",
@@ -585,7 +595,7 @@
     // What a key's last answer was, from outside: only one that was a hit needs no database.
     check(0..6, 12, 60, |seed, steps| {
         let mut world = World::new(seed);
-        let through = world.settings.mode == CacheMode::Through;
+        let through = world.settings.mode == CacheMode::ReadThrough;
         let bad = |key: u64| {
             if key.is_multiple_of(2) {
                 Status::Ok
@@ -593,13 +603,18 @@
                 Status::Failed
             }
         };
-        busy(&mut world, 100, |_| Some(Note::Hit), |_, _| Status::Ok);
+        busy(
+            &mut world,
+            100,
+            |_| Some(CacheResult::Hit),
+            |_, _| Status::Ok,
+        );
         world.play(steps);
-        let note = |key: u64| {
+        let cache_result = |key: u64| {
             if key.is_multiple_of(2) {
-                Note::Hit
+                CacheResult::Hit
             } else {
-                Note::Miss
+                CacheResult::Miss
             }
         };
         for _ in 0..3 {
@@ -612,7 +627,7 @@
                     } else {
                         status
                     };
-                    world.end(place, status, through.then_some(note(key)));
+                    world.end(place, status, through.then_some(cache_result(key)));
                 }
                 world.pass(ms(20));
             }
@@ -622,15 +637,18 @@
         for (at, fact) in &world.facts {
             match fact {
                 Fact::Took(request) => {
-                    drop(keys.insert(request.id.clone(), (request.key, request.write)))
+                    keys.insert(request.id.clone(), (request.key, request.write));
                 }
                 Fact::Ended {
-                    id, note, status, ..
+                    id,
+                    cache_result,
+                    status,
+                    ..
                 } => {
                     // A miss that was not fetched is the database's failure.
-                    match note {
-                        Some(Note::Hit) => drop(hits.insert(keys[id].0, true)),
-                        Some(Note::Miss) => {
+                    match cache_result {
+                        Some(CacheResult::Hit) => drop(hits.insert(keys[id].0, true)),
+                        Some(CacheResult::Miss) => {
                             hits.insert(keys[id].0, matches!(status, Status::Ok | Status::Miss));
                         }
                         _ => {}
@@ -678,7 +696,7 @@
         for (i, part) in steps.chunks(15).enumerate() {
             // One server fails until its breaker opens, and meets many requests at once in its cooldown and past it.
             let lost = World::entry(i % 2).id;
-            let bad = |_: u64, at: &ServerId| {
+            let bad = |_: u64, at: &EndpointId| {
                 if *at == lost {
                     Status::Failed
                 } else {
@@ -692,7 +710,7 @@
             }
             world.play(part);
         }
-        let mut seen = BTreeMap::<ServerId, Seen>::new();
+        let mut seen = BTreeMap::<EndpointId, Seen>::new();
         let mut started = BTreeMap::new();
         let mut ever_tripped = BTreeSet::new();
         let (mut told, mut asked, mut to) = (Vec::new(), BTreeSet::new(), BTreeMap::new());
@@ -716,7 +734,7 @@
                         seen.insert(host.into(), Seen::Open(*at + COOLDOWN));
                     }
                     // A class's own breaker blocks as well: such a server counts as none that is free.
-                    ever_tripped.extend(text.split(' ').nth(2).map(ServerId::from));
+                    ever_tripped.extend(text.split(' ').nth(2).map(EndpointId::from));
                 }
                 Fact::Sent { id, server } => {
                     let first = asked.insert(id.clone());
@@ -770,7 +788,7 @@
         for part in steps.chunks(15) {
             // Some or all servers fail, their breakers open, and their trials meet the same.
             let lost = part.len() as u64 % 4;
-            let bad = |key: u64, _: &ServerId| {
+            let bad = |key: u64, _: &EndpointId| {
                 if key % 4 >= lost {
                     Status::Failed
                 } else {
@@ -783,7 +801,7 @@
             world.play(part);
         }
         (0..SERVERS).for_each(|i| world.change(i, Change::Ready));
-        let hit = |_| Some(Note::Hit);
+        let hit = |_| Some(CacheResult::Hit);
         // Longer than the longest cooldown, and as long again for its trials.
         (0..20).for_each(|_| {
             busy(&mut world, 20, hit, |_, _| Status::Ok);
@@ -809,7 +827,7 @@
 #[test]
 fn a_late_outcome_trips_no_breaker_of_a_new_incarnation() {
     check(SEEDS, CASES, LENGTH, |seed, steps| {
-        let mut incarnations = BTreeMap::<ServerId, (Option<Timestamp>, u32)>::new();
+        let mut incarnations = BTreeMap::<EndpointId, (Option<Timestamp>, u32)>::new();
         let mut sent = BTreeMap::new();
         let mut last = None;
         for (_, fact) in World::facts(seed, steps).facts {
@@ -834,7 +852,7 @@
                     last = Some((server.id.clone(), sent[&(id, server.id)]))
                 }
                 Fact::Said(text) if text != "breaker of the origin tripped" => {
-                    let host = ServerId::from(text.split(' ').nth(2).unwrap_or_default());
+                    let host = EndpointId::from(text.split(' ').nth(2).unwrap_or_default());
                     let (server, life) = last.clone().expect("an outcome before a trip");
                     assert_eq!(server, host);
                     assert_eq!(
@@ -858,10 +876,10 @@
         for (at, fact) in &world.facts {
             match fact {
                 Fact::Took(request) => {
-                    over = request.over_share.then(|| request.id.clone());
+                    over = request.over_quota.then(|| request.id.clone());
                     open.insert(
                         request.id.clone(),
-                        (*at, 0, false, world.class(request).aim),
+                        (*at, 0, false, world.class(request).latency_objective),
                     );
                 }
                 Fact::Sent { id, .. } => {
@@ -883,10 +901,10 @@
                 }
                 Fact::Left(id) => drop(open.remove(id)),
                 Fact::Done => {
-                    for (id, (taken, out, tried, aim)) in &open {
+                    for (id, (taken, out, tried, latency_objective)) in &open {
                         assert!(*out > 0 || !tried, "{id} has nothing out and no answer");
                         assert!(
-                            *out > 0 || at.since(*taken) < *aim,
+                            *out > 0 || at.since(*taken) < *latency_objective,
                             "{id} is held past its aim"
                         );
                     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -9,7 +9,7 @@
 fn an_unsafe_request_is_sent_again_only_when_it_never_ran() {
     let mut node = Node::with_servers(settings(), 3);
     let id = node.request(2, 7, ms(400));
-    node.answer(&id, Status::QueueFull);
+    node.answer(&id, Status::Rejected);
     let (attempt, _) = node.out(&id).expect("never ran: sent on");
     assert_eq!(attempt, 1);
     let actions = node.answer(&id, Status::TimedOut);
@@ -36,16 +36,16 @@
 #[test]
 fn a_keyed_request_stays_in_its_cell() {
     let mut settings = settings();
-    settings.classes[1].effect = Effect::Keyed {
-        scope: Scope::Cell,
+    settings.classes[1].idempotency = Idempotency::Keyed {
+        scope: DeduplicationScope::Cell,
         window: ms(1000),
     };
     let mut node = Node::new(settings, 1);
     node.full_list(
         (0..6u64)
-            .map(|i| ServerEntry {
+            .map(|i| Endpoint {
                 cell: i % 3,
-                ..ServerEntry::new(&format!("s{i}"))
+                ..Endpoint::new(&format!("s{i}"))
             })
             .collect(),
     );
@@ -67,13 +67,13 @@
 fn a_draining_or_removed_server_gets_nothing_new() {
     let mut node = Node::with_servers(settings(), 2);
     let own = node.call(7, Status::Ok).expect("served");
-    let entry = |availability| ServerEntry {
+    let entry = |availability| Endpoint {
         availability,
-        ..ServerEntry::new(own.as_str())
+        ..Endpoint::new(own.as_str())
     };
     node.changes(vec![entry(Availability::Draining)]);
     assert_ne!(node.call(7, Status::Ok), Some(own.clone()));
-    node.changes(vec![entry(Availability::Gone)]);
+    node.changes(vec![entry(Availability::Removed)]);
     assert_ne!(node.call(7, Status::Ok), Some(own.clone()));
     node.changes(vec![entry(Availability::Ready)]);
     assert_eq!(
@@ -87,14 +87,14 @@
 #[test]
 fn with_every_server_blocked_none_that_drains_is_picked() {
     let mut node = Node::with_servers(settings(), 3);
-    let leaving: ServerId = "b".into();
+    let leaving: EndpointId = "b".into();
     let own: Vec<u64> = (0..60)
         .filter(|key| node.call(*key, Status::Ok) == Some(leaving.clone()))
         .collect();
     assert!(own.len() > 5, "keys of the one that will leave");
-    node.changes(vec![ServerEntry {
+    node.changes(vec![Endpoint {
         availability: Availability::Draining,
-        ..ServerEntry::new("b")
+        ..Endpoint::new("b")
     }]);
     // One after the other: while most fail, none is blocked.
     let tripped = |node: &Node, server: &str| {
@@ -157,28 +157,28 @@
     let mut node = Node::with_servers(settings(), 2);
     let id = node.request(0, 7, ms(400));
     node.requests.get_mut(&id).expect("known").ended = true;
-    assert_eq!(node.feed(Event::Abandoned(id.clone())), []);
-    assert_eq!(node.feed(Event::Abandoned(id.clone())), []);
+    assert_eq!(node.feed(Event::RequestCanceled(id.clone())), []);
+    assert_eq!(node.feed(Event::RequestCanceled(id.clone())), []);
     // The late outcome must not bring the request back to life.
     assert_eq!(node.answer(&id, Status::Failed), []);
     assert_eq!(node.feed(Event::Timer), []);
-    assert_eq!(node.feed(Event::Abandoned("unheard-of".into())), []);
+    assert_eq!(node.feed(Event::RequestCanceled("unheard-of".into())), []);
 }
 
 #[test]
 fn a_failed_subscription_is_asked_for_again() {
     let mut node = Node::new(
         Settings {
-            must_follow: true,
+            polls_discovery: true,
             ..settings()
         },
         1,
     );
     assert!(node
-        .feed(Event::Restored(Vec::new().into()))
-        .contains(&Action::Follow));
+        .feed(Event::LastKnownEndpoints(Vec::new().into()))
+        .contains(&Action::PollDiscovery));
     assert_eq!(node.feed(Event::Timer), [], "once is enough");
-    let again = node.feed(Event::Servers(ServerList::Unavailable));
+    let again = node.feed(Event::Endpoints(EndpointUpdate::Unavailable));
     assert!(
         matches!(&again[..], [Action::Wake { .. }]),
         "after a while, not at once: {again:?}"
@@ -187,7 +187,7 @@
     assert_eq!(
         node.trace
             .iter()
-            .filter(|action| **action == Action::Follow)
+            .filter(|action| **action == Action::PollDiscovery)
             .count(),
         2
     );
@@ -197,20 +197,20 @@
 /// its turn of 2 s, in that time. And nodes that lost discovery together must come back apart.
 #[test]
 fn failed_calls_are_made_again_in_time_and_apart() {
-    let pauses = |seed, ask_within| {
+    let pauses = |seed, max_poll_interval| {
         let mut node = Node::new(
             Settings {
-                must_follow: true,
-                ask_within,
+                polls_discovery: true,
+                max_poll_interval,
                 ..settings()
             },
             seed,
         );
-        node.feed(Event::Restored(Vec::new().into()));
+        node.feed(Event::LastKnownEndpoints(Vec::new().into()));
         let pause = |_| {
             let (failed, before) = (node.now, node.trace.len());
-            node.feed(Event::Servers(ServerList::Unavailable));
-            while !node.trace[before..].contains(&Action::Follow) {
+            node.feed(Event::Endpoints(EndpointUpdate::Unavailable));
+            while !node.trace[before..].contains(&Action::PollDiscovery) {
                 node.pass(ms(5));
             }
             node.now.since(failed)
@@ -242,14 +242,14 @@
     let mut rng = fastrand::Rng::with_seed(11);
     for step in 0..20_000u64 {
         if step == 5_000 {
-            let mut list: Vec<ServerEntry> = node.list.values().cloned().collect();
+            let mut list: Vec<Endpoint> = node.list.values().cloned().collect();
             list[0].started = Some(born);
             node.changes(list);
         }
         // One key in two is the same hot one; an eighth of the answers ask for another attempt.
         let key = if rng.bool() { 3 } else { rng.u64(..) };
         let id = node.request(0, key, ms(400));
-        for status in [Status::QueueFull, Status::Ok] {
+        for status in [Status::Rejected, Status::Ok] {
             if let Some((attempt, server)) = node.out(&id) {
                 if step >= 5_000 {
                     all += 1.0;
@@ -286,13 +286,14 @@
     for (i, at) in to_cold.iter().enumerate() {
         let within = to_cold[i..]
             .iter()
-            .take_while(|later| later.since(*at) <= node.settings.fall_span)
+            .take_while(|later| later.since(*at) <= node.settings.slow_start_overload_window)
             .count();
-        let age = at.since(born).as_secs_f64() / node.settings.warm_within.as_secs_f64();
+        let age = at.since(born).as_secs_f64() / node.settings.slow_start_duration.as_secs_f64();
         if age < 0.9 {
-            let capacity =
-                per_server * (node.settings.cold_share + (1.0 - node.settings.cold_share) * age);
-            let most = node.settings.fall_multiple * capacity * 1.2 + 2.0;
+            let capacity = per_server
+                * (node.settings.slow_start_min_capacity
+                    + (1.0 - node.settings.slow_start_min_capacity) * age);
+            let most = node.settings.slow_start_overload_factor * capacity * 1.2 + 2.0;
             assert!(
                 (within as f64) < most,
                 "{within} in a span, {most} allowed at age {age}"
@@ -311,16 +312,16 @@
             node.pass(ms(2));
         }
         let born = node.now;
-        let entry = |availability| ServerEntry {
+        let entry = |availability| Endpoint {
             availability,
             started: Some(born),
-            ..ServerEntry::new("a")
+            ..Endpoint::new("a")
         };
         node.changes(vec![entry(Availability::Ready)]);
         let mut sent = 0;
         for key in 0..1_000 {
             if flaps && key % 20 == 0 {
-                node.changes(vec![entry(Availability::Gone)]);
+                node.changes(vec![entry(Availability::Removed)]);
                 node.changes(vec![entry(Availability::Ready)]);
             }
             sent += u32::from(
@@ -344,19 +345,19 @@
     let mut node = Node::with_servers(settings(), 2);
     let id = node.request(0, 7, ms(400));
     let (_, server) = node.out(&id).expect("sent");
-    let (note, load) = (None, LoadReport::default());
-    let (status, took, finished) = (Status::Failed, ms(1), false);
+    let (cache_result, load) = (None, LoadReport::default());
+    let (status, latency, answered) = (Status::Failed, ms(1), false);
     let stray = Outcome {
         id: id.clone(),
         attempt: 9,
         server,
         status,
-        note,
-        took,
-        finished,
+        cache_result,
+        latency,
+        answered,
         load,
     };
-    assert_eq!(node.feed(Event::Outcome(stray)), []);
+    assert_eq!(node.feed(Event::AttemptEnded(stray)), []);
     node.pass(ms(500));
     assert!(node.requests[&id].ended);
 }
@@ -368,20 +369,20 @@
     let (attempt, server) = node.out(&id).expect("sent");
     node.end_attempt(&id, attempt, Status::Failed);
     assert!(node.out(&id).is_some(), "sent on");
-    let (note, load, took, finished) = (None, LoadReport::default(), ms(1), false);
+    let (cache_result, load, latency, answered) = (None, LoadReport::default(), ms(1), false);
     let again = Outcome {
         id: id.clone(),
         attempt,
         server,
         status: Status::Failed,
-        note,
-        took,
-        finished,
+        cache_result,
+        latency,
+        answered,
         load,
     };
     for _ in 0..20 {
         assert_eq!(
-            node.feed(Event::Outcome(again.clone())),
+            node.feed(Event::AttemptEnded(again.clone())),
             [],
             "no breaker trips of it"
         );
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -10,7 +10,7 @@
 
 use crate::writer::{BoundedSender, Writer};
 use slatelink_config::Listing;
-use slatelink_policy::ServerId;
+use slatelink_policy::EndpointId;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -34,7 +34,7 @@
     lost: Cell<u64>,
     /// The stop is the last record.
     stopped: Cell<bool>,
-    health: RefCell<BTreeMap<ServerId, String>>,
+    health: RefCell<BTreeMap<EndpointId, String>>,
 }
 
 impl Audit {
--- a/crates/telemetry/src/figures.rs
+++ b/crates/telemetry/src/figures.rs
@@ -13,7 +13,7 @@
 use slatelink_admission::{Cause, ConnectionStats, Phase};
 use slatelink_config::operators::{Figures as Settings, Format};
 use slatelink_config::{Host, Listing};
-use slatelink_policy::{Availability, ClassId, Name, ServerId, Status};
+use slatelink_policy::{Availability, ClassId, EndpointId, Name, Status};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -33,7 +33,7 @@
 const NO_HOST: &str = "none";
 
 /// A counter's name, class, host and last tag.
-type Series = (&'static str, usize, ServerId, &'static str);
+type Series = (&'static str, usize, EndpointId, &'static str);
 
 #[derive(Default)]
 struct State {
@@ -58,7 +58,7 @@
     /// As they were told last.
     connections: ConnectionStats,
     /// By host: whether its breaker has tripped and nothing was sent there since.
-    blocked: BTreeMap<ServerId, bool>,
+    blocked: BTreeMap<EndpointId, bool>,
     /// Points of one instant and the same tags would replace each other in InfluxDB.
     last_timestamp: u128,
 }
@@ -69,7 +69,7 @@
     batch: usize,
     flush: Duration,
     classes: Vec<String>,
-    no_host: ServerId,
+    no_host: EndpointId,
     output: Output,
     log: Log,
     state: RefCell<State>,
@@ -116,7 +116,7 @@
     }
 
     /// It has its final answer; `host` is the server that served it, or was tried last.
-    pub fn answered(&self, class: ClassId, host: Option<&ServerId>, took: Duration, end: End) {
+    pub fn answered(&self, class: ClassId, host: Option<&EndpointId>, took: Duration, end: End) {
         let state = &mut *self.state.borrow_mut();
         if let Some(open) = state.open_requests.get_mut(class.0) {
             *open = open.saturating_sub(1);
@@ -185,14 +185,14 @@
     }
 
     /// An attempt begins.
-    pub fn sent(&self, host: &ServerId) {
+    pub fn sent(&self, host: &EndpointId) {
         if let Some(blocked) = self.state.borrow_mut().blocked.get_mut(host) {
             *blocked = false;
         }
     }
 
     /// An attempt has ended.
-    pub fn ended(&self, class: ClassId, host: &ServerId, status: Status) {
+    pub fn ended(&self, class: ClassId, host: &EndpointId, status: Status) {
         let series = ("attempt.count", class.0, host.clone(), outcome_tag(status));
         self.count(&mut self.state.borrow_mut(), series);
     }
@@ -206,7 +206,7 @@
             BTreeMap::new()
         };
         for entry in listing.hosts.iter().map(Host::entry) {
-            if entry.availability == Availability::Gone {
+            if entry.availability == Availability::Removed {
                 blocked.remove(&entry.id);
             } else {
                 let was_blocked = previous.remove(&entry.id).unwrap_or(false);
@@ -249,7 +249,7 @@
     }
 
     /// The breaker of this host has tripped.
-    pub fn tripped(&self, host: &ServerId) {
+    pub fn tripped(&self, host: &EndpointId) {
         if let Some(blocked) = self.state.borrow_mut().blocked.get_mut(host) {
             *blocked = true;
         }
--- a/crates/telemetry/src/figures/line.rs
+++ b/crates/telemetry/src/figures/line.rs
@@ -14,12 +14,12 @@
     match status {
         Status::Ok => "ok",
         Status::Failed => "failed",
-        Status::QueueFull => "full",
+        Status::Rejected => "full",
         Status::TimedOut => "timeout",
         Status::ConnectError => "connect",
         Status::Reset => "reset",
         Status::Canceled => "canceled",
-        Status::Ignored => "unsent",
+        Status::NotSent => "unsent",
         Status::Miss => "miss",
     }
 }
--- a/crates/telemetry/src/figures/tests.rs
+++ b/crates/telemetry/src/figures/tests.rs
@@ -47,7 +47,7 @@
 }
 
 fn some_events(figures: &Figures) {
-    let host = ServerId::from("s,=1 x");
+    let host = EndpointId::from("s,=1 x");
     figures.taken(ClassId(0));
     figures.taken(ClassId(0));
     figures.sent(&host);
@@ -163,7 +163,7 @@
     let stuck = writer.sender(1);
     let (release, held) = channel::<()>();
     assert!(stuck.try_send(move |_| held.recv().unwrap_or_default()));
-    let (host, start) = (ServerId::from("h"), std::time::Instant::now());
+    let (host, start) = (EndpointId::from("h"), std::time::Instant::now());
     for i in 0..100_000 {
         figures.taken(ClassId(1));
         figures.ended(ClassId(1), &host, Status::Ok);
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -16,7 +16,7 @@
 use hotlist::HotList;
 use slatelink_config::operators::{Settings, Source};
 use slatelink_config::{digest, Listing};
-use slatelink_policy::{ClassId, Name, ServerId, Status};
+use slatelink_policy::{ClassId, EndpointId, Name, Status};
 use std::io;
 use std::path::Path;
 use std::rc::Rc;
@@ -55,13 +55,13 @@
     fn taken(&self, _class: ClassId, _path: &str) {}
 
     /// A request taken has its final answer, or its client has left. `host`: who served it or was tried last.
-    fn answered(&self, _class: ClassId, _host: Option<&ServerId>, _took: Duration, _end: End) {}
+    fn answered(&self, _class: ClassId, _host: Option<&EndpointId>, _took: Duration, _end: End) {}
 
     /// An attempt begins.
-    fn sent(&self, _host: &ServerId) {}
+    fn sent(&self, _host: &EndpointId) {}
 
     /// An attempt has ended.
-    fn ended(&self, _class: ClassId, _host: &ServerId, _status: Status) {}
+    fn ended(&self, _class: ClassId, _host: &EndpointId, _status: Status) {}
 
     /// Discovery's word, as the node takes it in.
     fn learned(&self, _listing: &Listing) {}
@@ -211,19 +211,19 @@
         }
     }
 
-    fn answered(&self, class: ClassId, host: Option<&ServerId>, took: Duration, end: End) {
+    fn answered(&self, class: ClassId, host: Option<&EndpointId>, took: Duration, end: End) {
         if let Some(figures) = &self.figures {
             figures.answered(class, host, took, end);
         }
     }
 
-    fn sent(&self, host: &ServerId) {
+    fn sent(&self, host: &EndpointId) {
         if let Some(figures) = &self.figures {
             figures.sent(host);
         }
     }
 
-    fn ended(&self, class: ClassId, host: &ServerId, status: Status) {
+    fn ended(&self, class: ClassId, host: &EndpointId, status: Status) {
         if let Some(figures) = &self.figures {
             figures.ended(class, host, status);
         }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -124,9 +124,9 @@
 /// Turns lines into [`Input`]s. It keeps the numbered lists of servers and the names the settings defined.
 #[derive(Debug, Default)]
 pub struct Parser {
-    banks: HashMap<u32, Arc<[ServerEntry]>>,
-    open_bank: Option<(u32, usize, Vec<ServerEntry>)>,
-    server_names: HashMap<String, ServerId>,
+    banks: HashMap<u32, Arc<[Endpoint]>>,
+    open_bank: Option<(u32, usize, Vec<Endpoint>)>,
+    server_names: HashMap<String, EndpointId>,
     classes: HashMap<u32, Vec<Name>>,
 }
 
@@ -179,14 +179,14 @@
             }
             "retire" => return Ok(Some(Input::Stop { who })),
             "peers_known" => match fields.need::<String>("how")?.as_str() {
-                "unavailable" => Event::Servers(ServerList::Unavailable),
+                "unavailable" => Event::Endpoints(EndpointUpdate::Unavailable),
                 how @ ("update" | "replace" | "restored") => {
                     let bank = self.banks.get(&fields.need("bank")?);
                     let entries = bank.ok_or_else(|| fields.bad("unknown bank"))?.clone();
                     match how {
-                        "update" => Event::Servers(ServerList::Changes(entries)),
-                        "replace" => Event::Servers(ServerList::Full(entries)),
-                        _ => Event::Restored(entries),
+                        "update" => Event::Endpoints(EndpointUpdate::Delta(entries)),
+                        "replace" => Event::Endpoints(EndpointUpdate::Snapshot(entries)),
+                        _ => Event::LastKnownEndpoints(entries),
                     }
                 }
                 _ => return Ok(None),
@@ -199,29 +199,29 @@
                     id: fields.request_id()?,
                     class: fields.text("cls").and_then(named).map(ClassId),
                     key: fields.optional("object")?,
-                    valid_until: Timestamp::from_micros(fields.need("valid_until_us")?),
+                    deadline: Timestamp::from_micros(fields.need("valid_until_us")?),
                     expected_work: fields.micros("expected_us")?.filter(|_| options & 1 != 0),
                     write: options & 4 != 0,
                     // The simulator's instances hold no connections.
-                    over_share: false,
+                    over_quota: false,
                 })
             }
             "timer" => Event::Timer,
-            "abandoned" => Event::Abandoned(fields.request_id()?),
+            "abandoned" => Event::RequestCanceled(fields.request_id()?),
             _ => {
                 let status = status(&fields)?;
-                Event::Outcome(Outcome {
+                Event::AttemptEnded(Outcome {
                     id: fields.request_id()?,
                     attempt: fields.need("hop")?,
                     server: self.server(&fields)?,
                     status,
-                    note: match fields.optional::<i64>("info")? {
-                        Some(1) => Some(Note::Hit),
-                        Some(2) => Some(Note::Miss),
+                    cache_result: match fields.optional::<i64>("info")? {
+                        Some(1) => Some(CacheResult::Hit),
+                        Some(2) => Some(CacheResult::Miss),
                         _ => None,
                     },
-                    took: fields.micros("spent_us")?.unwrap_or_default(),
-                    finished: fields.flag("finished")?.unwrap_or(false),
+                    latency: fields.micros("spent_us")?.unwrap_or_default(),
+                    answered: fields.flag("finished")?.unwrap_or(false),
                     load: wire_load(&fields),
                 })
             }
@@ -229,27 +229,27 @@
         Ok(Some(Input::Event { who, event }))
     }
 
-    fn server(&mut self, fields: &Fields) -> Result<ServerId, WireError> {
+    fn server(&mut self, fields: &Fields) -> Result<EndpointId, WireError> {
         let name = fields
             .text("server")
             .ok_or_else(|| fields.bad("no server"))?;
         if let Some(id) = self.server_names.get(name) {
             return Ok(id.clone());
         }
-        let id = ServerId::from(name);
+        let id = EndpointId::from(name);
         self.server_names.insert(name.to_owned(), id.clone());
         Ok(id)
     }
 
     fn entry(&mut self, fields: &Fields) -> Result<(), WireError> {
-        let entry = ServerEntry {
+        let entry = Endpoint {
             id: self.server(fields)?,
             zone: fields.text("region_part").map(Name::from),
             kind: fields.text("machine").map(Name::from),
             cell: fields.optional("group")?.unwrap_or(0),
             availability: match fields.text("availability") {
                 Some("U") => Availability::Ready,
-                Some("D") => Availability::Gone,
+                Some("D") => Availability::Removed,
                 // A state this version does not know: keep away from that server.
                 Some(_) => Availability::Draining,
                 None => return Err(fields.bad("no availability")),
@@ -280,12 +280,12 @@
             .ok_or_else(|| fields.bad("no result"))?
         {
             "Ok" => Status::Ok,
-            "QueueFull" => Status::QueueFull,
+            "QueueFull" => Status::Rejected,
             "TimedOut" => Status::TimedOut,
             "ConnectError" => Status::ConnectError,
             "ResetByPeer" => Status::Reset,
             "Canceled" => Status::Canceled,
-            "Ignored" => Status::Ignored,
+            "Ignored" => Status::NotSent,
             "Miss" => Status::Miss,
             // An unknown outcome still ends its attempt: the careful reading is a failure that may have run.
             _ => Status::Failed,
@@ -316,8 +316,8 @@
             "avg_ms" | "latency_ms" => {
                 report.service_time = value.map(|ms| Duration::from_micros((ms * 1000.0) as u64));
             }
-            "cpu" | "util" => report.busy = value,
-            "waiting" | "queue" => report.waiting = value,
+            "cpu" | "util" => report.utilization = value,
+            "waiting" | "queue" => report.queue_length = value,
             _ => {}
         }
     }
@@ -344,18 +344,20 @@
         let other = Class::default();
         let window = fields.micros(&at("repeat_window_us"))?.unwrap_or_default();
         let scope = match fields.text(&at("dedup_scope")) {
-            Some("all") => Scope::All,
-            Some("zone") => Scope::Zone,
-            _ => Scope::Cell,
+            Some("all") => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Cell,
         };
         classes.push(Class {
             name: fields.need::<String>(&at("name"))?.as_str().into(),
-            effect: match fields.text(&at("effect")) {
-                Some("safe") => Effect::Safe,
-                Some("keyed") => Effect::Keyed { scope, window },
-                _ => Effect::Unsafe,
+            idempotency: match fields.text(&at("effect")) {
+                Some("safe") => Idempotency::Idempotent,
+                Some("keyed") => Idempotency::Keyed { scope, window },
+                _ => Idempotency::NonIdempotent,
             },
-            aim: fields.micros(&at("promise_us"))?.unwrap_or(other.aim),
+            latency_objective: fields
+                .micros(&at("promise_us"))?
+                .unwrap_or(other.latency_objective),
             deadline: fields
                 .micros(&at("hard_limit_us"))?
                 .unwrap_or(other.deadline),
@@ -384,29 +386,29 @@
         classes,
         tenants,
         mode: match (fields.text("family_info.mode"), origin_kind) {
-            (Some("aside"), Some(kind)) => CacheMode::Aside {
+            (Some("aside"), Some(kind)) => CacheMode::CacheAside {
                 origin_kind: kind.into(),
             },
-            _ => CacheMode::Through,
+            _ => CacheMode::ReadThrough,
         },
-        sized: matches!(fields.text("weights"), None | Some("nominal")),
-        must_follow: fields.text("membership_mode") == Some("subscribe"),
-        ask_within: or("safety.ask_within_us", base.ask_within)?,
-        stop_sending_within: or("safety.stop_sending_within_us", base.stop_sending_within)?,
+        weights_include_speed: matches!(fields.text("weights"), None | Some("nominal")),
+        polls_discovery: fields.text("membership_mode") == Some("subscribe"),
+        max_poll_interval: or("safety.ask_within_us", base.max_poll_interval)?,
+        drain_grace: or("safety.stop_sending_within_us", base.drain_grace)?,
         max_attempts: fields
             .optional("limits.most_tries")?
             .unwrap_or(base.max_attempts),
         max_retry_after: or("limits.max_retry_after_us", base.max_retry_after)?,
         connect_timeout: or("limits.connect_timeout_us", base.connect_timeout)?,
         keepalive: or("limits.keepalive_us", base.keepalive)?,
-        cold_share: fields
+        slow_start_min_capacity: fields
             .number("safety.cold_share", 1.0)?
-            .unwrap_or(base.cold_share),
-        warm_within: or("safety.warm_within_us", base.warm_within)?,
-        fall_multiple: fields
+            .unwrap_or(base.slow_start_min_capacity),
+        slow_start_duration: or("safety.warm_within_us", base.slow_start_duration)?,
+        slow_start_overload_factor: fields
             .number("safety.fall_multiple", f64::MAX)?
-            .unwrap_or(base.fall_multiple),
-        fall_span: or("safety.fall_us", base.fall_span)?,
+            .unwrap_or(base.slow_start_overload_factor),
+        slow_start_overload_window: or("safety.fall_us", base.slow_start_overload_window)?,
     })
 }
 
@@ -426,7 +428,7 @@
                 "send who={who} request_id={id} server={server} allow_for_us={allow}"
             )
         }
-        Action::Refuse { id, retry_after } => {
+        Action::Shed { id, retry_after } => {
             writeln!(
                 out,
                 "busy who={who} request_id={id} hold_off_us={}",
@@ -441,8 +443,8 @@
                 after.as_micros()
             )
         }
-        Action::Close { server } => writeln!(out, "close who={who} server={server}"),
-        Action::Follow => writeln!(out, "follow who={who} on=1"),
+        Action::CloseIdleConnections { server } => writeln!(out, "close who={who} server={server}"),
+        Action::PollDiscovery => writeln!(out, "follow who={who} on=1"),
         Action::Log(text) => writeln!(out, "write_log who={who} body_text={}", one_line(text)),
     };
     written.expect("writing to a String cannot fail");
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -31,25 +31,25 @@
         panic!("a start")
     };
     assert_eq!(settings.classes.len(), 2);
-    let keyed = Effect::Keyed {
-        scope: Scope::Zone,
+    let keyed = Idempotency::Keyed {
+        scope: DeduplicationScope::Zone,
         window: Duration::from_millis(600),
     };
-    assert_eq!(settings.classes[1].effect, keyed);
+    assert_eq!(settings.classes[1].idempotency, keyed);
     assert_eq!(settings.tenants, [Name::from("t1")]);
     assert_eq!(
         settings.mode,
-        CacheMode::Aside {
+        CacheMode::CacheAside {
             origin_kind: "origin".into()
         }
     );
     assert_eq!(settings.max_retry_after, Duration::from_secs(1));
-    assert!(settings.must_follow);
-    assert_eq!(settings.ask_within, Duration::from_secs(7));
-    assert_eq!(settings.stop_sending_within, Duration::from_millis(60));
+    assert!(settings.polls_discovery);
+    assert_eq!(settings.max_poll_interval, Duration::from_secs(7));
+    assert_eq!(settings.drain_grace, Duration::from_millis(60));
     assert_eq!(
-        settings.fall_multiple,
-        Settings::default().fall_multiple,
+        settings.slow_start_overload_factor,
+        Settings::default().slow_start_overload_factor,
         "what is missing keeps its default"
     );
 }
@@ -66,7 +66,7 @@
     };
     assert_eq!(request.class, Some(ClassId(1)));
     assert_eq!(
-        (request.key, request.valid_until),
+        (request.key, request.deadline),
         (Some(17), Timestamp::from_micros(900))
     );
     assert_eq!(request.expected_work, Some(Duration::from_micros(12)));
@@ -79,27 +79,27 @@
     let odd = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
     let inputs = parse(&[line, odd]);
     let Input::Event {
-        event: Event::Outcome(outcome),
+        event: Event::AttemptEnded(outcome),
         ..
     } = &inputs[0]
     else {
         panic!("an outcome")
     };
     assert_eq!(
-        (outcome.attempt, outcome.status, outcome.note),
-        (2, Status::Miss, Some(Note::Miss))
+        (outcome.attempt, outcome.status, outcome.cache_result),
+        (2, Status::Miss, Some(CacheResult::Miss))
     );
-    assert!(outcome.finished);
+    assert!(outcome.answered);
     assert_eq!(
         outcome.load,
         LoadReport {
             service_time: Some(Duration::from_micros(1500)),
-            busy: Some(0.25),
-            waiting: Some(2.0)
+            utilization: Some(0.25),
+            queue_length: Some(2.0)
         }
     );
     assert!(
-        matches!(&inputs[1], Input::Event { event: Event::Outcome(o), .. } if o.status == Status::Failed)
+        matches!(&inputs[1], Input::Event { event: Event::AttemptEnded(o), .. } if o.status == Status::Failed)
     );
 }
 
@@ -124,7 +124,7 @@
         .iter()
         .map(|input| match input {
             Input::Event {
-                event: Event::Servers(ServerList::Full(list)),
+                event: Event::Endpoints(EndpointUpdate::Snapshot(list)),
                 ..
             } => list.iter().map(|e| e.id.as_str()).collect(),
             other => panic!("{other:?}"),
@@ -203,7 +203,7 @@
 
 #[test]
 fn actions_are_written_as_lines() {
-    let (id, server) = (RequestId::from("c:x"), ServerId::from("s:1"));
+    let (id, server) = (RequestId::from("c:x"), EndpointId::from("s:1"));
     let time = Duration::from_micros(250);
     for (action, line) in [
         (
@@ -225,7 +225,7 @@
             "send who=3 request_id=c:x server=s:1 allow_for_us=1\n",
         ),
         (
-            Action::Refuse {
+            Action::Shed {
                 id: id.clone(),
                 retry_after: time,
             },
@@ -236,8 +236,11 @@
             Action::Wake { after: time },
             "wake_at who=3 nonce=w sleep_for_us=250\n",
         ),
-        (Action::Close { server }, "close who=3 server=s:1\n"),
-        (Action::Follow, "follow who=3 on=1\n"),
+        (
+            Action::CloseIdleConnections { server },
+            "close who=3 server=s:1\n",
+        ),
+        (Action::PollDiscovery, "follow who=3 on=1\n"),
         (
             Action::Log("two\nlines".into()),
             "write_log who=3 body_text=two lines\n",
@@ -319,7 +322,7 @@
         ];
         let mut inputs = parse(&lines);
         let Input::Event {
-            event: Event::Servers(ServerList::Full(list)),
+            event: Event::Endpoints(EndpointUpdate::Snapshot(list)),
             ..
         } = inputs.remove(1)
         else {
@@ -331,8 +334,14 @@
         };
         let other = Settings::default();
         assert_eq!(
-            (settings.cold_share, settings.fall_multiple),
-            (other.cold_share, other.fall_multiple)
+            (
+                settings.slow_start_min_capacity,
+                settings.slow_start_overload_factor
+            ),
+            (
+                other.slow_start_min_capacity,
+                other.slow_start_overload_factor
+            )
         );
     }
     let Input::Start { settings, .. } =
@@ -341,8 +350,8 @@
         panic!("a start")
     };
     assert_eq!(
-        settings.cold_share,
-        Settings::default().cold_share,
+        settings.slow_start_min_capacity,
+        Settings::default().slow_start_min_capacity,
         "a share is at most 1"
     );
 }
