--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -194,7 +194,7 @@
             Action::Shed { .. }
             | Action::Fail { .. }
             | Action::CloseIdleConnections { .. }
-            | Action::Log(_) => {}
+            | Action::BreakerOpened(_) => {}
         }
     }
 }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -376,7 +376,7 @@
             }
             Action::CloseIdleConnections { server } => self.upstream.close_idle(&server),
             Action::PollDiscovery => self.follow.notify_one(),
-            Action::Log(text) => self.observer.said(&text),
+            Action::BreakerOpened(scope) => self.observer.breaker_opened(&scope),
         }
     }
 
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -374,6 +374,42 @@
     Timer,
 }
 
+/// What a circuit breaker guards.
+///
+/// Displays itself as the line for the log that tells of the breaker's opening.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum BreakerScope {
+    /// All requests to one endpoint.
+    Endpoint(EndpointId),
+    /// The requests of one class to one endpoint.
+    EndpointClass {
+        /// The endpoint.
+        endpoint: EndpointId,
+        /// Position of the class in [`Settings::classes`]; the number of classes for requests of none.
+        class: usize,
+    },
+    /// All requests to the endpoints of one zone; `None` for those that name no zone.
+    Zone(Option<Name>),
+    /// Requests that the origin has to serve.
+    Origin,
+}
+
+impl fmt::Display for BreakerScope {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Endpoint(endpoint) => write!(f, "breaker of {endpoint} tripped"),
+            Self::EndpointClass { endpoint, class } => {
+                write!(f, "breaker of {endpoint} tripped for class {class}")
+            }
+            Self::Zone(zone) => {
+                let zone = zone.as_ref().map_or("", Name::as_str);
+                write!(f, "breaker of zone {zone} tripped")
+            }
+            Self::Origin => f.write_str("breaker of the origin tripped"),
+        }
+    }
+}
+
 /// Something the node must do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
@@ -413,6 +449,6 @@
     },
     /// Ask discovery to push changes.
     PollDiscovery,
-    /// A line for whoever is on call.
-    Log(String),
+    /// A circuit breaker has opened: for the log and for metrics, nothing has to be done.
+    BreakerOpened(BreakerScope),
 }
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -540,7 +540,7 @@
         epoch: u32,
         status: Status,
         now: Timestamp,
-    ) -> Option<String> {
+    ) -> Option<BreakerScope> {
         let heard = match status {
             Status::TimedOut | Status::ConnectError => Some(false),
             Status::Ok | Status::Failed | Status::Rejected | Status::Miss => Some(true),
@@ -571,10 +571,7 @@
             },
             now,
         );
-        Some(format!(
-            "breaker of zone {} tripped",
-            zone.as_ref().map_or("", Name::as_str)
-        ))
+        Some(BreakerScope::Zone(zone.clone()))
     }
 
     fn class_slot(&self, request: &Request) -> usize {
@@ -754,7 +751,7 @@
         }
         actions.extend(
             self.heard(&zone, zone_epoch, outcome.status, now)
-                .map(Action::Log),
+                .map(Action::BreakerOpened),
         );
         let origins = cold && self.fetched(now, sent, outcome.status);
         if let (Some(i), Some(key), Status::Ok) = (place, held.request.key, outcome.status) {
@@ -784,7 +781,7 @@
                 },
                 now,
             );
-            actions.push(Action::Log("breaker of the origin tripped".into()));
+            actions.push(Action::BreakerOpened(BreakerScope::Origin));
         }
         let (epoch, class_epoch, ..) = attempt.epochs;
         // Late past a part of its aim (a heavy one takes longer), unless the server has cores to spare.
@@ -876,10 +873,10 @@
                     },
                     now,
                 );
-                actions.push(Action::Log(format!(
-                    "breaker of {} tripped for class {class}",
-                    outcome.server
-                )));
+                actions.push(Action::BreakerOpened(BreakerScope::EndpointClass {
+                    endpoint: outcome.server.clone(),
+                    class,
+                }));
             }
             let server = &mut self.servers[i];
             // A failed trial opens it again whatever others do: half-open, it would lack a place for good.
@@ -895,9 +892,8 @@
                     },
                     now,
                 );
-                actions.push(Action::Log(format!(
-                    "breaker of {} tripped",
-                    outcome.server
+                actions.push(Action::BreakerOpened(BreakerScope::Endpoint(
+                    outcome.server.clone(),
                 )));
             }
         }
--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -187,8 +187,7 @@
             }
             node.pass(ms(5));
         }
-        let tripped =
-            |action: &&Action| matches!(action, Action::Log(line) if line.contains(" a tripped"));
+        let tripped = |action: &&Action| matches!(action, Action::BreakerOpened(scope) if scope.to_string().contains(" a tripped"));
         node.trace.iter().filter(tripped).count()
     };
     assert_eq!(trips(Status::Ok), 1);
@@ -215,7 +214,7 @@
         node.pass(ms(10));
     }
     let tripped = |node: &Node, of: &str| {
-        let line = |action: &&Action| matches!(action, Action::Log(line) if line.contains(of));
+        let line = |action: &&Action| matches!(action, Action::BreakerOpened(scope) if scope.to_string().contains(of));
         node.trace.iter().filter(line).count()
     };
     assert_eq!(
@@ -297,7 +296,7 @@
     let tripped = |node: &Node| {
         node.trace
             .iter()
-            .any(|action| matches!(action, Action::Log(_)))
+            .any(|action| matches!(action, Action::BreakerOpened(_)))
     };
     for _ in 0..2 {
         // Of five at once the server takes one.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -194,7 +194,9 @@
                 self.timers
                     .insert(self.now + (*after).max(Duration::from_micros(1)));
             }
-            Action::CloseIdleConnections { .. } | Action::PollDiscovery | Action::Log(_) => {}
+            Action::CloseIdleConnections { .. }
+            | Action::PollDiscovery
+            | Action::BreakerOpened(_) => {}
         }
     }
 
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -287,7 +287,7 @@
     );
     // Where no zone answers none is worse than the others.
     let (_, node) = play(2, &|_| &["n", "e", "s", "w"]);
-    let tripped = |action: &Action| matches!(action, Action::Log(text) if text.contains("zone"));
+    let tripped = |action: &Action| matches!(action, Action::BreakerOpened(BreakerScope::Zone(_)));
     assert!(!node.trace.iter().any(tripped));
 }
 
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -289,7 +289,7 @@
         let tripped = node
             .trace
             .iter()
-            .any(|action| matches!(action, Action::Log(_)));
+            .any(|action| matches!(action, Action::BreakerOpened(_)));
         (sent, tripped)
     };
     assert_eq!(sent_at(0.0), (900, false));
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -40,11 +40,21 @@
     },
     Left(RequestId),
     Told(Vec<Endpoint>),
-    Said(String),
+    BreakerOpened(BreakerScope),
     /// All that came of one event has been seen.
     Done,
 }
 
+/// The endpoint that a breaker guards, wholly or for one class.
+fn endpoint_of(scope: &BreakerScope) -> Option<&EndpointId> {
+    match scope {
+        BreakerScope::Endpoint(endpoint) | BreakerScope::EndpointClass { endpoint, .. } => {
+            Some(endpoint)
+        }
+        BreakerScope::Zone(_) | BreakerScope::Origin => None,
+    }
+}
+
 struct Out {
     id: RequestId,
     attempt: u32,
@@ -223,7 +233,9 @@
                     self.timers
                         .insert(self.now + after.max(Duration::from_micros(1)));
                 }
-                Action::Log(text) => self.facts.push((self.now, Fact::Said(text))),
+                Action::BreakerOpened(scope) => {
+                    self.facts.push((self.now, Fact::BreakerOpened(scope)))
+                }
                 _ => {}
             }
         }
@@ -654,10 +666,10 @@
                         _ => {}
                     }
                 }
-                Fact::Said(text) if text == "breaker of the origin tripped" => {
+                Fact::BreakerOpened(BreakerScope::Origin) => {
                     (open_until, trips) = (*at + COOLDOWN, trips + 1);
                 }
-                Fact::Said(text) if text == "breaker of zz tripped" => {
+                Fact::BreakerOpened(BreakerScope::Endpoint(id)) if id.as_str() == "zz" => {
                     (open_until, trips) = (*at + COOLDOWN, trips + 1);
                 }
                 Fact::Sent { id, server } if *at < open_until => {
@@ -726,15 +738,12 @@
                     started.retain(|id, _| list.iter().any(|entry| entry.id == *id));
                     told = list.clone();
                 }
-                Fact::Said(text) => {
-                    let host = text
-                        .strip_prefix("breaker of ")
-                        .and_then(|rest| rest.strip_suffix(" tripped"));
-                    if let Some(host) = host {
-                        seen.insert(host.into(), Seen::Open(*at + COOLDOWN));
+                Fact::BreakerOpened(scope) => {
+                    if let BreakerScope::Endpoint(endpoint) = scope {
+                        seen.insert(endpoint.clone(), Seen::Open(*at + COOLDOWN));
                     }
                     // A class's own breaker blocks as well: such a server counts as none that is free.
-                    ever_tripped.extend(text.split(' ').nth(2).map(EndpointId::from));
+                    ever_tripped.extend(endpoint_of(scope).cloned());
                 }
                 Fact::Sent { id, server } => {
                     let first = asked.insert(id.clone());
@@ -851,13 +860,13 @@
                 Fact::Ended { id, server, .. } => {
                     last = Some((server.id.clone(), sent[&(id, server.id)]))
                 }
-                Fact::Said(text) if text != "breaker of the origin tripped" => {
-                    let host = EndpointId::from(text.split(' ').nth(2).unwrap_or_default());
+                Fact::BreakerOpened(scope) if scope != BreakerScope::Origin => {
+                    let host = endpoint_of(&scope).expect("few nodes keep no breakers of zones");
                     let (server, life) = last.clone().expect("an outcome before a trip");
-                    assert_eq!(server, host);
+                    assert_eq!(server, *host);
                     assert_eq!(
                         life,
-                        incarnations.get(&host).copied(),
+                        incarnations.get(host).copied(),
                         "an old life's outcome trips {host}"
                     );
                 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -98,8 +98,8 @@
     }]);
     // One after the other: while most fail, none is blocked.
     let tripped = |node: &Node, server: &str| {
-        let text = format!("breaker of {server} tripped");
-        node.trace.contains(&Action::Log(text))
+        let scope = BreakerScope::Endpoint(server.into());
+        node.trace.contains(&Action::BreakerOpened(scope))
     };
     for bad in ["a", "c"] {
         for key in 0..4_000 {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -16,7 +16,7 @@
 use hotlist::HotList;
 use slatelink_config::operators::{Settings, Source};
 use slatelink_config::{digest, Listing};
-use slatelink_policy::{ClassId, EndpointId, Name, Status};
+use slatelink_policy::{BreakerScope, ClassId, EndpointId, Name, Status};
 use std::io;
 use std::path::Path;
 use std::rc::Rc;
@@ -69,8 +69,8 @@
     /// What the table of clients' connections is like; each second.
     fn connections(&self, _table: &slatelink_admission::ConnectionStats) {}
 
-    /// A line of the decision module's.
-    fn said(&self, _text: &str) {}
+    /// A circuit breaker of the decision module has opened.
+    fn breaker_opened(&self, _scope: &BreakerScope) {}
 }
 
 /// At a stop the figures wait no longer than this for a pipe that is read slowly.
@@ -245,14 +245,10 @@
         }
     }
 
-    fn said(&self, text: &str) {
-        if let Some(figures) = &self.figures {
-            let host = text
-                .strip_prefix("breaker of ")
-                .and_then(|rest| rest.strip_suffix(" tripped"));
-            host.into_iter()
-                .for_each(|host| figures.tripped(&host.into()));
+    fn breaker_opened(&self, scope: &BreakerScope) {
+        if let (Some(figures), BreakerScope::Endpoint(endpoint)) = (&self.figures, scope) {
+            figures.tripped(endpoint);
         }
-        self.log.often("module", text);
+        self.log.often("module", &scope.to_string());
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -445,7 +445,11 @@
         }
         Action::CloseIdleConnections { server } => writeln!(out, "close who={who} server={server}"),
         Action::PollDiscovery => writeln!(out, "follow who={who} on=1"),
-        Action::Log(text) => writeln!(out, "write_log who={who} body_text={}", one_line(text)),
+        Action::BreakerOpened(scope) => writeln!(
+            out,
+            "write_log who={who} body_text={}",
+            one_line(&scope.to_string())
+        ),
     };
     written.expect("writing to a String cannot fail");
 }
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -242,8 +242,8 @@
         ),
         (Action::PollDiscovery, "follow who=3 on=1\n"),
         (
-            Action::Log("two\nlines".into()),
-            "write_log who=3 body_text=two lines\n",
+            Action::BreakerOpened(BreakerScope::Endpoint("two\nlines".into())),
+            "write_log who=3 body_text=breaker of two lines tripped\n",
         ),
     ] {
         let mut out = String::new();
