--- a/crates/config/src/listing.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -9,19 +9,21 @@
 
 /// Discovery's answer: the whole list, or what changed.
 #[derive(Debug, Default, Deserialize)]
-pub struct Listing {
+pub struct EndpointList {
     /// Its version.
-    pub seq: u64,
+    #[serde(rename = "seq")]
+    pub version: u64,
     /// Whether what it lacks is gone.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// The entries, or those that changed.
     #[serde(default)]
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<EndpointRecord>,
 }
 
 /// One cache server in it.
 #[derive(Debug, Deserialize)]
-pub struct Host {
+pub struct EndpointRecord {
     host: String,
     dial: Option<SocketAddr>,
     site: Option<String>,
@@ -32,7 +34,7 @@
     born_ms: Option<u64>,
 }
 
-impl Host {
+impl EndpointRecord {
     /// Where it listens; one that is gone may have no address.
     pub fn dial(&self) -> Option<SocketAddr> {
         self.dial
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -3,12 +3,12 @@
 //! Owns the formats and their checks: typed values out, or one sentence that says what was read, where, and what was
 //! expected. It reads files when asked to, and never acts on what they say.
 
-pub mod listing;
+pub mod endpoint_list;
 pub mod operators;
 pub mod platform;
 pub mod relay;
 
-pub use listing::{Host, Listing};
+pub use endpoint_list::{EndpointList, EndpointRecord};
 
 use sha2::{Digest, Sha256};
 
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,6 +1,6 @@
 //! `LB_CONFIG` and the environment, read into typed values.
 
-use crate::Listing;
+use crate::EndpointList;
 use serde::Deserialize;
 use serde_json::Value;
 use slatelink_policy::Settings;
@@ -40,7 +40,7 @@
     /// Bytes of memory that the node may use; all there is, where nothing is said.
     pub memory: Option<u64>,
     /// The cache servers as this node last knew them.
-    pub known: Listing,
+    pub known: EndpointList,
     pub settings: Settings,
     /// Where all this is from, and the file's bytes.
     pub path: PathBuf,
@@ -55,7 +55,7 @@
     seed: String,
     limits: Limits,
     #[serde(default)]
-    known: Listing,
+    known: EndpointList,
     settings: Value,
 }
 
--- a/crates/node/src/table.rs
+++ b/crates/node/src/connections.rs
@@ -1,10 +1,10 @@
 //! The sockets behind the table of clients' connections: the table's directives are carried out here.
 
-mod place;
+mod handle;
 mod reporting_socket;
 mod socket;
 
-pub use place::{Driven, Place};
+pub use handle::{ConnectionHandle, DriveOutcome};
 pub use reporting_socket::ReportingSocket;
 pub use socket::MAX_READ_AHEAD;
 
@@ -33,7 +33,7 @@
 const EVICTION_POLLS: u32 = 10;
 
 /// All connections of one port.
-pub struct Table {
+pub struct ConnectionManager {
     connections: RefCell<ConnectionTable>,
     budget: Budget,
     side: Side,
@@ -43,7 +43,7 @@
     freed: Notify,
 }
 
-impl Table {
+impl ConnectionManager {
     /// A table whose connections are this side's of the budget.
     pub fn new(budget: Budget, side: Side, limits: ConnectionLimits) -> Rc<Self> {
         Rc::new(Self {
@@ -97,7 +97,7 @@
         stream: TcpStream,
         address: IpAddr,
         others: impl Fn(Side) -> bool,
-    ) -> Option<Place> {
+    ) -> Option<ConnectionHandle> {
         let admitted = self.connections.borrow_mut().check_address_limit(address);
         if let Err(oldest) = admitted {
             // Its own idle one makes room for it, and is as good as closed.
@@ -113,7 +113,7 @@
             wakers.resize(id as usize + 1, None);
         }
         wakers[id as usize] = None;
-        Some(Place {
+        Some(ConnectionHandle {
             table: self.clone(),
             id,
             socket: Socket::new(stream),
@@ -122,7 +122,7 @@
 
     /// Waits for a descriptor. Clients keep their connections open: idle ones would keep all other clients out.
     pub async fn lease(&self, others: impl Fn(Side) -> bool) -> Lease {
-        struct Waiter<'a>(&'a Table);
+        struct Waiter<'a>(&'a ConnectionManager);
         impl Drop for Waiter<'_> {
             fn drop(&mut self) {
                 self.0.connections.borrow_mut().remove_waiter();
--- a/crates/node/src/table/place.rs
+++ b/crates/node/src/connections/handle.rs
@@ -1,7 +1,7 @@
 //! A connection's place in the table: its events, and how its directives are carried out.
 
 use super::socket::Socket;
-use super::Table;
+use super::ConnectionManager;
 use bytes::{Bytes, BytesMut};
 use slatelink_admission::{ConnectionId, Directive, Phase};
 use std::future::{poll_fn, Future};
@@ -16,13 +16,13 @@
 const LINGER_TIME: Duration = Duration::from_secs(1);
 
 /// A connection's place in the table.
-pub struct Place {
-    pub(super) table: Rc<Table>,
+pub struct ConnectionHandle {
+    pub(super) table: Rc<ConnectionManager>,
     pub(super) id: ConnectionId,
     pub(super) socket: Socket,
 }
 
-impl Place {
+impl ConnectionHandle {
     /// What is polled with this context is woken where the table has something to tell it.
     fn follow(&self, cx: &Context<'_>) {
         if let Some(waker) = self.table.wakers.borrow_mut().get_mut(self.id as usize) {
@@ -174,7 +174,7 @@
 
     /// Drives a connection to its end, or until it is to be parked: what was taken is finished when the node closes; a
     /// connection whose time is up is dropped, but for an idle one, which may be met by a request just then.
-    pub async fn drive<C>(&self, serving: &mut C, close: impl Fn(Pin<&mut C>)) -> Driven
+    pub async fn drive<C>(&self, serving: &mut C, close: impl Fn(Pin<&mut C>)) -> DriveOutcome
     where
         C: Future + Unpin,
     {
@@ -184,15 +184,15 @@
             loop {
                 // An error here is a client that left or spoke no HTTP: hyper has answered what can be.
                 if Pin::new(&mut *serving).poll(cx).is_ready() {
-                    return Poll::Ready(Driven::Over);
+                    return Poll::Ready(DriveOutcome::Over);
                 }
                 // hyper looks for the client's end only while it has read nothing more of it.
                 if self.is_at(Phase::Open) && self.poll_client_has_left(cx) {
-                    return Poll::Ready(Driven::Over);
+                    return Poll::Ready(DriveOutcome::Over);
                 }
                 match self.directive() {
-                    Directive::Abort => return Poll::Ready(Driven::Over),
-                    Directive::Park => return Poll::Ready(Driven::Park),
+                    Directive::Abort => return Poll::Ready(DriveOutcome::Over),
+                    Directive::Park => return Poll::Ready(DriveOutcome::Park),
                     // Closed now, hyper would drop the half of a request that it has: its answer closes the connection.
                     Directive::Finish if !closed && !self.is_at(Phase::Asking) => {
                         closed = true;
@@ -206,7 +206,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionHandle {
     fn drop(&mut self) {
         self.table.connections.borrow_mut().remove(self.id);
         if let Some(waker) = self.table.wakers.borrow_mut().get_mut(self.id as usize) {
@@ -219,7 +219,7 @@
 
 /// What a connection came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Driven {
+pub enum DriveOutcome {
     /// It has ended, or is to be dropped.
     Over,
     /// It has been idle for a while.
--- a/crates/node/src/table/reporting_socket.rs
+++ b/crates/node/src/connections/reporting_socket.rs
@@ -1,6 +1,6 @@
 //! The socket of a connection as hyper uses it.
 
-use super::place::Place;
+use super::handle::ConnectionHandle;
 use super::socket::{Socket, READ_BYTES};
 use bytes::Buf;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -12,7 +12,7 @@
 use std::task::{ready, Context, Poll};
 
 /// The socket of a connection, which reports to the table what is read and written on it.
-pub struct ReportingSocket(pub Rc<Place>);
+pub struct ReportingSocket(pub Rc<ConnectionHandle>);
 
 impl Read for ReportingSocket {
     fn poll_read(
@@ -20,7 +20,7 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let Place { table, id, socket } = &*self.0;
+        let ConnectionHandle { table, id, socket } = &*self.0;
         let note_read = || {
             table
                 .connections
@@ -71,7 +71,7 @@
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         // hyper flushes the socket, which itself holds nothing back, only once all of an answer is written.
-        let Place { table, id, .. } = &*self.0;
+        let ConnectionHandle { table, id, .. } = &*self.0;
         table.connections.borrow_mut().on_flushed(table.now(), *id);
         Poll::Ready(Ok(()))
     }
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -5,8 +5,8 @@
 
 use crate::decisions::Decisions;
 use crate::discovery::Discovery;
-use crate::driver::Input;
-use slatelink_config::Listing;
+use crate::driver::DriverEvent;
+use slatelink_config::EndpointList;
 use slatelink_policy::{
     Action, Balancer, ClassId, Endpoint, EndpointId, EndpointUpdate, Event, LoadReport, Outcome,
     Request, RequestId, Settings, Status,
@@ -106,7 +106,7 @@
 }
 
 impl ControlDriver {
-    async fn run(mut self, mut inputs: UnboundedReceiver<Input>) {
+    async fn run(mut self, mut inputs: UnboundedReceiver<DriverEvent>) {
         self.decisions
             .push(Event::LastKnownEndpoints(Arc::from([])));
         self.handle_due();
@@ -123,25 +123,27 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn take(&mut self, input: DriverEvent) {
         match input {
-            Input::Listing(listing) => self.learn(&listing),
-            Input::ListingFailed => {
+            DriverEvent::EndpointListReceived(list) => self.learn(&list),
+            DriverEvent::DiscoveryFailed => {
                 self.decisions
                     .push(Event::Endpoints(EndpointUpdate::Unavailable));
                 self.handle_due();
                 self.observer.discovery_failed();
             }
             // Only the client of discovery has the sending end.
-            Input::Taken(_) | Input::Left(_) | Input::Ended { .. } => {}
+            DriverEvent::RequestReceived(_)
+            | DriverEvent::ClientDisconnected(_)
+            | DriverEvent::AttemptEnded { .. } => {}
         }
     }
 
-    fn learn(&mut self, listing: &Listing) {
-        let entries: Arc<[Endpoint]> = listing.hosts.iter().map(|host| host.entry()).collect();
-        self.decisions.push_list(entries, listing.whole);
+    fn learn(&mut self, list: &EndpointList) {
+        let entries: Arc<[Endpoint]> = list.hosts.iter().map(|host| host.entry()).collect();
+        self.decisions.push_list(entries, list.complete);
         self.handle_due();
-        self.observer.in_force(listing.seq, listing.whole);
+        self.observer.in_force(list.version, list.complete);
     }
 
     fn wake(&mut self) {
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -7,11 +7,11 @@
 mod watches;
 mod watching;
 
-use crate::driver::Input;
+use crate::driver::DriverEvent;
 use call::{call, Ask, CallError, Called, Link};
 use departures::{Departures, REMEMBERED};
 use in_flight::{Answered, Call, CallId, InFlight, Source};
-use slatelink_config::Listing;
+use slatelink_config::EndpointList;
 use slatelink_policy::Availability;
 use slatelink_telemetry::Log;
 use std::future::Future;
@@ -37,7 +37,7 @@
     /// A node that has not called for so long counts as told.
     pub max_poll_interval: Duration,
     pub random: fastrand::Rng,
-    pub events: UnboundedSender<Input>,
+    pub events: UnboundedSender<DriverEvent>,
     pub log: Log,
 }
 
@@ -68,7 +68,7 @@
     drain_grace: Duration,
     max_poll_interval: Duration,
     random: fastrand::Rng,
-    events: UnboundedSender<Input>,
+    events: UnboundedSender<DriverEvent>,
     log: Log,
     /// When discovery last answered a call; before that it may not know of this node.
     answered: Option<Instant>,
@@ -134,10 +134,10 @@
                 link = kept;
                 let unsure = std::mem::replace(&mut self.unsure, called.is_err());
                 match called {
-                    Ok(listing) => {
+                    Ok(list) => {
                         self.answered = Some(Instant::now());
-                        let early = self.seq == Some(listing.seq) && asked.elapsed() < EARLY;
-                        match self.take(listing) {
+                        let early = self.seq == Some(list.version) && asked.elapsed() < EARLY;
+                        match self.take(list) {
                             Taken::Older => self.reading(sleep(PACE)).await,
                             Taken::Newest if early && !unsure => self.reading(sleep(PACE)).await,
                             Taken::Newest => {}
@@ -151,7 +151,7 @@
                         at_once = new_there || self.failed_late;
                         // The module's word is waited for but where it has no say.
                         if (self.pushed || !at_once)
-                            && self.events.send(Input::ListingFailed).is_err()
+                            && self.events.send(DriverEvent::DiscoveryFailed).is_err()
                         {
                             return;
                         }
@@ -212,7 +212,7 @@
     fn heed(&mut self, answered: Answered) {
         let Answered {
             source,
-            called: (Ok(listing), _),
+            called: (Ok(list), _),
             ..
         } = answered
         else {
@@ -220,51 +220,52 @@
         };
         // Whether the driver is there shows at the next list.
         if source != self.source || self.seq.is_none() {
-            self.tell_leaving(listing, source);
-        } else if self.seq.is_some_and(|held| listing.seq > held) {
-            self.take(listing);
+            self.tell_leaving(list, source);
+        } else if self.seq.is_some_and(|held| list.version > held) {
+            self.take(list);
         }
     }
 
     /// Takes a list of the present address, unless it is older than the one held.
-    fn take(&mut self, listing: Listing) -> Taken {
+    fn take(&mut self, list: EndpointList) -> Taken {
         // It would bring servers back that are gone. Discovery may have lost its versions all the same: the whole list is
         // taken as it comes, and until then what this one says of servers that leave.
-        if let Some(held) = self.seq.filter(|held| listing.seq < *held) {
+        if let Some(held) = self.seq.filter(|held| list.version < *held) {
             let text = format!(
                 "discovery: list {} is older than {held}: asking for the whole list",
-                listing.seq
+                list.version
             );
             self.log.often("discovery", &text);
             self.seq = None;
-            self.tell_leaving(listing, self.source);
+            self.tell_leaving(list, self.source);
             return Taken::Older;
         }
-        self.seq = Some(listing.seq);
-        match self.tell(listing, self.source) {
+        self.seq = Some(list.version);
+        match self.tell(list, self.source) {
             true => Taken::Newest,
             false => Taken::NobodyListens,
         }
     }
 
     /// Hands on what a list that is not taken tells of servers that leave.
-    fn tell_leaving(&mut self, mut listing: Listing, source: Source) {
-        listing.whole = false;
-        listing
-            .hosts
+    fn tell_leaving(&mut self, mut list: EndpointList, source: Source) {
+        list.complete = false;
+        list.hosts
             .retain(|host| host.availability() != Availability::Ready);
-        self.tell(listing, source);
+        self.tell(list, source);
     }
 
     /// Hands a list on. `false` where the driver has gone.
-    fn tell(&mut self, mut listing: Listing, source: Source) -> bool {
+    fn tell(&mut self, mut list: EndpointList, source: Source) -> bool {
         let now = Instant::now();
-        if self.departures.amend(&mut listing, source, now) {
+        if self.departures.amend(&mut list, source, now) {
             let text = "discovery: a server that leaves stays left alone, against a list that is not newer";
             self.log.often("discovery", text);
             self.confirm_at = Some(now + REMEMBERED);
         }
-        self.events.send(Input::Listing(listing)).is_ok()
+        self.events
+            .send(DriverEvent::EndpointListReceived(list))
+            .is_ok()
     }
 
     fn spread(&mut self, time: Duration, part: f64) -> Duration {
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -6,7 +6,7 @@
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use slatelink_config::Listing;
+use slatelink_config::EndpointList;
 use std::future::{poll_fn, Future};
 use std::net::SocketAddr;
 use std::pin::{pin, Pin};
@@ -64,7 +64,7 @@
 }
 
 /// How a call ended, and its connection where that may carry another.
-pub type Called = (Result<Listing, CallError>, Option<Link>);
+pub type Called = (Result<EndpointList, CallError>, Option<Link>);
 
 type Driving = Option<Pin<Box<http1::Connection<TokioIo<TcpStream>, Empty<Bytes>>>>>;
 
@@ -85,7 +85,7 @@
     address: SocketAddr,
     ask: Ask,
     link: &mut Option<Link>,
-) -> Result<Listing, CallError> {
+) -> Result<EndpointList, CallError> {
     // A kept connection that discovery has closed meanwhile is no failure of the call.
     let usable = match link {
         Some(Link { sender, connection }) => driven(connection, sender.ready()).await.is_ok(),
--- a/crates/node/src/discovery/departures.rs
+++ b/crates/node/src/discovery/departures.rs
@@ -5,7 +5,7 @@
 //! versions. Time comes in as an argument.
 
 use super::in_flight::Source;
-use slatelink_config::Listing;
+use slatelink_config::EndpointList;
 use slatelink_policy::Availability;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -42,13 +42,13 @@
 impl Departures {
     /// Notes what a list says of servers that leave, and has those left alone that it calls ready by older knowledge.
     /// Whether there were any of these.
-    pub fn amend(&mut self, listing: &mut Listing, source: Source, now: Instant) -> bool {
+    pub fn amend(&mut self, list: &mut EndpointList, source: Source, now: Instant) -> bool {
         self.servers
             .retain(|_, departure| now - departure.announced < REMEMBERED);
-        let version = listing.seq;
-        let newer = self.advance(listing, source, now);
+        let version = list.version;
+        let newer = self.advance(list, source, now);
         let mut amended = false;
-        for host in &mut listing.hosts {
+        for host in &mut list.hosts {
             if host.availability() != Availability::Ready {
                 let departure = Departure {
                     source,
@@ -82,29 +82,23 @@
     }
 
     /// Takes in who is listed, unless the list is not newer than one of the same source. Whether it was newer.
-    fn advance(&mut self, listing: &Listing, source: Source, now: Instant) -> bool {
+    fn advance(&mut self, list: &EndpointList, source: Source, now: Instant) -> bool {
         let outweighs = |newest: &&Newest| {
             let fresh = now - newest.taken < REMEMBERED;
-            fresh && newest.source == source && newest.version >= listing.seq
+            fresh && newest.source == source && newest.version >= list.version
         };
         if self.newest.as_ref().filter(outweighs).is_some() {
             return false;
         }
         self.newest = Some(Newest {
             source,
-            version: listing.seq,
+            version: list.version,
             taken: now,
         });
-        if listing.whole {
-            self.listed = Some(
-                listing
-                    .hosts
-                    .iter()
-                    .map(|host| host.id().to_owned())
-                    .collect(),
-            );
+        if list.complete {
+            self.listed = Some(list.hosts.iter().map(|host| host.id().to_owned()).collect());
         } else if let Some(listed) = &mut self.listed {
-            for host in &listing.hosts {
+            for host in &list.hosts {
                 match host.availability() {
                     Availability::Removed => drop(listed.remove(host.id())),
                     _ => drop(listed.insert(host.id().to_owned())),
--- a/crates/node/src/discovery/leaving_tests.rs
+++ b/crates/node/src/discovery/leaving_tests.rs
@@ -109,19 +109,19 @@
 
 /// Waits until the driver hears that this server leaves; `None` if it does not in this time.
 async fn heard_leaving(
-    heard: &mut UnboundedReceiver<(Instant, Input)>,
+    heard: &mut UnboundedReceiver<(Instant, DriverEvent)>,
     name: &str,
     within: Duration,
 ) -> Option<Instant> {
     let until = Instant::now() + within;
     while let Ok(Some((at, input))) = timeout_at(until, heard.recv()).await {
-        let Input::Listing(listing) = input else {
+        let DriverEvent::EndpointListReceived(list) = input else {
             continue;
         };
-        let leaves = |host: &slatelink_config::Host| {
+        let leaves = |host: &slatelink_config::EndpointRecord| {
             host.entry().id.as_str() == name && host.entry().availability != Availability::Ready
         };
-        if listing.hosts.iter().any(leaves) {
+        if list.hosts.iter().any(leaves) {
             return Some(at);
         }
     }
@@ -206,15 +206,15 @@
             let until = Instant::now() + AT_ONCE;
             let mut drained = false;
             while let Ok(Some((_, input))) = timeout_at(until, heard.recv()).await {
-                let Input::Listing(listing) = input else {
+                let DriverEvent::EndpointListReceived(list) = input else {
                     continue;
                 };
-                for host in &listing.hosts {
+                for host in &list.hosts {
                     let ready = host.entry().availability == Availability::Ready;
                     assert!(
                         !(ready && drained),
                         "{later_on}, {written_first}: version {}",
-                        listing.seq
+                        list.version
                     );
                     drained |= !ready;
                 }
@@ -324,7 +324,7 @@
     seed: u64,
     log: &Log,
 ) -> (
-    UnboundedReceiver<(Instant, Input)>,
+    UnboundedReceiver<(Instant, DriverEvent)>,
     UnboundedReceiver<Asked>,
     Asked,
     Asked,
@@ -461,7 +461,11 @@
 }
 
 /// A client of discovery that holds version 1, with a module that says when to follow after a pause drawn as the module's.
-fn drawn_client(address: SocketAddr, seed: u64, log: &Log) -> UnboundedReceiver<(Instant, Input)> {
+fn drawn_client(
+    address: SocketAddr,
+    seed: u64,
+    log: &Log,
+) -> UnboundedReceiver<(Instant, DriverEvent)> {
     let (events, mut inputs) = unbounded_channel();
     let (told, heard) = unbounded_channel();
     let (addresses, address) = watch::channel(address);
@@ -487,7 +491,7 @@
     spawn_local(async move {
         let mut random = fastrand::Rng::with_seed(seed ^ 0x9e37);
         while let Some(input) = inputs.recv().await {
-            let failed = matches!(input, Input::ListingFailed);
+            let failed = matches!(input, DriverEvent::DiscoveryFailed);
             if told.send((Instant::now(), input)).is_err() {
                 return;
             }
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -103,7 +103,7 @@
 }
 
 /// Sets a client to work that holds the list of version 1, with a module that says when to follow.
-fn client(address: SocketAddr, seed: u64, log: &Log) -> UnboundedReceiver<(Instant, Input)> {
+fn client(address: SocketAddr, seed: u64, log: &Log) -> UnboundedReceiver<(Instant, DriverEvent)> {
     client_at(address, seed, false, log).0
 }
 
@@ -114,7 +114,7 @@
     pushed: bool,
     log: &Log,
 ) -> (
-    UnboundedReceiver<(Instant, Input)>,
+    UnboundedReceiver<(Instant, DriverEvent)>,
     Rc<watch::Sender<SocketAddr>>,
 ) {
     client_with(
@@ -135,7 +135,7 @@
     settings: &Settings,
     log: &Log,
 ) -> (
-    UnboundedReceiver<(Instant, Input)>,
+    UnboundedReceiver<(Instant, DriverEvent)>,
     Rc<watch::Sender<SocketAddr>>,
 ) {
     let (events, mut inputs) = unbounded_channel();
@@ -168,7 +168,7 @@
     spawn_local(watching.run(follow.clone()));
     spawn_local(async move {
         while let Some(input) = inputs.recv().await {
-            let failed = matches!(input, Input::ListingFailed);
+            let failed = matches!(input, DriverEvent::DiscoveryFailed);
             if told.send((Instant::now(), input)).is_err() {
                 return;
             }
@@ -205,10 +205,13 @@
 }
 
 /// When the list of this version came.
-pub(super) async fn list(heard: &mut UnboundedReceiver<(Instant, Input)>, version: u64) -> Instant {
+pub(super) async fn list(
+    heard: &mut UnboundedReceiver<(Instant, DriverEvent)>,
+    version: u64,
+) -> Instant {
     loop {
         let (at, input) = heard.recv().await.expect("a client that runs");
-        if matches!(input, Input::Listing(listing) if listing.seq == version) {
+        if matches!(input, DriverEvent::EndpointListReceived(list) if list.version == version) {
             return at;
         }
     }
@@ -280,7 +283,7 @@
         let mut heard = client(address, 1, &log);
         let (came, first) = heard.recv().await.unwrap();
         assert!(
-            matches!(first, Input::Listing(listing) if listing.seq == 2),
+            matches!(first, DriverEvent::EndpointListReceived(list) if list.version == 2),
             "no failure before"
         );
         let late = came - (calls.borrow()[4].0 + pause);
@@ -425,7 +428,7 @@
         addresses.send_replace(new);
         let moved = Instant::now();
         let (told, word) = heard.recv().await.unwrap();
-        let Input::Listing(word) = word else {
+        let DriverEvent::EndpointListReceived(word) = word else {
             panic!("a list: {word:?}")
         };
         let names: Vec<_> = word
@@ -439,7 +442,7 @@
             "and nothing of those that stay"
         );
         assert!(
-            !word.whole && told - moved < Duration::from_secs(1),
+            !word.complete && told - moved < Duration::from_secs(1),
             "{:?}",
             told - moved
         );
@@ -539,7 +542,7 @@
         }
         let mut heard = client(address, 1, &log);
         let (failed, input) = heard.recv().await.unwrap();
-        assert!(matches!(input, Input::ListingFailed));
+        assert!(matches!(input, DriverEvent::DiscoveryFailed));
         while Instant::now() < failed + FOLLOW_AGAIN + CONNECT_TIMEOUT / 10 {
             sleep(Duration::from_millis(10)).await;
         }
--- a/crates/node/src/discovery/watching.rs
+++ b/crates/node/src/discovery/watching.rs
@@ -120,7 +120,7 @@
             .prompt(address, ask, None, Some(VERIFY_HEDGE), watches)
             .await
         {
-            Prompt::Answered((Ok(listing), _)) if listing.seq == seq && !watches.is_broken() => {
+            Prompt::Answered((Ok(list), _)) if list.version == seq && !watches.is_broken() => {
                 self.unsure = false;
                 self.failed_late = false;
                 self.answered = Some(Instant::now());
@@ -176,9 +176,9 @@
                 return Beside::Stands;
             };
             match called {
-                (Ok(listing), link) => {
-                    if ended == fresh && listing.seq > seq {
-                        let news = listing.seq;
+                (Ok(list), link) => {
+                    if ended == fresh && list.version > seq {
+                        let news = list.version;
                         let text = format!(
                             "discovery: list {news} came by a new watch, not by the old one"
                         );
@@ -189,7 +189,7 @@
                     if ended != fresh {
                         self.in_flight.supersede(fresh, OVERLAP);
                     }
-                    return Beside::Called((Ok(listing), link));
+                    return Beside::Called((Ok(list), link));
                 }
                 // Those that are open are as good as they were.
                 (Err(error), _) if ended == fresh && !watches.is_broken() => {
@@ -230,13 +230,13 @@
             watches.remove(ended);
             calls.retain(|call| *call != ended);
             match called {
-                (Ok(listing), link) => {
+                (Ok(list), link) => {
                     self.supersede(&calls, OVERLAP);
                     if by_watch {
                         watches.supersede(&mut self.in_flight, OVERLAP);
-                        return Prompt::Watch((Ok(listing), link));
+                        return Prompt::Watch((Ok(list), link));
                     }
-                    return Prompt::Answered((Ok(listing), link));
+                    return Prompt::Answered((Ok(list), link));
                 }
                 (Err(error), _) if calls.is_empty() => return Prompt::Failed(error),
                 (Err(_), _) => {}
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -2,10 +2,10 @@
 //! module's actions are carried out in order; nothing is picked, repeated or refused here.
 
 use crate::decisions::Decisions;
-use crate::upstream::{Bounds, Ended, Message, Upstream};
+use crate::upstream::{AttemptLimits, AttemptResult, ForwardedRequest, Upstream};
 use bytes::Bytes;
 use hyper::StatusCode;
-use slatelink_config::Listing;
+use slatelink_config::EndpointList;
 use slatelink_policy::{
     Action, Availability, Balancer, ClassId, Endpoint, EndpointId, EndpointUpdate, Event, Outcome,
     Request, RequestId,
@@ -29,7 +29,7 @@
 
 /// A client's request, read whole.
 #[derive(Debug)]
-pub struct Taken {
+pub struct ClientRequest {
     /// A number that is never used twice: a client's own id might come again.
     pub ticket: u64,
     pub at: Instant,
@@ -40,27 +40,27 @@
     pub expected_work: Option<Duration>,
     pub write: bool,
     pub over_quota: bool,
-    pub message: Message,
-    pub answer: oneshot::Sender<Answer>,
+    pub message: ForwardedRequest,
+    pub answer: oneshot::Sender<FinalResponse>,
 }
 
 /// The final answer to a request.
 #[derive(Debug)]
-pub enum Answer {
+pub enum FinalResponse {
     /// The body of the cache server's answer.
     Served(Bytes),
     /// Not done and safe to ask again.
-    Refused { retry_after: Duration },
+    Shed { retry_after: Duration },
     /// Not done, or not known.
     Failed,
 }
 
-impl Answer {
+impl FinalResponse {
     /// What its client reads.
     pub const fn status(&self) -> StatusCode {
         match self {
             Self::Served(_) => StatusCode::OK,
-            Self::Refused { .. } => StatusCode::SERVICE_UNAVAILABLE,
+            Self::Shed { .. } => StatusCode::SERVICE_UNAVAILABLE,
             Self::Failed => StatusCode::BAD_GATEWAY,
         }
     }
@@ -68,45 +68,45 @@
 
 /// What the node's other parts tell the driver.
 #[derive(Debug)]
-pub enum Input {
-    Taken(Box<Taken>),
+pub enum DriverEvent {
+    RequestReceived(Box<ClientRequest>),
     /// The client of this ticket has gone.
-    Left(u64),
-    Ended {
+    ClientDisconnected(u64),
+    AttemptEnded {
         id: RequestId,
         attempt: u32,
-        ended: Ended,
+        ended: AttemptResult,
     },
-    Listing(Listing),
-    ListingFailed,
+    EndpointListReceived(EndpointList),
+    DiscoveryFailed,
 }
 
-struct Open {
-    message: Rc<Message>,
+struct OpenRequest {
+    message: Rc<ForwardedRequest>,
     /// `None` once the final answer is given, or its client has gone.
-    answer: Option<oneshot::Sender<Answer>>,
+    answer: Option<oneshot::Sender<FinalResponse>>,
     /// Tells its attempts of that: those which have not begun then never do.
     over: Rc<Cell<bool>>,
     class: ClassId,
     at: Instant,
     until: Instant,
-    attempts: Vec<Sent>,
+    attempts: Vec<Attempt>,
 }
 
-impl Open {
+impl OpenRequest {
     /// Who was tried last.
     fn last(&self) -> Option<&EndpointId> {
         self.attempts.last().map(|sent| &sent.server)
     }
 
     /// Nothing more is begun for it. Who waits for its answer, if nobody has had one.
-    fn close(&mut self) -> Option<oneshot::Sender<Answer>> {
+    fn close(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.over.set(true);
         self.answer.take()
     }
 }
 
-struct Sent {
+struct Attempt {
     server: EndpointId,
     at: Instant,
     /// Its end is not known yet.
@@ -128,9 +128,9 @@
     /// Until when clients are kept waiting for the first list; `None` once they are not.
     awaits: Option<Instant>,
     some_ready: bool,
-    events: UnboundedSender<Input>,
+    events: UnboundedSender<DriverEvent>,
     observer: Rc<dyn Observer>,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, OpenRequest>,
     timers: BTreeSet<(Instant, Timer)>,
 }
 
@@ -142,7 +142,7 @@
         follow: Rc<Notify>,
         ready: Rc<Cell<bool>>,
         pushed: bool,
-        events: UnboundedSender<Input>,
+        events: UnboundedSender<DriverEvent>,
         observer: Rc<dyn Observer>,
     ) -> Self {
         Self {
@@ -163,12 +163,12 @@
     /// one queue it would wait until the whole of a burst of requests has been decided by the old list.
     pub async fn run(
         mut self,
-        known: Listing,
-        mut lists: UnboundedReceiver<Input>,
-        mut inputs: UnboundedReceiver<Input>,
+        known: EndpointList,
+        mut lists: UnboundedReceiver<DriverEvent>,
+        mut inputs: UnboundedReceiver<DriverEvent>,
     ) {
-        let entries = self.learn(&Listing {
-            whole: true,
+        let entries = self.learn(&EndpointList {
+            complete: true,
             ..known
         });
         self.decisions.push(Event::LastKnownEndpoints(entries));
@@ -197,10 +197,10 @@
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn take(&mut self, input: DriverEvent) {
         match input {
-            Input::Taken(taken) => self.request(*taken),
-            Input::Left(ticket) => {
+            DriverEvent::RequestReceived(taken) => self.request(*taken),
+            DriverEvent::ClientDisconnected(ticket) => {
                 let id = request_id(ticket);
                 if let Some(open) = self.open.get_mut(&id).filter(|open| open.answer.is_some()) {
                     drop(open.close());
@@ -210,13 +210,13 @@
                     self.tidy(&id);
                 }
             }
-            Input::Ended { id, attempt, ended } => self.ended(id, attempt, ended),
-            Input::Listing(listing) => {
+            DriverEvent::AttemptEnded { id, attempt, ended } => self.ended(id, attempt, ended),
+            DriverEvent::EndpointListReceived(list) => {
                 self.awaits = None;
-                let entries = self.learn(&listing);
-                self.decisions.push_list(entries, listing.whole);
+                let entries = self.learn(&list);
+                self.decisions.push_list(entries, list.complete);
             }
-            Input::ListingFailed => {
+            DriverEvent::DiscoveryFailed => {
                 self.awaits = self.awaits.filter(|until| Instant::now() < *until);
                 self.be_ready();
                 self.decisions
@@ -227,14 +227,14 @@
 
     /// Hands a list to the connections and gives its entries back as the module's. It goes to both in one
     /// step, so that no attempt of the module's can overtake it.
-    fn learn(&mut self, listing: &Listing) -> Arc<[Endpoint]> {
-        self.observer.learned(listing);
-        let entries: Arc<[Endpoint]> = listing.hosts.iter().map(|host| host.entry()).collect();
-        if listing.whole {
+    fn learn(&mut self, list: &EndpointList) -> Arc<[Endpoint]> {
+        self.observer.learned(list);
+        let entries: Arc<[Endpoint]> = list.hosts.iter().map(|host| host.entry()).collect();
+        if list.complete {
             self.upstream
                 .retain(|id| entries.iter().any(|entry| entry.id == *id));
         }
-        for (host, entry) in listing.hosts.iter().zip(entries.iter()) {
+        for (host, entry) in list.hosts.iter().zip(entries.iter()) {
             match entry.availability {
                 Availability::Removed => self.upstream.forget(&entry.id),
                 _ => self.upstream.learn(entry, host.dial()),
@@ -254,12 +254,12 @@
         }
     }
 
-    fn request(&mut self, taken: Taken) {
+    fn request(&mut self, taken: ClientRequest) {
         let id = request_id(taken.ticket);
         let until = taken.at + taken.patience.saturating_sub(MARGIN);
         self.observer
             .taken(taken.class, taken.message.target.path());
-        let open = Open {
+        let open = OpenRequest {
             message: Rc::new(taken.message),
             answer: Some(taken.answer),
             over: Rc::default(),
@@ -282,7 +282,7 @@
         }));
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, ended: Ended) {
+    fn ended(&mut self, id: RequestId, attempt: u32, ended: AttemptResult) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
@@ -293,10 +293,15 @@
         let (server, took) = (sent.server.clone(), sent.at.elapsed());
         self.observer.ended(open.class, &server, ended.status);
         if let Some(body) = ended.body {
-            reply(&*self.observer, open, Some(&server), Answer::Served(body));
+            reply(
+                &*self.observer,
+                open,
+                Some(&server),
+                FinalResponse::Served(body),
+            );
         }
         let answered = open.answer.is_none();
-        let Ended {
+        let AttemptResult {
             status,
             cache_result,
             load,
@@ -317,8 +322,9 @@
 
     /// Drops a request that has its answer and no attempt out.
     fn tidy(&mut self, id: &RequestId) {
-        let over =
-            |open: &Open| open.answer.is_none() && open.attempts.iter().all(|sent| !sent.out);
+        let over = |open: &OpenRequest| {
+            open.answer.is_none() && open.attempts.iter().all(|sent| !sent.out)
+        };
         if let Some(open) = self.open.get(id).filter(|open| over(open)) {
             // Left to fire, the timers of what is long done would outnumber what is open.
             self.timers
@@ -345,7 +351,7 @@
             return;
         };
         let last = open.last().cloned();
-        reply(&*self.observer, open, last.as_ref(), Answer::Failed);
+        reply(&*self.observer, open, last.as_ref(), FinalResponse::Failed);
         self.tidy(&id);
         self.decisions.push(Event::RequestCanceled(id));
     }
@@ -369,8 +375,10 @@
             } => {
                 self.send(id, server, timeout, begin_within);
             }
-            Action::Shed { id, retry_after } => self.finish(&id, Answer::Refused { retry_after }),
-            Action::Fail { id } => self.finish(&id, Answer::Failed),
+            Action::Shed { id, retry_after } => {
+                self.finish(&id, FinalResponse::Shed { retry_after })
+            }
+            Action::Fail { id } => self.finish(&id, FinalResponse::Failed),
             Action::Wake { after } => {
                 self.timers.insert((Instant::now() + after, Timer::Wake));
             }
@@ -392,7 +400,7 @@
         };
         let (at, attempt) = (Instant::now(), open.attempts.len() as u32);
         let (until, over) = (open.until.min(at + timeout), open.over.clone());
-        let bounds = Bounds {
+        let bounds = AttemptLimits {
             begin_by: until.min(at + begin_within),
             until,
             over,
@@ -403,16 +411,16 @@
         tokio::task::spawn_local(async move {
             let ended = upstream.attempt(&target, &message, bounds).await;
             // The driver only goes when the node does.
-            let _ = events.send(Input::Ended { id, attempt, ended });
+            let _ = events.send(DriverEvent::AttemptEnded { id, attempt, ended });
         });
-        open.attempts.push(Sent {
+        open.attempts.push(Attempt {
             server,
             at,
             out: true,
         });
     }
 
-    fn finish(&mut self, id: &RequestId, answer: Answer) {
+    fn finish(&mut self, id: &RequestId, answer: FinalResponse) {
         if let Some(open) = self.open.get_mut(id) {
             let last = open.last().cloned();
             reply(&*self.observer, open, last.as_ref(), answer);
@@ -421,12 +429,17 @@
     }
 }
 
-fn reply(observer: &dyn Observer, open: &mut Open, host: Option<&EndpointId>, answer: Answer) {
+fn reply(
+    observer: &dyn Observer,
+    open: &mut OpenRequest,
+    host: Option<&EndpointId>,
+    answer: FinalResponse,
+) {
     if let Some(sender) = open.close() {
         let end = match &answer {
-            Answer::Served(_) => End::Served,
-            Answer::Refused { .. } => End::Refused,
-            Answer::Failed => End::Failed,
+            FinalResponse::Served(_) => End::Served,
+            FinalResponse::Shed { .. } => End::Refused,
+            FinalResponse::Failed => End::Failed,
         };
         observer.answered(open.class, host, open.at.elapsed(), end);
         // A client that has gone meanwhile is owed nothing.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -4,6 +4,7 @@
 //! events go to the decision module, and what the module answers is carried out in order. Whoever watches is told
 //! through an `Observer`.
 
+mod connections;
 pub mod control;
 mod decisions;
 mod discovery;
@@ -11,13 +12,13 @@
 mod multiget;
 pub mod relay;
 mod server;
-mod table;
 mod upstream;
 
+use connections::{ConnectionManager, MAX_READ_AHEAD};
 use discovery::Discovery;
-use driver::{Driver, Input};
+use driver::{Driver, DriverEvent};
 use multiget::MultiGet;
-use server::{serve, Connection, Front, Room, Stage, LARGEST_HEAD};
+use server::{serve, Connection, DescriptorSource, ServerContext, ShutdownStage, LARGEST_HEAD};
 use slatelink_admission::{Budget, ConnectionLimits, Share, Side};
 use slatelink_config::operators;
 use slatelink_config::platform::{self, Config, ConfigError};
@@ -29,7 +30,6 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use std::time::Duration;
-use table::{Table, MAX_READ_AHEAD};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, watch, Notify};
@@ -113,9 +113,9 @@
     // Unbounded, and bounded all the same by the connections: each has one request, or one attempt, in it.
     let (events, inputs) = mpsc::unbounded_channel();
     let (heard, lists) = mpsc::unbounded_channel();
-    let (stages, stage) = watch::channel(Stage::Serving);
+    let (stages, stage) = watch::channel(ShutdownStage::Serving);
     let (follow, ready) = (Rc::new(Notify::new()), Rc::default());
-    let table = Table::new(budget.clone(), Side::Clients, connection_limits.clone());
+    let table = ConnectionManager::new(budget.clone(), Side::Clients, connection_limits.clone());
     let (connect, keepalive) = (settings.connect_timeout, settings.keepalive);
     let upstream = Rc::new(Upstream::new(
         budget.clone(),
@@ -123,11 +123,11 @@
         connect,
         keepalive,
     ));
-    let room = Room {
+    let room = DescriptorSource {
         table: table.clone(),
         servers: upstream.clone(),
     };
-    let front = Rc::new(Front::new(
+    let front = Rc::new(ServerContext::new(
         &settings,
         Rc::clone(&ready),
         stage,
@@ -138,7 +138,7 @@
     // Where lists are pushed, what the agent has counts as told from a process's first moment: it is asked for at
     // once, and the node is ready when it has that. Elsewhere a whole list has a price, and the node holds its own.
     let pushed = !settings.polls_discovery;
-    let seq = (!known.hosts.is_empty() && !pushed).then_some(known.seq);
+    let seq = (!known.hosts.is_empty() && !pushed).then_some(known.version);
     let random = fastrand::Rng::with_seed(seed);
     let (addresses, address) = watch::channel(discovery);
     let discovery = Discovery {
@@ -180,8 +180,8 @@
                 per_class: Vec::new(),
                 ..connection_limits
             };
-            let room = Room {
-                table: Table::new(budget, Side::Beside, connection_limits),
+            let room = DescriptorSource {
+                table: ConnectionManager::new(budget, Side::Beside, connection_limits),
                 servers: upstream,
             };
             let multiget = MultiGet::new(front.clone(), wanted.multiget.unwrap_or_default(), room);
@@ -196,9 +196,9 @@
     let drained = async {
         terminate.recv().await;
         log.line(&format!("node {name} is told to stop"));
-        stages.send_replace(Stage::Leaving);
+        stages.send_replace(ShutdownStage::Draining);
         sleep(LEAVING).await;
-        stages.send_replace(Stage::Closing);
+        stages.send_replace(ShutdownStage::Closing);
         if let Some(beside) = beside {
             beside.await?;
         }
@@ -234,13 +234,13 @@
 /// Has the connections heed what a list tells of servers that leave at once, and hands the list on to the driver, whose
 /// turn may come later.
 async fn heed_departures(
-    mut lists: mpsc::UnboundedReceiver<Input>,
-    told: mpsc::UnboundedSender<Input>,
+    mut lists: mpsc::UnboundedReceiver<DriverEvent>,
+    told: mpsc::UnboundedSender<DriverEvent>,
     upstream: Rc<Upstream>,
 ) {
     while let Some(input) = lists.recv().await {
-        if let Input::Listing(listing) = &input {
-            upstream.heed_departures(listing);
+        if let DriverEvent::EndpointListReceived(list) = &input {
+            upstream.heed_departures(list);
         }
         if told.send(input).is_err() {
             return;
@@ -323,7 +323,7 @@
 }
 
 /// Reports the counts of the table to the observers, for as long as the node runs.
-async fn report_connections(table: Rc<Table>, observers: Rc<Observers>) {
+async fn report_connections(table: Rc<ConnectionManager>, observers: Rc<Observers>) {
     let mut turns = interval(REPORT_INTERVAL);
     loop {
         turns.tick().await;
--- a/crates/node/src/multiget.rs
+++ b/crates/node/src/multiget.rs
@@ -1,10 +1,13 @@
 //! Many keys in one call: the side port that takes them, each item an ordinary request of this node, and the command
 //! that asks there.
 
-use crate::driver::Answer;
-use crate::server::{self, ask, key_number, plain, read_body, read_terms, Front, Room, Terms};
-use crate::table::{Place, ReportingSocket};
-use crate::upstream::Message;
+use crate::connections::{ConnectionHandle, ReportingSocket};
+use crate::driver::FinalResponse;
+use crate::server::{
+    self, ask, key_number, parse_parameters, plain, read_body, DescriptorSource, RequestParameters,
+    ServerContext,
+};
+use crate::upstream::ForwardedRequest;
 use bytes::Bytes;
 use http_body_util::{Either, Full};
 use hyper::body::{Body, Frame, Incoming};
@@ -120,13 +123,13 @@
     }
 }
 
-type Reply = Response<Either<Full<Bytes>, Lines>>;
+type HttpResponse = Response<Either<Full<Bytes>, Lines>>;
 
 /// The side port's side of the node.
 pub struct MultiGet {
-    front: Rc<Front>,
+    front: Rc<ServerContext>,
     settings: Settings,
-    room: Rc<Room>,
+    room: Rc<DescriptorSource>,
 }
 
 impl MultiGet {
@@ -135,7 +138,7 @@
     /// Connections that it may hold at once.
     pub const CONNECTIONS: usize = 8;
 
-    pub fn new(front: Rc<Front>, settings: Settings, room: Room) -> Rc<Self> {
+    pub fn new(front: Rc<ServerContext>, settings: Settings, room: DescriptorSource) -> Rc<Self> {
         Rc::new(Self {
             front,
             settings,
@@ -154,7 +157,7 @@
     }
 }
 
-async fn connection(place: Place, side: Rc<MultiGet>) {
+async fn connection(place: ConnectionHandle, side: Rc<MultiGet>) {
     let place = Rc::new(place);
     let service = service_fn(async |request| {
         place.on_request_head();
@@ -187,9 +190,9 @@
 
 async fn respond(
     side: &MultiGet,
-    place: &Place,
+    place: &ConnectionHandle,
     request: Request<Incoming>,
-) -> Result<Reply, Response<Full<Bytes>>> {
+) -> Result<HttpResponse, Response<Full<Bytes>>> {
     let at = Instant::now();
     let (head, body) = request.into_parts();
     if head.uri.path() != "/multi" {
@@ -205,7 +208,7 @@
         ));
     }
     let bad = |what| plain(StatusCode::BAD_REQUEST, what);
-    let terms = read_terms(&side.front, &head.headers).map_err(bad)?;
+    let terms = parse_parameters(&side.front, &head.headers).map_err(bad)?;
     let body = read_body(body).await?;
     let items: Vec<Item> = serde_json::from_slice(&body)
         .map_err(|_| bad("not a list of items with key and req_id"))?;
@@ -241,8 +244,8 @@
 
 /// Runs the items, so many at once, and sends each one's line as it ends.
 async fn run(
-    front: Rc<Front>,
-    terms: Terms,
+    front: Rc<ServerContext>,
+    terms: RequestParameters,
     items: Vec<Checked>,
     parallel: usize,
     until: Instant,
@@ -268,8 +271,8 @@
 
 /// One item: a client's request in all but its connection, whose place among those it takes all the same.
 async fn run_item(
-    front: Rc<Front>,
-    terms: Terms,
+    front: Rc<ServerContext>,
+    terms: RequestParameters,
     i: usize,
     item: Checked,
     until: Instant,
@@ -281,12 +284,12 @@
     };
     let _place = front.room.lease().await;
     let at = Instant::now();
-    let terms = Terms {
+    let terms = RequestParameters {
         patience: until.saturating_duration_since(at),
         ..terms
     };
     let (target, key) = (item.target, key_number(&item.key));
-    let message = Message {
+    let message = ForwardedRequest {
         method: Method::GET,
         target,
         id,
@@ -295,7 +298,7 @@
     };
     let answer = ask(&front, at, key, terms, message).await;
     line.status = Some(answer.status().as_u16());
-    if let Answer::Served(body) = &answer {
+    if let FinalResponse::Served(body) = &answer {
         match std::str::from_utf8(body) {
             Ok(text) => line.body = Some(text),
             Err(_) => line.body_hex = Some(body.iter().map(|byte| format!("{byte:02x}")).collect()),
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -1,9 +1,9 @@
 //! The clients' side: reads requests, hands them to the driver, writes the answers, sees clients leave.
 
-use crate::driver::{Answer, Input, Taken};
-use crate::table::{Driven, Place, ReportingSocket, Table};
+use crate::connections::{ConnectionHandle, ConnectionManager, DriveOutcome, ReportingSocket};
+use crate::driver::{ClientRequest, DriverEvent, FinalResponse};
 use crate::upstream::{
-    Message, OpenIds, Upstream, IDEMPOTENCY_KEY, LARGEST_BODY, REQ_DEADLINE, REQ_ID,
+    ForwardedRequest, OpenIds, Upstream, IDEMPOTENCY_KEY, LARGEST_BODY, REQ_DEADLINE, REQ_ID,
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -41,37 +41,37 @@
 
 /// How far the node is in stopping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stage {
+pub enum ShutdownStage {
     Serving,
     /// It serves as ever, and every answer asks the client to use another connection.
-    Leaving,
+    Draining,
     /// It accepts no more, idle connections close, and what was taken is finished.
     Closing,
 }
 
 /// What all connections of clients share.
-pub struct Front {
+pub struct ServerContext {
     /// Name and longest patience of each class.
     pub classes: Vec<(Name, Duration)>,
     pub tenants: Vec<Name>,
     pub ready: Rc<Cell<bool>>,
-    pub stage: watch::Receiver<Stage>,
-    pub events: UnboundedSender<Input>,
+    pub stage: watch::Receiver<ShutdownStage>,
+    pub events: UnboundedSender<DriverEvent>,
     pub tickets: Cell<u64>,
-    pub room: Rc<Room>,
+    pub room: Rc<DescriptorSource>,
     pub log: Log,
     /// Ids of the requests that are open, or have an attempt out.
     pub open: OpenIds,
 }
 
-impl Front {
+impl ServerContext {
     pub fn new(
         settings: &Settings,
         ready: Rc<Cell<bool>>,
-        stage: watch::Receiver<Stage>,
-        events: UnboundedSender<Input>,
+        stage: watch::Receiver<ShutdownStage>,
+        events: UnboundedSender<DriverEvent>,
         log: Log,
-        room: Room,
+        room: DescriptorSource,
     ) -> Self {
         Self {
             classes: settings
@@ -92,13 +92,13 @@
 }
 
 /// The places that a port has for connections.
-pub struct Room {
-    pub table: Rc<Table>,
+pub struct DescriptorSource {
+    pub table: Rc<ConnectionManager>,
     /// Its connections share the budget.
     pub servers: Rc<Upstream>,
 }
 
-impl Room {
+impl DescriptorSource {
     fn others(&self, side: Side) -> bool {
         side == Side::Servers && self.servers.close_oldest_idle()
     }
@@ -113,12 +113,12 @@
 /// is accepted and waits, and those behind it wait unaccepted.
 pub async fn serve<F: Future<Output = ()> + 'static>(
     listener: TcpListener,
-    room: Rc<Room>,
-    mut stage: watch::Receiver<Stage>,
+    room: Rc<DescriptorSource>,
+    mut stage: watch::Receiver<ShutdownStage>,
     log: Log,
-    connection: impl Fn(Place) -> F,
+    connection: impl Fn(ConnectionHandle) -> F,
 ) {
-    let mut closing = pin!(stage.wait_for(|stage| *stage == Stage::Closing));
+    let mut closing = pin!(stage.wait_for(|stage| *stage == ShutdownStage::Closing));
     loop {
         let accepted = tokio::select! {
             // What the machine has accepted by then is taken: it comes before the end.
@@ -145,7 +145,11 @@
     room.table.close().await;
 }
 
-async fn admit(room: &Room, stream: TcpStream, from: IpAddr) -> std::io::Result<Option<Place>> {
+async fn admit(
+    room: &DescriptorSource,
+    stream: TcpStream,
+    from: IpAddr,
+) -> std::io::Result<Option<ConnectionHandle>> {
     stream.set_nodelay(true)?;
     Ok(room
         .table
@@ -156,19 +160,19 @@
 /// A client's connection, to its end. Between requests it holds nothing but its socket: hyper's part, with buffers and
 /// parser, is in a box of its own, made when the client speaks and gone a while after it has its answer.
 pub struct Connection {
-    place: Rc<Place>,
-    front: Rc<Front>,
+    place: Rc<ConnectionHandle>,
+    front: Rc<ServerContext>,
     state: State,
 }
 
 enum State {
     Parked,
-    Busy(Pin<Box<dyn Future<Output = Driven>>>),
+    Busy(Pin<Box<dyn Future<Output = DriveOutcome>>>),
     Over,
 }
 
 impl Connection {
-    pub fn new(place: Place, front: Rc<Front>) -> Self {
+    pub fn new(place: ConnectionHandle, front: Rc<ServerContext>) -> Self {
         Self {
             place: Rc::new(place),
             front,
@@ -191,8 +195,8 @@
                 }
                 State::Busy(busy) => {
                     this.state = match ready!(busy.as_mut().poll(cx)) {
-                        Driven::Park => State::Parked,
-                        Driven::Over => State::Over,
+                        DriveOutcome::Park => State::Parked,
+                        DriveOutcome::Over => State::Over,
                     };
                 }
                 State::Over => return Poll::Ready(()),
@@ -202,7 +206,7 @@
 }
 
 /// Serves a connection until it ends, or has been idle for a while: then its socket is given back.
-async fn busy(place: Rc<Place>, front: Rc<Front>) -> Driven {
+async fn busy(place: Rc<ConnectionHandle>, front: Rc<ServerContext>) -> DriveOutcome {
     let service = service_fn(async |request| {
         place.on_request_head();
         let response = respond(&front, &place, request).await;
@@ -216,12 +220,12 @@
         .drive(&mut serving, |serving| serving.graceful_shutdown())
         .await;
     match driven {
-        Driven::Over => {
+        DriveOutcome::Over => {
             // Its buffers are not needed for that.
             drop(serving);
             place.linger().await;
         }
-        Driven::Park => place.park(&serving.into_parts().read_buf),
+        DriveOutcome::Park => place.park(&serving.into_parts().read_buf),
     }
     driven
 }
@@ -229,7 +233,7 @@
 /// Tells the driver of a client that left: hyper drops the answer's future with its connection.
 struct Waiting {
     ticket: u64,
-    events: UnboundedSender<Input>,
+    events: UnboundedSender<DriverEvent>,
     answered: bool,
 }
 
@@ -237,12 +241,18 @@
     fn drop(&mut self) {
         if !self.answered {
             // The driver only goes when the node does.
-            let _ = self.events.send(Input::Left(self.ticket));
+            let _ = self
+                .events
+                .send(DriverEvent::ClientDisconnected(self.ticket));
         }
     }
 }
 
-async fn respond(front: &Front, place: &Place, request: Request<Incoming>) -> Reply {
+async fn respond(
+    front: &ServerContext,
+    place: &ConnectionHandle,
+    request: Request<Incoming>,
+) -> HttpResponse {
     let (mut response, usable) = match answer(front, place, request).await {
         Ok(response) => (response, true),
         Err(rejected) => (rejected, false),
@@ -254,7 +264,7 @@
     if !usable
         || place.closes_with_response()
         || place.overrun()
-        || *front.stage.borrow() >= Stage::Leaving
+        || *front.stage.borrow() >= ShutdownStage::Draining
     {
         response
             .headers_mut()
@@ -263,9 +273,13 @@
     response
 }
 
-pub type Reply = Response<Full<Bytes>>;
+pub type HttpResponse = Response<Full<Bytes>>;
 
-async fn answer(front: &Front, place: &Place, request: Request<Incoming>) -> Result<Reply, Reply> {
+async fn answer(
+    front: &ServerContext,
+    place: &ConnectionHandle,
+    request: Request<Incoming>,
+) -> Result<HttpResponse, HttpResponse> {
     let at = Instant::now();
     let (head, body) = request.into_parts();
     let target = head
@@ -275,7 +289,7 @@
         .ok_or_else(|| plain(StatusCode::BAD_REQUEST, "no path"))?;
     if target.path() == "/healthz" {
         return match head.method {
-            Method::GET if front.ready.get() && *front.stage.borrow() == Stage::Serving => {
+            Method::GET if front.ready.get() && *front.stage.borrow() == ShutdownStage::Serving => {
                 Ok(plain(StatusCode::OK, "ready"))
             }
             Method::GET => Ok(plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
@@ -317,7 +331,7 @@
         .enter(asked.id)
         .ok_or_else(|| plain(StatusCode::CONFLICT, "Req-Id is open already"))?;
     asked.terms.over_quota = place.on_request(asked.terms.class.0) || !fits;
-    let message = Message {
+    let message = ForwardedRequest {
         method: head.method,
         target,
         id,
@@ -328,7 +342,7 @@
 }
 
 /// A request's body, whole.
-pub async fn read_body(body: Incoming) -> Result<Bytes, Reply> {
+pub async fn read_body(body: Incoming) -> Result<Bytes, HttpResponse> {
     let too_large = || {
         plain(
             StatusCode::PAYLOAD_TOO_LARGE,
@@ -349,12 +363,12 @@
 struct Asked {
     id: HeaderValue,
     idempotency_key: Option<HeaderValue>,
-    terms: Terms,
+    terms: RequestParameters,
 }
 
 /// What holds for a request beside what it asks for.
 #[derive(Clone, Copy)]
-pub struct Terms {
+pub struct RequestParameters {
     pub patience: Duration,
     pub class: ClassId,
     pub expected_work: Option<Duration>,
@@ -362,18 +376,21 @@
     pub over_quota: bool,
 }
 
-fn read_head(front: &Front, headers: &HeaderMap) -> Result<Asked, &'static str> {
+fn read_head(front: &ServerContext, headers: &HeaderMap) -> Result<Asked, &'static str> {
     Ok(Asked {
         id: single(headers, &REQ_ID)?
             .filter(|id| !id.is_empty())
             .ok_or("no Req-Id")?
             .clone(),
         idempotency_key: single(headers, &IDEMPOTENCY_KEY)?.cloned(),
-        terms: read_terms(front, headers)?,
+        terms: parse_parameters(front, headers)?,
     })
 }
 
-pub fn read_terms(front: &Front, headers: &HeaderMap) -> Result<Terms, &'static str> {
+pub fn parse_parameters(
+    front: &ServerContext,
+    headers: &HeaderMap,
+) -> Result<RequestParameters, &'static str> {
     let class = text(headers, &REQ_KIND)?.ok_or("no Req-Kind")?;
     let class = front
         .classes
@@ -395,7 +412,7 @@
     let patience: u32 = number(headers, &REQ_DEADLINE, "unreadable Req-Deadline-Ms")?
         .ok_or("no Req-Deadline-Ms")?;
     let cost: Option<u32> = number(headers, &REQ_COST, "unreadable Req-Cost")?;
-    Ok(Terms {
+    Ok(RequestParameters {
         patience: Duration::from_millis(patience.into()).min(front.classes[class].1),
         class: ClassId(class),
         expected_work: cost.map(|us| Duration::from_micros(us.into())),
@@ -441,10 +458,16 @@
 }
 
 /// Hands a request over and waits for its final answer. Dropped before, its client has left.
-pub async fn ask(front: &Front, at: Instant, key: u64, terms: Terms, message: Message) -> Answer {
+pub async fn ask(
+    front: &ServerContext,
+    at: Instant,
+    key: u64,
+    terms: RequestParameters,
+    message: ForwardedRequest,
+) -> FinalResponse {
     let ticket = front.tickets.replace(front.tickets.get() + 1);
     let (sender, receiver) = oneshot::channel();
-    let taken = Taken {
+    let taken = ClientRequest {
         ticket,
         at,
         patience: terms.patience,
@@ -462,17 +485,19 @@
         answered: false,
     };
     // The driver only goes when the node does; its silence is a failure all the same.
-    let _ = front.events.send(Input::Taken(Box::new(taken)));
-    let answer = receiver.await.unwrap_or(Answer::Failed);
+    let _ = front
+        .events
+        .send(DriverEvent::RequestReceived(Box::new(taken)));
+    let answer = receiver.await.unwrap_or(FinalResponse::Failed);
     waiting.answered = true;
     answer
 }
 
-fn reply(answer: Answer) -> Reply {
+fn reply(answer: FinalResponse) -> HttpResponse {
     let status = answer.status();
     match answer {
-        Answer::Served(body) => Response::new(Full::new(body)),
-        Answer::Refused { retry_after } => {
+        FinalResponse::Served(body) => Response::new(Full::new(body)),
+        FinalResponse::Shed { retry_after } => {
             let mut response = plain(status, "refused: try again later");
             if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after.as_secs_f64()))
             {
@@ -480,11 +505,11 @@
             }
             response
         }
-        Answer::Failed => plain(status, "failed"),
+        FinalResponse::Failed => plain(status, "failed"),
     }
 }
 
-pub fn wrong_method(allowed: &'static str) -> Reply {
+pub fn wrong_method(allowed: &'static str) -> HttpResponse {
     let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "no such method");
     response
         .headers_mut()
@@ -492,7 +517,7 @@
     response
 }
 
-pub fn plain(status: StatusCode, text: &'static str) -> Reply {
+pub fn plain(status: StatusCode, text: &'static str) -> HttpResponse {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -6,17 +6,19 @@
 mod peer;
 mod socket;
 
-pub use exchange::{Ended, Message, IDEMPOTENCY_KEY, LARGEST_BODY, REQ_DEADLINE, REQ_ID};
+pub use exchange::{
+    AttemptResult, ForwardedRequest, IDEMPOTENCY_KEY, LARGEST_BODY, REQ_DEADLINE, REQ_ID,
+};
 pub use open_ids::OpenIds;
 
-use crate::table::Table;
+use crate::connections::ConnectionManager;
 use exchange::{exchange, request};
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use idle_history::IdleHistory;
 use peer::{Connection, Peer};
 use slatelink_admission::{Budget, Lease, Short, Side};
-use slatelink_config::Listing;
+use slatelink_config::EndpointList;
 use slatelink_policy::{Availability, Endpoint, EndpointId, Status};
 use socket::{SendPermit, WatchedSocket, WriteProgress};
 use std::cell::{Cell, RefCell};
@@ -45,7 +47,7 @@
 
 /// Until when an attempt is worth beginning, and worth waiting for.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct AttemptLimits {
     /// Its first byte is written by then, or none is; no later than `until`.
     pub begin_by: Instant,
     /// Its answer is waited for until then.
@@ -59,7 +61,7 @@
     peers: RefCell<HashMap<EndpointId, Rc<Peer>>>,
     budget: Budget,
     /// Its connections share the budget.
-    clients: Rc<Table>,
+    clients: Rc<ConnectionManager>,
     connect_timeout: Duration,
     idle_history: RefCell<IdleHistory>,
 }
@@ -68,7 +70,7 @@
     /// Its connections are the servers' side of the budget.
     pub fn new(
         budget: Budget,
-        clients: Rc<Table>,
+        clients: Rc<ConnectionManager>,
         connect_timeout: Duration,
         keepalive: Duration,
     ) -> Self {
@@ -116,9 +118,9 @@
     }
 
     /// Begins nothing more at the servers that a list tells to leave. Whatever else it says is left to `learn`.
-    pub fn heed_departures(&self, listing: &Listing) {
+    pub fn heed_departures(&self, list: &EndpointList) {
         let peers = self.peers.borrow();
-        let leaving = listing
+        let leaving = list
             .hosts
             .iter()
             .filter(|host| host.availability() != Availability::Ready);
@@ -171,35 +173,40 @@
     }
 
     /// One attempt, until its answer is whole, its connection breaks or its time is up.
-    pub async fn attempt(&self, server: &EndpointId, message: &Message, bounds: Bounds) -> Ended {
-        let Bounds {
+    pub async fn attempt(
+        &self,
+        server: &EndpointId,
+        message: &ForwardedRequest,
+        bounds: AttemptLimits,
+    ) -> AttemptResult {
+        let AttemptLimits {
             begin_by,
             until,
             over,
         } = bounds;
         let peer = self.peers.borrow().get(server).cloned();
         let Some(peer) = peer else {
-            return Ended::without_answer(Status::ConnectError);
+            return AttemptResult::without_answer(Status::ConnectError);
         };
         loop {
             // A request may be over before its attempt has its first turn.
             if over.get() {
-                return Ended::without_answer(Status::NotSent);
+                return AttemptResult::without_answer(Status::NotSent);
             }
             if !peer.accepts_requests.get() {
-                return Ended::without_answer(Status::ConnectError);
+                return AttemptResult::without_answer(Status::ConnectError);
             }
             let mut connection = match timeout_at(begin_by, self.connection(&peer)).await {
                 Ok(Ok(connection)) => connection,
                 // The node's own want says nothing of the server.
                 Ok(Err(error)) if own_fault(&error) => {
-                    return Ended::without_answer(Status::NotSent)
+                    return AttemptResult::without_answer(Status::NotSent)
                 }
-                _ => return Ended::without_answer(Status::ConnectError),
+                _ => return AttemptResult::without_answer(Status::ConnectError),
             };
             // The news may have come while the connection was being made: nothing new after a drain.
             if !peer.accepts_requests.get() {
-                return Ended::without_answer(Status::ConnectError);
+                return AttemptResult::without_answer(Status::ConnectError);
             }
             if connection.incarnation != peer.incarnation.get() {
                 continue;
@@ -213,10 +220,10 @@
                     Status::ConnectError
                 };
                 peer.keep(connection);
-                return Ended::without_answer(status);
+                return AttemptResult::without_answer(status);
             }
             let Ok(request) = request(peer.dial.get(), message, until) else {
-                return Ended::without_answer(Status::ConnectError);
+                return AttemptResult::without_answer(Status::ConnectError);
             };
             let permit = SendPermit {
                 peer: peer.clone(),
@@ -258,9 +265,9 @@
                 {
                     continue
                 }
-                Ok(Err(_)) if whole.get() => Ended::without_answer(Status::Reset),
-                Err(_) if whole.get() => Ended::without_answer(Status::TimedOut),
-                _ => Ended::without_answer(Status::ConnectError),
+                Ok(Err(_)) if whole.get() => AttemptResult::without_answer(Status::Reset),
+                Err(_) if whole.get() => AttemptResult::without_answer(Status::TimedOut),
+                _ => AttemptResult::without_answer(Status::ConnectError),
             };
         }
     }
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -24,7 +24,7 @@
 
 /// What of a client's request goes on to a cache server.
 #[derive(Debug)]
-pub struct Message {
+pub struct ForwardedRequest {
     pub method: Method,
     pub target: PathAndQuery,
     pub id: OpenId,
@@ -34,7 +34,7 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct Ended {
+pub struct AttemptResult {
     pub status: Status,
     pub cache_result: Option<CacheResult>,
     pub load: LoadReport,
@@ -42,7 +42,7 @@
     pub body: Option<Bytes>,
 }
 
-impl Ended {
+impl AttemptResult {
     /// An end that came with no answer.
     pub fn without_answer(status: Status) -> Self {
         Self {
@@ -56,7 +56,7 @@
 
 pub(super) fn request(
     dial: SocketAddr,
-    message: &Message,
+    message: &ForwardedRequest,
     until: Instant,
 ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
     let left = until.saturating_duration_since(Instant::now()).as_millis() as u64;
@@ -76,7 +76,7 @@
 pub(super) async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
-) -> Result<(Ended, bool), hyper::Error> {
+) -> Result<(AttemptResult, bool), hyper::Error> {
     let response = sender.send_request(request).await?;
     let status = outcome(&response);
     let text = |name: &HeaderName| {
@@ -94,7 +94,7 @@
     // What is stated to be larger than any answer may be is not waited for.
     if response.body().size_hint().lower() > LARGEST_BODY as u64 {
         return Ok((
-            Ended {
+            AttemptResult {
                 status: Status::Failed,
                 cache_result,
                 load,
@@ -110,7 +110,7 @@
         Ok(body) => {
             let body = (status == Status::Ok).then(|| body.to_bytes());
             Ok((
-                Ended {
+                AttemptResult {
                     status,
                     cache_result,
                     load,
@@ -123,7 +123,7 @@
             Ok(broken) => Err(*broken),
             // Larger than any answer may be: it ran, and what it says is of no use.
             Err(_) => Ok((
-                Ended {
+                AttemptResult {
                     status: Status::Failed,
                     cache_result,
                     load,
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -9,7 +9,7 @@
 pub use verify::{verify, Verdict};
 
 use crate::writer::{BoundedSender, Writer};
-use slatelink_config::Listing;
+use slatelink_config::EndpointList;
 use slatelink_policy::EndpointId;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -86,14 +86,14 @@
     }
 
     /// Discovery's word of hosts.
-    pub fn learned(&self, listing: &Listing) {
+    pub fn learned(&self, list: &EndpointList) {
         let mut health = self.health.borrow_mut();
-        let mut previous = if listing.whole {
+        let mut previous = if list.complete {
             std::mem::take(&mut *health)
         } else {
             BTreeMap::new()
         };
-        for host in &listing.hosts {
+        for host in &list.hosts {
             let (id, to) = (host.entry().id, truncated(host.health()));
             let from = health.remove(&id).or_else(|| previous.remove(&id));
             let known = from.is_some();
--- a/crates/telemetry/src/figures.rs
+++ b/crates/telemetry/src/figures.rs
@@ -12,7 +12,7 @@
 use output::Output;
 use slatelink_admission::{Cause, ConnectionStats, Phase};
 use slatelink_config::operators::{Figures as Settings, Format};
-use slatelink_config::{Host, Listing};
+use slatelink_config::{EndpointList, EndpointRecord};
 use slatelink_policy::{Availability, ClassId, EndpointId, Name, Status};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -198,14 +198,14 @@
     }
 
     /// Discovery's word of hosts.
-    pub fn learned(&self, listing: &Listing) {
+    pub fn learned(&self, list: &EndpointList) {
         let blocked = &mut self.state.borrow_mut().blocked;
-        let mut previous = if listing.whole {
+        let mut previous = if list.complete {
             std::mem::take(blocked)
         } else {
             BTreeMap::new()
         };
-        for entry in listing.hosts.iter().map(Host::entry) {
+        for entry in list.hosts.iter().map(EndpointRecord::entry) {
             if entry.availability == Availability::Removed {
                 blocked.remove(&entry.id);
             } else {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -15,7 +15,7 @@
 use figures::Figures;
 use hotlist::HotList;
 use slatelink_config::operators::{Settings, Source};
-use slatelink_config::{digest, Listing};
+use slatelink_config::{digest, EndpointList};
 use slatelink_policy::{BreakerScope, ClassId, EndpointId, Name, Status};
 use std::io;
 use std::path::Path;
@@ -64,7 +64,7 @@
     fn ended(&self, _class: ClassId, _host: &EndpointId, _status: Status) {}
 
     /// Discovery's word, as the node takes it in.
-    fn learned(&self, _listing: &Listing) {}
+    fn learned(&self, _listing: &EndpointList) {}
 
     /// What the table of clients' connections is like; each second.
     fn connections(&self, _table: &slatelink_admission::ConnectionStats) {}
@@ -229,12 +229,12 @@
         }
     }
 
-    fn learned(&self, listing: &Listing) {
+    fn learned(&self, list: &EndpointList) {
         if let Some(figures) = &self.figures {
-            figures.learned(listing);
+            figures.learned(list);
         }
         if let Some(audit) = &self.audit {
-            audit.learned(listing);
+            audit.learned(list);
         }
     }
 
