--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,4 +1,4 @@
-//! One budget of descriptors and bytes for all that a node holds. Each side has a floor that the others cannot take,
+//! One budget of descriptors and bytes for all that a node holds. Each side has a reserved that the others cannot take,
 //! and what is above the floors goes to who asks for it.
 
 use std::cell::RefCell;
@@ -6,54 +6,54 @@
 
 /// Who holds a descriptor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum ConnectionKind {
     /// Connections of clients.
-    Clients,
+    Client,
     /// Connections to cache servers.
-    Servers,
+    Upstream,
     /// Connections to the side ports.
-    Beside,
+    SidePort,
 }
 
-impl Side {
+impl ConnectionKind {
     const COUNT: usize = 3;
     /// All of them, in the order of their numbers.
-    pub const ALL: [Self; Self::COUNT] = [Self::Clients, Self::Servers, Self::Beside];
+    pub const ALL: [Self; Self::COUNT] = [Self::Client, Self::Upstream, Self::SidePort];
 }
 
 /// What a side may hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Share {
+pub struct Quota {
     /// So many descriptors are always there for it.
-    pub floor: usize,
+    pub reserved: usize,
     /// It never holds more.
-    pub most: usize,
+    pub limit: usize,
 }
 
 /// What is held now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct Usage {
     /// Descriptors of each side.
-    pub places: [usize; Side::COUNT],
+    pub places: [usize; ConnectionKind::COUNT],
     /// Bytes of all.
     pub bytes: usize,
 }
 
 /// Why a lease was not given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Short {
-    /// The side has all that it may ever hold, or no other holds more than its floor: one of its own must give way.
-    Own,
-    /// This other side is further above its floor than the one that asks: one of that side's should give way.
-    Other(Side),
+pub enum LeaseError {
+    /// The side has all that it may ever hold, or no other holds more than its reserved: one of its own must give way.
+    OwnLimit,
+    /// This other side is further above its reserved than the one that asks: one of that side's should give way.
+    OtherKind(ConnectionKind),
 }
 
 #[derive(Debug)]
 struct State {
     places: usize,
-    shares: [Share; Side::COUNT],
+    shares: [Quota; ConnectionKind::COUNT],
     bytes: usize,
-    held: Held,
+    held: Usage,
 }
 
 /// See the module's page. Clones are the same budget.
@@ -61,61 +61,65 @@
 pub struct Budget(Rc<RefCell<State>>);
 
 impl Budget {
-    /// A budget of so many descriptors and bytes. `None` where the floors are more than all of it, or a side's floor
+    /// A budget of so many descriptors and bytes. `None` where the floors are more than all of it, or a side's reserved
     /// more than it may hold.
-    pub fn new(places: usize, shares: [Share; Side::COUNT], bytes: usize) -> Option<Self> {
+    pub fn new(
+        places: usize,
+        shares: [Quota; ConnectionKind::COUNT],
+        bytes: usize,
+    ) -> Option<Self> {
         let floors = shares
             .iter()
-            .try_fold(0usize, |sum, share| sum.checked_add(share.floor))?;
-        let fits = floors <= places && shares.iter().all(|share| share.floor <= share.most);
+            .try_fold(0usize, |sum, share| sum.checked_add(share.reserved))?;
+        let fits = floors <= places && shares.iter().all(|share| share.reserved <= share.limit);
         fits.then(|| {
             Self(Rc::new(RefCell::new(State {
                 places,
                 shares,
                 bytes,
-                held: Held::default(),
+                held: Usage::default(),
             })))
         })
     }
 
     /// What is held now.
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> Usage {
         self.0.borrow().held
     }
 
     /// The most that a side could come to hold, with the others at their floors.
-    pub fn most(&self, side: Side) -> usize {
+    pub fn most(&self, side: ConnectionKind) -> usize {
         let state = self.0.borrow();
-        let others: usize = Side::ALL
+        let others: usize = ConnectionKind::ALL
             .iter()
             .filter(|s| **s != side)
-            .map(|s| state.shares[*s as usize].floor)
+            .map(|s| state.shares[*s as usize].reserved)
             .sum();
-        state.shares[side as usize].most.min(state.places - others)
+        state.shares[side as usize].limit.min(state.places - others)
     }
 
     /// A descriptor for a side, until the lease is dropped.
-    pub fn lease(&self, side: Side) -> Result<Lease, Short> {
+    pub fn lease(&self, side: ConnectionKind) -> Result<Lease, LeaseError> {
         let state = &mut *self.0.borrow_mut();
-        let above = |side: Side| {
-            state.held.places[side as usize].saturating_sub(state.shares[side as usize].floor)
+        let above = |side: ConnectionKind| {
+            state.held.places[side as usize].saturating_sub(state.shares[side as usize].reserved)
         };
         let own = state.held.places[side as usize];
         let share = state.shares[side as usize];
-        if own >= share.most {
-            return Err(Short::Own);
+        if own >= share.limit {
+            return Err(LeaseError::OwnLimit);
         }
-        if own >= share.floor {
-            let floors: usize = state.shares.iter().map(|share| share.floor).sum();
+        if own >= share.reserved {
+            let floors: usize = state.shares.iter().map(|share| share.reserved).sum();
             let free = state.places - floors;
-            if Side::ALL.into_iter().map(above).sum::<usize>() >= free {
-                let most = Side::ALL
+            if ConnectionKind::ALL.into_iter().map(above).sum::<usize>() >= free {
+                let most = ConnectionKind::ALL
                     .into_iter()
                     .filter(|other| *other != side)
                     .max_by_key(|other| above(*other));
                 return Err(most
                     .filter(|other| above(*other) > above(side))
-                    .map_or(Short::Own, Short::Other));
+                    .map_or(LeaseError::OwnLimit, LeaseError::OtherKind));
             }
         }
         state.held.places[side as usize] += 1;
@@ -131,7 +135,7 @@
 #[derive(Debug)]
 pub struct Lease {
     budget: Budget,
-    side: Side,
+    side: ConnectionKind,
     bytes: usize,
 }
 
--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -9,13 +9,13 @@
 mod phase;
 mod timeouts;
 
-pub use closing::{Cause, Directive};
+pub use closing::{CloseCause, Directive};
 pub use limits::{ConnectionLimits, ConnectionStats};
 pub use phase::Phase;
 
 use crate::budget::Lease;
-use crate::lists::Lists;
-use crate::wheel::Wheel;
+use crate::linked_lists::LinkedLists;
+use crate::timer_wheel::TimerWheel;
 use admission::Holder;
 use closing::Ending;
 use std::collections::HashMap;
@@ -46,18 +46,18 @@
     entries: Vec<Option<Entry>>,
     free_ids: Vec<ConnectionId>,
     /// By phase, the one that entered it first at the head.
-    phases: Lists,
-    timers: Wheel,
+    phases: LinkedLists,
+    timers: TimerWheel,
     holders: HashMap<IpAddr, Holder>,
-    idle_by_address: Lists,
+    idle_by_address: LinkedLists,
     free_idle_lists: Vec<usize>,
     open_by_class: Vec<usize>,
     fired: Vec<ConnectionId>,
     waiting: usize,
     /// One list: those that have something to say and no memory to be read with.
-    starved: Lists,
-    closed: [u64; Cause::ALL.len()],
-    refused: [u64; Cause::ALL.len()],
+    starved: LinkedLists,
+    closed: [u64; CloseCause::ALL.len()],
+    refused: [u64; CloseCause::ALL.len()],
 }
 
 impl ConnectionTable {
@@ -67,17 +67,17 @@
             limits,
             entries: Vec::new(),
             free_ids: Vec::new(),
-            phases: Lists::new(Phase::ALL.len()),
-            timers: Wheel::default(),
+            phases: LinkedLists::new(Phase::ALL.len()),
+            timers: TimerWheel::default(),
             holders: HashMap::new(),
-            idle_by_address: Lists::new(0),
+            idle_by_address: LinkedLists::new(0),
             free_idle_lists: Vec::new(),
             open_by_class: Vec::new(),
             fired: Vec::new(),
             waiting: 0,
-            starved: Lists::new(1),
-            closed: [0; Cause::ALL.len()],
-            refused: [0; Cause::ALL.len()],
+            starved: LinkedLists::new(1),
+            closed: [0; CloseCause::ALL.len()],
+            refused: [0; CloseCause::ALL.len()],
         }
     }
 
@@ -144,7 +144,9 @@
         let Some(entry) = self.entries.get_mut(id as usize).and_then(Option::take) else {
             return;
         };
-        self.closed[entry.ending.map_or(Cause::Client, |ending| ending.cause) as usize] += 1;
+        self.closed[entry
+            .ending
+            .map_or(CloseCause::Client, |ending| ending.cause) as usize] += 1;
         self.phases.remove(id);
         self.timers.cancel(id);
         self.starved.remove(id);
--- a/crates/admission/src/connections/admission.rs
+++ b/crates/admission/src/connections/admission.rs
@@ -1,6 +1,6 @@
 //! Admission: connections by address, requests by class, and connections that wait for a descriptor.
 
-use super::{Cause, ConnectionId, ConnectionTable};
+use super::{CloseCause, ConnectionId, ConnectionTable};
 use std::net::IpAddr;
 
 /// What one address has.
@@ -36,8 +36,8 @@
         };
         let oldest = self.first_not_closing(self.idle_by_address.iter(holder.idle));
         match oldest {
-            Some(id) => self.close(id, Cause::Address),
-            None => self.refused[Cause::Address as usize] += 1,
+            Some(id) => self.close(id, CloseCause::Address),
+            None => self.refused[CloseCause::Address as usize] += 1,
         }
         Err(oldest)
     }
@@ -74,7 +74,7 @@
         self.open_by_class[class] += 1;
         let most = self.limits.per_class.get(class).copied().flatten();
         let over = most.is_some_and(|most| self.open_by_class[class] > most);
-        self.refused[Cause::Class as usize] += u64::from(over);
+        self.refused[CloseCause::Class as usize] += u64::from(over);
         over
     }
 
--- a/crates/admission/src/connections/closing.rs
+++ b/crates/admission/src/connections/closing.rs
@@ -4,7 +4,7 @@
 
 /// Why a connection was closed, or not let in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Cause {
+pub enum CloseCause {
     /// Its client closed it, or broke HTTP.
     Client,
     /// No byte came in 2 s.
@@ -29,7 +29,7 @@
     Class,
 }
 
-impl Cause {
+impl CloseCause {
     /// All of them, in the order of their numbers.
     pub const ALL: [Self; 11] = [
         Self::Client,
@@ -79,7 +79,7 @@
 /// The end that was decided for a connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Ending {
-    pub(super) cause: Cause,
+    pub(super) cause: CloseCause,
     pub(super) directive: Directive,
 }
 
@@ -102,14 +102,14 @@
     /// so that another one can have its place.
     pub fn may_linger(&self, id: ConnectionId) -> bool {
         let ending = self.entry(id).and_then(|entry| entry.ending.as_ref());
-        ending.is_none_or(|ending| !matches!(ending.cause, Cause::Room | Cause::Address))
+        ending.is_none_or(|ending| !matches!(ending.cause, CloseCause::Room | CloseCause::Address))
     }
 
     /// It closes for this cause: at once where it keeps the node waiting, else when what it has asked is answered. A
     /// request that is being read as the node stops is read to its end.
-    pub fn close(&mut self, id: ConnectionId, cause: Cause) {
+    pub fn close(&mut self, id: ConnectionId, cause: CloseCause) {
         let aborts =
-            matches!(self.phase(id), Phase::Asking | Phase::Answering) && cause != Cause::Stop;
+            matches!(self.phase(id), Phase::Asking | Phase::Answering) && cause != CloseCause::Stop;
         self.set_ending(
             id,
             cause,
@@ -121,7 +121,7 @@
         );
     }
 
-    pub(super) fn set_ending(&mut self, id: ConnectionId, cause: Cause, directive: Directive) {
+    pub(super) fn set_ending(&mut self, id: ConnectionId, cause: CloseCause, directive: Directive) {
         if let Some(entry) = self.entry_mut(id) {
             // The first cause is the cause; what is to close at once does so whatever was said before.
             let ending = entry.ending.get_or_insert(Ending { cause, directive });
--- a/crates/admission/src/connections/eviction.rs
+++ b/crates/admission/src/connections/eviction.rs
@@ -1,6 +1,6 @@
 //! Eviction: which connection closes where descriptors run out.
 
-use super::{Cause, ConnectionId, ConnectionTable, Directive, Phase};
+use super::{CloseCause, ConnectionId, ConnectionTable, Directive, Phase};
 use std::time::Duration;
 
 /// A connection that has sent nothing for this long may be evicted; a usual client sends a request at once.
@@ -30,13 +30,13 @@
         }
         if self.waiting == 0 {
             if let Some(other) = self.oldest_idle(now, IDLE_EVICTION_AGE) {
-                self.close(other, Cause::Room);
+                self.close(other, CloseCause::Room);
                 return (false, Some(other));
             }
         }
         if self.entry(id).is_some_and(|entry| entry.ending.is_none()) {
             // The response says so: its owner needs no directive.
-            self.set_ending(id, Cause::Crowd, Directive::Continue);
+            self.set_ending(id, CloseCause::Crowd, Directive::Continue);
         }
         (true, None)
     }
@@ -53,14 +53,14 @@
                         .is_none()
                 })
             })?;
-        self.close(found, Cause::Room);
+        self.close(found, CloseCause::Room);
         Some(found)
     }
 
     /// Closes one that was not used for long, or never, in favour of a connection to a server. It has to be woken.
     pub fn evict_for_server(&mut self, now: Duration) -> Option<ConnectionId> {
         let found = self.oldest_unused(now)?;
-        self.close(found, Cause::Room);
+        self.close(found, CloseCause::Room);
         Some(found)
     }
 
--- a/crates/admission/src/connections/limits.rs
+++ b/crates/admission/src/connections/limits.rs
@@ -1,6 +1,6 @@
 //! The limits of a table, and the counts that it reports.
 
-use super::{Cause, Phase};
+use super::{CloseCause, Phase};
 use std::time::Duration;
 
 /// The limits of a table.
@@ -28,7 +28,7 @@
     /// Accepted, and waiting for a place.
     pub waiting: usize,
     /// Closed since the start, by the cause's number.
-    pub closed: [u64; Cause::ALL.len()],
+    pub closed: [u64; CloseCause::ALL.len()],
     /// Connections not let in, and requests that the decision module is to refuse, since the start, by the cause's number.
-    pub refused: [u64; Cause::ALL.len()],
+    pub refused: [u64; CloseCause::ALL.len()],
 }
--- a/crates/admission/src/connections/memory.rs
+++ b/crates/admission/src/connections/memory.rs
@@ -1,7 +1,7 @@
 //! Memory: what each connection is counted as, and which ones wait for some.
 
 use super::eviction::MAX_SCANNED;
-use super::{Cause, ConnectionId, ConnectionTable, Phase};
+use super::{CloseCause, ConnectionId, ConnectionTable, Phase};
 use std::time::Duration;
 
 impl ConnectionTable {
@@ -42,7 +42,7 @@
         let held = self
             .entry_mut(id)
             .is_none_or(|entry| entry.lease.hold(bytes));
-        self.refused[Cause::Bytes as usize] += u64::from(!held);
+        self.refused[CloseCause::Bytes as usize] += u64::from(!held);
         held
     }
 
--- a/crates/admission/src/connections/timeouts.rs
+++ b/crates/admission/src/connections/timeouts.rs
@@ -1,6 +1,6 @@
 //! Timeouts: how long a connection may be in each phase.
 
-use super::{Cause, ConnectionId, ConnectionTable, Phase};
+use super::{CloseCause, ConnectionId, ConnectionTable, Phase};
 use std::time::Duration;
 
 /// A request must be complete this long after its first byte, the first one after the connection's start. A client
@@ -25,11 +25,11 @@
             };
             let over = entry.phase_since + idle;
             let cause = match phase {
-                Phase::Silent | Phase::Asking if starved => Cause::Bytes,
-                Phase::Silent => Cause::Silent,
-                Phase::Asking => Cause::Slow,
+                Phase::Silent | Phase::Asking if starved => CloseCause::Bytes,
+                Phase::Silent => CloseCause::Silent,
+                Phase::Asking => CloseCause::Slow,
                 Phase::Open => continue,
-                Phase::Answering => Cause::Untaken,
+                Phase::Answering => CloseCause::Untaken,
                 // One may be parked before this, where others wait for what it holds.
                 Phase::Idle | Phase::Parked if now < over => {
                     entry.parking = phase == Phase::Idle;
@@ -39,7 +39,7 @@
                     self.timers.set(id, over);
                     continue;
                 }
-                Phase::Idle | Phase::Parked => Cause::Idle,
+                Phase::Idle | Phase::Parked => CloseCause::Idle,
             };
             self.close(id, cause);
             woken.push(id);
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -8,12 +8,12 @@
 
 mod budget;
 mod connections;
-mod lists;
-mod wheel;
+mod linked_lists;
+mod timer_wheel;
 
-pub use budget::{Budget, Held, Lease, Share, Short, Side};
+pub use budget::{Budget, ConnectionKind, Lease, LeaseError, Quota, Usage};
 pub use connections::{
-    Cause, ConnectionId, ConnectionLimits, ConnectionStats, ConnectionTable, Directive, Phase,
+    CloseCause, ConnectionId, ConnectionLimits, ConnectionStats, ConnectionTable, Directive, Phase,
 };
-pub use lists::Lists;
-pub use wheel::Wheel;
+pub use linked_lists::LinkedLists;
+pub use timer_wheel::TimerWheel;
--- a/crates/admission/src/lists.rs
+++ b/crates/admission/src/linked_lists.rs
@@ -25,12 +25,12 @@
 
 /// The lists. Numbers cost 12 bytes each, up to the highest one used.
 #[derive(Clone, Debug)]
-pub struct Lists {
+pub struct LinkedLists {
     ends: Vec<Ends>,
     links: Vec<Link>,
 }
 
-impl Lists {
+impl LinkedLists {
     /// So many empty lists.
     pub fn new(count: usize) -> Self {
         Self {
--- a/crates/admission/src/wheel.rs
+++ b/crates/admission/src/timer_wheel.rs
@@ -4,7 +4,7 @@
 //! Cost: 20 bytes for each number, up to the highest one used. A timer moves at most `LEVELS - 1` times before it fires,
 //! and fires at most one tick late, never early. Work that falls due together is handed out in parts.
 
-use crate::lists::Lists;
+use crate::linked_lists::LinkedLists;
 use std::time::Duration;
 
 /// Milliseconds of a tick.
@@ -16,8 +16,8 @@
 
 /// Timers, one for each number.
 #[derive(Clone, Debug)]
-pub struct Wheel {
-    lists: Lists,
+pub struct TimerWheel {
+    lists: LinkedLists,
     /// The tick at which each fires.
     due: Vec<u64>,
     /// A bit for each slot that has timers.
@@ -27,9 +27,9 @@
     set: usize,
 }
 
-impl Default for Wheel {
+impl Default for TimerWheel {
     fn default() -> Self {
-        let lists = Lists::new((SLOTS * u64::from(LEVELS)) as usize);
+        let lists = LinkedLists::new((SLOTS * u64::from(LEVELS)) as usize);
         Self {
             lists,
             due: Vec::new(),
@@ -40,7 +40,7 @@
     }
 }
 
-impl Wheel {
+impl TimerWheel {
     /// How many are set.
     pub fn len(&self) -> usize {
         self.set
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -5,8 +5,8 @@
 
 use events::{check, Step};
 use slatelink_admission::{
-    Budget, Cause, ConnectionLimits, ConnectionTable, Directive, Lease, Phase, Share, Short, Side,
-    Wheel,
+    Budget, CloseCause, ConnectionKind, ConnectionLimits, ConnectionTable, Directive, Lease,
+    LeaseError, Phase, Quota, TimerWheel,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr};
@@ -26,25 +26,25 @@
     for seed in 0..200 {
         let mut random = fastrand::Rng::with_seed(seed);
         let places = random.usize(3..60);
-        let shares = Side::ALL.map(|_| {
-            let floor = random.usize(0..=places / 3);
-            Share {
-                floor,
-                most: random.usize(floor..=places),
+        let shares = ConnectionKind::ALL.map(|_| {
+            let reserved = random.usize(0..=places / 3);
+            Quota {
+                reserved,
+                limit: random.usize(reserved..=places),
             }
         });
         let bytes = random.usize(0..10_000);
         let budget = Budget::new(places, shares, bytes).expect("floors of a third each fit");
-        let mut held: Vec<(Side, usize, Lease)> = Vec::new();
+        let mut held: Vec<(ConnectionKind, usize, Lease)> = Vec::new();
         for _ in 0..2_000 {
             match random.u8(0..4) {
                 0 | 1 => {
-                    let side = Side::ALL[random.usize(0..3)];
+                    let side = ConnectionKind::ALL[random.usize(0..3)];
                     let own = held.iter().filter(|(of, ..)| *of == side).count();
                     match budget.lease(side) {
                         Ok(lease) => held.push((side, 0, lease)),
                         Err(_) => assert!(
-                            own >= shares[side as usize].floor,
+                            own >= shares[side as usize].reserved,
                             "seed {seed}: refused under its floor"
                         ),
                     }
@@ -63,7 +63,8 @@
                 }
                 _ => {}
             }
-            let counted = Side::ALL.map(|side| held.iter().filter(|(of, ..)| *of == side).count());
+            let counted =
+                ConnectionKind::ALL.map(|side| held.iter().filter(|(of, ..)| *of == side).count());
             assert_eq!(budget.held().places, counted, "seed {seed}");
             assert_eq!(
                 budget.held().bytes,
@@ -72,7 +73,7 @@
             );
             assert!(counted.iter().sum::<usize>() <= places, "seed {seed}");
             assert!(
-                Side::ALL
+                ConnectionKind::ALL
                     .iter()
                     .all(|side| counted[*side as usize] <= budget.most(*side)),
                 "seed {seed}"
@@ -90,25 +91,31 @@
 // Guards against one side that lives off its own connections while the other sits on the shared part idly.
 #[test]
 fn the_side_furthest_above_its_floor_is_asked_to_give_way() {
-    let share = |floor| Share { floor, most: 12 };
+    let share = |reserved| Quota {
+        reserved,
+        limit: 12,
+    };
     let budget = Budget::new(12, [share(4), share(4), share(0)], 0).expect("fits");
     let take = |side, count| {
         (0..count)
             .map(|_| budget.lease(side).expect("free"))
             .collect::<Vec<_>>()
     };
-    let clients = take(Side::Clients, 4);
-    let mut servers = take(Side::Servers, 8);
+    let clients = take(ConnectionKind::Client, 4);
+    let mut servers = take(ConnectionKind::Upstream, 8);
+    assert_eq!(
+        budget.lease(ConnectionKind::Client).err(),
+        Some(LeaseError::OtherKind(ConnectionKind::Upstream))
+    );
     assert_eq!(
-        budget.lease(Side::Clients).err(),
-        Some(Short::Other(Side::Servers))
+        budget.lease(ConnectionKind::Upstream).err(),
+        Some(LeaseError::OwnLimit)
     );
-    assert_eq!(budget.lease(Side::Servers).err(), Some(Short::Own));
     servers.pop();
-    assert!(budget.lease(Side::Clients).is_ok());
+    assert!(budget.lease(ConnectionKind::Client).is_ok());
     drop(clients);
     assert_eq!(
-        budget.most(Side::Clients),
+        budget.most(ConnectionKind::Client),
         8,
         "the servers' floor stays theirs"
     );
@@ -123,7 +130,7 @@
 fn a_wheel_fires_what_a_sorted_map_would() {
     for seed in 0..40 {
         let mut random = fastrand::Rng::with_seed(seed);
-        let mut wheel = Wheel::default();
+        let mut wheel = TimerWheel::default();
         let mut model: HashMap<u32, Duration> = HashMap::new();
         let mut now = Duration::ZERO;
         for _ in 0..3_000 {
@@ -157,9 +164,9 @@
 }
 
 fn table(limits: ConnectionLimits) -> (ConnectionTable, Budget) {
-    let share = Share {
-        floor: 0,
-        most: 1 << 20,
+    let share = Quota {
+        reserved: 0,
+        limit: 1 << 20,
     };
     let budget = Budget::new(1 << 20, [share; 3], 1_000).expect("fits");
     (
@@ -178,7 +185,7 @@
     table.insert(
         now,
         address(last),
-        budget.lease(Side::Clients).expect("free"),
+        budget.lease(ConnectionKind::Client).expect("free"),
     )
 }
 
@@ -308,7 +315,7 @@
         .iter()
         .all(|id| table.directive(*id) == Directive::Finish));
     woken.iter().for_each(|id| table.remove(*id));
-    assert_eq!(table.stats().closed[Cause::Silent as usize], 100_000);
+    assert_eq!(table.stats().closed[CloseCause::Silent as usize], 100_000);
 }
 
 // Guards against an address, or a class, that takes the whole table.
@@ -347,8 +354,8 @@
     table.remove(second);
     table.remove(first);
     let stats = table.stats();
-    assert_eq!(stats.closed[Cause::Address as usize], 2);
-    assert_eq!(stats.refused[Cause::Address as usize], 1);
+    assert_eq!(stats.closed[CloseCause::Address as usize], 2);
+    assert_eq!(stats.refused[CloseCause::Address as usize], 1);
     let ids = [1, 2].map(|last| enter(&mut table, &budget, ms(4), last));
     assert!(!table.on_request(ms(5), ids[0], 1));
     assert!(
@@ -391,7 +398,7 @@
         "it waits for no longer than a request may take"
     );
     table.remove(ids[10]);
-    assert_eq!(table.stats().closed[Cause::Bytes as usize], 1);
+    assert_eq!(table.stats().closed[CloseCause::Bytes as usize], 1);
 }
 
 // Guards against a crowd that keeps idle connections while answered ones close, and against waiting for nothing.
@@ -436,9 +443,9 @@
     const PLACES: usize = 12;
     const BYTES: usize = 40_000;
     check(0..6, 60, 300, |_, steps| {
-        let share = |floor| Share {
-            floor,
-            most: PLACES,
+        let share = |reserved| Quota {
+            reserved,
+            limit: PLACES,
         };
         let budget = Budget::new(PLACES, [share(4), share(2), share(0)], BYTES).expect("fits");
         let per_class = vec![Some(3); 4];
@@ -456,7 +463,7 @@
                 Step::Ask {
                     class, patience_ms, ..
                 } => {
-                    let Ok(lease) = budget.lease(Side::Clients) else {
+                    let Ok(lease) = budget.lease(ConnectionKind::Client) else {
                         continue;
                     };
                     let id = table.insert(now, address(1), lease);
@@ -525,7 +532,15 @@
 // Guards against a request that the node has whole, in the turn in which its time runs out, and that is dropped for it.
 #[test]
 fn a_request_that_comes_whole_as_its_time_runs_out_is_answered_and_then_closed() {
-    let budget = Budget::new(4, [Share { floor: 1, most: 4 }; 3], 1_000).expect("fits");
+    let budget = Budget::new(
+        4,
+        [Quota {
+            reserved: 1,
+            limit: 4,
+        }; 3],
+        1_000,
+    )
+    .expect("fits");
     let terms = ConnectionLimits {
         crowded_at: 4,
         idle_timeout: ms(60_000),
@@ -537,7 +552,7 @@
     let id = table.insert(
         ms(0),
         address(1),
-        budget.lease(Side::Clients).expect("room"),
+        budget.lease(ConnectionKind::Client).expect("room"),
     );
     table.on_bytes_read(ms(10), id);
     let mut woken = Vec::new();
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -9,8 +9,8 @@
 pub use socket::MAX_READ_AHEAD;
 
 use slatelink_admission::{
-    Budget, Cause, ConnectionId, ConnectionLimits, ConnectionStats, ConnectionTable, Lease, Short,
-    Side,
+    Budget, CloseCause, ConnectionId, ConnectionKind, ConnectionLimits, ConnectionStats,
+    ConnectionTable, Lease, LeaseError,
 };
 use socket::Socket;
 use std::cell::RefCell;
@@ -36,7 +36,7 @@
 pub struct ConnectionManager {
     connections: RefCell<ConnectionTable>,
     budget: Budget,
-    side: Side,
+    side: ConnectionKind,
     origin: Instant,
     /// By connection id.
     wakers: RefCell<Vec<Option<Waker>>>,
@@ -45,7 +45,7 @@
 
 impl ConnectionManager {
     /// A table whose connections are this side's of the budget.
-    pub fn new(budget: Budget, side: Side, limits: ConnectionLimits) -> Rc<Self> {
+    pub fn new(budget: Budget, side: ConnectionKind, limits: ConnectionLimits) -> Rc<Self> {
         Rc::new(Self {
             connections: RefCell::new(ConnectionTable::new(limits)),
             budget,
@@ -96,7 +96,7 @@
         self: &Rc<Self>,
         stream: TcpStream,
         address: IpAddr,
-        others: impl Fn(Side) -> bool,
+        others: impl Fn(ConnectionKind) -> bool,
     ) -> Option<ConnectionHandle> {
         let admitted = self.connections.borrow_mut().check_address_limit(address);
         if let Err(oldest) = admitted {
@@ -121,7 +121,7 @@
     }
 
     /// Waits for a descriptor. Clients keep their connections open: idle ones would keep all other clients out.
-    pub async fn lease(&self, others: impl Fn(Side) -> bool) -> Lease {
+    pub async fn lease(&self, others: impl Fn(ConnectionKind) -> bool) -> Lease {
         struct Waiter<'a>(&'a ConnectionManager);
         impl Drop for Waiter<'_> {
             fn drop(&mut self) {
@@ -141,8 +141,8 @@
             });
             if polls_left == 0 {
                 let made = match short {
-                    Short::Other(side) => others(side) || self.evict_for_client(),
-                    Short::Own => self.evict_for_client(),
+                    LeaseError::OtherKind(side) => others(side) || self.evict_for_client(),
+                    LeaseError::OwnLimit => self.evict_for_client(),
                 };
                 polls_left = if made { EVICTION_POLLS } else { 0 };
             } else {
@@ -177,7 +177,7 @@
         let ids: Vec<_> = self.connections.borrow().ids().collect();
         for part in ids.chunks(BATCH) {
             for id in part {
-                self.connections.borrow_mut().close(*id, Cause::Stop);
+                self.connections.borrow_mut().close(*id, CloseCause::Stop);
                 self.wake(*id);
             }
             yield_now().await;
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -145,7 +145,8 @@
                         }
                     }
                     Err(error) => {
-                        self.log.often("discovery", &format!("discovery: {error}"));
+                        self.log
+                            .rate_limited("discovery", &format!("discovery: {error}"));
                         let new_there =
                             self.seq.is_none() && moved.is_some_and(|at| at.elapsed() < MOVED);
                         at_once = new_there || self.failed_late;
@@ -235,7 +236,7 @@
                 "discovery: list {} is older than {held}: asking for the whole list",
                 list.version
             );
-            self.log.often("discovery", &text);
+            self.log.rate_limited("discovery", &text);
             self.seq = None;
             self.tell_leaving(list, self.source);
             return Taken::Older;
@@ -260,7 +261,7 @@
         let now = Instant::now();
         if self.departures.amend(&mut list, source, now) {
             let text = "discovery: a server that leaves stays left alone, against a list that is not newer";
-            self.log.often("discovery", text);
+            self.log.rate_limited("discovery", text);
             self.confirm_at = Some(now + REMEMBERED);
         }
         self.events
--- a/crates/node/src/discovery/watching.rs
+++ b/crates/node/src/discovery/watching.rs
@@ -90,7 +90,7 @@
                     return (Err(error), None);
                 }
                 Beside::Failed(error) => {
-                    self.log.often(
+                    self.log.rate_limited(
                         "discovery",
                         &format!("discovery: watch not renewed: {error}"),
                     );
@@ -182,7 +182,7 @@
                         let text = format!(
                             "discovery: list {news} came by a new watch, not by the old one"
                         );
-                        self.log.often("discovery", &text);
+                        self.log.rate_limited("discovery", &text);
                     }
                     watches.remove(ended);
                     watches.supersede(&mut self.in_flight, OVERLAP);
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -10,7 +10,7 @@
     Action, Availability, Balancer, ClassId, Endpoint, EndpointId, EndpointUpdate, Event, Outcome,
     Request, RequestId,
 };
-use slatelink_telemetry::{End, Observer};
+use slatelink_telemetry::{Observer, RequestOutcome};
 use std::cell::Cell;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -204,8 +204,12 @@
                 let id = request_id(ticket);
                 if let Some(open) = self.open.get_mut(&id).filter(|open| open.answer.is_some()) {
                     drop(open.close());
-                    self.observer
-                        .answered(open.class, open.last(), open.at.elapsed(), End::Left);
+                    self.observer.request_completed(
+                        open.class,
+                        open.last(),
+                        open.at.elapsed(),
+                        RequestOutcome::ClientDisconnected,
+                    );
                     self.decisions.push(Event::RequestCanceled(id.clone()));
                     self.tidy(&id);
                 }
@@ -228,7 +232,7 @@
     /// Hands a list to the connections and gives its entries back as the module's. It goes to both in one
     /// step, so that no attempt of the module's can overtake it.
     fn learn(&mut self, list: &EndpointList) -> Arc<[Endpoint]> {
-        self.observer.learned(list);
+        self.observer.endpoints_updated(list);
         let entries: Arc<[Endpoint]> = list.hosts.iter().map(|host| host.entry()).collect();
         if list.complete {
             self.upstream
@@ -258,7 +262,7 @@
         let id = request_id(taken.ticket);
         let until = taken.at + taken.patience.saturating_sub(MARGIN);
         self.observer
-            .taken(taken.class, taken.message.target.path());
+            .request_received(taken.class, taken.message.target.path());
         let open = OpenRequest {
             message: Rc::new(taken.message),
             answer: Some(taken.answer),
@@ -291,7 +295,8 @@
         };
         sent.out = false;
         let (server, took) = (sent.server.clone(), sent.at.elapsed());
-        self.observer.ended(open.class, &server, ended.status);
+        self.observer
+            .attempt_ended(open.class, &server, ended.status);
         if let Some(body) = ended.body {
             reply(
                 &*self.observer,
@@ -405,7 +410,7 @@
             until,
             over,
         };
-        self.observer.sent(&server);
+        self.observer.attempt_started(&server);
         let (upstream, events) = (self.upstream.clone(), self.events.clone());
         let (message, target) = (open.message.clone(), server.clone());
         tokio::task::spawn_local(async move {
@@ -437,11 +442,11 @@
 ) {
     if let Some(sender) = open.close() {
         let end = match &answer {
-            FinalResponse::Served(_) => End::Served,
-            FinalResponse::Shed { .. } => End::Refused,
-            FinalResponse::Failed => End::Failed,
+            FinalResponse::Served(_) => RequestOutcome::Served,
+            FinalResponse::Shed { .. } => RequestOutcome::Shed,
+            FinalResponse::Failed => RequestOutcome::Failed,
         };
-        observer.answered(open.class, host, open.at.elapsed(), end);
+        observer.request_completed(open.class, host, open.at.elapsed(), end);
         // A client that has gone meanwhile is owed nothing.
         let _ = sender.send(answer);
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -19,11 +19,11 @@
 use driver::{Driver, DriverEvent};
 use multiget::MultiGet;
 use server::{serve, Connection, DescriptorSource, ServerContext, ShutdownStage, LARGEST_HEAD};
-use slatelink_admission::{Budget, ConnectionLimits, Share, Side};
+use slatelink_admission::{Budget, ConnectionKind, ConnectionLimits, Quota};
 use slatelink_config::operators;
 use slatelink_config::platform::{self, Config, ConfigError};
 use slatelink_policy::{Balancer, Name};
-use slatelink_telemetry::audit::Stop;
+use slatelink_telemetry::audit::StopSignal;
 use slatelink_telemetry::{Format, Observer, Observers};
 use std::error::Error;
 use std::net::SocketAddr;
@@ -115,7 +115,11 @@
     let (heard, lists) = mpsc::unbounded_channel();
     let (stages, stage) = watch::channel(ShutdownStage::Serving);
     let (follow, ready) = (Rc::new(Notify::new()), Rc::default());
-    let table = ConnectionManager::new(budget.clone(), Side::Clients, connection_limits.clone());
+    let table = ConnectionManager::new(
+        budget.clone(),
+        ConnectionKind::Client,
+        connection_limits.clone(),
+    );
     let (connect, keepalive) = (settings.connect_timeout, settings.keepalive);
     let upstream = Rc::new(Upstream::new(
         budget.clone(),
@@ -181,7 +185,7 @@
                 ..connection_limits
             };
             let room = DescriptorSource {
-                table: ConnectionManager::new(budget, Side::Beside, connection_limits),
+                table: ConnectionManager::new(budget, ConnectionKind::SidePort, connection_limits),
                 servers: upstream,
             };
             let multiget = MultiGet::new(front.clone(), wanted.multiget.unwrap_or_default(), room);
@@ -207,7 +211,7 @@
     // Signals that would end the node at once still do, whatever it is at.
     let at_once = async {
         match stops {
-            Some(mut stops) => stops.recv().await.unwrap_or(Stop::TERMINATE),
+            Some(mut stops) => stops.recv().await.unwrap_or(StopSignal::TERMINATE),
             None => std::future::pending().await,
         }
     };
@@ -219,12 +223,12 @@
     let by = tokio::select! {
         biased;
         never = membership => never,
-        drained = drained => drained.map(|()| Stop::TERMINATE)?,
+        drained = drained => drained.map(|()| StopSignal::TERMINATE)?,
         stop = at_once => stop,
     };
     observers.stop(by).await;
     // As a shell tells of a process that a signal has ended.
-    Ok(if by == Stop::TERMINATE {
+    Ok(if by == StopSignal::TERMINATE {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(128 + by.number)
@@ -263,23 +267,25 @@
             .max(ACTIVE_CONNECTION_BYTES * 32)
     });
     let most = places.min(bytes / 3 / SERVERS);
-    let servers = Share {
-        floor: wanted.front.servers_floor(places).min(most),
-        most,
+    let servers = Quota {
+        reserved: wanted.front.servers_floor(places).min(most),
+        limit: most,
     };
-    let left = places.saturating_sub(servers.floor + beside);
-    let clients = Share {
-        floor: (sockets / 3).min(places / 2).min(left),
-        most: places,
+    let left = places.saturating_sub(servers.reserved + beside);
+    let clients = Quota {
+        reserved: (sockets / 3).min(places / 2).min(left),
+        limit: places,
     };
-    let beside = Share {
-        floor: beside,
-        most: beside,
+    let beside = Quota {
+        reserved: beside,
+        limit: beside,
     };
     let budget = Budget::new(places, [clients, servers, beside], bytes / 3 * 2);
-    let usable = |budget: &Budget| budget.most(Side::Clients) > 0 && budget.most(Side::Servers) > 0;
+    let usable = |budget: &Budget| {
+        budget.most(ConnectionKind::Client) > 0 && budget.most(ConnectionKind::Upstream) > 0
+    };
     budget.filter(usable).ok_or_else(|| {
-        let (servers, beside) = (servers.floor, beside.floor);
+        let (servers, beside) = (servers.reserved, beside.reserved);
         format!(
             "a limit of {sockets} sockets leaves {places} beside the features: not enough for {servers} to servers \
              (front.servers_floor), {beside} of the side port, and clients"
@@ -305,7 +311,9 @@
             known.join(", ")
         ));
     }
-    let usable = budget.most(Side::Clients).min(wanted.clients_part(sockets));
+    let usable = budget
+        .most(ConnectionKind::Client)
+        .min(wanted.clients_part(sockets));
     let share = |class: &Name| {
         wanted
             .per_class
@@ -327,7 +335,7 @@
     let mut turns = interval(REPORT_INTERVAL);
     loop {
         turns.tick().await;
-        observers.connections(&table.stats());
+        observers.connections_sampled(&table.stats());
     }
 }
 
@@ -360,7 +368,7 @@
                     break;
                 }
                 Err(error) => {
-                    log.often("reload", &format!("configuration not taken: {error}"));
+                    log.rate_limited("reload", &format!("configuration not taken: {error}"));
                     // The platform says it once, and the old discovery ends soon.
                     if !matches!(&error, ConfigError::Unreadable(_, why) if own_fault(why)) {
                         break;
--- a/crates/node/src/relay/callers.rs
+++ b/crates/node/src/relay/callers.rs
@@ -94,7 +94,7 @@
             match listener.accept().await {
                 Ok((stream, _)) => drop(spawn_local(self.clone().connection(stream))),
                 Err(error) => {
-                    self.log.often("accept", &format!("accept: {error}"));
+                    self.log.rate_limited("accept", &format!("accept: {error}"));
                     sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -133,7 +133,7 @@
             let _ = serving.await;
         } else {
             self.counts.add(|counts| counts.connections_refused += 1);
-            self.log.often(
+            self.log.rate_limited(
                 "callers",
                 "relay: a connection is refused: there are as many as may be",
             );
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream.rs
@@ -161,7 +161,7 @@
             let Err(error) = self.follow(address).await;
             self.count(|counts| counts.failed += 1);
             self.log
-                .often("upstream", &format!("upstream {address}: {error}"));
+                .rate_limited("upstream", &format!("upstream {address}: {error}"));
             if self.addresses.len() > 1 {
                 self.publisher.upstream_changed();
             }
@@ -268,7 +268,7 @@
                         "list {version} names {} servers more than once",
                         applied.duplicates
                     );
-                    self.log.often("duplicates", &text);
+                    self.log.rate_limited("duplicates", &text);
                 }
                 if applied.news {
                     Taken::News
@@ -279,7 +279,8 @@
             Err(rejected) => {
                 self.rejections = self.rejections.saturating_add(1);
                 self.count(|counts| counts.rejected += 1);
-                self.log.often("rejected", &format!("upstream: {rejected}"));
+                self.log
+                    .rate_limited("rejected", &format!("upstream: {rejected}"));
                 Taken::Rejected
             }
         }
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -12,7 +12,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
-use slatelink_admission::{Lease, Side};
+use slatelink_admission::{ConnectionKind, Lease};
 use slatelink_policy::{ClassId, Name, Settings};
 use slatelink_telemetry::Log;
 use std::cell::Cell;
@@ -99,8 +99,8 @@
 }
 
 impl DescriptorSource {
-    fn others(&self, side: Side) -> bool {
-        side == Side::Servers && self.servers.close_oldest_idle()
+    fn others(&self, side: ConnectionKind) -> bool {
+        side == ConnectionKind::Upstream && self.servers.close_oldest_idle()
     }
 
     /// A place that is taken without a connection, for what counts as one.
@@ -136,7 +136,7 @@
             Ok(Some(place)) => drop(tokio::task::spawn_local(connection(place))),
             Ok(None) => {}
             Err(error) => {
-                log.often("accept", &format!("accept: {error}"));
+                log.rate_limited("accept", &format!("accept: {error}"));
                 sleep(ACCEPT_PAUSE).await;
             }
         }
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -17,7 +17,7 @@
 use hyper_util::rt::TokioIo;
 use idle_history::IdleHistory;
 use peer::{Connection, Peer};
-use slatelink_admission::{Budget, Lease, Short, Side};
+use slatelink_admission::{Budget, ConnectionKind, Lease, LeaseError};
 use slatelink_config::EndpointList;
 use slatelink_policy::{Availability, Endpoint, EndpointId, Status};
 use socket::{SendPermit, WatchedSocket, WriteProgress};
@@ -327,11 +327,12 @@
     async fn lease(&self) -> io::Result<Lease> {
         let mut evicting = false;
         for polls_left in (0..=EVICTION_POLLS).rev() {
-            let shortage = match self.budget.lease(Side::Servers) {
+            let shortage = match self.budget.lease(ConnectionKind::Upstream) {
                 Ok(lease) => return Ok(lease),
                 Err(shortage) => shortage,
             };
-            let may_wait = shortage == Short::Other(Side::Clients) && polls_left > 1;
+            let may_wait =
+                shortage == LeaseError::OtherKind(ConnectionKind::Client) && polls_left > 1;
             if may_wait && (evicting || self.clients.evict_for_server()) {
                 evicting = true;
                 sleep(EVICTION_POLL_INTERVAL).await;
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -120,9 +120,12 @@
         };
         let (sender, driving) = http1::Builder::new().handshake(watched).await.unwrap();
         let task = tokio::task::spawn_local(async move { drop(driving.await) }).abort_handle();
-        let share = slatelink_admission::Share { floor: 0, most: 1 };
+        let share = slatelink_admission::Quota {
+            reserved: 0,
+            limit: 1,
+        };
         let budget = Budget::new(1, [share; 3], 0).unwrap();
-        let _lease = budget.lease(Side::Servers).unwrap();
+        let _lease = budget.lease(ConnectionKind::Upstream).unwrap();
         let connection = Connection {
             incarnation: 0,
             sender,
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -5,7 +5,7 @@
 mod trail;
 mod verify;
 
-pub use signals::{catch_signals, Stop};
+pub use signals::{catch_signals, StopSignal};
 pub use verify::{verify, Verdict};
 
 use crate::writer::{BoundedSender, Writer};
@@ -69,8 +69,8 @@
         });
     }
 
-    pub fn stop(&self, stop: Stop) {
-        self.record(Event::Stop {
+    pub fn stop(&self, stop: StopSignal) {
+        self.record(Event::StopSignal {
             signal: stop.signal,
         });
         self.stopped.set(true);
@@ -86,7 +86,7 @@
     }
 
     /// Discovery's word of hosts.
-    pub fn learned(&self, list: &EndpointList) {
+    pub fn endpoints_updated(&self, list: &EndpointList) {
         let mut health = self.health.borrow_mut();
         let mut previous = if list.complete {
             std::mem::take(&mut *health)
--- a/crates/telemetry/src/audit/signals.rs
+++ b/crates/telemetry/src/audit/signals.rs
@@ -6,12 +6,12 @@
 
 /// A signal that ended the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stop {
+pub struct StopSignal {
     pub signal: &'static str,
     pub number: u8,
 }
 
-impl Stop {
+impl StopSignal {
     /// The platform's own way: it drains the node.
     pub const TERMINATE: Self = Self {
         signal: "SIGTERM",
@@ -36,7 +36,7 @@
 ];
 
 /// Catches them from now on, but for those in `except`, which have another use.
-pub fn catch_signals(except: &[i32]) -> io::Result<UnboundedReceiver<Stop>> {
+pub fn catch_signals(except: &[i32]) -> io::Result<UnboundedReceiver<StopSignal>> {
     let (caught, stops) = unbounded_channel();
     for (name, number) in TERMINATING_SIGNALS
         .iter()
@@ -45,7 +45,7 @@
         let mut signals = signal(SignalKind::from_raw(*number))?;
         let (caught, stop) = (
             caught.clone(),
-            Stop {
+            StopSignal {
                 signal: name,
                 number: *number as u8,
             },
--- a/crates/telemetry/src/audit/tests.rs
+++ b/crates/telemetry/src/audit/tests.rs
@@ -273,7 +273,7 @@
         }
     };
     wait(MAX_QUEUED_RECORDS);
-    audit.stop(Stop::TERMINATE);
+    audit.stop(StopSignal::TERMINATE);
     audit.record(health("after the stop"));
     wait(MAX_QUEUED_RECORDS + 2);
     let text = std::fs::read_to_string(&path).unwrap();
--- a/crates/telemetry/src/audit/trail.rs
+++ b/crates/telemetry/src/audit/trail.rs
@@ -26,7 +26,7 @@
         pid: u32,
         version: &'static str,
     },
-    Stop {
+    StopSignal {
         signal: &'static str,
     },
     Config {
--- a/crates/telemetry/src/figures.rs
+++ b/crates/telemetry/src/figures.rs
@@ -6,11 +6,11 @@
 
 use crate::log::Log;
 use crate::writer::Writer;
-use crate::End;
+use crate::RequestOutcome;
 use batch::InFlightBatch;
 use line::{escape_tag, outcome_tag, MetricKind};
 use output::Output;
-use slatelink_admission::{Cause, ConnectionStats, Phase};
+use slatelink_admission::{CloseCause, ConnectionStats, Phase};
 use slatelink_config::operators::{Figures as Settings, Format};
 use slatelink_config::{EndpointList, EndpointRecord};
 use slatelink_policy::{Availability, ClassId, EndpointId, Name, Status};
@@ -109,14 +109,20 @@
     }
 
     /// A request of this class was taken.
-    pub fn taken(&self, class: ClassId) {
+    pub fn request_received(&self, class: ClassId) {
         if let Some(open) = self.state.borrow_mut().open_requests.get_mut(class.0) {
             *open += 1;
         }
     }
 
     /// It has its final answer; `host` is the server that served it, or was tried last.
-    pub fn answered(&self, class: ClassId, host: Option<&EndpointId>, took: Duration, end: End) {
+    pub fn request_completed(
+        &self,
+        class: ClassId,
+        host: Option<&EndpointId>,
+        took: Duration,
+        end: RequestOutcome,
+    ) {
         let state = &mut *self.state.borrow_mut();
         if let Some(open) = state.open_requests.get_mut(class.0) {
             *open = open.saturating_sub(1);
@@ -185,20 +191,20 @@
     }
 
     /// An attempt begins.
-    pub fn sent(&self, host: &EndpointId) {
+    pub fn attempt_started(&self, host: &EndpointId) {
         if let Some(blocked) = self.state.borrow_mut().blocked.get_mut(host) {
             *blocked = false;
         }
     }
 
     /// An attempt has ended.
-    pub fn ended(&self, class: ClassId, host: &EndpointId, status: Status) {
+    pub fn attempt_ended(&self, class: ClassId, host: &EndpointId, status: Status) {
         let series = ("attempt.count", class.0, host.clone(), outcome_tag(status));
         self.count(&mut self.state.borrow_mut(), series);
     }
 
     /// Discovery's word of hosts.
-    pub fn learned(&self, list: &EndpointList) {
+    pub fn endpoints_updated(&self, list: &EndpointList) {
         let blocked = &mut self.state.borrow_mut().blocked;
         let mut previous = if list.complete {
             std::mem::take(blocked)
@@ -216,7 +222,7 @@
     }
 
     /// What the table of clients' connections is like.
-    pub fn connections(&self, now: &ConnectionStats) {
+    pub fn connections_sampled(&self, now: &ConnectionStats) {
         let state = &mut *self.state.borrow_mut();
         let previous = std::mem::replace(&mut state.connections, now.clone());
         for (phase, count) in Phase::ALL.iter().zip(now.phases) {
@@ -235,7 +241,7 @@
             now.waiting as u64,
             MetricKind::Gauge,
         );
-        for (index, cause) in Cause::ALL.iter().enumerate() {
+        for (index, cause) in CloseCause::ALL.iter().enumerate() {
             let tags = [("cause", cause.label())];
             for (name, count) in [
                 ("conn.closed", now.closed[index] - previous.closed[index]),
@@ -249,7 +255,7 @@
     }
 
     /// The breaker of this host has tripped.
-    pub fn tripped(&self, host: &EndpointId) {
+    pub fn breaker_opened(&self, host: &EndpointId) {
         if let Some(blocked) = self.state.borrow_mut().blocked.get_mut(host) {
             *blocked = true;
         }
--- a/crates/telemetry/src/figures/tests.rs
+++ b/crates/telemetry/src/figures/tests.rs
@@ -48,15 +48,15 @@
 
 fn some_events(figures: &Figures) {
     let host = EndpointId::from("s,=1 x");
-    figures.taken(ClassId(0));
-    figures.taken(ClassId(0));
-    figures.sent(&host);
-    figures.ended(ClassId(0), &host, Status::TimedOut);
-    figures.answered(
+    figures.request_received(ClassId(0));
+    figures.request_received(ClassId(0));
+    figures.attempt_started(&host);
+    figures.attempt_ended(ClassId(0), &host, Status::TimedOut);
+    figures.request_completed(
         ClassId(0),
         None,
         Duration::from_micros(411_600),
-        End::Refused,
+        RequestOutcome::Shed,
     );
 }
 
@@ -165,13 +165,13 @@
     assert!(stuck.try_send(move |_| held.recv().unwrap_or_default()));
     let (host, start) = (EndpointId::from("h"), std::time::Instant::now());
     for i in 0..100_000 {
-        figures.taken(ClassId(1));
-        figures.ended(ClassId(1), &host, Status::Ok);
-        figures.answered(
+        figures.request_received(ClassId(1));
+        figures.attempt_ended(ClassId(1), &host, Status::Ok);
+        figures.request_completed(
             ClassId(1),
             Some(&host),
             Duration::from_millis(5),
-            End::Served,
+            RequestOutcome::Served,
         );
         if i % 1_000 == 0 {
             figures.flush();
--- a/crates/telemetry/src/hotlist.rs
+++ b/crates/telemetry/src/hotlist.rs
@@ -168,7 +168,7 @@
     }
 
     /// A request was taken.
-    pub fn taken(&self, class: ClassId, key: &str) {
+    pub fn request_received(&self, class: ClassId, key: &str) {
         if let Some(list) = self.lists.borrow_mut().get_mut(class.0) {
             list.count(key, self.capacity, self.window, Instant::now());
         }
--- a/crates/telemetry/src/hotlist/tests.rs
+++ b/crates/telemetry/src/hotlist/tests.rs
@@ -119,7 +119,7 @@
     let hot = HotList::new(most, window, &classes, &writer).unwrap();
     for i in 0..3 * most {
         for class in 0..3 {
-            hot.taken(ClassId(class), &format!("{i}{}", "k".repeat(200)));
+            hot.request_received(ClassId(class), &format!("{i}{}", "k".repeat(200)));
         }
     }
     let lists = hot.lists.borrow();
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use log::{Format, Log};
 
-use audit::{Audit, Stop};
+use audit::{Audit, StopSignal};
 use figures::Figures;
 use hotlist::HotList;
 use slatelink_config::operators::{Settings, Source};
@@ -27,24 +27,24 @@
 
 /// How a request ended, as a tag's value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// With the answer of a cache server.
     Served,
     /// Not done, and harmless to ask again.
-    Refused,
+    Shed,
     /// Not done, or not known.
     Failed,
     /// Its client left first.
-    Left,
+    ClientDisconnected,
 }
 
-impl End {
+impl RequestOutcome {
     const fn word(self) -> &'static str {
         match self {
             Self::Served => "200",
-            Self::Refused => "503",
+            Self::Shed => "503",
             Self::Failed => "502",
-            Self::Left => "left",
+            Self::ClientDisconnected => "left",
         }
     }
 }
@@ -52,22 +52,29 @@
 /// Hears what happens in a node, in the order it happens. What it does not care for it leaves out.
 pub trait Observer {
     /// A request was taken: one of this path.
-    fn taken(&self, _class: ClassId, _path: &str) {}
+    fn request_received(&self, _class: ClassId, _path: &str) {}
 
     /// A request taken has its final answer, or its client has left. `host`: who served it or was tried last.
-    fn answered(&self, _class: ClassId, _host: Option<&EndpointId>, _took: Duration, _end: End) {}
+    fn request_completed(
+        &self,
+        _class: ClassId,
+        _host: Option<&EndpointId>,
+        _took: Duration,
+        _end: RequestOutcome,
+    ) {
+    }
 
     /// An attempt begins.
-    fn sent(&self, _host: &EndpointId) {}
+    fn attempt_started(&self, _host: &EndpointId) {}
 
     /// An attempt has ended.
-    fn ended(&self, _class: ClassId, _host: &EndpointId, _status: Status) {}
+    fn attempt_ended(&self, _class: ClassId, _host: &EndpointId, _status: Status) {}
 
     /// Discovery's word, as the node takes it in.
-    fn learned(&self, _listing: &EndpointList) {}
+    fn endpoints_updated(&self, _listing: &EndpointList) {}
 
     /// What the table of clients' connections is like; each second.
-    fn connections(&self, _table: &slatelink_admission::ConnectionStats) {}
+    fn connections_sampled(&self, _table: &slatelink_admission::ConnectionStats) {}
 
     /// A circuit breaker of the decision module has opened.
     fn breaker_opened(&self, _scope: &BreakerScope) {}
@@ -160,7 +167,7 @@
     }
 
     /// The signals, beside those that have a use, which end the node: caught where their names are wanted.
-    pub fn stops(&self) -> io::Result<Option<UnboundedReceiver<Stop>>> {
+    pub fn stops(&self) -> io::Result<Option<UnboundedReceiver<StopSignal>>> {
         let except: &[i32] = if self.hotlist.is_some() {
             &[libc::SIGUSR1]
         } else {
@@ -190,7 +197,7 @@
     }
 
     /// The node stops: what waits goes out, or is left after a while.
-    pub async fn stop(&self, by: Stop) {
+    pub async fn stop(&self, by: StopSignal) {
         if let Some(figures) = &self.figures {
             figures.stop(FIGURES_FLUSH_TIMEOUT).await;
         }
@@ -202,53 +209,59 @@
 }
 
 impl Observer for Observers {
-    fn taken(&self, class: ClassId, path: &str) {
+    fn request_received(&self, class: ClassId, path: &str) {
         if let Some(hotlist) = &self.hotlist {
-            hotlist.taken(class, path.rsplit('/').next().unwrap_or_default());
+            hotlist.request_received(class, path.rsplit('/').next().unwrap_or_default());
         }
         if let Some(figures) = &self.figures {
-            figures.taken(class);
+            figures.request_received(class);
         }
     }
 
-    fn answered(&self, class: ClassId, host: Option<&EndpointId>, took: Duration, end: End) {
+    fn request_completed(
+        &self,
+        class: ClassId,
+        host: Option<&EndpointId>,
+        took: Duration,
+        end: RequestOutcome,
+    ) {
         if let Some(figures) = &self.figures {
-            figures.answered(class, host, took, end);
+            figures.request_completed(class, host, took, end);
         }
     }
 
-    fn sent(&self, host: &EndpointId) {
+    fn attempt_started(&self, host: &EndpointId) {
         if let Some(figures) = &self.figures {
-            figures.sent(host);
+            figures.attempt_started(host);
         }
     }
 
-    fn ended(&self, class: ClassId, host: &EndpointId, status: Status) {
+    fn attempt_ended(&self, class: ClassId, host: &EndpointId, status: Status) {
         if let Some(figures) = &self.figures {
-            figures.ended(class, host, status);
+            figures.attempt_ended(class, host, status);
         }
     }
 
-    fn learned(&self, list: &EndpointList) {
+    fn endpoints_updated(&self, list: &EndpointList) {
         if let Some(figures) = &self.figures {
-            figures.learned(list);
+            figures.endpoints_updated(list);
         }
         if let Some(audit) = &self.audit {
-            audit.learned(list);
+            audit.endpoints_updated(list);
         }
     }
 
-    fn connections(&self, table: &slatelink_admission::ConnectionStats) {
+    fn connections_sampled(&self, table: &slatelink_admission::ConnectionStats) {
         self.log.turn();
         if let Some(figures) = &self.figures {
-            figures.connections(table);
+            figures.connections_sampled(table);
         }
     }
 
     fn breaker_opened(&self, scope: &BreakerScope) {
         if let (Some(figures), BreakerScope::Endpoint(endpoint)) = (&self.figures, scope) {
-            figures.tripped(endpoint);
+            figures.breaker_opened(endpoint);
         }
-        self.log.often("module", &scope.to_string());
+        self.log.rate_limited("module", &scope.to_string());
     }
 }
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -125,7 +125,7 @@
     }
 
     /// Writes a line of a topic that may have very many: past a few they are counted, and [`Log::turn`] tells of them.
-    pub fn often(&self, topic: &'static str, text: &str) {
+    pub fn rate_limited(&self, topic: &'static str, text: &str) {
         let now = Instant::now();
         let admitted = self
             .topics
