--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -70,7 +70,7 @@
     }
 
     pub fn stop(&self, stop: StopSignal) {
-        self.record(Event::StopSignal {
+        self.record(Event::Stop {
             signal: stop.signal,
         });
         self.stopped.set(true);
--- a/crates/telemetry/src/audit/trail.rs
+++ b/crates/telemetry/src/audit/trail.rs
@@ -26,7 +26,7 @@
         pid: u32,
         version: &'static str,
     },
-    StopSignal {
+    Stop {
         signal: &'static str,
     },
     Config {
