--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -134,8 +134,8 @@
             }
         };
         self.entries[id as usize] = Some(entry);
-        self.phases.push(Phase::Silent as usize, id);
-        self.set_timeout(now, id, Phase::Silent);
+        self.phases.push(Phase::AwaitingFirstByte as usize, id);
+        self.set_timeout(now, id, Phase::AwaitingFirstByte);
         id
     }
 
@@ -146,7 +146,8 @@
         };
         self.closed[entry
             .ending
-            .map_or(CloseCause::Client, |ending| ending.cause) as usize] += 1;
+            .map_or(CloseCause::ClosedByClient, |ending| ending.cause)
+            as usize] += 1;
         self.phases.remove(id);
         self.timers.cancel(id);
         self.starved.remove(id);
@@ -162,17 +163,17 @@
     pub fn phase(&self, id: ConnectionId) -> Phase {
         self.phases
             .list(id)
-            .map_or(Phase::Silent, |phase| Phase::ALL[phase])
+            .map_or(Phase::AwaitingFirstByte, |phase| Phase::ALL[phase])
     }
 
     /// Bytes were read.
     pub fn on_bytes_read(&mut self, now: Duration, id: ConnectionId) {
         match self.phase(id) {
             // The time of the first request runs from the connection's start.
-            Phase::Silent => self.phases.push(Phase::Asking as usize, id),
-            Phase::Idle | Phase::Parked => self.enter_phase(now, id, Phase::Asking),
-            Phase::Asking => {}
-            Phase::Open | Phase::Answering => {
+            Phase::AwaitingFirstByte => self.phases.push(Phase::ReadingRequest as usize, id),
+            Phase::Idle | Phase::Parked => self.enter_phase(now, id, Phase::ReadingRequest),
+            Phase::ReadingRequest => {}
+            Phase::Processing | Phase::WritingResponse => {
                 if let Some(entry) = self.entry_mut(id) {
                     entry.next_request_begun = true;
                 }
@@ -185,15 +186,18 @@
         if let Some(entry) = self.entry_mut(id) {
             entry.next_request_begun = false;
         }
-        if !matches!(self.phase(id), Phase::Silent | Phase::Asking) {
-            self.enter_phase(now, id, Phase::Asking);
+        if !matches!(
+            self.phase(id),
+            Phase::AwaitingFirstByte | Phase::ReadingRequest
+        ) {
+            self.enter_phase(now, id, Phase::ReadingRequest);
         }
     }
 
     /// A request of this class has come whole. Whether its class has more of them open than its share: that is for the
     /// decision module to know.
     pub fn on_request(&mut self, now: Duration, id: ConnectionId, class: usize) -> bool {
-        self.enter_phase(now, id, Phase::Open);
+        self.enter_phase(now, id, Phase::Processing);
         // Its time may have run out in the very turn in which the rest came: the node has the request now, and answers it.
         let ending = self.entry_mut(id).and_then(|entry| entry.ending.as_mut());
         if let Some(ending) = ending.filter(|ending| ending.directive == Directive::Abort) {
@@ -213,12 +217,12 @@
             entry.class.take()
         });
         self.release_class(class);
-        self.enter_phase(now, id, Phase::Answering);
+        self.enter_phase(now, id, Phase::WritingResponse);
     }
 
     /// All that was to be written is out.
     pub fn on_flushed(&mut self, now: Duration, id: ConnectionId) {
-        if self.phase(id) == Phase::Answering {
+        if self.phase(id) == Phase::WritingResponse {
             let starving = !self.starved.is_empty(0);
             let Some(entry) = self.entry_mut(id) else {
                 return;
@@ -230,7 +234,7 @@
                 now,
                 id,
                 if next_request_begun {
-                    Phase::Asking
+                    Phase::ReadingRequest
                 } else {
                     Phase::Idle
                 },
--- a/crates/admission/src/connections/admission.rs
+++ b/crates/admission/src/connections/admission.rs
@@ -36,8 +36,8 @@
         };
         let oldest = self.first_not_closing(self.idle_by_address.iter(holder.idle));
         match oldest {
-            Some(id) => self.close(id, CloseCause::Address),
-            None => self.refused[CloseCause::Address as usize] += 1,
+            Some(id) => self.close(id, CloseCause::AddressQuota),
+            None => self.refused[CloseCause::AddressQuota as usize] += 1,
         }
         Err(oldest)
     }
@@ -74,7 +74,7 @@
         self.open_by_class[class] += 1;
         let most = self.limits.per_class.get(class).copied().flatten();
         let over = most.is_some_and(|most| self.open_by_class[class] > most);
-        self.refused[CloseCause::Class as usize] += u64::from(over);
+        self.refused[CloseCause::ClassQuota as usize] += u64::from(over);
         over
     }
 
--- a/crates/admission/src/connections/closing.rs
+++ b/crates/admission/src/connections/closing.rs
@@ -2,63 +2,67 @@
 
 use super::{ConnectionId, ConnectionTable, Phase};
 
-/// Why a connection was closed, or not let in.
+/// Why a connection was closed or refused, or a request refused.
+///
+/// The discriminants number the positions of [`ConnectionStats::closed`](super::ConnectionStats::closed) and
+/// [`ConnectionStats::refused`](super::ConnectionStats::refused).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CloseCause {
-    /// Its client closed it, or broke HTTP.
-    Client,
-    /// No byte came in 2 s.
-    Silent,
-    /// No whole request came in 2 s from its first byte.
-    Slow,
-    /// Its answer was not taken in 4 s.
-    Untaken,
-    /// Nobody used it for the idle time.
-    Idle,
-    /// It gave its place to another one.
-    Room,
-    /// Its answer closed it, since few places were left.
-    Crowd,
-    /// Its address holds all that one may.
-    Address,
-    /// No memory was left to read what it said.
-    Bytes,
-    /// The node stops.
-    Stop,
-    /// Its class holds all that it may: a request refused, not a connection closed.
-    Class,
+    /// The client closed it or violated HTTP.
+    ClosedByClient,
+    /// No byte arrived in time after the accept.
+    FirstByteTimeout,
+    /// A request was not complete in time after its first byte.
+    RequestTimeout,
+    /// The client did not read its response in time.
+    ResponseWriteTimeout,
+    /// It was idle for [`ConnectionLimits::idle_timeout`](super::ConnectionLimits::idle_timeout).
+    IdleTimeout,
+    /// It was evicted so that another connection gets its descriptor.
+    Evicted,
+    /// Its response closed it, since [`ConnectionLimits::keep_alive_limit`](super::ConnectionLimits::keep_alive_limit)
+    /// or more connections were in use or connections waited for a descriptor.
+    KeepAliveLimit,
+    /// Its address has as many connections as one address may.
+    AddressQuota,
+    /// There was no memory to read what it sent.
+    MemoryLimit,
+    /// The node shuts down.
+    Shutdown,
+    /// The class of a request has as many in flight as it may: the request is refused, the connection stays open.
+    ClassQuota,
 }
 
 impl CloseCause {
-    /// All of them, in the order of their numbers.
+    /// All causes, each at the position of its discriminant.
     pub const ALL: [Self; 11] = [
-        Self::Client,
-        Self::Silent,
-        Self::Slow,
-        Self::Untaken,
-        Self::Idle,
-        Self::Room,
-        Self::Crowd,
-        Self::Address,
-        Self::Bytes,
-        Self::Stop,
-        Self::Class,
+        Self::ClosedByClient,
+        Self::FirstByteTimeout,
+        Self::RequestTimeout,
+        Self::ResponseWriteTimeout,
+        Self::IdleTimeout,
+        Self::Evicted,
+        Self::KeepAliveLimit,
+        Self::AddressQuota,
+        Self::MemoryLimit,
+        Self::Shutdown,
+        Self::ClassQuota,
     ];
 
-    /// Its label in metrics.
+    /// Value of the metrics' `cause` tag: stored names, which differ from those of the variants.
     pub const fn label(self) -> &'static str {
         match self {
-            Self::Client => "client",
-            Self::Silent => "silent",
-            Self::Slow => "slow",
-            Self::Untaken => "untaken",
-            Self::Idle => "idle",
-            Self::Room => "room",
-            Self::Crowd => "crowd",
-            Self::Address => "address",
-            Self::Bytes => "bytes",
-            Self::Stop => "stop",
-            Self::Class => "class",
+            Self::ClosedByClient => "client",
+            Self::FirstByteTimeout => "silent",
+            Self::RequestTimeout => "slow",
+            Self::ResponseWriteTimeout => "untaken",
+            Self::IdleTimeout => "idle",
+            Self::Evicted => "room",
+            Self::KeepAliveLimit => "crowd",
+            Self::AddressQuota => "address",
+            Self::MemoryLimit => "bytes",
+            Self::Shutdown => "stop",
+            Self::ClassQuota => "class",
         }
     }
 }
@@ -102,14 +106,18 @@
     /// so that another one can have its place.
     pub fn may_linger(&self, id: ConnectionId) -> bool {
         let ending = self.entry(id).and_then(|entry| entry.ending.as_ref());
-        ending.is_none_or(|ending| !matches!(ending.cause, CloseCause::Room | CloseCause::Address))
+        ending.is_none_or(|ending| {
+            !matches!(ending.cause, CloseCause::Evicted | CloseCause::AddressQuota)
+        })
     }
 
     /// It closes for this cause: at once where it keeps the node waiting, else when what it has asked is answered. A
     /// request that is being read as the node stops is read to its end.
     pub fn close(&mut self, id: ConnectionId, cause: CloseCause) {
-        let aborts =
-            matches!(self.phase(id), Phase::Asking | Phase::Answering) && cause != CloseCause::Stop;
+        let aborts = matches!(
+            self.phase(id),
+            Phase::ReadingRequest | Phase::WritingResponse
+        ) && cause != CloseCause::Shutdown;
         self.set_ending(
             id,
             cause,
--- a/crates/admission/src/connections/eviction.rs
+++ b/crates/admission/src/connections/eviction.rs
@@ -20,23 +20,28 @@
         now: Duration,
         id: ConnectionId,
     ) -> (bool, Option<ConnectionId>) {
-        let used = [Phase::Open, Phase::Answering, Phase::Idle, Phase::Parked];
+        let used = [
+            Phase::Processing,
+            Phase::WritingResponse,
+            Phase::Idle,
+            Phase::Parked,
+        ];
         let used: usize = used
             .iter()
             .map(|phase| self.phases.len(*phase as usize))
             .sum();
-        if self.waiting == 0 && used < self.limits.crowded_at {
+        if self.waiting == 0 && used < self.limits.keep_alive_limit {
             return (false, None);
         }
         if self.waiting == 0 {
             if let Some(other) = self.oldest_idle(now, IDLE_EVICTION_AGE) {
-                self.close(other, CloseCause::Room);
+                self.close(other, CloseCause::Evicted);
                 return (false, Some(other));
             }
         }
         if self.entry(id).is_some_and(|entry| entry.ending.is_none()) {
             // The response says so: its owner needs no directive.
-            self.set_ending(id, CloseCause::Crowd, Directive::Continue);
+            self.set_ending(id, CloseCause::KeepAliveLimit, Directive::Continue);
         }
         (true, None)
     }
@@ -46,21 +51,21 @@
     pub fn evict_for_client(&mut self, now: Duration) -> Option<ConnectionId> {
         let found = self
             .oldest_unused(now)
-            .or_else(|| self.oldest_in_phase(now, Phase::Asking, REQUEST_EVICTION_AGE))
+            .or_else(|| self.oldest_in_phase(now, Phase::ReadingRequest, REQUEST_EVICTION_AGE))
             .or_else(|| {
                 self.oldest_idle(now, Duration::ZERO).filter(|_| {
-                    self.oldest_in_phase(now, Phase::Silent, Duration::ZERO)
+                    self.oldest_in_phase(now, Phase::AwaitingFirstByte, Duration::ZERO)
                         .is_none()
                 })
             })?;
-        self.close(found, CloseCause::Room);
+        self.close(found, CloseCause::Evicted);
         Some(found)
     }
 
     /// Closes one that was not used for long, or never, in favour of a connection to a server. It has to be woken.
     pub fn evict_for_server(&mut self, now: Duration) -> Option<ConnectionId> {
         let found = self.oldest_unused(now)?;
-        self.close(found, CloseCause::Room);
+        self.close(found, CloseCause::Evicted);
         Some(found)
     }
 
@@ -75,7 +80,7 @@
 
     /// One that was never used, or not for long.
     fn oldest_unused(&self, now: Duration) -> Option<ConnectionId> {
-        self.oldest_in_phase(now, Phase::Silent, SILENT_EVICTION_AGE)
+        self.oldest_in_phase(now, Phase::AwaitingFirstByte, SILENT_EVICTION_AGE)
             .or_else(|| self.oldest_idle(now, IDLE_EVICTION_AGE))
     }
 
--- a/crates/admission/src/connections/limits.rs
+++ b/crates/admission/src/connections/limits.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionLimits {
     /// With this many connections in use, one closes with its response, so that other clients get a turn.
-    pub crowded_at: usize,
+    pub keep_alive_limit: usize,
     /// An idle connection is kept this long.
     pub idle_timeout: Duration,
     /// Connections of one address, at most.
--- a/crates/admission/src/connections/memory.rs
+++ b/crates/admission/src/connections/memory.rs
@@ -22,7 +22,7 @@
             return Ok(());
         }
         if self.phase(id).is_idle() {
-            self.enter_phase(now, id, Phase::Asking);
+            self.enter_phase(now, id, Phase::ReadingRequest);
         }
         self.starved.push(0, id);
         let idle = self.phases.iter(Phase::Idle as usize).take(MAX_SCANNED);
@@ -42,7 +42,7 @@
         let held = self
             .entry_mut(id)
             .is_none_or(|entry| entry.lease.hold(bytes));
-        self.refused[CloseCause::Bytes as usize] += u64::from(!held);
+        self.refused[CloseCause::MemoryLimit as usize] += u64::from(!held);
         held
     }
 
--- a/crates/admission/src/connections/phase.rs
+++ b/crates/admission/src/connections/phase.rs
@@ -1,46 +1,49 @@
-//! The phases of a connection.
+//! The phases of a client connection.
 
-/// The phase of a connection.
+/// What a client connection is doing.
+///
+/// The discriminants number the lists of [`LinkedLists`](crate::LinkedLists) that hold the connections of each phase,
+/// and the positions of [`ConnectionStats::phases`](super::ConnectionStats::phases).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// Nothing has come yet.
-    Silent,
-    /// A request is coming.
-    Asking,
-    /// A request is with the driver.
-    Open,
-    /// An answer is being written.
-    Answering,
-    /// All that came is answered.
+    /// It was accepted, and no byte has been read from it.
+    AwaitingFirstByte,
+    /// Part of a request has been read.
+    ReadingRequest,
+    /// A complete request has been read and its response is not ready.
+    Processing,
+    /// Its response is being written.
+    WritingResponse,
+    /// Every request has been answered and written; buffers and parser are kept for the next one.
     Idle,
-    /// So for a while: it holds nothing but its socket.
+    /// Idle, with its buffers and parser released: only the socket is held.
     Parked,
 }
 
 impl Phase {
-    /// All of them, in the order of their numbers.
+    /// All phases, each at the position of its discriminant.
     pub const ALL: [Self; 6] = [
-        Self::Silent,
-        Self::Asking,
-        Self::Open,
-        Self::Answering,
+        Self::AwaitingFirstByte,
+        Self::ReadingRequest,
+        Self::Processing,
+        Self::WritingResponse,
         Self::Idle,
         Self::Parked,
     ];
 
-    /// Its label in metrics.
+    /// Value of the metrics' `phase` tag: stored names, which differ from those of the variants.
     pub const fn label(self) -> &'static str {
         match self {
-            Self::Silent => "silent",
-            Self::Asking => "asking",
-            Self::Open => "open",
-            Self::Answering => "answering",
+            Self::AwaitingFirstByte => "silent",
+            Self::ReadingRequest => "asking",
+            Self::Processing => "open",
+            Self::WritingResponse => "answering",
             Self::Idle => "idle",
             Self::Parked => "parked",
         }
     }
 
-    /// Whether no request is in progress on it.
+    /// Whether no request is in progress and at least one was answered.
     pub(super) const fn is_idle(self) -> bool {
         matches!(self, Self::Idle | Self::Parked)
     }
--- a/crates/admission/src/connections/timeouts.rs
+++ b/crates/admission/src/connections/timeouts.rs
@@ -25,11 +25,13 @@
             };
             let over = entry.phase_since + idle;
             let cause = match phase {
-                Phase::Silent | Phase::Asking if starved => CloseCause::Bytes,
-                Phase::Silent => CloseCause::Silent,
-                Phase::Asking => CloseCause::Slow,
-                Phase::Open => continue,
-                Phase::Answering => CloseCause::Untaken,
+                Phase::AwaitingFirstByte | Phase::ReadingRequest if starved => {
+                    CloseCause::MemoryLimit
+                }
+                Phase::AwaitingFirstByte => CloseCause::FirstByteTimeout,
+                Phase::ReadingRequest => CloseCause::RequestTimeout,
+                Phase::Processing => continue,
+                Phase::WritingResponse => CloseCause::ResponseWriteTimeout,
                 // One may be parked before this, where others wait for what it holds.
                 Phase::Idle | Phase::Parked if now < over => {
                     entry.parking = phase == Phase::Idle;
@@ -39,7 +41,7 @@
                     self.timers.set(id, over);
                     continue;
                 }
-                Phase::Idle | Phase::Parked => CloseCause::Idle,
+                Phase::Idle | Phase::Parked => CloseCause::IdleTimeout,
             };
             self.close(id, cause);
             woken.push(id);
@@ -51,13 +53,15 @@
     /// Sets the timeout of a phase that begins now.
     pub(super) fn set_timeout(&mut self, now: Duration, id: ConnectionId, phase: Phase) {
         match phase {
-            Phase::Silent | Phase::Asking => self.timers.set(id, now + REQUEST_TIMEOUT),
-            Phase::Answering => self.timers.set(id, now + RESPONSE_WRITE_TIMEOUT),
+            Phase::AwaitingFirstByte | Phase::ReadingRequest => {
+                self.timers.set(id, now + REQUEST_TIMEOUT)
+            }
+            Phase::WritingResponse => self.timers.set(id, now + RESPONSE_WRITE_TIMEOUT),
             Phase::Idle | Phase::Parked => {
                 self.timers
                     .set(id, now + PARK_AFTER.min(self.limits.idle_timeout));
             }
-            Phase::Open => drop(self.timers.cancel(id)),
+            Phase::Processing => drop(self.timers.cancel(id)),
         }
     }
 }
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -171,7 +171,7 @@
     let budget = Budget::new(1 << 20, [share; 3], 1_000).expect("fits");
     (
         ConnectionTable::new(ConnectionLimits {
-            crowded_at: 1 << 20,
+            keep_alive_limit: 1 << 20,
             idle_timeout: ms(10_000),
             active_bytes: 100,
             parked_bytes: 1,
@@ -223,7 +223,7 @@
                     if table.check_address_limit(address(last)).is_ok() {
                         let id = enter(&mut table, &budget, now, last);
                         assert!(
-                            model.insert(id, (Phase::Silent, last)).is_none(),
+                            model.insert(id, (Phase::AwaitingFirstByte, last)).is_none(),
                             "seed {seed}: a number in use"
                         );
                     } else {
@@ -231,18 +231,18 @@
                         assert!(count >= 40, "seed {seed}: kept out with {count}");
                     }
                 }
-                (2 | 3, Some(id)) if model[&id].0 != Phase::Open => {
+                (2 | 3, Some(id)) if model[&id].0 != Phase::Processing => {
                     let phase = &mut model.get_mut(&id).expect("in").0;
                     if table.on_readable(now, id).is_ok() {
                         table.on_bytes_read(now, id);
                         table.on_request_head(now, id);
                         table.on_request(now, id, 0);
-                        *phase = Phase::Open;
-                    } else if *phase != Phase::Silent {
-                        *phase = Phase::Asking;
+                        *phase = Phase::Processing;
+                    } else if *phase != Phase::AwaitingFirstByte {
+                        *phase = Phase::ReadingRequest;
                     }
                 }
-                (4 | 5, Some(id)) if model[&id].0 == Phase::Open => {
+                (4 | 5, Some(id)) if model[&id].0 == Phase::Processing => {
                     table.on_response(now, id);
                     table.on_flushed(now, id);
                     model.get_mut(&id).expect("in").0 = Phase::Idle;
@@ -315,7 +315,10 @@
         .iter()
         .all(|id| table.directive(*id) == Directive::Finish));
     woken.iter().for_each(|id| table.remove(*id));
-    assert_eq!(table.stats().closed[CloseCause::Silent as usize], 100_000);
+    assert_eq!(
+        table.stats().closed[CloseCause::FirstByteTimeout as usize],
+        100_000
+    );
 }
 
 // Guards against an address, or a class, that takes the whole table.
@@ -354,8 +357,8 @@
     table.remove(second);
     table.remove(first);
     let stats = table.stats();
-    assert_eq!(stats.closed[CloseCause::Address as usize], 2);
-    assert_eq!(stats.refused[CloseCause::Address as usize], 1);
+    assert_eq!(stats.closed[CloseCause::AddressQuota as usize], 2);
+    assert_eq!(stats.refused[CloseCause::AddressQuota as usize], 1);
     let ids = [1, 2].map(|last| enter(&mut table, &budget, ms(4), last));
     assert!(!table.on_request(ms(5), ids[0], 1));
     assert!(
@@ -398,7 +401,7 @@
         "it waits for no longer than a request may take"
     );
     table.remove(ids[10]);
-    assert_eq!(table.stats().closed[CloseCause::Bytes as usize], 1);
+    assert_eq!(table.stats().closed[CloseCause::MemoryLimit as usize], 1);
 }
 
 // Guards against a crowd that keeps idle connections while answered ones close, and against waiting for nothing.
@@ -450,7 +453,7 @@
         let budget = Budget::new(PLACES, [share(4), share(2), share(0)], BYTES).expect("fits");
         let per_class = vec![Some(3); 4];
         let mut table = ConnectionTable::new(ConnectionLimits {
-            crowded_at: 8,
+            keep_alive_limit: 8,
             idle_timeout: ms(500),
             active_bytes: 4_000,
             parked_bytes: 100,
@@ -518,7 +521,7 @@
                 "{held:?} of {} connections",
                 table.len()
             );
-            assert_eq!(table.stats().phases[Phase::Open as usize], open.len());
+            assert_eq!(table.stats().phases[Phase::Processing as usize], open.len());
         }
         table
             .ids()
@@ -542,7 +545,7 @@
     )
     .expect("fits");
     let terms = ConnectionLimits {
-        crowded_at: 4,
+        keep_alive_limit: 4,
         idle_timeout: ms(60_000),
         active_bytes: 10,
         parked_bytes: 1,
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -177,7 +177,9 @@
         let ids: Vec<_> = self.connections.borrow().ids().collect();
         for part in ids.chunks(BATCH) {
             for id in part {
-                self.connections.borrow_mut().close(*id, CloseCause::Stop);
+                self.connections
+                    .borrow_mut()
+                    .close(*id, CloseCause::Shutdown);
                 self.wake(*id);
             }
             yield_now().await;
--- a/crates/node/src/connections/handle.rs
+++ b/crates/node/src/connections/handle.rs
@@ -187,14 +187,14 @@
                     return Poll::Ready(DriveOutcome::Over);
                 }
                 // hyper looks for the client's end only while it has read nothing more of it.
-                if self.is_at(Phase::Open) && self.poll_client_has_left(cx) {
+                if self.is_at(Phase::Processing) && self.poll_client_has_left(cx) {
                     return Poll::Ready(DriveOutcome::Over);
                 }
                 match self.directive() {
                     Directive::Abort => return Poll::Ready(DriveOutcome::Over),
                     Directive::Park => return Poll::Ready(DriveOutcome::Park),
                     // Closed now, hyper would drop the half of a request that it has: its answer closes the connection.
-                    Directive::Finish if !closed && !self.is_at(Phase::Asking) => {
+                    Directive::Finish if !closed && !self.is_at(Phase::ReadingRequest) => {
                         closed = true;
                         close(Pin::new(serving));
                     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -179,7 +179,7 @@
             log.line(&format!("multi-get listens on {}", listener.local_addr()?));
             // One address may well be all that asks there, and a call is no request of a class.
             let connection_limits = ConnectionLimits {
-                crowded_at: usize::MAX,
+                keep_alive_limit: usize::MAX,
                 per_address: None,
                 per_class: Vec::new(),
                 ..connection_limits
@@ -321,7 +321,7 @@
             .map(|part| (usable * part.0 / 100).max(1))
     };
     Ok(ConnectionLimits {
-        crowded_at: (usable - usable / FREE_PART).max(1),
+        keep_alive_limit: (usable - usable / FREE_PART).max(1),
         idle_timeout: wanted.idle(),
         per_address: wanted.per_address(),
         per_class: classes.iter().map(share).collect(),
