--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,154 +1,199 @@
-//! One budget of descriptors and bytes for all that a node holds. Each side has a reserved that the others cannot take,
-//! and what is above the floors goes to who asks for it.
+//! One budget of descriptors and bytes of memory for everything that a node holds open.
+//!
+//! Each kind of connection has a reserved number of descriptors that the other kinds cannot take. The descriptors beyond
+//! the reservations go to whoever asks first, up to each kind's limit. Bytes are one shared amount.
 
 use std::cell::RefCell;
+use std::fmt;
 use std::rc::Rc;
 
-/// Who holds a descriptor.
+/// The kind of connection that a descriptor is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionKind {
     /// Connections of clients.
     Client,
-    /// Connections to cache servers.
+    /// Connections to endpoints.
     Upstream,
-    /// Connections to the side ports.
+    /// Connections to the node's ports beside the one for clients.
     SidePort,
 }
 
 impl ConnectionKind {
     const COUNT: usize = 3;
-    /// All of them, in the order of their numbers.
+    /// All kinds, each at the position of its discriminant.
     pub const ALL: [Self; Self::COUNT] = [Self::Client, Self::Upstream, Self::SidePort];
 }
 
-/// What a side may hold.
+/// The descriptors that one kind of connection may hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Quota {
-    /// So many descriptors are always there for it.
+    /// Descriptors that no other kind can take.
     pub reserved: usize,
-    /// It never holds more.
+    /// Descriptors that the kind may hold at most, `reserved` or more.
     pub limit: usize,
 }
 
-/// What is held now.
+/// What is leased at present.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Descriptors of each side.
-    pub places: [usize; ConnectionKind::COUNT],
-    /// Bytes of all.
+    /// Descriptors by kind, in the order of [`ConnectionKind::ALL`].
+    pub descriptors: [usize; ConnectionKind::COUNT],
+    /// Bytes of all kinds together.
     pub bytes: usize,
 }
 
-/// Why a lease was not given.
+/// Why no descriptor was leased, and so which kind of connection should give one up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseError {
-    /// The side has all that it may ever hold, or no other holds more than its reserved: one of its own must give way.
+    /// The kind that asked is at its limit, or no other kind exceeds its reservation by more: one of its own
+    /// connections should be closed.
     OwnLimit,
-    /// This other side is further above its reserved than the one that asks: one of that side's should give way.
+    /// This other kind exceeds its reservation by more than the one that asked: one of its connections should be closed.
     OtherKind(ConnectionKind),
 }
 
+impl fmt::Display for LeaseError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::OwnLimit => f.write_str("no descriptor is free, and this kind holds its part"),
+            Self::OtherKind(kind) => {
+                write!(
+                    f,
+                    "no descriptor is free, and {kind:?} holds most beyond its reservation"
+                )
+            }
+        }
+    }
+}
+
+impl std::error::Error for LeaseError {}
+
 #[derive(Debug)]
 struct State {
-    places: usize,
-    shares: [Quota; ConnectionKind::COUNT],
-    bytes: usize,
-    held: Usage,
+    max_descriptors: usize,
+    quotas: [Quota; ConnectionKind::COUNT],
+    max_bytes: usize,
+    usage: Usage,
+}
+
+impl State {
+    /// Descriptors that a kind holds beyond its reservation.
+    fn unreserved(&self, kind: ConnectionKind) -> usize {
+        let held = self.usage.descriptors[kind as usize];
+        held.saturating_sub(self.quotas[kind as usize].reserved)
+    }
+
+    /// Whether the descriptors that no kind has reserved are all taken.
+    fn shared_descriptors_exhausted(&self) -> bool {
+        let reserved: usize = self.quotas.iter().map(|quota| quota.reserved).sum();
+        let taken: usize = ConnectionKind::ALL
+            .into_iter()
+            .map(|kind| self.unreserved(kind))
+            .sum();
+        taken >= self.max_descriptors - reserved
+    }
+
+    /// The kind that should give up a descriptor to `kind`, where the shared ones are all taken.
+    fn shortage(&self, kind: ConnectionKind) -> LeaseError {
+        ConnectionKind::ALL
+            .into_iter()
+            .filter(|other| *other != kind)
+            .max_by_key(|other| self.unreserved(*other))
+            .filter(|other| self.unreserved(*other) > self.unreserved(kind))
+            .map_or(LeaseError::OwnLimit, LeaseError::OtherKind)
+    }
+
+    fn check_lease(&self, kind: ConnectionKind) -> Result<(), LeaseError> {
+        let held = self.usage.descriptors[kind as usize];
+        let quota = self.quotas[kind as usize];
+        if held >= quota.limit {
+            return Err(LeaseError::OwnLimit);
+        }
+        if held >= quota.reserved && self.shared_descriptors_exhausted() {
+            return Err(self.shortage(kind));
+        }
+        Ok(())
+    }
 }
 
-/// See the module's page. Clones are the same budget.
+/// A budget of descriptors and bytes; clones share it.
 #[derive(Clone, Debug)]
 pub struct Budget(Rc<RefCell<State>>);
 
 impl Budget {
-    /// A budget of so many descriptors and bytes. `None` where the floors are more than all of it, or a side's reserved
-    /// more than it may hold.
+    /// A budget with the quotas of each kind, in the order of [`ConnectionKind::ALL`].
+    ///
+    /// `None` where the reservations add up to more than `max_descriptors`, or one exceeds its own limit.
     pub fn new(
-        places: usize,
-        shares: [Quota; ConnectionKind::COUNT],
-        bytes: usize,
+        max_descriptors: usize,
+        quotas: [Quota; ConnectionKind::COUNT],
+        max_bytes: usize,
     ) -> Option<Self> {
-        let floors = shares
+        let reserved = quotas
             .iter()
-            .try_fold(0usize, |sum, share| sum.checked_add(share.reserved))?;
-        let fits = floors <= places && shares.iter().all(|share| share.reserved <= share.limit);
-        fits.then(|| {
-            Self(Rc::new(RefCell::new(State {
-                places,
-                shares,
-                bytes,
-                held: Usage::default(),
-            })))
-        })
+            .try_fold(0usize, |sum, quota| sum.checked_add(quota.reserved))?;
+        let within_limits = quotas.iter().all(|quota| quota.reserved <= quota.limit);
+        if reserved > max_descriptors || !within_limits {
+            return None;
+        }
+        Some(Self(Rc::new(RefCell::new(State {
+            max_descriptors,
+            quotas,
+            max_bytes,
+            usage: Usage::default(),
+        }))))
     }
 
-    /// What is held now.
-    pub fn held(&self) -> Usage {
-        self.0.borrow().held
+    /// What is leased at present.
+    pub fn usage(&self) -> Usage {
+        self.0.borrow().usage
     }
 
-    /// The most that a side could come to hold, with the others at their floors.
-    pub fn most(&self, side: ConnectionKind) -> usize {
+    /// The most descriptors that a kind can ever hold: those that the others have not reserved, up to its own limit.
+    pub fn max_descriptors(&self, kind: ConnectionKind) -> usize {
         let state = self.0.borrow();
-        let others: usize = ConnectionKind::ALL
+        let reserved_by_others: usize = ConnectionKind::ALL
             .iter()
-            .filter(|s| **s != side)
-            .map(|s| state.shares[*s as usize].reserved)
+            .filter(|other| **other != kind)
+            .map(|other| state.quotas[*other as usize].reserved)
             .sum();
-        state.shares[side as usize].limit.min(state.places - others)
+        let limit = state.quotas[kind as usize].limit;
+        limit.min(state.max_descriptors - reserved_by_others)
     }
 
-    /// A descriptor for a side, until the lease is dropped.
-    pub fn lease(&self, side: ConnectionKind) -> Result<Lease, LeaseError> {
+    /// Leases a descriptor for a connection of this kind, until the lease is dropped.
+    pub fn lease(&self, kind: ConnectionKind) -> Result<Lease, LeaseError> {
         let state = &mut *self.0.borrow_mut();
-        let above = |side: ConnectionKind| {
-            state.held.places[side as usize].saturating_sub(state.shares[side as usize].reserved)
-        };
-        let own = state.held.places[side as usize];
-        let share = state.shares[side as usize];
-        if own >= share.limit {
-            return Err(LeaseError::OwnLimit);
-        }
-        if own >= share.reserved {
-            let floors: usize = state.shares.iter().map(|share| share.reserved).sum();
-            let free = state.places - floors;
-            if ConnectionKind::ALL.into_iter().map(above).sum::<usize>() >= free {
-                let most = ConnectionKind::ALL
-                    .into_iter()
-                    .filter(|other| *other != side)
-                    .max_by_key(|other| above(*other));
-                return Err(most
-                    .filter(|other| above(*other) > above(side))
-                    .map_or(LeaseError::OwnLimit, LeaseError::OtherKind));
-            }
-        }
-        state.held.places[side as usize] += 1;
+        state.check_lease(kind)?;
+        state.usage.descriptors[kind as usize] += 1;
         Ok(Lease {
             budget: self.clone(),
-            side,
+            kind,
             bytes: 0,
         })
     }
 }
 
-/// A descriptor, and the bytes that go with it; dropped, both are given back.
+/// A descriptor of a budget, and the bytes that its connection uses; both are given back on drop.
 #[derive(Debug)]
 pub struct Lease {
     budget: Budget,
-    side: ConnectionKind,
+    kind: ConnectionKind,
     bytes: usize,
 }
 
 impl Lease {
-    /// Holds so many bytes from now on, more or fewer than before. `false` where the budget has not that many: what was
-    /// held is held as before. Fewer is never refused.
-    pub fn hold(&mut self, bytes: usize) -> bool {
+    /// Changes the bytes that the lease holds to this number.
+    ///
+    /// `false` where the budget does not have as many; the lease then holds what it held before. Fewer bytes than before
+    /// always succeed.
+    pub fn try_set_bytes(&mut self, bytes: usize) -> bool {
         let state = &mut *self.budget.0.borrow_mut();
-        let others = state.held.bytes - self.bytes;
-        if bytes > self.bytes && bytes > state.bytes.saturating_sub(others) {
+        let held_by_others = state.usage.bytes - self.bytes;
+        if bytes > self.bytes && bytes > state.max_bytes.saturating_sub(held_by_others) {
             return false;
         }
-        state.held.bytes = others + bytes;
+        state.usage.bytes = held_by_others + bytes;
         self.bytes = bytes;
         true
     }
@@ -157,7 +202,7 @@
 impl Drop for Lease {
     fn drop(&mut self) {
         let state = &mut *self.budget.0.borrow_mut();
-        state.held.places[self.side as usize] -= 1;
-        state.held.bytes -= self.bytes;
+        state.usage.descriptors[self.kind as usize] -= 1;
+        state.usage.bytes -= self.bytes;
     }
 }
--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -112,7 +112,7 @@
     /// Adds a connection.
     pub fn insert(&mut self, now: Duration, address: IpAddr, mut lease: Lease) -> ConnectionId {
         // The memory of one that holds only its socket is counted, and too little to be refused for.
-        lease.hold(self.limits.parked_bytes);
+        lease.try_set_bytes(self.limits.parked_bytes);
         let address = self.limits.per_address.map(|_| address);
         if let Some(address) = address {
             self.hold_address(address);
@@ -213,7 +213,7 @@
     pub fn on_response(&mut self, now: Duration, id: ConnectionId) {
         let active_bytes = self.limits.active_bytes;
         let class = self.entry_mut(id).and_then(|entry| {
-            entry.lease.hold(active_bytes);
+            entry.lease.try_set_bytes(active_bytes);
             entry.class.take()
         });
         self.release_class(class);
--- a/crates/admission/src/connections/memory.rs
+++ b/crates/admission/src/connections/memory.rs
@@ -17,7 +17,7 @@
         let Some(entry) = self.entry_mut(id) else {
             return Ok(());
         };
-        if entry.lease.hold(active_bytes) {
+        if entry.lease.try_set_bytes(active_bytes) {
             self.starved.remove(id);
             return Ok(());
         }
@@ -41,7 +41,7 @@
         let bytes = self.limits.active_bytes.saturating_add(bytes);
         let held = self
             .entry_mut(id)
-            .is_none_or(|entry| entry.lease.hold(bytes));
+            .is_none_or(|entry| entry.lease.try_set_bytes(bytes));
         self.refused[CloseCause::MemoryLimit as usize] += u64::from(!held);
         held
     }
@@ -54,12 +54,12 @@
         let parked_bytes = self.limits.parked_bytes;
         if let Some(entry) = self.entry_mut(id) {
             entry.parking = false;
-            entry.lease.hold(parked_bytes);
+            entry.lease.try_set_bytes(parked_bytes);
         }
     }
 
     /// Memory was given back: the one that has waited for it longest, which is to be woken and asks again.
-    pub fn next_starved(&mut self) -> Option<ConnectionId> {
+    pub fn next_awaiting_memory(&mut self) -> Option<ConnectionId> {
         let next = self.starved.first(0)?;
         // If it gets none the next turn is another's.
         self.starved.push(0, next);
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -56,7 +56,7 @@
                     let one = random.usize(0..held.len());
                     let (_, bytes_of, lease) = &mut held[one];
                     let fits = wanted <= *bytes_of || all - *bytes_of + wanted <= bytes;
-                    assert_eq!(lease.hold(wanted), fits, "seed {seed}");
+                    assert_eq!(lease.try_set_bytes(wanted), fits, "seed {seed}");
                     if fits {
                         *bytes_of = wanted;
                     }
@@ -65,9 +65,9 @@
             }
             let counted =
                 ConnectionKind::ALL.map(|side| held.iter().filter(|(of, ..)| *of == side).count());
-            assert_eq!(budget.held().places, counted, "seed {seed}");
+            assert_eq!(budget.usage().descriptors, counted, "seed {seed}");
             assert_eq!(
-                budget.held().bytes,
+                budget.usage().bytes,
                 held.iter().map(|(_, bytes, _)| bytes).sum::<usize>(),
                 "seed {seed}"
             );
@@ -75,13 +75,13 @@
             assert!(
                 ConnectionKind::ALL
                     .iter()
-                    .all(|side| counted[*side as usize] <= budget.most(*side)),
+                    .all(|side| counted[*side as usize] <= budget.max_descriptors(*side)),
                 "seed {seed}"
             );
         }
         held.clear();
         assert_eq!(
-            budget.held(),
+            budget.usage(),
             Default::default(),
             "seed {seed}: all is given back"
         );
@@ -115,7 +115,7 @@
     assert!(budget.lease(ConnectionKind::Client).is_ok());
     drop(clients);
     assert_eq!(
-        budget.most(ConnectionKind::Client),
+        budget.max_descriptors(ConnectionKind::Client),
         8,
         "the servers' floor stays theirs"
     );
@@ -285,11 +285,11 @@
                 "seed {seed}"
             );
             assert_eq!(stats.closed.iter().sum::<u64>(), left, "seed {seed}");
-            assert_eq!(budget.held().places[0], model.len(), "seed {seed}");
+            assert_eq!(budget.usage().descriptors[0], model.len(), "seed {seed}");
         }
         model.keys().for_each(|id| table.remove(*id));
         assert!(
-            table.is_empty() && budget.held() == Default::default(),
+            table.is_empty() && budget.usage() == Default::default(),
             "seed {seed}: all is given back"
         );
     }
@@ -384,7 +384,7 @@
     ids[..9]
         .iter()
         .for_each(|id| converse(&mut table, ms(1), *id));
-    assert_eq!(budget.held().bytes, 902);
+    assert_eq!(budget.usage().bytes, 902);
     assert_eq!(table.on_readable(ms(2), ids[9]), Err(Some(ids[0])));
     assert_eq!(table.directive(ids[0]), Directive::Park);
     table.on_parked(ids[0]);
@@ -515,9 +515,9 @@
                 }
                 _ => {}
             }
-            let held = budget.held();
+            let held = budget.usage();
             assert!(
-                held.bytes <= BYTES && held.places[0] == table.len(),
+                held.bytes <= BYTES && held.descriptors[0] == table.len(),
                 "{held:?} of {} connections",
                 table.len()
             );
@@ -528,7 +528,7 @@
             .collect::<Vec<_>>()
             .into_iter()
             .for_each(|id| table.remove(id));
-        assert_eq!(budget.held(), Default::default());
+        assert_eq!(budget.usage(), Default::default());
     });
 }
 
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -191,7 +191,7 @@
 
     /// Wakes the connection that has waited longest for memory.
     fn wake_starved(&self) {
-        let next = self.connections.borrow_mut().next_starved();
+        let next = self.connections.borrow_mut().next_awaiting_memory();
         self.wake_one(next);
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -282,7 +282,8 @@
     };
     let budget = Budget::new(places, [clients, servers, beside], bytes / 3 * 2);
     let usable = |budget: &Budget| {
-        budget.most(ConnectionKind::Client) > 0 && budget.most(ConnectionKind::Upstream) > 0
+        budget.max_descriptors(ConnectionKind::Client) > 0
+            && budget.max_descriptors(ConnectionKind::Upstream) > 0
     };
     budget.filter(usable).ok_or_else(|| {
         let (servers, beside) = (servers.reserved, beside.reserved);
@@ -312,7 +313,7 @@
         ));
     }
     let usable = budget
-        .most(ConnectionKind::Client)
+        .max_descriptors(ConnectionKind::Client)
         .min(wanted.clients_part(sockets));
     let share = |class: &Name| {
         wanted
