--- a/crates/admission/src/connections/closing.rs
+++ b/crates/admission/src/connections/closing.rs
@@ -1,4 +1,4 @@
-//! How a connection closes: for which cause, and what its owner is to do.
+//! How a connection closes: for which cause, and what its owner has to do.
 
 use super::{ConnectionId, ConnectionTable, Phase};
 
@@ -67,74 +67,85 @@
     }
 }
 
-/// What the owner of a connection is to do with it.
+/// What the owner of a connection has to do with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Directive {
     /// Go on.
     Continue,
-    /// Release everything but the socket.
+    /// Release everything but the socket, then call [`ConnectionTable::on_parked`].
     Park,
-    /// Finish the request that the node has taken, if any, and close.
+    /// Answer the request that the node has read, if any, and close.
     Finish,
-    /// Close at once: what is in progress will not end in time.
+    /// Close at once.
     Abort,
 }
 
-/// The end that was decided for a connection.
+/// The close that was decided for a connection.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ending {
+pub(super) struct Closing {
+    /// The first cause that was given.
     pub(super) cause: CloseCause,
+    /// [`Directive::Abort`] once that was given, else the last one given.
     pub(super) directive: Directive,
 }
 
 impl ConnectionTable {
-    /// What a connection is to do now.
+    /// What the owner of a connection has to do now. [`Directive::Park`] is returned once for each request to park.
     pub fn directive(&mut self, id: ConnectionId) -> Directive {
         let phase = self.phase(id);
         let Some(entry) = self.entry_mut(id) else {
             return Directive::Abort;
         };
-        match entry.ending {
-            Some(ending) => ending.directive,
-            // The order to park may be out of date: another request may have come since.
-            None if std::mem::take(&mut entry.parking) && phase == Phase::Idle => Directive::Park,
-            None => Directive::Continue,
+        if let Some(closing) = entry.closing {
+            return closing.directive;
+        }
+        // Out of date where a request has arrived since parking was requested.
+        let park_requested = std::mem::take(&mut entry.park_requested);
+        if park_requested && phase == Phase::Idle {
+            Directive::Park
+        } else {
+            Directive::Continue
         }
     }
 
-    /// Whether its descriptor may be held for a moment past its end, for a client that still reads: not where it was closed
-    /// so that another one can have its place.
+    /// Whether the descriptor of a closed connection may be held for a moment, for a client that still reads: not where it
+    /// closed so that another connection gets the descriptor.
     pub fn may_linger(&self, id: ConnectionId) -> bool {
-        let ending = self.entry(id).and_then(|entry| entry.ending.as_ref());
-        ending.is_none_or(|ending| {
-            !matches!(ending.cause, CloseCause::Evicted | CloseCause::AddressQuota)
+        let closing = self.entry(id).and_then(|entry| entry.closing.as_ref());
+        closing.is_none_or(|closing| {
+            !matches!(
+                closing.cause,
+                CloseCause::Evicted | CloseCause::AddressQuota
+            )
         })
     }
 
-    /// It closes for this cause: at once where it keeps the node waiting, else when what it has asked is answered. A
-    /// request that is being read as the node stops is read to its end.
+    /// Closes a connection for this cause: at once while it reads a request or writes a response, else after the response
+    /// to its request. At shutdown, requests and responses in progress are completed too.
     pub fn close(&mut self, id: ConnectionId, cause: CloseCause) {
-        let aborts = matches!(
+        let in_progress = matches!(
             self.phase(id),
             Phase::ReadingRequest | Phase::WritingResponse
-        ) && cause != CloseCause::Shutdown;
-        self.set_ending(
-            id,
-            cause,
-            if aborts {
-                Directive::Abort
-            } else {
-                Directive::Finish
-            },
         );
+        let directive = if in_progress && cause != CloseCause::Shutdown {
+            Directive::Abort
+        } else {
+            Directive::Finish
+        };
+        self.set_closing(id, cause, directive);
     }
 
-    pub(super) fn set_ending(&mut self, id: ConnectionId, cause: CloseCause, directive: Directive) {
+    /// Records that a connection closes. The first cause is kept, and an abort is never taken back.
+    pub(super) fn set_closing(
+        &mut self,
+        id: ConnectionId,
+        cause: CloseCause,
+        directive: Directive,
+    ) {
         if let Some(entry) = self.entry_mut(id) {
-            // The first cause is the cause; what is to close at once does so whatever was said before.
-            let ending = entry.ending.get_or_insert(Ending { cause, directive });
-            if ending.directive != Directive::Abort {
-                ending.directive = directive;
+            let closing = entry.closing.get_or_insert(Closing { cause, directive });
+            if closing.directive != Directive::Abort {
+                closing.directive = directive;
             }
         }
     }
--- /dev/null
+++ b/crates/admission/src/connections/events.rs
@@ -0,0 +1,101 @@
+//! The events of a connection's requests, from their first byte to the end of their response.
+
+use super::{ConnectionId, ConnectionTable, Directive, Phase, AWAITING_MEMORY};
+use std::time::Duration;
+
+impl ConnectionTable {
+    /// Bytes were read from a connection.
+    pub fn on_bytes_read(&mut self, now: Duration, id: ConnectionId) {
+        match self.phase(id) {
+            // No new timeout: that of the first request counts from the accept.
+            Phase::AwaitingFirstByte => {
+                self.phases.push_back(Phase::ReadingRequest as usize, id);
+            }
+            Phase::Idle | Phase::Parked => self.enter_phase(now, id, Phase::ReadingRequest),
+            Phase::ReadingRequest => {}
+            Phase::Processing | Phase::WritingResponse => {
+                if let Some(entry) = self.entry_mut(id) {
+                    entry.next_request_begun = true;
+                }
+            }
+        }
+    }
+
+    /// The head of a request was read; its body may follow.
+    pub fn on_request_head(&mut self, now: Duration, id: ConnectionId) {
+        if let Some(entry) = self.entry_mut(id) {
+            entry.next_request_begun = false;
+        }
+        let reading = matches!(
+            self.phase(id),
+            Phase::AwaitingFirstByte | Phase::ReadingRequest
+        );
+        if !reading {
+            self.enter_phase(now, id, Phase::ReadingRequest);
+        }
+    }
+
+    /// A request of this class was read to its end. Whether the class now exceeds its quota of requests in flight, which
+    /// the decision module has to be told.
+    pub fn on_request(&mut self, now: Duration, id: ConnectionId, class: usize) -> bool {
+        self.enter_phase(now, id, Phase::Processing);
+        if let Some(entry) = self.entry_mut(id) {
+            entry.class = u16::try_from(class).ok();
+            // Its timeout may have passed while the last bytes were read: a request that is complete is answered.
+            if let Some(closing) = &mut entry.closing {
+                if closing.directive == Directive::Abort {
+                    closing.directive = Directive::Finish;
+                }
+            }
+        }
+        self.add_to_class(class)
+    }
+
+    /// The response to the request is ready, and is going to be written.
+    pub fn on_response(&mut self, now: Duration, id: ConnectionId) {
+        let active_bytes = self.limits.active_bytes;
+        let class = self.entry_mut(id).and_then(|entry| {
+            entry.lease.try_set_bytes(active_bytes);
+            entry.class.take()
+        });
+        self.remove_from_class(class);
+        self.enter_phase(now, id, Phase::WritingResponse);
+    }
+
+    /// Everything that was to be written is written.
+    pub fn on_flushed(&mut self, now: Duration, id: ConnectionId) {
+        if self.phase(id) != Phase::WritingResponse {
+            return;
+        }
+        let memory_short = !self.awaiting_memory.is_empty(AWAITING_MEMORY);
+        let Some(entry) = self.entry_mut(id) else {
+            return;
+        };
+        let next_request_begun = entry.next_request_begun;
+        entry.park_requested = memory_short && !next_request_begun;
+        let phase = if next_request_begun {
+            Phase::ReadingRequest
+        } else {
+            Phase::Idle
+        };
+        self.enter_phase(now, id, phase);
+    }
+
+    /// Moves a connection to a phase, and sets its timeout.
+    pub(super) fn enter_phase(&mut self, now: Duration, id: ConnectionId, phase: Phase) {
+        let Some(entry) = self.entry_mut(id) else {
+            return;
+        };
+        entry.phase_since = now;
+        let address = entry.address;
+        self.phases.push_back(phase as usize, id);
+        self.set_timeout(now, id, phase);
+        let Some(address) = address else { return };
+        match self.addresses.get(&address) {
+            Some(usage) if phase.is_idle() => self.idle_by_address.push_back(usage.idle_list, id),
+            _ => {
+                self.idle_by_address.remove(id);
+            }
+        }
+    }
+}
--- a/crates/admission/src/connections/limits.rs
+++ b/crates/admission/src/connections/limits.rs
@@ -1,34 +1,36 @@
-//! The limits of a table, and the counts that it reports.
+//! The limits of a connection table, and the counts that it reports.
 
 use super::{CloseCause, Phase};
 use std::time::Duration;
 
-/// The limits of a table.
+/// The limits of a connection table.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionLimits {
-    /// With this many connections in use, one closes with its response, so that other clients get a turn.
+    /// With this many connections in use (processing, writing a response or idle), a connection closes with its response,
+    /// so that other clients get a descriptor.
     pub keep_alive_limit: usize,
-    /// An idle connection is kept this long.
+    /// An idle connection closes after this time.
     pub idle_timeout: Duration,
-    /// Connections of one address, at most.
+    /// Connections that one client address may have; `None` for any number.
     pub per_address: Option<usize>,
-    /// Open requests of each class, at most; classes past its end have no limit.
+    /// Requests in flight that each class may have, by the class's number; `None` for any number, as for classes past the
+    /// end.
     pub per_class: Vec<Option<usize>>,
-    /// Bytes that a connection in use is counted as.
+    /// Bytes of memory that a connection in use is counted as.
     pub active_bytes: usize,
-    /// Bytes that one is counted as that holds nothing but its socket.
+    /// Bytes of memory that a connection is counted as that holds nothing but its socket.
     pub parked_bytes: usize,
 }
 
 /// Counts of a table's connections.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionStats {
-    /// Connections in each phase, by its number.
+    /// Connections in each phase at present, in the order of [`Phase::ALL`].
     pub phases: [usize; Phase::ALL.len()],
-    /// Accepted, and waiting for a place.
+    /// Accepted connections that wait for a descriptor at present.
     pub waiting: usize,
-    /// Closed since the start, by the cause's number.
+    /// Connections closed since the start, in the order of [`CloseCause::ALL`].
     pub closed: [u64; CloseCause::ALL.len()],
-    /// Connections not let in, and requests that the decision module is to refuse, since the start, by the cause's number.
+    /// Connections and requests refused since the start, in the order of [`CloseCause::ALL`].
     pub refused: [u64; CloseCause::ALL.len()],
 }
--- a/crates/admission/src/connections/timeouts.rs
+++ b/crates/admission/src/connections/timeouts.rs
@@ -1,67 +1,88 @@
-//! Timeouts: how long a connection may be in each phase.
+//! Timeouts: how long a connection may stay in each phase.
 
 use super::{CloseCause, ConnectionId, ConnectionTable, Phase};
 use std::time::Duration;
 
-/// A request must be complete this long after its first byte, the first one after the connection's start. A client
-/// is owed an error or a close within 3 s, whatever it sends or leaves out.
+/// A request must be complete this long after its first byte, and the first one this long after its connection was
+/// accepted. A client is owed an error or a close within 3 s, whatever it sends or leaves out.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// A client that does not read its response keeps its connection no longer than this.
+/// A response must be written to its end this long after it was ready; its client may not read it.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 /// A connection idle for this long gives up its buffers and parser; an active client sends its next request sooner.
 const PARK_AFTER: Duration = Duration::from_millis(300);
 
 impl ConnectionTable {
-    /// Ends connections whose time is up and parks idle ones, in no more than `work` steps: those to be woken are appended
-    /// to `woken`. `false` where there is more to do now.
-    pub fn advance(&mut self, now: Duration, work: usize, woken: &mut Vec<ConnectionId>) -> bool {
+    /// Closes connections whose timeout has passed and parks idle ones, in at most `max_steps` steps (see
+    /// [`TimerWheel::advance`](crate::TimerWheel::advance)). Those to be woken are appended to `woken`.
+    ///
+    /// `false` where there is more to do at this time: call it again.
+    pub fn advance(
+        &mut self,
+        now: Duration,
+        max_steps: usize,
+        woken: &mut Vec<ConnectionId>,
+    ) -> bool {
         let mut fired = std::mem::take(&mut self.fired);
-        let done = self.timers.advance(now, work, &mut fired);
-        for id in fired.drain(..) {
-            let (phase, idle) = (self.phase(id), self.limits.idle_timeout);
-            let starved = self.starved.list(id).is_some();
-            let Some(entry) = self.entry_mut(id) else {
-                continue;
-            };
-            let over = entry.phase_since + idle;
-            let cause = match phase {
-                Phase::AwaitingFirstByte | Phase::ReadingRequest if starved => {
-                    CloseCause::MemoryLimit
-                }
-                Phase::AwaitingFirstByte => CloseCause::FirstByteTimeout,
-                Phase::ReadingRequest => CloseCause::RequestTimeout,
-                Phase::Processing => continue,
-                Phase::WritingResponse => CloseCause::ResponseWriteTimeout,
-                // One may be parked before this, where others wait for what it holds.
-                Phase::Idle | Phase::Parked if now < over => {
-                    entry.parking = phase == Phase::Idle;
-                    if entry.parking {
-                        woken.push(id);
-                    }
-                    self.timers.set(id, over);
-                    continue;
-                }
-                Phase::Idle | Phase::Parked => CloseCause::IdleTimeout,
-            };
-            self.close(id, cause);
-            woken.push(id);
-        }
+        let done = self.timers.advance(now, max_steps, &mut fired);
+        woken.extend(fired.drain(..).filter(|id| self.on_timeout(now, *id)));
         self.fired = fired;
         done
     }
 
     /// Sets the timeout of a phase that begins now.
     pub(super) fn set_timeout(&mut self, now: Duration, id: ConnectionId, phase: Phase) {
-        match phase {
-            Phase::AwaitingFirstByte | Phase::ReadingRequest => {
-                self.timers.set(id, now + REQUEST_TIMEOUT)
+        let timeout = match phase {
+            Phase::AwaitingFirstByte | Phase::ReadingRequest => REQUEST_TIMEOUT,
+            Phase::WritingResponse => RESPONSE_WRITE_TIMEOUT,
+            Phase::Idle | Phase::Parked => PARK_AFTER.min(self.limits.idle_timeout),
+            // The decision module bounds the time until the response.
+            Phase::Processing => {
+                self.timers.cancel(id);
+                return;
             }
-            Phase::WritingResponse => self.timers.set(id, now + RESPONSE_WRITE_TIMEOUT),
-            Phase::Idle | Phase::Parked => {
-                self.timers
-                    .set(id, now + PARK_AFTER.min(self.limits.idle_timeout));
+        };
+        self.timers.set(id, now + timeout);
+    }
+
+    /// Handles a timer that has fired. Whether the connection has to be woken.
+    fn on_timeout(&mut self, now: Duration, id: ConnectionId) -> bool {
+        let Some(entry) = self.entry(id) else {
+            return false;
+        };
+        let idle_until = entry.phase_since + self.limits.idle_timeout;
+        if self.phase(id).is_idle() && now < idle_until {
+            return self.on_park_timeout(id, idle_until);
+        }
+        let Some(cause) = self.timeout_cause(id) else {
+            return false;
+        };
+        self.close(id, cause);
+        true
+    }
+
+    /// Requests that an idle connection is parked, and sets its idle timeout. Whether it has to be woken: not where it was
+    /// parked before, because of a shortage of memory.
+    fn on_park_timeout(&mut self, id: ConnectionId, idle_until: Duration) -> bool {
+        let park = self.phase(id) == Phase::Idle;
+        if let Some(entry) = self.entry_mut(id) {
+            entry.park_requested = park;
+        }
+        self.timers.set(id, idle_until);
+        park
+    }
+
+    /// Why a connection whose timeout has passed closes; `None` in a phase without a timeout.
+    fn timeout_cause(&self, id: ConnectionId) -> Option<CloseCause> {
+        let awaits_memory = self.awaiting_memory.list_of(id).is_some();
+        match self.phase(id) {
+            Phase::AwaitingFirstByte | Phase::ReadingRequest if awaits_memory => {
+                Some(CloseCause::MemoryLimit)
             }
-            Phase::Processing => drop(self.timers.cancel(id)),
+            Phase::AwaitingFirstByte => Some(CloseCause::FirstByteTimeout),
+            Phase::ReadingRequest => Some(CloseCause::RequestTimeout),
+            Phase::Processing => None,
+            Phase::WritingResponse => Some(CloseCause::ResponseWriteTimeout),
+            Phase::Idle | Phase::Parked => Some(CloseCause::IdleTimeout),
         }
     }
 }
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -5,8 +5,8 @@
 
 use events::{check, Step};
 use slatelink_admission::{
-    Budget, CloseCause, ConnectionKind, ConnectionLimits, ConnectionTable, Directive, Lease,
-    LeaseError, Phase, Quota, TimerWheel,
+    AddressQuotaExceeded, Budget, CloseCause, ConnectionKind, ConnectionLimits, ConnectionTable,
+    Directive, Lease, LeaseError, MemoryShortage, Phase, Quota, TimerWheel,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr};
@@ -220,7 +220,7 @@
             match (random.u8(0..9), some) {
                 (0 | 1, _) => {
                     let last = random.u8(0..3);
-                    if table.check_address_limit(address(last)).is_ok() {
+                    if table.check_address_quota(address(last)).is_ok() {
                         let id = enter(&mut table, &budget, now, last);
                         assert!(
                             model.insert(id, (Phase::AwaitingFirstByte, last)).is_none(),
@@ -332,26 +332,30 @@
     let first = enter(&mut table, &budget, ms(0), 1);
     let second = enter(&mut table, &budget, ms(1), 1);
     assert_eq!(
-        table.check_address_limit(address(1)),
-        Err(None),
+        table.check_address_quota(address(1)),
+        Err(AddressQuotaExceeded { evicted: None }),
         "neither is idle"
     );
     assert_eq!(
-        table.check_address_limit(address(2)),
+        table.check_address_quota(address(2)),
         Ok(()),
         "another address has its own share"
     );
     converse(&mut table, ms(2), second);
     converse(&mut table, ms(3), first);
     assert_eq!(
-        table.check_address_limit(address(1)),
-        Err(Some(second)),
+        table.check_address_quota(address(1)),
+        Err(AddressQuotaExceeded {
+            evicted: Some(second)
+        }),
         "idle for longest"
     );
     assert_eq!(table.directive(second), Directive::Finish);
     assert_eq!(
-        table.check_address_limit(address(1)),
-        Err(Some(first)),
+        table.check_address_quota(address(1)),
+        Err(AddressQuotaExceeded {
+            evicted: Some(first)
+        }),
         "the next, as that one ends already"
     );
     table.remove(second);
@@ -385,11 +389,21 @@
         .iter()
         .for_each(|id| converse(&mut table, ms(1), *id));
     assert_eq!(budget.usage().bytes, 902);
-    assert_eq!(table.on_readable(ms(2), ids[9]), Err(Some(ids[0])));
+    assert_eq!(
+        table.on_readable(ms(2), ids[9]),
+        Err(MemoryShortage {
+            parking: Some(ids[0])
+        })
+    );
     assert_eq!(table.directive(ids[0]), Directive::Park);
     table.on_parked(ids[0]);
     assert_eq!(table.on_readable(ms(2), ids[9]), Ok(()));
-    assert_eq!(table.on_readable(ms(3), ids[10]), Err(Some(ids[1])));
+    assert_eq!(
+        table.on_readable(ms(3), ids[10]),
+        Err(MemoryShortage {
+            parking: Some(ids[1])
+        })
+    );
     let mut woken = Vec::new();
     while !table.advance(ms(2_100), 64, &mut woken) {}
     assert!(
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -98,10 +98,10 @@
         address: IpAddr,
         others: impl Fn(ConnectionKind) -> bool,
     ) -> Option<ConnectionHandle> {
-        let admitted = self.connections.borrow_mut().check_address_limit(address);
-        if let Err(oldest) = admitted {
+        let admitted = self.connections.borrow_mut().check_address_quota(address);
+        if let Err(exceeded) = admitted {
             // Its own idle one makes room for it, and is as good as closed.
-            self.wake(oldest?);
+            self.wake(exceeded.evicted?);
         }
         let lease = self.lease(others).await;
         let id = self
--- a/crates/node/src/connections/handle.rs
+++ b/crates/node/src/connections/handle.rs
@@ -3,7 +3,7 @@
 use super::socket::Socket;
 use super::ConnectionManager;
 use bytes::{Bytes, BytesMut};
-use slatelink_admission::{ConnectionId, Directive, Phase};
+use slatelink_admission::{ConnectionId, Directive, KeepAlive, Phase};
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -37,13 +37,15 @@
 
     /// Whether the connection closes with the response that it is about to write.
     pub fn closes_with_response(&self) -> bool {
-        let (closes, other) = self
+        let keep_alive = self
             .table
             .connections
             .borrow_mut()
-            .closes_with_response(self.table.now(), self.id);
-        self.table.wake_one(other);
-        closes
+            .keep_alive(self.table.now(), self.id);
+        if let KeepAlive::KeepAndEvict(idle) = keep_alive {
+            self.table.wake(idle);
+        }
+        keep_alive == KeepAlive::Close
     }
 
     /// A request's head has come; its body may follow.
@@ -160,10 +162,10 @@
                 .connections
                 .borrow_mut()
                 .on_readable(self.table.now(), self.id);
-            let Err(other) = reserved else {
+            let Err(shortage) = reserved else {
                 return Poll::Ready(true);
             };
-            self.table.wake_one(other);
+            self.table.wake_one(shortage.parking);
             return Poll::Pending;
         }
         match directive {
