--- /dev/null
+++ b/crates/admission/tests/budget.rs
@@ -0,0 +1,172 @@
+//! The budget of descriptors and bytes, against a plain list of what is leased.
+
+use slatelink_admission::{Budget, ConnectionKind, Lease, LeaseError, Quota};
+
+/// A lease, and what it should hold.
+struct Leased {
+    kind: ConnectionKind,
+    bytes: usize,
+    lease: Lease,
+}
+
+/// A random budget, and what should be leased of it.
+struct Model {
+    seed: u64,
+    random: fastrand::Rng,
+    max_descriptors: usize,
+    quotas: [Quota; 3],
+    max_bytes: usize,
+    budget: Budget,
+    leased: Vec<Leased>,
+}
+
+impl Model {
+    fn new(seed: u64) -> Self {
+        let mut random = fastrand::Rng::with_seed(seed);
+        let max_descriptors = random.usize(3..60);
+        let quotas = ConnectionKind::ALL.map(|_| {
+            let reserved = random.usize(0..=max_descriptors / 3);
+            Quota {
+                reserved,
+                limit: random.usize(reserved..=max_descriptors),
+            }
+        });
+        let max_bytes = random.usize(0..10_000);
+        let budget = Budget::new(max_descriptors, quotas, max_bytes);
+        Self {
+            seed,
+            random,
+            max_descriptors,
+            quotas,
+            max_bytes,
+            budget: budget.expect("reservations of a third each fit"),
+            leased: Vec::new(),
+        }
+    }
+
+    fn step(&mut self) {
+        match self.random.u8(0..4) {
+            0 | 1 => self.lease(),
+            2 if !self.leased.is_empty() => {
+                let index = self.random.usize(0..self.leased.len());
+                self.leased.swap_remove(index);
+            }
+            _ if !self.leased.is_empty() => self.set_bytes(),
+            _ => {}
+        }
+    }
+
+    fn lease(&mut self) {
+        let kind = ConnectionKind::ALL[self.random.usize(0..3)];
+        match self.budget.lease(kind) {
+            Ok(lease) => self.leased.push(Leased {
+                kind,
+                bytes: 0,
+                lease,
+            }),
+            Err(_) => assert!(
+                self.descriptors(kind) >= self.quotas[kind as usize].reserved,
+                "seed {}: no lease below the reservation",
+                self.seed
+            ),
+        }
+    }
+
+    fn set_bytes(&mut self) {
+        let wanted = self.random.usize(0..2_000);
+        let all = self.bytes();
+        let index = self.random.usize(0..self.leased.len());
+        let leased = &mut self.leased[index];
+        let fits = wanted <= leased.bytes || all - leased.bytes + wanted <= self.max_bytes;
+        assert_eq!(
+            leased.lease.try_set_bytes(wanted),
+            fits,
+            "seed {}",
+            self.seed
+        );
+        if fits {
+            leased.bytes = wanted;
+        }
+    }
+
+    fn descriptors(&self, kind: ConnectionKind) -> usize {
+        let of_kind = |leased: &&Leased| leased.kind == kind;
+        self.leased.iter().filter(of_kind).count()
+    }
+
+    fn bytes(&self) -> usize {
+        self.leased.iter().map(|leased| leased.bytes).sum()
+    }
+
+    fn check(&self) {
+        let seed = self.seed;
+        let descriptors = ConnectionKind::ALL.map(|kind| self.descriptors(kind));
+        assert_eq!(self.budget.usage().descriptors, descriptors, "seed {seed}");
+        assert_eq!(self.budget.usage().bytes, self.bytes(), "seed {seed}");
+        assert!(
+            descriptors.iter().sum::<usize>() <= self.max_descriptors,
+            "seed {seed}"
+        );
+        assert!(
+            ConnectionKind::ALL
+                .iter()
+                .all(|kind| descriptors[*kind as usize] <= self.budget.max_descriptors(*kind)),
+            "seed {seed}"
+        );
+    }
+}
+
+// Guards against a leak, a double release, and a kind that the others keep from its reservation.
+#[test]
+fn a_budget_keeps_its_reservations_and_gets_all_leases_back() {
+    for seed in 0..200 {
+        let mut model = Model::new(seed);
+        for _ in 0..2_000 {
+            model.step();
+            model.check();
+        }
+        model.leased.clear();
+        assert_eq!(
+            model.budget.usage(),
+            Default::default(),
+            "seed {seed}: everything is given back"
+        );
+    }
+}
+
+// Guards against one kind that evicts its own connections while another holds the shared descriptors without need.
+#[test]
+fn the_kind_that_exceeds_its_reservation_by_most_is_asked_for_a_descriptor() {
+    let quota = |reserved| Quota {
+        reserved,
+        limit: 12,
+    };
+    let budget = Budget::new(12, [quota(4), quota(4), quota(0)], 0).expect("the quotas fit");
+    let lease = |kind, count| {
+        (0..count)
+            .map(|_| budget.lease(kind).expect("a descriptor is free"))
+            .collect::<Vec<_>>()
+    };
+    let clients = lease(ConnectionKind::Client, 4);
+    let mut upstreams = lease(ConnectionKind::Upstream, 8);
+    assert_eq!(
+        budget.lease(ConnectionKind::Client).err(),
+        Some(LeaseError::OtherKind(ConnectionKind::Upstream))
+    );
+    assert_eq!(
+        budget.lease(ConnectionKind::Upstream).err(),
+        Some(LeaseError::OwnLimit)
+    );
+    upstreams.pop();
+    assert!(budget.lease(ConnectionKind::Client).is_ok());
+    drop(clients);
+    assert_eq!(
+        budget.max_descriptors(ConnectionKind::Client),
+        8,
+        "the reservation of the upstream connections is not available"
+    );
+    assert!(
+        Budget::new(7, [quota(4), quota(4), quota(0)], 0).is_none(),
+        "the reservations exceed the descriptors"
+    );
+}
