--- a/crates/admission/src/connections/closing.rs
+++ b/crates/admission/src/connections/closing.rs
@@ -1,132 +1,151 @@
-//! How a connection closes: for which cause, and what its owner is to do.
+//! How a connection closes: for which cause, and what its owner has to do.
 
 use super::{ConnectionId, ConnectionTable, Phase};
 
-/// Why a connection was closed, or not let in.
+/// Why a connection was closed or refused, or a request refused.
+///
+/// The discriminants number the positions of [`ConnectionStats::closed`](super::ConnectionStats::closed) and
+/// [`ConnectionStats::refused`](super::ConnectionStats::refused).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CloseCause {
-    /// Its client closed it, or broke HTTP.
-    Client,
-    /// No byte came in 2 s.
-    Silent,
-    /// No whole request came in 2 s from its first byte.
-    Slow,
-    /// Its answer was not taken in 4 s.
-    Untaken,
-    /// Nobody used it for the idle time.
-    Idle,
-    /// It gave its place to another one.
-    Room,
-    /// Its answer closed it, since few places were left.
-    Crowd,
-    /// Its address holds all that one may.
-    Address,
-    /// No memory was left to read what it said.
-    Bytes,
-    /// The node stops.
-    Stop,
-    /// Its class holds all that it may: a request refused, not a connection closed.
-    Class,
+    /// The client closed it or violated HTTP.
+    ClosedByClient,
+    /// No byte arrived in time after the accept.
+    FirstByteTimeout,
+    /// A request was not complete in time after its first byte.
+    RequestTimeout,
+    /// The client did not read its response in time.
+    ResponseWriteTimeout,
+    /// It was idle for [`ConnectionLimits::idle_timeout`](super::ConnectionLimits::idle_timeout).
+    IdleTimeout,
+    /// It was evicted so that another connection gets its descriptor.
+    Evicted,
+    /// Its response closed it, since [`ConnectionLimits::keep_alive_limit`](super::ConnectionLimits::keep_alive_limit)
+    /// or more connections were in use or connections waited for a descriptor.
+    KeepAliveLimit,
+    /// Its address has as many connections as one address may.
+    AddressQuota,
+    /// There was no memory to read what it sent.
+    MemoryLimit,
+    /// The node shuts down.
+    Shutdown,
+    /// The class of a request has as many in flight as it may: the request is refused, the connection stays open.
+    ClassQuota,
 }
 
 impl CloseCause {
-    /// All of them, in the order of their numbers.
+    /// All causes, each at the position of its discriminant.
     pub const ALL: [Self; 11] = [
-        Self::Client,
-        Self::Silent,
-        Self::Slow,
-        Self::Untaken,
-        Self::Idle,
-        Self::Room,
-        Self::Crowd,
-        Self::Address,
-        Self::Bytes,
-        Self::Stop,
-        Self::Class,
+        Self::ClosedByClient,
+        Self::FirstByteTimeout,
+        Self::RequestTimeout,
+        Self::ResponseWriteTimeout,
+        Self::IdleTimeout,
+        Self::Evicted,
+        Self::KeepAliveLimit,
+        Self::AddressQuota,
+        Self::MemoryLimit,
+        Self::Shutdown,
+        Self::ClassQuota,
     ];
 
-    /// Its label in metrics.
+    /// Value of the metrics' `cause` tag: stored names, which differ from those of the variants.
     pub const fn label(self) -> &'static str {
         match self {
-            Self::Client => "client",
-            Self::Silent => "silent",
-            Self::Slow => "slow",
-            Self::Untaken => "untaken",
-            Self::Idle => "idle",
-            Self::Room => "room",
-            Self::Crowd => "crowd",
-            Self::Address => "address",
-            Self::Bytes => "bytes",
-            Self::Stop => "stop",
-            Self::Class => "class",
+            Self::ClosedByClient => "client",
+            Self::FirstByteTimeout => "silent",
+            Self::RequestTimeout => "slow",
+            Self::ResponseWriteTimeout => "untaken",
+            Self::IdleTimeout => "idle",
+            Self::Evicted => "room",
+            Self::KeepAliveLimit => "crowd",
+            Self::AddressQuota => "address",
+            Self::MemoryLimit => "bytes",
+            Self::Shutdown => "stop",
+            Self::ClassQuota => "class",
         }
     }
 }
 
-/// What the owner of a connection is to do with it.
+/// What the owner of a connection has to do with it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Directive {
     /// Go on.
     Continue,
-    /// Release everything but the socket.
+    /// Release everything but the socket, then call [`ConnectionTable::on_parked`].
     Park,
-    /// Finish the request that the node has taken, if any, and close.
+    /// Answer the request that the node has read, if any, and close.
     Finish,
-    /// Close at once: what is in progress will not end in time.
+    /// Close at once.
     Abort,
 }
 
-/// The end that was decided for a connection.
+/// The close that was decided for a connection.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Ending {
+pub(super) struct Closing {
+    /// The first cause that was given.
     pub(super) cause: CloseCause,
+    /// [`Directive::Abort`] once that was given, else the last one given.
     pub(super) directive: Directive,
 }
 
 impl ConnectionTable {
-    /// What a connection is to do now.
+    /// What the owner of a connection has to do now. [`Directive::Park`] is returned once for each request to park.
     pub fn directive(&mut self, id: ConnectionId) -> Directive {
         let phase = self.phase(id);
         let Some(entry) = self.entry_mut(id) else {
             return Directive::Abort;
         };
-        match entry.ending {
-            Some(ending) => ending.directive,
-            // The order to park may be out of date: another request may have come since.
-            None if std::mem::take(&mut entry.parking) && phase == Phase::Idle => Directive::Park,
-            None => Directive::Continue,
+        if let Some(closing) = entry.closing {
+            return closing.directive;
+        }
+        // Out of date where a request has arrived since parking was requested.
+        let park_requested = std::mem::take(&mut entry.park_requested);
+        if park_requested && phase == Phase::Idle {
+            Directive::Park
+        } else {
+            Directive::Continue
         }
     }
 
-    /// Whether its descriptor may be held for a moment past its end, for a client that still reads: not where it was closed
-    /// so that another one can have its place.
+    /// Whether the descriptor of a closed connection may be held for a moment, for a client that still reads: not where it
+    /// closed so that another connection gets the descriptor.
     pub fn may_linger(&self, id: ConnectionId) -> bool {
-        let ending = self.entry(id).and_then(|entry| entry.ending.as_ref());
-        ending.is_none_or(|ending| !matches!(ending.cause, CloseCause::Room | CloseCause::Address))
+        let closing = self.entry(id).and_then(|entry| entry.closing.as_ref());
+        closing.is_none_or(|closing| {
+            !matches!(
+                closing.cause,
+                CloseCause::Evicted | CloseCause::AddressQuota
+            )
+        })
     }
 
-    /// It closes for this cause: at once where it keeps the node waiting, else when what it has asked is answered. A
-    /// request that is being read as the node stops is read to its end.
+    /// Closes a connection for this cause: at once while it reads a request or writes a response, else after the response
+    /// to its request. At shutdown, requests and responses in progress are completed too.
     pub fn close(&mut self, id: ConnectionId, cause: CloseCause) {
-        let aborts =
-            matches!(self.phase(id), Phase::Asking | Phase::Answering) && cause != CloseCause::Stop;
-        self.set_ending(
-            id,
-            cause,
-            if aborts {
-                Directive::Abort
-            } else {
-                Directive::Finish
-            },
+        let in_progress = matches!(
+            self.phase(id),
+            Phase::ReadingRequest | Phase::WritingResponse
         );
+        let directive = if in_progress && cause != CloseCause::Shutdown {
+            Directive::Abort
+        } else {
+            Directive::Finish
+        };
+        self.set_closing(id, cause, directive);
     }
 
-    pub(super) fn set_ending(&mut self, id: ConnectionId, cause: CloseCause, directive: Directive) {
+    /// Records that a connection closes. The first cause is kept, and an abort is never taken back.
+    pub(super) fn set_closing(
+        &mut self,
+        id: ConnectionId,
+        cause: CloseCause,
+        directive: Directive,
+    ) {
         if let Some(entry) = self.entry_mut(id) {
-            // The first cause is the cause; what is to close at once does so whatever was said before.
-            let ending = entry.ending.get_or_insert(Ending { cause, directive });
-            if ending.directive != Directive::Abort {
-                ending.directive = directive;
+            let closing = entry.closing.get_or_insert(Closing { cause, directive });
+            if closing.directive != Directive::Abort {
+                closing.directive = directive;
             }
         }
     }
