--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -275,9 +275,9 @@
 }
 
 impl ControlObserver for NodeObserver {
-    fn in_force(&self, version: u64, whole: bool) {
+    fn endpoint_list_applied(&self, version: u64, complete: bool) {
         // At a new address a node begins with the whole list.
-        if whole {
+        if complete {
             self.in_force.set(self.ordered.get());
         }
         self.tally.in_force.borrow_mut().push(InForce {
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -30,8 +30,8 @@
 }
 
 impl ControlObserver for Seen {
-    fn in_force(&self, version: u64, whole: bool) {
-        self.lists.borrow_mut().push((version, whole));
+    fn endpoint_list_applied(&self, version: u64, complete: bool) {
+        self.lists.borrow_mut().push((version, complete));
     }
 
     fn discovery_failed(&self) {
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -29,8 +29,8 @@
 
 /// Hears what happens in a control plane.
 pub trait ControlObserver {
-    /// The decision module decides by the list of this version from now on; `whole` if it came as a whole list.
-    fn in_force(&self, version: u64, whole: bool);
+    /// The decision module decides by the list of this version from now on; `complete` if it came as a snapshot.
+    fn endpoint_list_applied(&self, version: u64, complete: bool);
 
     /// A call to discovery has failed.
     fn discovery_failed(&self) {}
@@ -143,7 +143,8 @@
         let entries: Arc<[Endpoint]> = list.hosts.iter().map(|host| host.entry()).collect();
         self.decisions.push_list(entries, list.complete);
         self.handle_due();
-        self.observer.in_force(list.version, list.complete);
+        self.observer
+            .endpoint_list_applied(list.version, list.complete);
     }
 
     fn wake(&mut self) {
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -30,18 +30,20 @@
 /// A client's request, read whole.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// A number that is never used twice: a client's own id might come again.
-    pub ticket: u64,
-    pub at: Instant,
-    /// How long the client waits.
-    pub patience: Duration,
+    /// Unique within the process; the client's own id may be used again for a later request.
+    pub number: u64,
+    /// When its head was read.
+    pub received_at: Instant,
+    /// Time from `received_at` after which the client gives up.
+    pub timeout: Duration,
     pub class: ClassId,
     pub key: Option<u64>,
     pub expected_work: Option<Duration>,
     pub write: bool,
     pub over_quota: bool,
     pub message: ForwardedRequest,
-    pub answer: oneshot::Sender<FinalResponse>,
+    /// Takes its final response; its receiver is dropped when the client disconnects.
+    pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
 /// The final answer to a request.
@@ -70,12 +72,12 @@
 #[derive(Debug)]
 pub enum DriverEvent {
     RequestReceived(Box<ClientRequest>),
-    /// The client of this ticket has gone.
+    /// The client of the request of this number has disconnected.
     ClientDisconnected(u64),
     AttemptEnded {
         id: RequestId,
         attempt: u32,
-        ended: AttemptResult,
+        result: AttemptResult,
     },
     EndpointListReceived(EndpointList),
     DiscoveryFailed,
@@ -199,9 +201,9 @@
 
     fn take(&mut self, input: DriverEvent) {
         match input {
-            DriverEvent::RequestReceived(taken) => self.request(*taken),
-            DriverEvent::ClientDisconnected(ticket) => {
-                let id = request_id(ticket);
+            DriverEvent::RequestReceived(request) => self.request(*request),
+            DriverEvent::ClientDisconnected(number) => {
+                let id = request_id(number);
                 if let Some(open) = self.open.get_mut(&id).filter(|open| open.answer.is_some()) {
                     drop(open.close());
                     self.observer.request_completed(
@@ -214,7 +216,11 @@
                     self.tidy(&id);
                 }
             }
-            DriverEvent::AttemptEnded { id, attempt, ended } => self.ended(id, attempt, ended),
+            DriverEvent::AttemptEnded {
+                id,
+                attempt,
+                result,
+            } => self.ended(id, attempt, result),
             DriverEvent::EndpointListReceived(list) => {
                 self.awaits = None;
                 let entries = self.learn(&list);
@@ -258,17 +264,17 @@
         }
     }
 
-    fn request(&mut self, taken: ClientRequest) {
-        let id = request_id(taken.ticket);
-        let until = taken.at + taken.patience.saturating_sub(MARGIN);
+    fn request(&mut self, request: ClientRequest) {
+        let id = request_id(request.number);
+        let until = request.received_at + request.timeout.saturating_sub(MARGIN);
         self.observer
-            .request_received(taken.class, taken.message.target.path());
+            .request_received(request.class, request.message.target.path());
         let open = OpenRequest {
-            message: Rc::new(taken.message),
-            answer: Some(taken.answer),
+            message: Rc::new(request.message),
+            answer: Some(request.response_sender),
             over: Rc::default(),
-            class: taken.class,
-            at: taken.at,
+            class: request.class,
+            at: request.received_at,
             until,
             attempts: Vec::new(),
         };
@@ -277,16 +283,16 @@
             .insert((until + GUARD, Timer::Guard(id.clone())));
         self.decisions.push(Event::Request(Request {
             id,
-            class: Some(taken.class),
-            key: taken.key,
+            class: Some(request.class),
+            key: request.key,
             deadline: self.decisions.at(until),
-            expected_work: taken.expected_work,
-            write: taken.write,
-            over_quota: taken.over_quota,
+            expected_work: request.expected_work,
+            write: request.write,
+            over_quota: request.over_quota,
         }));
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, ended: AttemptResult) {
+    fn ended(&mut self, id: RequestId, attempt: u32, result: AttemptResult) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
@@ -296,8 +302,8 @@
         sent.out = false;
         let (server, took) = (sent.server.clone(), sent.at.elapsed());
         self.observer
-            .attempt_ended(open.class, &server, ended.status);
-        if let Some(body) = ended.body {
+            .attempt_ended(open.class, &server, result.status);
+        if let Some(body) = result.body {
             reply(
                 &*self.observer,
                 open,
@@ -311,7 +317,7 @@
             cache_result,
             load,
             ..
-        } = ended;
+        } = result;
         self.tidy(&id);
         self.decisions.push(Event::AttemptEnded(Outcome {
             id,
@@ -414,9 +420,13 @@
         let (upstream, events) = (self.upstream.clone(), self.events.clone());
         let (message, target) = (open.message.clone(), server.clone());
         tokio::task::spawn_local(async move {
-            let ended = upstream.attempt(&target, &message, bounds).await;
+            let result = upstream.attempt(&target, &message, bounds).await;
             // The driver only goes when the node does.
-            let _ = events.send(DriverEvent::AttemptEnded { id, attempt, ended });
+            let _ = events.send(DriverEvent::AttemptEnded {
+                id,
+                attempt,
+                result,
+            });
         });
         open.attempts.push(Attempt {
             server,
@@ -452,6 +462,6 @@
     }
 }
 
-fn request_id(ticket: u64) -> RequestId {
-    RequestId::from(ticket.to_string().as_str())
+fn request_id(number: u64) -> RequestId {
+    RequestId::from(number.to_string().as_str())
 }
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -467,17 +467,17 @@
 ) -> FinalResponse {
     let ticket = front.tickets.replace(front.tickets.get() + 1);
     let (sender, receiver) = oneshot::channel();
-    let taken = ClientRequest {
-        ticket,
-        at,
-        patience: terms.patience,
+    let request = ClientRequest {
+        number: ticket,
+        received_at: at,
+        timeout: terms.patience,
         class: terms.class,
         key: Some(key),
         expected_work: terms.expected_work,
         write: message.method == Method::PUT,
         over_quota: terms.over_quota,
         message,
-        answer: sender,
+        response_sender: sender,
     };
     let mut waiting = Waiting {
         ticket,
@@ -487,7 +487,7 @@
     // The driver only goes when the node does; its silence is a failure all the same.
     let _ = front
         .events
-        .send(DriverEvent::RequestReceived(Box::new(taken)));
+        .send(DriverEvent::RequestReceived(Box::new(request)));
     let answer = receiver.await.unwrap_or(FinalResponse::Failed);
     waiting.answered = true;
     answer
