--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -6,7 +6,7 @@
 
 pub use handle::{ConnectionHandle, DriveOutcome};
 pub use reporting_socket::ReportingSocket;
-pub use socket::MAX_READ_AHEAD;
+pub use socket::MAX_READ_AHEAD_BYTES;
 
 use slatelink_admission::{
     Budget, CloseCause, ConnectionId, ConnectionKind, ConnectionLimits, ConnectionStats,
--- a/crates/node/src/connections/socket.rs
+++ b/crates/node/src/connections/socket.rs
@@ -11,7 +11,7 @@
 pub(super) const READ_BYTES: usize = 8 << 10;
 /// The bytes read ahead, at most, while a request is open, to find out whether the client has closed. A client that sends
 /// more gets this answer and no further one: the rest is read and discarded.
-pub const MAX_READ_AHEAD: usize = 8 << 10;
+pub const MAX_READ_AHEAD_BYTES: usize = 8 << 10;
 /// Reads in a row before other connections have their turn.
 const MAX_READS: usize = 8;
 
@@ -79,7 +79,7 @@
             match self.try_read(&mut part) {
                 Ok(n) if n > 0 => {
                     let mut ahead = self.ahead.borrow_mut();
-                    if self.overrun.get() || ahead.len() + n > MAX_READ_AHEAD {
+                    if self.overrun.get() || ahead.len() + n > MAX_READ_AHEAD_BYTES {
                         self.overrun.set(true);
                     } else {
                         ahead.extend_from_slice(&part[..n]);
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -236,12 +236,12 @@
         let entries: Arc<[Endpoint]> = list.hosts.iter().map(|host| host.entry()).collect();
         if list.complete {
             self.upstream
-                .retain(|id| entries.iter().any(|entry| entry.id == *id));
+                .retain_endpoints(|id| entries.iter().any(|entry| entry.id == *id));
         }
         for (host, entry) in list.hosts.iter().zip(entries.iter()) {
             match entry.availability {
-                Availability::Removed => self.upstream.forget(&entry.id),
-                _ => self.upstream.learn(entry, host.dial()),
+                Availability::Removed => self.upstream.remove_endpoint(&entry.id),
+                _ => self.upstream.update_endpoint(entry, host.dial()),
             }
         }
         self.some_ready |= entries
@@ -404,11 +404,11 @@
             return;
         };
         let (at, attempt) = (Instant::now(), open.attempts.len() as u32);
-        let (until, over) = (open.until.min(at + timeout), open.over.clone());
+        let deadline = open.until.min(at + timeout);
         let bounds = AttemptLimits {
-            begin_by: until.min(at + begin_within),
-            until,
-            over,
+            start_deadline: deadline.min(at + begin_within),
+            deadline,
+            canceled: open.over.clone(),
         };
         self.observer.attempt_started(&server);
         let (upstream, events) = (self.upstream.clone(), self.events.clone());
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -14,11 +14,13 @@
 mod server;
 mod upstream;
 
-use connections::{ConnectionManager, MAX_READ_AHEAD};
+use connections::{ConnectionManager, MAX_READ_AHEAD_BYTES};
 use discovery::Discovery;
 use driver::{Driver, DriverEvent};
 use multiget::MultiGet;
-use server::{serve, Connection, DescriptorSource, ServerContext, ShutdownStage, LARGEST_HEAD};
+use server::{
+    serve, ClientConnection, DescriptorSource, ServerContext, ShutdownStage, MAX_HEAD_BYTES,
+};
 use slatelink_admission::{Budget, ConnectionKind, ConnectionLimits, Quota};
 use slatelink_config::operators;
 use slatelink_config::platform::{self, Config, ConfigError};
@@ -35,7 +37,7 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep};
-use upstream::{own_fault, Upstream};
+use upstream::{is_local_resource_error, Upstream};
 
 /// New connections keep coming for 0.4 s after SIGTERM: until the front has noticed, the node serves them.
 const LEAVING: Duration = Duration::from_millis(500);
@@ -44,7 +46,7 @@
 
 /// Bytes of a connection in use: hyper's read buffer, parser and task as measured, a head of the longest, and what is read
 /// ahead of it.
-const ACTIVE_CONNECTION_BYTES: usize = (16 << 10) + LARGEST_HEAD + MAX_READ_AHEAD;
+const ACTIVE_CONNECTION_BYTES: usize = (16 << 10) + MAX_HEAD_BYTES + MAX_READ_AHEAD_BYTES;
 /// Of one that holds nothing but its socket.
 const PARKED_CONNECTION_BYTES: usize = 1 << 10;
 /// Of one to a cache server: a read buffer and what is around it.
@@ -128,8 +130,8 @@
         keepalive,
     ));
     let room = DescriptorSource {
-        table: table.clone(),
-        servers: upstream.clone(),
+        connections: table.clone(),
+        upstream: upstream.clone(),
     };
     let front = Rc::new(ServerContext::new(
         &settings,
@@ -185,16 +187,20 @@
                 ..connection_limits
             };
             let room = DescriptorSource {
-                table: ConnectionManager::new(budget, ConnectionKind::SidePort, connection_limits),
-                servers: upstream,
+                connections: ConnectionManager::new(
+                    budget,
+                    ConnectionKind::SidePort,
+                    connection_limits,
+                ),
+                upstream,
             };
             let multiget = MultiGet::new(front.clone(), wanted.multiget.unwrap_or_default(), room);
             Some(spawn_local(multiget.serve(listener)))
         }
         None => None,
     };
-    let (room, stage) = (front.room.clone(), front.stage.clone());
-    let connection = move |place| Connection::new(place, front.clone());
+    let (room, stage) = (front.descriptors.clone(), front.stage.clone());
+    let connection = move |place| ClientConnection::new(place, front.clone());
     let serving = spawn_local(serve(listener, room, stage, log.clone(), connection));
 
     let drained = async {
@@ -244,7 +250,7 @@
 ) {
     while let Some(input) = lists.recv().await {
         if let DriverEvent::EndpointListReceived(list) = &input {
-            upstream.heed_departures(list);
+            upstream.mark_unready(list);
         }
         if told.send(input).is_err() {
             return;
@@ -370,7 +376,8 @@
                 Err(error) => {
                     log.rate_limited("reload", &format!("configuration not taken: {error}"));
                     // The platform says it once, and the old discovery ends soon.
-                    if !matches!(&error, ConfigError::Unreadable(_, why) if own_fault(why)) {
+                    if !matches!(&error, ConfigError::Unreadable(_, why) if is_local_resource_error(why))
+                    {
                         break;
                     }
                     sleep(RELOAD_AGAIN).await;
--- a/crates/node/src/multiget.rs
+++ b/crates/node/src/multiget.rs
@@ -4,8 +4,8 @@
 use crate::connections::{ConnectionHandle, ReportingSocket};
 use crate::driver::FinalResponse;
 use crate::server::{
-    self, ask, key_number, parse_parameters, plain, read_body, DescriptorSource, RequestParameters,
-    ServerContext,
+    self, key_number, parse_parameters, read_body, submit_request, text_response, DescriptorSource,
+    RequestParameters, ServerContext,
 };
 use crate::upstream::ForwardedRequest;
 use bytes::Bytes;
@@ -148,7 +148,7 @@
 
     /// Serves until the node closes and every connection has ended.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let sweep = tokio::task::spawn_local(self.room.table.clone().sweep());
+        let sweep = tokio::task::spawn_local(self.room.connections.clone().sweep());
         let (room, front) = (self.room.clone(), self.front.clone());
         let (stage, log) = (front.stage.clone(), front.log.clone());
         let connection = move |place| connection(place, self.clone());
@@ -171,12 +171,12 @@
     });
     let mut http = http1::Builder::new();
     // One call a connection: so its time has a bound, whatever its client takes of the answer.
-    http.max_buf_size(server::LARGEST_HEAD).keep_alive(false);
+    http.max_buf_size(server::MAX_HEAD_BYTES).keep_alive(false);
     let longest = side
         .front
         .classes
         .iter()
-        .map(|(_, deadline)| *deadline)
+        .map(|class| class.max_timeout)
         .max()
         .unwrap_or_default();
     let mut serving = http.serve_connection(ReportingSocket(place.clone()), service);
@@ -196,24 +196,27 @@
     let at = Instant::now();
     let (head, body) = request.into_parts();
     if head.uri.path() != "/multi" {
-        return Err(plain(StatusCode::NOT_FOUND, "no such path"));
+        return Err(text_response(StatusCode::NOT_FOUND, "no such path"));
     }
     if head.method != Method::POST {
-        return Err(server::wrong_method("POST"));
+        return Err(server::method_not_allowed("POST"));
     }
     if head.headers.contains_key(TRANSFER_ENCODING) {
-        return Err(plain(
+        return Err(text_response(
             StatusCode::LENGTH_REQUIRED,
             "a body needs a Content-Length",
         ));
     }
-    let bad = |what| plain(StatusCode::BAD_REQUEST, what);
+    let bad = |what| text_response(StatusCode::BAD_REQUEST, what);
     let terms = parse_parameters(&side.front, &head.headers).map_err(bad)?;
     let body = read_body(body).await?;
     let items: Vec<Item> = serde_json::from_slice(&body)
         .map_err(|_| bad("not a list of items with key and req_id"))?;
     if items.len() > side.settings.max_items() {
-        return Err(plain(StatusCode::PAYLOAD_TOO_LARGE, "too many items"));
+        return Err(text_response(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            "too many items",
+        ));
     }
     let items: Option<Vec<_>> = items.into_iter().map(Item::check).collect();
     let items = items.ok_or_else(|| bad("a key or req_id is empty or not usable"))?;
@@ -224,7 +227,7 @@
     place.on_request(terms.class.0);
     // A line waits here for the one before it to be taken: so few are held, however large they are.
     let (sender, lines) = channel(1);
-    let (until, parallel) = (at + terms.patience, side.settings.parallel());
+    let (until, parallel) = (at + terms.timeout, side.settings.parallel());
     let mut running = JoinSet::new();
     let all = run(side.front.clone(), terms, items, parallel, until, sender);
     running.spawn_local(async move {
@@ -278,14 +281,14 @@
     until: Instant,
 ) -> Option<Bytes> {
     let mut line = Line::new(i, &item.key);
-    let Some(id) = front.open.enter(item.id) else {
+    let Some(id) = front.open_ids.register(item.id) else {
         line.status = Some(StatusCode::CONFLICT.as_u16());
         return line.write();
     };
-    let _place = front.room.lease().await;
+    let _place = front.descriptors.lease().await;
     let at = Instant::now();
     let terms = RequestParameters {
-        patience: until.saturating_duration_since(at),
+        timeout: until.saturating_duration_since(at),
         ..terms
     };
     let (target, key) = (item.target, key_number(&item.key));
@@ -296,7 +299,7 @@
         idempotency_key: None,
         body: Bytes::new(),
     };
-    let answer = ask(&front, at, key, terms, message).await;
+    let answer = submit_request(&front, at, key, terms, message).await;
     line.status = Some(answer.status().as_u16());
     if let FinalResponse::Served(body) = &answer {
         match std::str::from_utf8(body) {
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -3,7 +3,8 @@
 use crate::connections::{ConnectionHandle, ConnectionManager, DriveOutcome, ReportingSocket};
 use crate::driver::{ClientRequest, DriverEvent, FinalResponse};
 use crate::upstream::{
-    ForwardedRequest, OpenIds, Upstream, IDEMPOTENCY_KEY, LARGEST_BODY, REQ_DEADLINE, REQ_ID,
+    ForwardedRequest, OpenRequestIds, Upstream, IDEMPOTENCY_KEY, MAX_BODY_BYTES, REQ_DEADLINE,
+    REQ_ID,
 };
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
@@ -35,7 +36,7 @@
 const REQ_COST: HeaderName = HeaderName::from_static("req-cost");
 /// Longest head that is read; a longer one is answered 431. With a body each it is the most that connections
 /// can make the node hold.
-pub const LARGEST_HEAD: usize = 16 << 10;
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// After a failed accept (no descriptor left, say) the next one waits: tried at once, it would fail and spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
@@ -49,19 +50,28 @@
     Closing,
 }
 
+/// A class of requests, as clients may ask for it.
+#[derive(Clone, Debug)]
+pub struct RequestClass {
+    /// What `Req-Kind` says of its requests.
+    pub name: Name,
+    /// The longest time for which a client of the class waits; a longer `Req-Deadline-Ms` counts as this.
+    pub max_timeout: Duration,
+}
+
 /// What all connections of clients share.
 pub struct ServerContext {
-    /// Name and longest patience of each class.
-    pub classes: Vec<(Name, Duration)>,
+    /// Every request class, by [`ClassId`].
+    pub classes: Vec<RequestClass>,
     pub tenants: Vec<Name>,
     pub ready: Rc<Cell<bool>>,
     pub stage: watch::Receiver<ShutdownStage>,
     pub events: UnboundedSender<DriverEvent>,
     pub tickets: Cell<u64>,
-    pub room: Rc<DescriptorSource>,
+    pub descriptors: Rc<DescriptorSource>,
     pub log: Log,
     /// Ids of the requests that are open, or have an attempt out.
-    pub open: OpenIds,
+    pub open_ids: OpenRequestIds,
 }
 
 impl ServerContext {
@@ -71,41 +81,44 @@
         stage: watch::Receiver<ShutdownStage>,
         events: UnboundedSender<DriverEvent>,
         log: Log,
-        room: DescriptorSource,
+        descriptors: DescriptorSource,
     ) -> Self {
         Self {
             classes: settings
                 .classes
                 .iter()
-                .map(|class| (class.name.clone(), class.deadline))
+                .map(|class| RequestClass {
+                    name: class.name.clone(),
+                    max_timeout: class.deadline,
+                })
                 .collect(),
             tenants: settings.tenants.clone(),
             ready,
             stage,
             events,
             tickets: Cell::new(0),
-            room: Rc::new(room),
+            descriptors: Rc::new(descriptors),
             log,
-            open: OpenIds::default(),
+            open_ids: OpenRequestIds::default(),
         }
     }
 }
 
 /// The places that a port has for connections.
 pub struct DescriptorSource {
-    pub table: Rc<ConnectionManager>,
+    pub connections: Rc<ConnectionManager>,
     /// Its connections share the budget.
-    pub servers: Rc<Upstream>,
+    pub upstream: Rc<Upstream>,
 }
 
 impl DescriptorSource {
     fn others(&self, side: ConnectionKind) -> bool {
-        side == ConnectionKind::Upstream && self.servers.close_oldest_idle()
+        side == ConnectionKind::Upstream && self.upstream.close_oldest_idle()
     }
 
     /// A place that is taken without a connection, for what counts as one.
     pub async fn lease(&self) -> Lease {
-        self.table.lease(|side| self.others(side)).await
+        self.connections.lease(|side| self.others(side)).await
     }
 }
 
@@ -142,7 +155,7 @@
         }
     }
     drop(listener);
-    room.table.close().await;
+    room.connections.close().await;
 }
 
 async fn admit(
@@ -152,14 +165,14 @@
 ) -> std::io::Result<Option<ConnectionHandle>> {
     stream.set_nodelay(true)?;
     Ok(room
-        .table
+        .connections
         .admit(stream, from, |side| room.others(side))
         .await)
 }
 
 /// A client's connection, to its end. Between requests it holds nothing but its socket: hyper's part, with buffers and
 /// parser, is in a box of its own, made when the client speaks and gone a while after it has its answer.
-pub struct Connection {
+pub struct ClientConnection {
     place: Rc<ConnectionHandle>,
     front: Rc<ServerContext>,
     state: State,
@@ -171,7 +184,7 @@
     Over,
 }
 
-impl Connection {
+impl ClientConnection {
     pub fn new(place: ConnectionHandle, front: Rc<ServerContext>) -> Self {
         Self {
             place: Rc::new(place),
@@ -181,7 +194,7 @@
     }
 }
 
-impl Future for Connection {
+impl Future for ClientConnection {
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
         let this = &mut *self;
@@ -214,7 +227,7 @@
         Ok::<_, Infallible>(response)
     });
     let mut http = http1::Builder::new();
-    http.max_buf_size(LARGEST_HEAD);
+    http.max_buf_size(MAX_HEAD_BYTES);
     let mut serving = http.serve_connection(ReportingSocket(place.clone()), service);
     let driven = place
         .drive(&mut serving, |serving| serving.graceful_shutdown())
@@ -286,14 +299,14 @@
         .uri
         .path_and_query()
         .cloned()
-        .ok_or_else(|| plain(StatusCode::BAD_REQUEST, "no path"))?;
+        .ok_or_else(|| text_response(StatusCode::BAD_REQUEST, "no path"))?;
     if target.path() == "/healthz" {
         return match head.method {
             Method::GET if front.ready.get() && *front.stage.borrow() == ShutdownStage::Serving => {
-                Ok(plain(StatusCode::OK, "ready"))
+                Ok(text_response(StatusCode::OK, "ready"))
             }
-            Method::GET => Ok(plain(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
-            _ => Err(wrong_method("GET")),
+            Method::GET => Ok(text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")),
+            _ => Err(method_not_allowed("GET")),
         };
     }
     let key = target
@@ -301,35 +314,38 @@
         .strip_prefix("/api/")
         .and_then(|rest| rest.rsplit('/').next());
     let Some(key) = key.filter(|key| !key.is_empty()).map(key_number) else {
-        return Err(plain(StatusCode::NOT_FOUND, "no such path"));
+        return Err(text_response(StatusCode::NOT_FOUND, "no such path"));
     };
     if head.method != Method::GET && head.method != Method::PUT {
-        return Err(wrong_method("GET, PUT"));
+        return Err(method_not_allowed("GET, PUT"));
     }
     // hyper drops a length that stands beside it, and what the two disagree on may hide another request.
     if head.headers.contains_key(TRANSFER_ENCODING) {
-        return Err(plain(
+        return Err(text_response(
             StatusCode::LENGTH_REQUIRED,
             "a body needs a Content-Length",
         ));
     }
-    let mut asked =
-        read_head(front, &head.headers).map_err(|what| plain(StatusCode::BAD_REQUEST, what))?;
+    let mut asked = read_head(front, &head.headers)
+        .map_err(|what| text_response(StatusCode::BAD_REQUEST, what))?;
     // Where there is no memory for it the body stays unread: the request is refused.
-    let large = body.size_hint().lower().min(LARGEST_BODY as u64) as usize;
+    let large = body.size_hint().lower().min(MAX_BODY_BYTES as u64) as usize;
     let (fits, body) = match place.reserve_request_bytes(large) {
         true => (true, read_body(body).await?),
         false => (false, Bytes::new()),
     };
     // Its client may have gone before it was read: nothing is begun for nobody.
     if place.client_has_left() {
-        return Err(plain(StatusCode::BAD_REQUEST, "its client has gone"));
+        return Err(text_response(
+            StatusCode::BAD_REQUEST,
+            "its client has gone",
+        ));
     }
     // Sent on, it would be a second copy of another client's request.
     let id = front
-        .open
-        .enter(asked.id)
-        .ok_or_else(|| plain(StatusCode::CONFLICT, "Req-Id is open already"))?;
+        .open_ids
+        .register(asked.id)
+        .ok_or_else(|| text_response(StatusCode::CONFLICT, "Req-Id is open already"))?;
     asked.terms.over_quota = place.on_request(asked.terms.class.0) || !fits;
     let message = ForwardedRequest {
         method: head.method,
@@ -338,24 +354,26 @@
         idempotency_key: asked.idempotency_key,
         body,
     };
-    Ok(reply(ask(front, at, key, asked.terms, message).await))
+    Ok(reply(
+        submit_request(front, at, key, asked.terms, message).await,
+    ))
 }
 
 /// A request's body, whole.
 pub async fn read_body(body: Incoming) -> Result<Bytes, HttpResponse> {
     let too_large = || {
-        plain(
+        text_response(
             StatusCode::PAYLOAD_TOO_LARGE,
             "the body is larger than 64 KiB",
         )
     };
-    if body.size_hint().lower() > LARGEST_BODY as u64 {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(too_large());
     }
-    match Limited::new(body, LARGEST_BODY).collect().await {
+    match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(too_large()),
-        Err(_) => Err(plain(StatusCode::BAD_REQUEST, "the body broke off")),
+        Err(_) => Err(text_response(StatusCode::BAD_REQUEST, "the body broke off")),
     }
 }
 
@@ -369,7 +387,7 @@
 /// What holds for a request beside what it asks for.
 #[derive(Clone, Copy)]
 pub struct RequestParameters {
-    pub patience: Duration,
+    pub timeout: Duration,
     pub class: ClassId,
     pub expected_work: Option<Duration>,
     /// Its class, or all requests, hold all of what they may already.
@@ -395,7 +413,7 @@
     let class = front
         .classes
         .iter()
-        .position(|(name, _)| name.as_str() == class)
+        .position(|known| known.name.as_str() == class)
         .ok_or("unknown Req-Kind")?;
     // Where there are no tenants, whatever stands there means nothing.
     let owner = text(headers, &REQ_OWNER)?;
@@ -409,11 +427,11 @@
     }
     // In 32 bits it is under 50 days and safe to add to a clock. No client waits longer than its class does,
     // and what the node holds for a request it would hold as long.
-    let patience: u32 = number(headers, &REQ_DEADLINE, "unreadable Req-Deadline-Ms")?
+    let timeout: u32 = number(headers, &REQ_DEADLINE, "unreadable Req-Deadline-Ms")?
         .ok_or("no Req-Deadline-Ms")?;
     let cost: Option<u32> = number(headers, &REQ_COST, "unreadable Req-Cost")?;
     Ok(RequestParameters {
-        patience: Duration::from_millis(patience.into()).min(front.classes[class].1),
+        timeout: Duration::from_millis(timeout.into()).min(front.classes[class].max_timeout),
         class: ClassId(class),
         expected_work: cost.map(|us| Duration::from_micros(us.into())),
         over_quota: false,
@@ -458,7 +476,7 @@
 }
 
 /// Hands a request over and waits for its final answer. Dropped before, its client has left.
-pub async fn ask(
+pub async fn submit_request(
     front: &ServerContext,
     at: Instant,
     key: u64,
@@ -470,7 +488,7 @@
     let taken = ClientRequest {
         ticket,
         at,
-        patience: terms.patience,
+        patience: terms.timeout,
         class: terms.class,
         key: Some(key),
         expected_work: terms.expected_work,
@@ -498,26 +516,26 @@
     match answer {
         FinalResponse::Served(body) => Response::new(Full::new(body)),
         FinalResponse::Shed { retry_after } => {
-            let mut response = plain(status, "refused: try again later");
+            let mut response = text_response(status, "refused: try again later");
             if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after.as_secs_f64()))
             {
                 response.headers_mut().insert(RETRY_AFTER, seconds);
             }
             response
         }
-        FinalResponse::Failed => plain(status, "failed"),
+        FinalResponse::Failed => text_response(status, "failed"),
     }
 }
 
-pub fn wrong_method(allowed: &'static str) -> HttpResponse {
-    let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "no such method");
+pub fn method_not_allowed(allowed: &'static str) -> HttpResponse {
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "no such method");
     response
         .headers_mut()
         .insert(ALLOW, HeaderValue::from_static(allowed));
     response
 }
 
-pub fn plain(status: StatusCode, text: &'static str) -> HttpResponse {
+pub fn text_response(status: StatusCode, text: &'static str) -> HttpResponse {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -2,14 +2,14 @@
 
 mod exchange;
 mod idle_history;
-mod open_ids;
+mod open_request_ids;
 mod peer;
 mod socket;
 
 pub use exchange::{
-    AttemptResult, ForwardedRequest, IDEMPOTENCY_KEY, LARGEST_BODY, REQ_DEADLINE, REQ_ID,
+    AttemptResult, ForwardedRequest, IDEMPOTENCY_KEY, MAX_BODY_BYTES, REQ_DEADLINE, REQ_ID,
 };
-pub use open_ids::OpenIds;
+pub use open_request_ids::OpenRequestIds;
 
 use crate::connections::ConnectionManager;
 use exchange::{exchange, request};
@@ -31,7 +31,7 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 /// The longest head of an answer: a longer one is read no further, and counts as a connection that broke.
-const LARGEST_HEAD: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Share of the servers' idle time after which a kept connection is retired: one that its server is about to
 /// close would take a request only to end it as a reset.
 const IDLE_SHARE: u32 = 2;
@@ -48,12 +48,12 @@
 /// Until when an attempt is worth beginning, and worth waiting for.
 #[derive(Clone, Debug)]
 pub struct AttemptLimits {
-    /// Its first byte is written by then, or none is; no later than `until`.
-    pub begin_by: Instant,
+    /// Its first byte is written by then, or none is; no later than `deadline`.
+    pub start_deadline: Instant,
     /// Its answer is waited for until then.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Set once its request has its final answer, or its client has gone.
-    pub over: Rc<Cell<bool>>,
+    pub canceled: Rc<Cell<bool>>,
 }
 
 /// All cache servers, by id.
@@ -84,7 +84,7 @@
     }
 
     /// Takes in what discovery says of a server.
-    pub fn learn(&self, entry: &Endpoint, dial: Option<SocketAddr>) {
+    pub fn update_endpoint(&self, entry: &Endpoint, dial: Option<SocketAddr>) {
         let accepts_requests = entry.availability == Availability::Ready;
         let mut peers = self.peers.borrow_mut();
         if let Some(peer) = peers.get(&entry.id) {
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Begins nothing more at the servers that a list tells to leave. Whatever else it says is left to `learn`.
-    pub fn heed_departures(&self, list: &EndpointList) {
+    /// Begins nothing more at the servers that a list tells to leave. Whatever else it says is left to `update_endpoint`.
+    pub fn mark_unready(&self, list: &EndpointList) {
         let peers = self.peers.borrow();
         let leaving = list
             .hosts
@@ -131,7 +131,7 @@
     }
 
     /// Forgets a server that is gone. An attempt on its way there sees that it takes no work any more.
-    pub fn forget(&self, server: &EndpointId) {
+    pub fn remove_endpoint(&self, server: &EndpointId) {
         if let Some(peer) = self.peers.borrow_mut().remove(server) {
             peer.accepts_requests.set(false);
             peer.idle.borrow_mut().clear();
@@ -139,7 +139,7 @@
     }
 
     /// Forgets all servers but those that `keep` names: a whole list lacks the others.
-    pub fn retain(&self, keep: impl Fn(&EndpointId) -> bool) {
+    pub fn retain_endpoints(&self, keep: impl Fn(&EndpointId) -> bool) {
         let left: Vec<_> = self
             .peers
             .borrow()
@@ -147,7 +147,7 @@
             .filter(|id| !keep(id))
             .cloned()
             .collect();
-        left.iter().for_each(|id| self.forget(id));
+        left.iter().for_each(|id| self.remove_endpoint(id));
     }
 
     /// Closes the idle connections to a server.
@@ -180,9 +180,9 @@
         bounds: AttemptLimits,
     ) -> AttemptResult {
         let AttemptLimits {
-            begin_by,
-            until,
-            over,
+            start_deadline,
+            deadline,
+            canceled,
         } = bounds;
         let peer = self.peers.borrow().get(server).cloned();
         let Some(peer) = peer else {
@@ -190,16 +190,16 @@
         };
         loop {
             // A request may be over before its attempt has its first turn.
-            if over.get() {
+            if canceled.get() {
                 return AttemptResult::without_answer(Status::NotSent);
             }
             if !peer.accepts_requests.get() {
                 return AttemptResult::without_answer(Status::ConnectError);
             }
-            let mut connection = match timeout_at(begin_by, self.connection(&peer)).await {
+            let mut connection = match timeout_at(start_deadline, self.connection(&peer)).await {
                 Ok(Ok(connection)) => connection,
                 // The node's own want says nothing of the server.
-                Ok(Err(error)) if own_fault(&error) => {
+                Ok(Err(error)) if is_local_resource_error(&error) => {
                     return AttemptResult::without_answer(Status::NotSent)
                 }
                 _ => return AttemptResult::without_answer(Status::ConnectError),
@@ -213,8 +213,8 @@
             }
             // So may the client's end have: who has gone is served by nothing that begins now. Nor may a repeat begin
             // once servers no longer know it for one; time may have passed since the connection came up.
-            if over.get() || Instant::now() >= begin_by {
-                let status = if over.get() {
+            if canceled.get() || Instant::now() >= start_deadline {
+                let status = if canceled.get() {
                     Status::NotSent
                 } else {
                     Status::ConnectError
@@ -222,18 +222,18 @@
                 peer.keep(connection);
                 return AttemptResult::without_answer(status);
             }
-            let Ok(request) = request(peer.dial.get(), message, until) else {
+            let Ok(request) = request(peer.dial.get(), message, deadline) else {
                 return AttemptResult::without_answer(Status::ConnectError);
             };
             let permit = SendPermit {
                 peer: peer.clone(),
                 incarnation: connection.incarnation,
-                begin_by,
-                over: over.clone(),
+                start_deadline,
+                canceled: canceled.clone(),
             };
             connection.progress.reset(permit);
             let idle = connection.idle_since.elapsed();
-            let answer = timeout_at(until, exchange(&mut connection.sender, request)).await;
+            let answer = timeout_at(deadline, exchange(&mut connection.sender, request)).await;
             let WriteProgress {
                 begun,
                 whole,
@@ -299,7 +299,7 @@
                 progress: progress.clone(),
             };
             let mut http = http1::Builder::new();
-            http.max_buf_size(LARGEST_HEAD);
+            http.max_buf_size(MAX_HEAD_BYTES);
             let (sender, driving) = http.handshake(watched).await.map_err(io::Error::other)?;
             let task = tokio::task::spawn_local(async move {
                 // How it ends shows at the attempt on it, or when it is taken from the idle ones.
@@ -357,7 +357,7 @@
 }
 
 /// Whether an operation failed because this process ran out of descriptors, memory or addresses.
-pub fn own_fault(error: &io::Error) -> bool {
+pub fn is_local_resource_error(error: &io::Error) -> bool {
     const WANTS: [i32; 5] = [
         libc::ENOMEM,
         libc::ENFILE,
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -1,6 +1,6 @@
 //! One request and its answer over HTTP, as a cache server reads and writes them.
 
-use super::open_ids::OpenId;
+use super::open_request_ids::OpenRequestId;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 /// The largest body of a message either way.
-pub const LARGEST_BODY: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 pub const REQ_ID: HeaderName = HeaderName::from_static("req-id");
 pub const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
@@ -27,7 +27,7 @@
 pub struct ForwardedRequest {
     pub method: Method,
     pub target: PathAndQuery,
-    pub id: OpenId,
+    pub id: OpenRequestId,
     pub idempotency_key: Option<HeaderValue>,
     pub body: Bytes,
 }
@@ -57,9 +57,11 @@
 pub(super) fn request(
     dial: SocketAddr,
     message: &ForwardedRequest,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-    let left = until.saturating_duration_since(Instant::now()).as_millis() as u64;
+    let left = deadline
+        .saturating_duration_since(Instant::now())
+        .as_millis() as u64;
     let mut request = Request::builder()
         .method(message.method.clone())
         .uri(Uri::from(message.target.clone()))
@@ -92,7 +94,7 @@
     };
     let load = text(&LOAD).map_or_else(LoadReport::default, |text| read_load(text, '='));
     // What is stated to be larger than any answer may be is not waited for.
-    if response.body().size_hint().lower() > LARGEST_BODY as u64 {
+    if response.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Ok((
             AttemptResult {
                 status: Status::Failed,
@@ -103,7 +105,7 @@
             false,
         ));
     }
-    match Limited::new(response.into_body(), LARGEST_BODY)
+    match Limited::new(response.into_body(), MAX_BODY_BYTES)
         .collect()
         .await
     {
--- a/crates/node/src/upstream/open_ids.rs
+++ b/crates/node/src/upstream/open_request_ids.rs
@@ -7,13 +7,13 @@
 
 /// The ids of requests that have no final answer yet or an attempt out.
 #[derive(Clone, Debug, Default)]
-pub struct OpenIds(Rc<RefCell<HashSet<HeaderValue>>>);
+pub struct OpenRequestIds(Rc<RefCell<HashSet<HeaderValue>>>);
 
-impl OpenIds {
+impl OpenRequestIds {
     /// `None` for one that is open already.
-    pub fn enter(&self, value: HeaderValue) -> Option<OpenId> {
+    pub fn register(&self, value: HeaderValue) -> Option<OpenRequestId> {
         let new = self.0.borrow_mut().insert(value.clone());
-        new.then(|| OpenId {
+        new.then(|| OpenRequestId {
             value,
             ids: self.clone(),
         })
@@ -22,12 +22,12 @@
 
 /// An id for as long as its request is open: it goes with the last that holds the request's message.
 #[derive(Debug)]
-pub struct OpenId {
+pub struct OpenRequestId {
     pub(super) value: HeaderValue,
-    ids: OpenIds,
+    ids: OpenRequestIds,
 }
 
-impl Drop for OpenId {
+impl Drop for OpenRequestId {
     fn drop(&mut self) {
         self.ids.0.borrow_mut().remove(&self.value);
     }
--- a/crates/node/src/upstream/socket.rs
+++ b/crates/node/src/upstream/socket.rs
@@ -42,15 +42,15 @@
     pub(super) peer: Rc<Peer>,
     /// The server's incarnation when the connection was made.
     pub(super) incarnation: u64,
-    pub(super) begin_by: Instant,
-    pub(super) over: Rc<Cell<bool>>,
+    pub(super) start_deadline: Instant,
+    pub(super) canceled: Rc<Cell<bool>>,
 }
 
 impl SendPermit {
     fn holds(&self) -> bool {
         let server_takes_it =
             self.peer.accepts_requests.get() && self.peer.incarnation.get() == self.incarnation;
-        server_takes_it && !self.over.get() && Instant::now() < self.begin_by
+        server_takes_it && !self.canceled.get() && Instant::now() < self.start_deadline
     }
 }
 
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -97,9 +97,12 @@
         libc::EADDRNOTAVAIL,
         libc::ENOBUFS,
     ] {
-        assert!(own_fault(&io::Error::from_raw_os_error(code)), "{code}");
+        assert!(
+            is_local_resource_error(&io::Error::from_raw_os_error(code)),
+            "{code}"
+        );
     }
-    assert!(!own_fault(&io::Error::from_raw_os_error(
+    assert!(!is_local_resource_error(&io::Error::from_raw_os_error(
         libc::ECONNREFUSED
     )));
 }
