--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -181,7 +181,7 @@
             log.line(&format!("multi-get listens on {}", listener.local_addr()?));
             // One address may well be all that asks there, and a call is no request of a class.
             let connection_limits = ConnectionLimits {
-                crowded_at: usize::MAX,
+                keep_alive_limit: usize::MAX,
                 per_address: None,
                 per_class: Vec::new(),
                 ..connection_limits
@@ -288,7 +288,8 @@
     };
     let budget = Budget::new(places, [clients, servers, beside], bytes / 3 * 2);
     let usable = |budget: &Budget| {
-        budget.most(ConnectionKind::Client) > 0 && budget.most(ConnectionKind::Upstream) > 0
+        budget.max_descriptors(ConnectionKind::Client) > 0
+            && budget.max_descriptors(ConnectionKind::Upstream) > 0
     };
     budget.filter(usable).ok_or_else(|| {
         let (servers, beside) = (servers.reserved, beside.reserved);
@@ -318,7 +319,7 @@
         ));
     }
     let usable = budget
-        .most(ConnectionKind::Client)
+        .max_descriptors(ConnectionKind::Client)
         .min(wanted.clients_part(sockets));
     let share = |class: &Name| {
         wanted
@@ -327,7 +328,7 @@
             .map(|part| (usable * part.0 / 100).max(1))
     };
     Ok(ConnectionLimits {
-        crowded_at: (usable - usable / FREE_PART).max(1),
+        keep_alive_limit: (usable - usable / FREE_PART).max(1),
         idle_timeout: wanted.idle(),
         per_address: wanted.per_address(),
         per_class: classes.iter().map(share).collect(),
