--- a/crates/cli/src/multiget.rs
+++ b/crates/cli/src/multiget.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use serde::{Deserialize, Serialize};
-use slatelink_config::operators::MAX_ITEMS;
+use slatelink_config::operators::DEFAULT_MAX_ITEMS;
 use std::collections::HashSet;
 use std::error::Error;
 use std::io::{self, Write};
@@ -49,7 +49,7 @@
     #[arg(long, value_name = "MS", value_parser = clap::value_parser!(u32).range(1..))]
     deadline_ms: u32,
     /// More keys than this are refused, as the node does past its own `max_items`
-    #[arg(long, value_name = "N", default_value_t = MAX_ITEMS)]
+    #[arg(long, value_name = "N", default_value_t = DEFAULT_MAX_ITEMS)]
     max_items: usize,
     /// The keys; one line is printed for each, in this order
     #[arg(required = true)]
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -59,7 +59,7 @@
             lease_ms,
             callers,
         };
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 }
--- a/crates/config/src/endpoint_list.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -17,47 +17,55 @@
     #[serde(rename = "whole")]
     pub complete: bool,
     /// The entries, or those that changed.
-    #[serde(default)]
-    pub hosts: Vec<EndpointRecord>,
+    #[serde(default, rename = "hosts")]
+    pub endpoints: Vec<EndpointRecord>,
 }
 
 /// One cache server in it.
 #[derive(Debug, Deserialize)]
 pub struct EndpointRecord {
-    host: String,
-    dial: Option<SocketAddr>,
-    site: Option<String>,
-    class: Option<String>,
-    block: Option<u64>,
-    health: String,
-    share: Option<f64>,
-    born_ms: Option<u64>,
+    #[serde(rename = "host")]
+    id: String,
+    #[serde(rename = "dial")]
+    address: Option<SocketAddr>,
+    #[serde(rename = "site")]
+    zone: Option<String>,
+    #[serde(rename = "class")]
+    kind: Option<String>,
+    #[serde(rename = "block")]
+    cell: Option<u64>,
+    #[serde(rename = "health")]
+    state: String,
+    #[serde(rename = "share")]
+    weight: Option<f64>,
+    #[serde(rename = "born_ms")]
+    started_ms: Option<u64>,
 }
 
 impl EndpointRecord {
     /// Where it listens; one that is gone may have no address.
-    pub fn dial(&self) -> Option<SocketAddr> {
-        self.dial
+    pub fn address(&self) -> Option<SocketAddr> {
+        self.address
     }
 
     /// Discovery's own word for whether it takes work.
-    pub fn health(&self) -> &str {
-        &self.health
+    pub fn state(&self) -> &str {
+        &self.state
     }
 
     /// Its name, alike at every node.
     pub fn id(&self) -> &str {
-        &self.host
+        &self.id
     }
 
     /// Its process's start in milliseconds of Unix time; `None` for long ago.
     pub fn started_ms(&self) -> Option<u64> {
-        self.born_ms.filter(|&at| at > 0)
+        self.started_ms.filter(|&at| at > 0)
     }
 
     /// Whether it takes work.
     pub fn availability(&self) -> Availability {
-        match self.health.as_str() {
+        match self.state.as_str() {
             "ready" => Availability::Ready,
             "gone" => Availability::Removed,
             // Draining, or a state that this version does not know: keep away from that server.
@@ -67,21 +75,21 @@
 
     /// Has it left alone, whatever the list says.
     pub fn set_draining(&mut self) {
-        DRAINING.clone_into(&mut self.health);
+        DRAINING.clone_into(&mut self.state);
     }
 
     /// The entry as the module knows it.
-    pub fn entry(&self) -> Endpoint {
+    pub fn endpoint(&self) -> Endpoint {
         let started = self.started_ms();
         Endpoint {
-            id: self.host.as_str().into(),
-            zone: self.site.as_deref().map(Into::into),
-            kind: self.class.as_deref().map(Into::into),
-            cell: self.block.unwrap_or(0),
+            id: self.id.as_str().into(),
+            zone: self.zone.as_deref().map(Into::into),
+            kind: self.kind.as_deref().map(Into::into),
+            cell: self.cell.unwrap_or(0),
             availability: self.availability(),
             weight: self
-                .share
-                .filter(|share| share.is_finite() && *share >= 0.0)
+                .weight
+                .filter(|weight| weight.is_finite() && *weight >= 0.0)
                 .unwrap_or(1.0),
             started: started.map(|ms| Timestamp::from_micros(ms.saturating_mul(1000))),
         }
--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// Keys in one call of many unless settings or command say otherwise.
-pub const MAX_ITEMS: usize = 32;
+pub const DEFAULT_MAX_ITEMS: usize = 32;
 
 /// Why the file cannot be used. A node does not guess: it fails to start.
 #[derive(Debug, Error)]
@@ -30,31 +30,32 @@
 #[derive(Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    pub figures: Option<Figures>,
-    pub audit: Option<Audit>,
-    pub hotlist: Option<HotList>,
-    pub multiget: Option<MultiGet>,
-    #[serde(default)]
-    pub front: Front,
+    #[serde(rename = "figures")]
+    pub metrics: Option<MetricsSettings>,
+    pub audit: Option<AuditSettings>,
+    pub hotlist: Option<HotListSettings>,
+    pub multiget: Option<MultiGetSettings>,
+    #[serde(default, rename = "front")]
+    pub admission: AdmissionSettings,
     #[serde(skip)]
-    pub source: Option<Source>,
+    pub source: Option<SettingsFile>,
 }
 
 /// The file that the settings are from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Source {
+pub struct SettingsFile {
     pub path: PathBuf,
     pub sha256: String,
 }
 
 impl Settings {
     /// The hot list's settings, where it is on.
-    pub fn hot(&self) -> Option<&HotList> {
+    pub fn enabled_hotlist(&self) -> Option<&HotListSettings> {
         self.hotlist.as_ref().filter(|hot| hot.capacity > 0)
     }
 
     /// The port for many keys at once, where there is to be one.
-    pub fn side_port(&self) -> Option<u16> {
+    pub fn multiget_port(&self) -> Option<u16> {
         self.multiget.as_ref().and_then(|settings| settings.port)
     }
 }
@@ -62,30 +63,30 @@
 /// Section `figures`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Figures {
-    pub format: Format,
-    pub target: Target,
-    flush_ms: Within<10, 3_600_000>,
-    max_batch_bytes: Within<512, 65_507>,
+pub struct MetricsSettings {
+    pub format: MetricsFormat,
+    pub target: MetricsTarget,
+    flush_ms: BoundedInteger<10, 3_600_000>,
+    max_batch_bytes: BoundedInteger<512, 65_507>,
 }
 
-impl Figures {
-    pub fn flush(&self) -> Duration {
-        Duration::from_millis(self.flush_ms.0 as u64)
+impl MetricsSettings {
+    pub fn flush_interval(&self) -> Duration {
+        Duration::from_millis(self.flush_ms.get() as u64)
     }
 
-    pub fn batch(&self) -> usize {
-        self.max_batch_bytes.0
+    pub fn max_batch_bytes(&self) -> usize {
+        self.max_batch_bytes.get()
     }
 }
 
-impl Default for Figures {
+impl Default for MetricsSettings {
     fn default() -> Self {
         Self {
-            format: Format::Statsd,
-            target: Target::Stderr,
-            flush_ms: Within(1000),
-            max_batch_bytes: Within(1400),
+            format: MetricsFormat::Statsd,
+            target: MetricsTarget::Stderr,
+            flush_ms: BoundedInteger(1000),
+            max_batch_bytes: BoundedInteger(1400),
         }
     }
 }
@@ -93,7 +94,7 @@
 /// Section `audit`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Audit {
+pub struct AuditSettings {
     /// `None` for standard error.
     pub path: Option<PathBuf>,
 }
@@ -101,23 +102,23 @@
 /// Section `hotlist`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct HotList {
+pub struct HotListSettings {
     /// Entries for each class; none turns it off.
     pub capacity: usize,
-    window_s: Within<1, 86_400>,
+    window_s: BoundedInteger<1, 86_400>,
 }
 
-impl HotList {
+impl HotListSettings {
     pub fn window(&self) -> Duration {
-        Duration::from_secs(self.window_s.0 as u64)
+        Duration::from_secs(self.window_s.get() as u64)
     }
 }
 
-impl Default for HotList {
+impl Default for HotListSettings {
     fn default() -> Self {
         Self {
             capacity: 256,
-            window_s: Within(60),
+            window_s: BoundedInteger(60),
         }
     }
 }
@@ -125,62 +126,65 @@
 /// Section `multiget`.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct MultiGet {
+pub struct MultiGetSettings {
     /// `None` turns it off.
     port: Option<u16>,
-    parallel: Option<Within<1, 64>>,
-    max_items: Option<Within<1, 1024>>,
+    parallel: Option<BoundedInteger<1, 64>>,
+    max_items: Option<BoundedInteger<1, 1024>>,
 }
 
-impl MultiGet {
-    pub fn parallel(&self) -> usize {
-        self.parallel.map_or(8, |parallel| parallel.0)
+impl MultiGetSettings {
+    pub fn parallel_requests(&self) -> usize {
+        self.parallel.map_or(8, |parallel| parallel.get())
     }
 
     pub fn max_items(&self) -> usize {
-        self.max_items.map_or(MAX_ITEMS, |items| items.0)
+        self.max_items
+            .map_or(DEFAULT_MAX_ITEMS, |items| items.get())
     }
 }
 
 /// Section `front`: who may hold how much of the node. All of it has a default.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Front {
-    clients_percent: Option<Within<1, 100>>,
-    servers_floor: Option<Within<1, 1_000_000>>,
-    idle_s: Option<Within<2, 86_400>>,
-    per_address: Option<Within<1, 1_000_000>>,
+pub struct AdmissionSettings {
+    clients_percent: Option<BoundedInteger<1, 100>>,
+    servers_floor: Option<BoundedInteger<1, 1_000_000>>,
+    idle_s: Option<BoundedInteger<2, 86_400>>,
+    per_address: Option<BoundedInteger<1, 1_000_000>>,
     /// Percent of the clients' places that open requests of a class may take, by its name.
-    pub per_class: BTreeMap<String, Within<1, 100>>,
+    #[serde(rename = "per_class")]
+    pub percent_per_class: BTreeMap<String, BoundedInteger<1, 100>>,
 }
 
-impl Front {
+impl AdmissionSettings {
     /// Of so many descriptors, those that clients use at most: a third, where nothing else is said.
-    pub fn clients_part(&self, descriptors: usize) -> usize {
+    pub fn client_limit(&self, descriptors: usize) -> usize {
         self.clients_percent
-            .map_or(descriptors / 3, |percent| descriptors * percent.0 / 100)
+            .map_or(descriptors / 3, |percent| descriptors * percent.get() / 100)
     }
 
     /// Of so many descriptors, those that are kept for connections to servers.
-    pub fn servers_floor(&self, descriptors: usize) -> usize {
-        self.servers_floor.map_or(descriptors / 3, |floor| floor.0)
+    pub fn upstream_reservation(&self, descriptors: usize) -> usize {
+        self.servers_floor
+            .map_or(descriptors / 3, |floor| floor.get())
     }
 
     /// An idle connection is closed after this.
-    pub fn idle(&self) -> Duration {
-        Duration::from_secs(self.idle_s.map_or(10, |idle| idle.0 as u64))
+    pub fn idle_timeout(&self) -> Duration {
+        Duration::from_secs(self.idle_s.map_or(10, |idle| idle.get() as u64))
     }
 
     /// Connections of one client address, at most.
-    pub fn per_address(&self) -> Option<usize> {
-        self.per_address.map(|most| most.0)
+    pub fn connections_per_address(&self) -> Option<usize> {
+        self.per_address.map(|most| most.get())
     }
 }
 
 /// How a line is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Format {
+pub enum MetricsFormat {
     Statsd,
     Influx,
 }
@@ -188,13 +192,13 @@
 /// Where batches go.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "String")]
-pub enum Target {
+pub enum MetricsTarget {
     Stderr,
     File(PathBuf),
     Udp(SocketAddr),
 }
 
-impl TryFrom<String> for Target {
+impl TryFrom<String> for MetricsTarget {
     type Error = String;
     fn try_from(text: String) -> Result<Self, String> {
         match text.split_once(':') {
@@ -211,20 +215,27 @@
     }
 }
 
-/// A whole number from `LEAST` to `MOST`.
+/// A whole number from `MIN` to `MAX`.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "i64")]
-pub struct Within<const LEAST: usize, const MOST: usize>(pub usize);
+pub struct BoundedInteger<const MIN: usize, const MAX: usize>(usize);
 
-impl<const LEAST: usize, const MOST: usize> TryFrom<i64> for Within<LEAST, MOST> {
+impl<const MIN: usize, const MAX: usize> BoundedInteger<MIN, MAX> {
+    /// The number.
+    pub const fn get(self) -> usize {
+        self.0
+    }
+}
+
+impl<const MIN: usize, const MAX: usize> TryFrom<i64> for BoundedInteger<MIN, MAX> {
     type Error = String;
     fn try_from(value: i64) -> Result<Self, String> {
         let within = usize::try_from(value)
             .ok()
-            .filter(|value| (LEAST..=MOST).contains(value));
+            .filter(|value| (MIN..=MAX).contains(value));
         within
             .map(Self)
-            .ok_or_else(|| format!("{value} is not from {LEAST} to {MOST}"))
+            .ok_or_else(|| format!("{value} is not from {MIN} to {MAX}"))
     }
 }
 
@@ -236,7 +247,7 @@
     };
     let parsed = toml::from_str(&text);
     let read = |settings| {
-        let source = Source {
+        let source = SettingsFile {
             path: path.clone(),
             sha256: crate::digest(text.as_bytes()),
         };
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -14,14 +14,24 @@
 pub enum ConfigError {
     #[error("LB_CONFIG is not set")]
     NoPath,
-    #[error("cannot read {0}: {1}")]
-    Unreadable(PathBuf, std::io::Error),
-    #[error("{0} is not a configuration: {1}")]
-    Malformed(PathBuf, serde_json::Error),
+    #[error("cannot read {path}: {error}")]
+    Unreadable {
+        path: PathBuf,
+        error: std::io::Error,
+    },
+    #[error("{path} is not a configuration: {error}")]
+    Malformed {
+        path: PathBuf,
+        error: serde_json::Error,
+    },
     #[error("the configuration's settings: {0}")]
     Settings(#[from] WireError),
-    #[error("{0} is not an address and port: {1}")]
-    Address(&'static str, String),
+    #[error("{variable} is not an address and port: {text}")]
+    Address {
+        /// The variable that goes before the file's key.
+        variable: &'static str,
+        text: String,
+    },
     #[error("the configuration's seed is not a hexadecimal number: {0}")]
     Seed(String),
     #[error("a limit of {0} sockets leaves no room to work")]
@@ -36,15 +46,15 @@
     pub discovery: SocketAddr,
     pub seed: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub descriptor_limit: usize,
     /// Bytes of memory that the node may use; all there is, where nothing is said.
-    pub memory: Option<u64>,
+    pub memory_bytes: Option<u64>,
     /// The cache servers as this node last knew them.
-    pub known: EndpointList,
+    pub known_endpoints: EndpointList,
     pub settings: Settings,
     /// Where all this is from, and the file's bytes.
     pub path: PathBuf,
-    pub text: Vec<u8>,
+    pub contents: Vec<u8>,
 }
 
 #[derive(Deserialize)]
@@ -66,25 +76,32 @@
 }
 
 /// Fewer descriptors than this don't hold the runtime's own and one connection each way.
-const LEAST_SOCKETS: usize = 32;
+const MIN_DESCRIPTORS: usize = 32;
 
 /// The variable that goes before the file's `discovery` at the start. At a reload it is out of date, since a
 /// process keeps the environment that it started with: the file's word holds then.
-pub const DISCOVERY: &str = "LB_DISCOVERY";
+pub const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
 
 /// Reads the file that `LB_CONFIG` names; the other variables go before what it says.
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let path = PathBuf::from(variable("LB_CONFIG").ok_or(ConfigError::NoPath)?);
-    let text =
-        std::fs::read(&path).map_err(|error| ConfigError::Unreadable(path.clone(), error))?;
-    let file: File = serde_json::from_slice(&text)
-        .map_err(|error| ConfigError::Malformed(path.clone(), error))?;
+    let text = std::fs::read(&path).map_err(|error| ConfigError::Unreadable {
+        path: path.clone(),
+        error,
+    })?;
+    let file: File = serde_json::from_slice(&text).map_err(|error| ConfigError::Malformed {
+        path: path.clone(),
+        error,
+    })?;
     let address = |name: &'static str, own: String| {
         let text = variable(name).unwrap_or(own);
-        text.parse().map_err(|_| ConfigError::Address(name, text))
+        text.parse().map_err(|_| ConfigError::Address {
+            variable: name,
+            text,
+        })
     };
     let sockets = file.limits.sockets;
-    if sockets < LEAST_SOCKETS {
+    if sockets < MIN_DESCRIPTORS {
         return Err(ConfigError::Sockets(sockets));
     }
     let mut pairs = Vec::new();
@@ -92,14 +109,14 @@
     Ok(Config {
         name: variable("LB_NAME").unwrap_or(file.name),
         listen: address("LB_LISTEN", file.listen)?,
-        discovery: address(DISCOVERY, file.discovery)?,
+        discovery: address(DISCOVERY_VARIABLE, file.discovery)?,
         seed: u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed(file.seed))?,
-        sockets,
-        memory: file.limits.memory_mb.map(|mb| u64::from(mb) << 20),
-        known: file.known,
+        descriptor_limit: sockets,
+        memory_bytes: file.limits.memory_mb.map(|mb| u64::from(mb) << 20),
+        known_endpoints: file.known,
         settings: read_settings(&pairs)?,
         path,
-        text,
+        contents: text,
     })
 }
 
--- a/crates/config/src/relay.rs
+++ b/crates/config/src/relay.rs
@@ -11,11 +11,11 @@
 /// that a relay calls upstream once in 3.3 s where nothing changes.
 pub const DEFAULT_LEASE_MS: u64 = 10_000;
 /// Below this a lease would run out between two calls; above it nobody would notice that upstream is gone.
-const LEASE_MS: std::ops::RangeInclusive<u64> = 300..=3_600_000;
+const LEASE_MS_RANGE: std::ops::RangeInclusive<u64> = 300..=3_600_000;
 /// Sources that are tried in turn, at most.
-const MOST_UPSTREAMS: usize = 16;
+const MAX_UPSTREAMS: usize = 16;
 /// Connections of callers that may be asked for, at most.
-const MOST_CALLERS: usize = 1_000_000;
+const MAX_CALLERS: usize = 1_000_000;
 
 /// Why a relay cannot start with what it was told.
 #[derive(Debug, Error)]
@@ -24,13 +24,13 @@
     #[error(transparent)]
     File(#[from] SettingsError),
     /// There is nothing to relay.
-    #[error("a relay needs 1 to {MOST_UPSTREAMS} upstreams, and {0} are named")]
+    #[error("a relay needs 1 to {MAX_UPSTREAMS} upstreams, and {0} are named")]
     Upstreams(usize),
     /// The lease is out of its range.
-    #[error("lease_ms is {0}: a number from {start} to {end} is wanted", start = LEASE_MS.start(), end = LEASE_MS.end())]
+    #[error("lease_ms is {0}: a number from {start} to {end} is wanted", start = LEASE_MS_RANGE.start(), end = LEASE_MS_RANGE.end())]
     Lease(u64),
     /// The bound on connections is out of its range.
-    #[error("callers is {0}: a number from 1 to {MOST_CALLERS} is wanted")]
+    #[error("callers is {0}: a number from 1 to {MAX_CALLERS} is wanted")]
     Callers(usize),
 }
 
@@ -62,21 +62,21 @@
         })?;
         let settings: Self =
             toml::from_str(&text).map_err(|error| SettingsError::malformed(path, &text, &error))?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
     /// Refuses what makes no sense.
-    pub fn check(&self) -> Result<(), RelayConfigError> {
-        if !(1..=MOST_UPSTREAMS).contains(&self.upstream.len()) {
+    pub fn validate(&self) -> Result<(), RelayConfigError> {
+        if !(1..=MAX_UPSTREAMS).contains(&self.upstream.len()) {
             return Err(RelayConfigError::Upstreams(self.upstream.len()));
         }
-        if !LEASE_MS.contains(&self.lease_ms) {
+        if !LEASE_MS_RANGE.contains(&self.lease_ms) {
             return Err(RelayConfigError::Lease(self.lease_ms));
         }
         match self
             .callers
-            .filter(|callers| !(1..=MOST_CALLERS).contains(callers))
+            .filter(|callers| !(1..=MAX_CALLERS).contains(callers))
         {
             Some(callers) => Err(RelayConfigError::Callers(callers)),
             None => Ok(()),
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -140,7 +140,7 @@
     }
 
     fn learn(&mut self, list: &EndpointList) {
-        let entries: Arc<[Endpoint]> = list.hosts.iter().map(|host| host.entry()).collect();
+        let entries: Arc<[Endpoint]> = list.endpoints.iter().map(|host| host.endpoint()).collect();
         self.decisions.push_list(entries, list.complete);
         self.handle_due();
         self.observer.in_force(list.version, list.complete);
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -251,7 +251,7 @@
     /// Hands on what a list that is not taken tells of servers that leave.
     fn tell_leaving(&mut self, mut list: EndpointList, source: Source) {
         list.complete = false;
-        list.hosts
+        list.endpoints
             .retain(|host| host.availability() != Availability::Ready);
         self.tell(list, source);
     }
--- a/crates/node/src/discovery/departures.rs
+++ b/crates/node/src/discovery/departures.rs
@@ -48,7 +48,7 @@
         let version = list.version;
         let newer = self.advance(list, source, now);
         let mut amended = false;
-        for host in &mut list.hosts {
+        for host in &mut list.endpoints {
             if host.availability() != Availability::Ready {
                 let departure = Departure {
                     source,
@@ -96,9 +96,14 @@
             taken: now,
         });
         if list.complete {
-            self.listed = Some(list.hosts.iter().map(|host| host.id().to_owned()).collect());
+            self.listed = Some(
+                list.endpoints
+                    .iter()
+                    .map(|host| host.id().to_owned())
+                    .collect(),
+            );
         } else if let Some(listed) = &mut self.listed {
-            for host in &list.hosts {
+            for host in &list.endpoints {
                 match host.availability() {
                     Availability::Removed => drop(listed.remove(host.id())),
                     _ => drop(listed.insert(host.id().to_owned())),
--- a/crates/node/src/discovery/leaving_tests.rs
+++ b/crates/node/src/discovery/leaving_tests.rs
@@ -119,9 +119,10 @@
             continue;
         };
         let leaves = |host: &slatelink_config::EndpointRecord| {
-            host.entry().id.as_str() == name && host.entry().availability != Availability::Ready
+            host.endpoint().id.as_str() == name
+                && host.endpoint().availability != Availability::Ready
         };
-        if list.hosts.iter().any(leaves) {
+        if list.endpoints.iter().any(leaves) {
             return Some(at);
         }
     }
@@ -209,8 +210,8 @@
                 let DriverEvent::EndpointListReceived(list) = input else {
                     continue;
                 };
-                for host in &list.hosts {
-                    let ready = host.entry().availability == Availability::Ready;
+                for host in &list.endpoints {
+                    let ready = host.endpoint().availability == Availability::Ready;
                     assert!(
                         !(ready && drained),
                         "{later_on}, {written_first}: version {}",
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -432,9 +432,9 @@
             panic!("a list: {word:?}")
         };
         let names: Vec<_> = word
-            .hosts
+            .endpoints
             .iter()
-            .map(|host| (host.entry().id, host.health()))
+            .map(|host| (host.endpoint().id, host.state()))
             .collect();
         assert_eq!(
             names,
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -233,15 +233,15 @@
     /// step, so that no attempt of the module's can overtake it.
     fn learn(&mut self, list: &EndpointList) -> Arc<[Endpoint]> {
         self.observer.endpoints_updated(list);
-        let entries: Arc<[Endpoint]> = list.hosts.iter().map(|host| host.entry()).collect();
+        let entries: Arc<[Endpoint]> = list.endpoints.iter().map(|host| host.endpoint()).collect();
         if list.complete {
             self.upstream
                 .retain(|id| entries.iter().any(|entry| entry.id == *id));
         }
-        for (host, entry) in list.hosts.iter().zip(entries.iter()) {
+        for (host, entry) in list.endpoints.iter().zip(entries.iter()) {
             match entry.availability {
                 Availability::Removed => self.upstream.forget(&entry.id),
-                _ => self.upstream.learn(entry, host.dial()),
+                _ => self.upstream.learn(entry, host.address()),
             }
         }
         self.some_ready |= entries
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -72,17 +72,17 @@
         listen,
         discovery,
         seed,
-        sockets,
-        memory,
-        known,
+        descriptor_limit: sockets,
+        memory_bytes: memory,
+        known_endpoints: known,
         settings,
         path,
-        text,
+        contents: text,
     } = config;
     let listener = TcpListener::bind(listen)
         .await
         .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
-    let side = match wanted.side_port() {
+    let side = match wanted.multiget_port() {
         Some(port) => {
             let beside = SocketAddr::new(listen.ip(), port);
             let bound = TcpListener::bind(beside).await;
@@ -98,7 +98,7 @@
     let beside = side.as_ref().map_or(0, |_| MultiGet::DESCRIPTORS);
     let places = sockets.saturating_sub(SPARE_SOCKETS + Observers::descriptors(&wanted) + beside);
     let budget = shares(&wanted, places, sockets, memory)?;
-    let connection_limits = connection_limits(&wanted.front, &classes, &budget, sockets)?;
+    let connection_limits = connection_limits(&wanted.admission, &classes, &budget, sockets)?;
     let observers = Observers::start(&wanted, &classes, format)?;
     let log = observers.log.clone();
     let stops = observers.stops()?;
@@ -142,7 +142,7 @@
     // Where lists are pushed, what the agent has counts as told from a process's first moment: it is asked for at
     // once, and the node is ready when it has that. Elsewhere a whole list has a price, and the node holds its own.
     let pushed = !settings.polls_discovery;
-    let seq = (!known.hosts.is_empty() && !pushed).then_some(known.version);
+    let seq = (!known.endpoints.is_empty() && !pushed).then_some(known.version);
     let random = fastrand::Rng::with_seed(seed);
     let (addresses, address) = watch::channel(discovery);
     let discovery = Discovery {
@@ -259,7 +259,7 @@
     sockets: usize,
     memory: Option<u64>,
 ) -> Result<Budget, String> {
-    let beside = wanted.side_port().map_or(0, |_| MultiGet::CONNECTIONS);
+    let beside = wanted.multiget_port().map_or(0, |_| MultiGet::CONNECTIONS);
     // Of three quarters: the rest is for how memory is cut up. A third of it is the servers' connections'.
     let bytes = memory.map_or(usize::MAX, |memory| {
         usize::try_from((memory / 4 * 3).saturating_sub(PROGRAM))
@@ -268,7 +268,7 @@
     });
     let most = places.min(bytes / 3 / SERVERS);
     let servers = Quota {
-        reserved: wanted.front.servers_floor(places).min(most),
+        reserved: wanted.admission.upstream_reservation(places).min(most),
         limit: most,
     };
     let left = places.saturating_sub(servers.reserved + beside);
@@ -295,13 +295,13 @@
 
 /// The limits of the table of clients' connections.
 fn connection_limits(
-    wanted: &operators::Front,
+    wanted: &operators::AdmissionSettings,
     classes: &[Name],
     budget: &Budget,
     sockets: usize,
 ) -> Result<ConnectionLimits, String> {
     if let Some(name) = wanted
-        .per_class
+        .percent_per_class
         .keys()
         .find(|name| !classes.iter().any(|class| class.as_str() == *name))
     {
@@ -313,17 +313,17 @@
     }
     let usable = budget
         .most(ConnectionKind::Client)
-        .min(wanted.clients_part(sockets));
+        .min(wanted.client_limit(sockets));
     let share = |class: &Name| {
         wanted
-            .per_class
+            .percent_per_class
             .get(class.as_str())
-            .map(|part| (usable * part.0 / 100).max(1))
+            .map(|part| (usable * part.get() / 100).max(1))
     };
     Ok(ConnectionLimits {
         crowded_at: (usable - usable / FREE_PART).max(1),
-        idle_timeout: wanted.idle(),
-        per_address: wanted.per_address(),
+        idle_timeout: wanted.idle_timeout(),
+        per_address: wanted.connections_per_address(),
         per_class: classes.iter().map(share).collect(),
         active_bytes: ACTIVE_CONNECTION_BYTES,
         parked_bytes: PARKED_CONNECTION_BYTES,
@@ -352,7 +352,7 @@
             let variable = |name: &str| {
                 std::env::var(name)
                     .ok()
-                    .filter(|_| name != platform::DISCOVERY)
+                    .filter(|_| name != platform::DISCOVERY_VARIABLE)
             };
             match platform::load(variable) {
                 Ok(new) => {
@@ -360,7 +360,7 @@
                         "configuration read again: discovery at {}",
                         new.discovery
                     ));
-                    observers.loaded(&new.path, &new.text);
+                    observers.loaded(&new.path, &new.contents);
                     // One that stays is not asked again: its watch is as good as it was.
                     discovery.send_if_modified(|held| {
                         std::mem::replace(held, new.discovery) != new.discovery
@@ -370,7 +370,8 @@
                 Err(error) => {
                     log.rate_limited("reload", &format!("configuration not taken: {error}"));
                     // The platform says it once, and the old discovery ends soon.
-                    if !matches!(&error, ConfigError::Unreadable(_, why) if own_fault(why)) {
+                    if !matches!(&error, ConfigError::Unreadable { error: why, .. } if own_fault(why))
+                    {
                         break;
                     }
                     sleep(RELOAD_AGAIN).await;
--- a/crates/node/src/multiget.rs
+++ b/crates/node/src/multiget.rs
@@ -17,7 +17,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use serde::{Deserialize, Serialize};
-use slatelink_config::operators::MultiGet as Settings;
+use slatelink_config::operators::MultiGetSettings as Settings;
 use std::collections::HashSet;
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -224,7 +224,7 @@
     place.on_request(terms.class.0);
     // A line waits here for the one before it to be taken: so few are held, however large they are.
     let (sender, lines) = channel(1);
-    let (until, parallel) = (at + terms.patience, side.settings.parallel());
+    let (until, parallel) = (at + terms.patience, side.settings.parallel_requests());
     let mut running = JoinSet::new();
     let all = run(side.front.clone(), terms, items, parallel, until, sender);
     running.spawn_local(async move {
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -121,7 +121,7 @@
     pub fn heed_departures(&self, list: &EndpointList) {
         let peers = self.peers.borrow();
         let leaving = list
-            .hosts
+            .endpoints
             .iter()
             .filter(|host| host.availability() != Availability::Ready);
         for peer in leaving.filter_map(|host| peers.get(&EndpointId::from(host.id()))) {
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -93,8 +93,8 @@
         } else {
             BTreeMap::new()
         };
-        for host in &list.hosts {
-            let (id, to) = (host.entry().id, truncated(host.health()));
+        for host in &list.endpoints {
+            let (id, to) = (host.endpoint().id, truncated(host.state()));
             let from = health.remove(&id).or_else(|| previous.remove(&id));
             let known = from.is_some();
             let from = from.unwrap_or_else(|| ABSENT.to_owned());
--- a/crates/telemetry/src/figures.rs
+++ b/crates/telemetry/src/figures.rs
@@ -11,7 +11,7 @@
 use line::{escape_tag, outcome_tag, MetricKind};
 use output::Output;
 use slatelink_admission::{CloseCause, ConnectionStats, Phase};
-use slatelink_config::operators::{Figures as Settings, Format};
+use slatelink_config::operators::{MetricsFormat, MetricsSettings};
 use slatelink_config::{EndpointList, EndpointRecord};
 use slatelink_policy::{Availability, ClassId, EndpointId, Name, Status};
 use std::cell::RefCell;
@@ -65,7 +65,7 @@
 
 /// See the module's page.
 pub struct Figures {
-    format: Format,
+    format: MetricsFormat,
     batch: usize,
     flush: Duration,
     classes: Vec<String>,
@@ -81,7 +81,7 @@
 
     /// Opens what they go to. The receiver is for [`Figures::run`].
     pub fn open(
-        settings: &Settings,
+        settings: &MetricsSettings,
         classes: &[Name],
         writer: &Writer,
         log: Log,
@@ -91,8 +91,8 @@
         let format = settings.format;
         let figures = Self {
             format,
-            batch: settings.batch(),
-            flush: settings.flush(),
+            batch: settings.max_batch_bytes(),
+            flush: settings.flush_interval(),
             classes: classes
                 .iter()
                 .map(|name| escape_tag(format, name.as_str()).into_owned())
@@ -211,7 +211,7 @@
         } else {
             BTreeMap::new()
         };
-        for entry in list.hosts.iter().map(EndpointRecord::entry) {
+        for entry in list.endpoints.iter().map(EndpointRecord::endpoint) {
             if entry.availability == Availability::Removed {
                 blocked.remove(&entry.id);
             } else {
--- a/crates/telemetry/src/figures/line.rs
+++ b/crates/telemetry/src/figures/line.rs
@@ -1,7 +1,7 @@
 //! One figure as a line of text, in the format of StatsD or of InfluxDB.
 
 use super::{Figures, State};
-use slatelink_config::operators::Format;
+use slatelink_config::operators::MetricsFormat;
 use slatelink_policy::Status;
 use std::borrow::Cow;
 use std::fmt::Write as _;
@@ -43,7 +43,7 @@
         let mut line = format!("slatelink.{name}");
         // Writing to a string does not fail.
         let _ = match self.format {
-            Format::Statsd => {
+            MetricsFormat::Statsd => {
                 let unit = match metric_kind {
                     MetricKind::Counter => "c",
                     MetricKind::Gauge => "g",
@@ -59,7 +59,7 @@
                 }
                 writeln!(line)
             }
-            Format::Influx => {
+            MetricsFormat::Influx => {
                 let now = SystemTime::now()
                     .duration_since(UNIX_EPOCH)
                     .unwrap_or_default()
@@ -76,7 +76,7 @@
 }
 
 /// A tag's value as the format takes it. StatsD has no escapes: what it would read otherwise is replaced.
-pub(super) fn escape_tag(format: Format, text: &str) -> Cow<'_, str> {
+pub(super) fn escape_tag(format: MetricsFormat, text: &str) -> Cow<'_, str> {
     let truncated = &text[..text.floor_char_boundary(MAX_TAG_BYTES)];
     if truncated.is_empty() {
         return "_".into();
@@ -89,8 +89,8 @@
     for c in truncated.chars() {
         match (format, c) {
             (_, c) if c.is_control() || c == '\\' => value.push('_'),
-            (Format::Influx, ',' | '=' | ' ') => value.extend(['\\', c]),
-            (Format::Statsd, ',' | ':' | '|' | '#' | '@') => value.push('_'),
+            (MetricsFormat::Influx, ',' | '=' | ' ') => value.extend(['\\', c]),
+            (MetricsFormat::Statsd, ',' | ':' | '|' | '#' | '@') => value.push('_'),
             (_, c) if c.is_whitespace() => value.push('_'),
             (_, c) => value.push(c),
         }
--- a/crates/telemetry/src/figures/output.rs
+++ b/crates/telemetry/src/figures/output.rs
@@ -1,7 +1,7 @@
 //! Where figures go: a file, standard error or UDP.
 
 use crate::writer::{has_vanished, write_part, BoundedSender, Writer};
-use slatelink_config::operators::Target;
+use slatelink_config::operators::MetricsTarget;
 use std::fs::File;
 use std::io::{self, Write as _};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, UdpSocket};
@@ -25,7 +25,7 @@
 impl Output {
     /// Opens what figures go to; `results` is told of each batch that the writer is done with.
     pub(super) fn open(
-        target: &Target,
+        target: &MetricsTarget,
         writer: &Writer,
         results: UnboundedSender<bool>,
     ) -> Result<Self, String> {
@@ -36,8 +36,8 @@
             results,
         };
         Ok(match target {
-            Target::Stderr => queue(None),
-            Target::File(path) => {
+            MetricsTarget::Stderr => queue(None),
+            MetricsTarget::File(path) => {
                 let file = match Sink::open(path) {
                     Ok(file) => Some(file),
                     // A FIFO without a reader: one may come.
@@ -52,7 +52,7 @@
                     torn: false,
                 }))))
             }
-            Target::Udp(address) => {
+            MetricsTarget::Udp(address) => {
                 let any = match address.ip() {
                     IpAddr::V4(_) => IpAddr::V4(Ipv4Addr::UNSPECIFIED),
                     IpAddr::V6(_) => IpAddr::V6(Ipv6Addr::UNSPECIFIED),
--- a/crates/telemetry/src/figures/tests.rs
+++ b/crates/telemetry/src/figures/tests.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc::channel;
 
 fn figures(text: &str, writer: &Writer) -> (Figures, UnboundedReceiver<bool>) {
-    let settings: Settings = toml::from_str(text).unwrap();
+    let settings: MetricsSettings = toml::from_str(text).unwrap();
     Figures::open(
         &settings,
         &["look up".into(), "put".into()],
@@ -259,7 +259,7 @@
 fn the_longest_line_fits_the_smallest_batch() {
     let writer = Writer::start().unwrap();
     let (figures, _landed) = figures("format = \"influx\"\nmax_batch_bytes = 512", &writer);
-    let long = escape_tag(Format::Influx, &"=".repeat(1000)).into_owned();
+    let long = escape_tag(MetricsFormat::Influx, &"=".repeat(1000)).into_owned();
     assert_eq!(long.len(), 2 * MAX_TAG_BYTES);
     let state = &mut State::default();
     let mut size = |name, tags: &[(&str, &str)], value, metric_kind| {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -14,7 +14,7 @@
 use audit::{Audit, StopSignal};
 use figures::Figures;
 use hotlist::HotList;
-use slatelink_config::operators::{Settings, Source};
+use slatelink_config::operators::{Settings, SettingsFile};
 use slatelink_config::{digest, EndpointList};
 use slatelink_policy::{BreakerScope, ClassId, EndpointId, Name, Status};
 use std::io;
@@ -93,7 +93,7 @@
     figures: Option<Rc<Figures>>,
     audit: Option<Audit>,
     hotlist: Option<HotList>,
-    source: Option<Source>,
+    source: Option<SettingsFile>,
 }
 
 impl Observers {
@@ -118,7 +118,7 @@
             hotlist: None,
             source,
         };
-        if let Some(settings) = &settings.figures {
+        if let Some(settings) = &settings.metrics {
             let (figures, landed) =
                 Figures::open(settings, classes, &observers.writer, observers.log.clone())?;
             let figures = Rc::new(figures);
@@ -129,7 +129,7 @@
             observers.audit = Some(Audit::open(settings.path.as_deref(), &observers.writer)?);
         }
         let mut prints = None;
-        if let Some(settings) = settings.hot() {
+        if let Some(settings) = settings.enabled_hotlist() {
             // Caught before it is known to be on: uncaught, it ends the process.
             let caught = signal(SignalKind::user_defined1());
             prints = Some(caught.map_err(|error| format!("cannot catch SIGUSR1: {error}"))?);
@@ -160,7 +160,7 @@
     /// Descriptors that they hold: they come out of the node's limit.
     pub fn descriptors(settings: &Settings) -> usize {
         let figures = settings
-            .figures
+            .metrics
             .as_ref()
             .map_or(0, |_| Figures::DESCRIPTORS);
         Writer::DESCRIPTORS + figures + settings.audit.as_ref().map_or(0, |_| Audit::DESCRIPTORS)
@@ -190,7 +190,7 @@
     pub fn loaded(&self, path: &Path, text: &[u8]) {
         if let Some(audit) = &self.audit {
             audit.loaded("platform", path, digest(text));
-            if let Some(Source { path, sha256 }) = &self.source {
+            if let Some(SettingsFile { path, sha256 }) = &self.source {
                 audit.loaded("features", path, sha256.clone());
             }
         }
