--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -8,8 +8,7 @@
 
 use clap::{Parser, Subcommand, ValueEnum};
 use slatelink_config::{operators, platform};
-use slatelink_telemetry::audit::{self, Verdict};
-use slatelink_telemetry::Format;
+use slatelink_telemetry::audit::{self, Verification};
 use std::error::Error;
 use std::fs::File;
 use std::io::{self, BufReader, Write};
@@ -44,7 +43,7 @@
     Json,
 }
 
-impl From<LogFormat> for Format {
+impl From<LogFormat> for slatelink_telemetry::LogFormat {
     fn from(format: LogFormat) -> Self {
         match format {
             LogFormat::Text => Self::Text,
@@ -101,11 +100,11 @@
 }
 
 fn verify(path: PathBuf) -> Result<ExitCode, Box<dyn Error>> {
-    let verdict = File::open(&path).and_then(|file| audit::verify(BufReader::new(file)));
-    match verdict {
-        Ok(verdict) => {
-            writeln!(io::stdout(), "{verdict}")?;
-            Ok(if matches!(verdict, Verdict::Ok(_)) {
+    let verification = File::open(&path).and_then(|file| audit::verify(BufReader::new(file)));
+    match verification {
+        Ok(verification) => {
+            writeln!(io::stdout(), "{verification}")?;
+            Ok(if matches!(verification, Verification::Intact { .. }) {
                 ExitCode::SUCCESS
             } else {
                 ExitCode::FAILURE
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -6,7 +6,7 @@
 use slatelink_config::platform::{self, ConfigError};
 use slatelink_node::control::{self, ControlObserver, ControlOptions};
 use slatelink_policy::Settings;
-use slatelink_telemetry::{Format, Log, Observers};
+use slatelink_telemetry::{Log, LogFormat, Telemetry};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -97,7 +97,7 @@
                 report_at = None;
                 worker.report()?;
             }
-            _ = log_turns.tick() => worker.observers.log.turn(),
+            _ = log_turns.tick() => worker.telemetry.log.report_suppressed(),
         }
     }
 }
@@ -132,14 +132,14 @@
     nodes: BTreeMap<usize, SimulatedNode>,
     tally: Rc<Tally>,
     /// Keeps the log's writer.
-    observers: Rc<Observers>,
+    telemetry: Rc<Telemetry>,
 }
 
 impl Worker {
     fn new(setup: Setup) -> Result<Self, WorkerError> {
         let path = setup.configuration.display().to_string();
         let config = platform::load(|name| (name == "LB_CONFIG").then(|| path.clone()))?;
-        let observers = Observers::start(&operators::Settings::default(), &[], Format::Text);
+        let telemetry = Telemetry::start(&operators::Settings::default(), &[], LogFormat::Text);
         let nodes = setup
             .nodes
             .into_iter()
@@ -150,7 +150,7 @@
             request_rate: setup.request_rate,
             nodes: nodes.collect(),
             tally: Rc::default(),
-            observers: observers.map_err(WorkerError::Log)?,
+            telemetry: telemetry.map_err(WorkerError::Log)?,
         })
     }
 
@@ -180,7 +180,7 @@
             .nodes
             .get_mut(&number)
             .ok_or(WorkerError::Unknown(number))?;
-        let log = self.observers.log.clone();
+        let log = self.telemetry.log.clone();
         node.start(
             &self.settings,
             self.seed,
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -6,7 +6,7 @@
 use slatelink_lab::scale::Options;
 use slatelink_node::control::{run, ControlObserver, ControlOptions};
 use slatelink_policy::{Class, Settings};
-use slatelink_telemetry::{Format, Observers};
+use slatelink_telemetry::{LogFormat, Telemetry};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -59,7 +59,7 @@
 
 fn options(
     discovery: SocketAddr,
-    observers: &Observers,
+    telemetry: &Telemetry,
 ) -> (ControlOptions, watch::Sender<SocketAddr>) {
     let (moves, address) = watch::channel(discovery);
     let settings = Settings {
@@ -73,7 +73,7 @@
         discovery: address,
         request_rate: 500.0,
         processor_clock: Duration::default,
-        log: observers.log.clone(),
+        log: telemetry.log.clone(),
     };
     (options, moves)
 }
@@ -100,8 +100,8 @@
 #[test]
 fn a_simulated_node_decides_by_the_list_that_it_has_in_force() {
     on_one_thread(async {
-        let observers =
-            Observers::start(&operators::Settings::default(), &[], Format::Text).unwrap();
+        let telemetry =
+            Telemetry::start(&operators::Settings::default(), &[], LogFormat::Text).unwrap();
         let size = Options {
             servers: 1,
             zones: 1,
@@ -117,7 +117,7 @@
             .await
             .unwrap();
         let seen = Rc::new(Seen::default());
-        let (options, _moves) = options(service.addresses[0], &observers);
+        let (options, _moves) = options(service.addresses[0], &telemetry);
         let node = spawn_local(run(options, seen.clone()));
 
         seen.until("a request that is sent", |seen| seen.sent.get() > 0)
@@ -166,8 +166,8 @@
 #[test]
 fn a_split_holds_back_the_far_side_until_it_is_over() {
     on_one_thread(async {
-        let observers =
-            Observers::start(&operators::Settings::default(), &[], Format::Text).unwrap();
+        let telemetry =
+            Telemetry::start(&operators::Settings::default(), &[], LogFormat::Text).unwrap();
         let size = Options {
             servers: 1,
             zones: 1,
@@ -187,7 +187,7 @@
         let (near, far) = (Rc::new(Seen::default()), Rc::new(Seen::default()));
         let mut moves = Vec::new();
         for (place, seen) in [&near, &far].into_iter().enumerate() {
-            let (options, moved) = options(service.addresses[place], &observers);
+            let (options, moved) = options(service.addresses[place], &telemetry);
             moves.push(moved);
             spawn_local(run(options, seen.clone()));
             seen.until("the first list", |seen| !seen.lists.borrow().is_empty())
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::call::CONNECT_TIMEOUT;
 use super::*;
 use slatelink_policy::Settings;
-use slatelink_telemetry::{Format, Observers};
+use slatelink_telemetry::{LogFormat, Telemetry};
 use std::cell::RefCell;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -199,8 +199,8 @@
                 tokio::time::advance(Duration::from_millis(10)).await;
             }
         });
-        let observers = Observers::start(&Default::default(), &[], Format::Text).unwrap();
-        day(observers.log.clone()).await
+        let telemetry = Telemetry::start(&Default::default(), &[], LogFormat::Text).unwrap();
+        day(telemetry.log.clone()).await
     })
 }
 
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -24,7 +24,7 @@
 use slatelink_config::platform::{self, Config, ConfigError};
 use slatelink_policy::{Balancer, Name};
 use slatelink_telemetry::audit::StopSignal;
-use slatelink_telemetry::{Format, Observer, Observers};
+use slatelink_telemetry::{LogFormat, Observer, Telemetry};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -62,7 +62,7 @@
 pub async fn run(
     config: Config,
     wanted: operators::Settings,
-    format: Format,
+    format: LogFormat,
 ) -> Result<ExitCode, Box<dyn Error>> {
     // Before anything else: a signal without a handler ends the process.
     let mut terminate = signal(SignalKind::terminate())?;
@@ -96,18 +96,19 @@
         .map(|class| class.name.clone())
         .collect();
     let beside = side.as_ref().map_or(0, |_| MultiGet::DESCRIPTORS);
-    let places = sockets.saturating_sub(SPARE_SOCKETS + Observers::descriptors(&wanted) + beside);
+    let places =
+        sockets.saturating_sub(SPARE_SOCKETS + Telemetry::descriptor_count(&wanted) + beside);
     let budget = shares(&wanted, places, sockets, memory)?;
     let connection_limits = connection_limits(&wanted.admission, &classes, &budget, sockets)?;
-    let observers = Observers::start(&wanted, &classes, format)?;
-    let log = observers.log.clone();
-    let stops = observers.stops()?;
+    let telemetry = Telemetry::start(&wanted, &classes, format)?;
+    let log = telemetry.log.clone();
+    let stops = telemetry.termination_signals()?;
     log.line(&format!(
         "node {name} listens on {}",
         listener.local_addr()?
     ));
-    observers.started(&name);
-    observers.loaded(&path, &text);
+    telemetry.node_started(&name);
+    telemetry.config_loaded(&path, &text);
     drop(text);
 
     // Unbounded, and bounded all the same by the connections: each has one request, or one attempt, in it.
@@ -158,8 +159,8 @@
 
     spawn_local(upstream.clone().sweep());
     spawn_local(table.clone().sweep());
-    spawn_local(report_connections(table, observers.clone()));
-    spawn_local(reload(hangup, addresses, observers.clone()));
+    spawn_local(report_connections(table, telemetry.clone()));
+    spawn_local(reload(hangup, addresses, telemetry.clone()));
     let balancer = Balancer::new(settings, seed);
     let (told, to_driver) = mpsc::unbounded_channel();
     let heeding = heed_departures(lists, told, upstream.clone());
@@ -171,7 +172,7 @@
         ready,
         pushed,
         events,
-        observers.clone(),
+        telemetry.clone(),
     );
     spawn_local(driver.run(known, to_driver, inputs));
     let beside = match side {
@@ -226,7 +227,7 @@
         drained = drained => drained.map(|()| StopSignal::TERMINATE)?,
         stop = at_once => stop,
     };
-    observers.stop(by).await;
+    telemetry.shut_down(by).await;
     // As a shell tells of a process that a signal has ended.
     Ok(if by == StopSignal::TERMINATE {
         ExitCode::SUCCESS
@@ -330,12 +331,12 @@
     })
 }
 
-/// Reports the counts of the table to the observers, for as long as the node runs.
-async fn report_connections(table: Rc<ConnectionManager>, observers: Rc<Observers>) {
+/// Reports the counts of the table to the telemetry, for as long as the node runs.
+async fn report_connections(table: Rc<ConnectionManager>, telemetry: Rc<Telemetry>) {
     let mut turns = interval(REPORT_INTERVAL);
     loop {
         turns.tick().await;
-        observers.connections_sampled(&table.stats());
+        telemetry.connections_sampled(&table.stats());
     }
 }
 
@@ -344,9 +345,9 @@
 async fn reload(
     mut hangup: Signal,
     discovery: watch::Sender<SocketAddr>,
-    observers: Rc<Observers>,
+    telemetry: Rc<Telemetry>,
 ) {
-    let log = &observers.log;
+    let log = &telemetry.log;
     while hangup.recv().await.is_some() {
         loop {
             let variable = |name: &str| {
@@ -360,7 +361,7 @@
                         "configuration read again: discovery at {}",
                         new.discovery
                     ));
-                    observers.loaded(&new.path, &new.contents);
+                    telemetry.config_loaded(&new.path, &new.contents);
                     // One that stays is not asked again: its watch is as good as it was.
                     discovery.send_if_modified(|held| {
                         std::mem::replace(held, new.discovery) != new.discovery
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -18,7 +18,7 @@
 use rustix::process::{getrlimit, Resource};
 use slatelink_config::operators;
 use slatelink_config::relay::RelaySettings;
-use slatelink_telemetry::{Format, Observers};
+use slatelink_telemetry::{LogFormat, Telemetry};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -57,7 +57,7 @@
 }
 
 /// Runs a relay until SIGTERM or SIGINT; on a current-thread runtime, within a `LocalSet`.
-pub async fn run(settings: RelaySettings, format: Format) -> Result<(), RelayError> {
+pub async fn run(settings: RelaySettings, format: LogFormat) -> Result<(), RelayError> {
     // Before anything else: a signal without a handler ends the process.
     let (mut terminate, mut interrupt) = (
         signal(SignalKind::terminate())?,
@@ -66,9 +66,9 @@
     let most_callers = most_callers(settings.callers)?;
     let listener = TcpListener::bind(settings.listen).await;
     let listener = listener.map_err(|error| RelayError::Listen(settings.listen, error))?;
-    let observers =
-        Observers::start(&operators::Settings::default(), &[], format).map_err(RelayError::Log)?;
-    let log = observers.log.clone();
+    let telemetry =
+        Telemetry::start(&operators::Settings::default(), &[], format).map_err(RelayError::Log)?;
+    let log = telemetry.log.clone();
     log.line(&format!("relay listens on {}", listener.local_addr()?));
 
     let publisher = Rc::new(Publisher::new(settings.lease()));
@@ -103,7 +103,7 @@
     let mut turns = interval(LOG_TURN);
     loop {
         turns.tick().await;
-        log.turn();
+        log.report_suppressed();
     }
 }
 
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -6,7 +6,7 @@
 mod verify;
 
 pub use signals::{catch_signals, StopSignal};
-pub use verify::{verify, Verdict};
+pub use verify::{verify, Verification};
 
 use crate::writer::{BoundedSender, Writer};
 use slatelink_config::EndpointList;
--- a/crates/telemetry/src/audit/tests.rs
+++ b/crates/telemetry/src/audit/tests.rs
@@ -68,7 +68,10 @@
 #[test]
 fn any_edited_byte_is_broken_at_its_line() {
     let (path, bytes) = trail("edits", 3);
-    assert_eq!(verify(&bytes[..]).unwrap(), Verdict::Ok(3));
+    assert_eq!(
+        verify(&bytes[..]).unwrap(),
+        Verification::Intact { records: 3 }
+    );
     let mut line = 1;
     for (i, &byte) in bytes.iter().enumerate() {
         if byte == b'\n' {
@@ -86,13 +89,13 @@
         ] {
             let mut edited = bytes.clone();
             edited[i] = new;
-            let verdict = verify(&edited[..]).unwrap();
+            let verification = verify(&edited[..]).unwrap();
             let expected = if new == byte {
-                Verdict::Ok(3)
+                Verification::Intact { records: 3 }
             } else {
-                Verdict::Broken(line)
+                Verification::Broken { line }
             };
-            assert_eq!(verdict, expected, "byte {i} from {byte} to {new}");
+            assert_eq!(verification, expected, "byte {i} from {byte} to {new}");
         }
     }
     std::fs::remove_file(path).unwrap();
@@ -108,24 +111,39 @@
         .unwrap()
         + 1;
     for end in start + 1..bytes.len() {
-        assert_eq!(verify(&bytes[..end]).unwrap(), Verdict::Torn(3));
+        assert_eq!(
+            verify(&bytes[..end]).unwrap(),
+            Verification::Torn { line: 3 }
+        );
     }
-    assert_eq!(verify(&bytes[..start]).unwrap(), Verdict::Ok(2));
+    assert_eq!(
+        verify(&bytes[..start]).unwrap(),
+        Verification::Intact { records: 2 }
+    );
     let mut edited = bytes[..bytes.len() - 1].to_vec();
     edited[5] ^= 1;
-    assert_eq!(verify(&edited[..]).unwrap(), Verdict::Broken(1));
-    assert_eq!(verify(&b""[..]).unwrap(), Verdict::Ok(0));
-    assert_eq!(verify(&b"\n"[..]).unwrap(), Verdict::Broken(1));
+    assert_eq!(
+        verify(&edited[..]).unwrap(),
+        Verification::Broken { line: 1 }
+    );
+    assert_eq!(
+        verify(&b""[..]).unwrap(),
+        Verification::Intact { records: 0 }
+    );
+    assert_eq!(
+        verify(&b"\n"[..]).unwrap(),
+        Verification::Broken { line: 1 }
+    );
     let long = vec![b' '; 3 * MAX_LINE_BYTES];
-    assert_eq!(verify(&long[..]).unwrap(), Verdict::Torn(1));
+    assert_eq!(verify(&long[..]).unwrap(), Verification::Torn { line: 1 });
     assert_eq!(
         verify(&[&long[..], b"\n"].concat()[..]).unwrap(),
-        Verdict::Broken(1)
+        Verification::Broken { line: 1 }
     );
     // A line taken out breaks the one that came after it.
     assert_eq!(
         verify(&bytes[bytes.iter().position(|&b| b == b'\n').unwrap() + 1..]).unwrap(),
-        Verdict::Broken(1)
+        Verification::Broken { line: 1 }
     );
     std::fs::remove_file(path).unwrap();
 }
@@ -140,7 +158,10 @@
     let torn = torn.expect("word of the tail");
     trail.append(&mut stderr(), 1, &torn).unwrap();
     let text = std::fs::read_to_string(&path).unwrap();
-    assert_eq!(verify(text.as_bytes()).unwrap(), Verdict::Ok(2));
+    assert_eq!(
+        verify(text.as_bytes()).unwrap(),
+        Verification::Intact { records: 2 }
+    );
     let last: serde_json::Value = serde_json::from_str(text.lines().last().unwrap()).unwrap();
     let start = half.iter().rposition(|&byte| byte == b'\n').unwrap() + 1;
     assert_eq!((&last["event"], &last["seq"]), (&"torn".into(), &2.into()));
@@ -189,7 +210,7 @@
         .unwrap();
     assert_eq!(
         verify(&std::fs::read(&path).unwrap()[..]).unwrap(),
-        Verdict::Ok(2)
+        Verification::Intact { records: 2 }
     );
     std::fs::remove_file(path).unwrap();
 }
@@ -203,8 +224,14 @@
     std::fs::rename(&path, &moved).unwrap();
     trail.write(&mut stderr(), 1, &health("s-1")).unwrap();
     let [old, new] = [&moved, &path].map(|path| std::fs::read_to_string(path).unwrap());
-    assert_eq!(verify(old.as_bytes()).unwrap(), Verdict::Ok(2));
-    assert_eq!(verify(new.as_bytes()).unwrap(), Verdict::Ok(2));
+    assert_eq!(
+        verify(old.as_bytes()).unwrap(),
+        Verification::Intact { records: 2 }
+    );
+    assert_eq!(
+        verify(new.as_bytes()).unwrap(),
+        Verification::Intact { records: 2 }
+    );
     let record = |text: &str, i: usize| -> serde_json::Value {
         serde_json::from_str(text.lines().nth(i).unwrap()).unwrap()
     };
@@ -244,7 +271,7 @@
         text.extend_from_slice(&bytes[..n]);
     }
     assert!(
-        matches!(verify(&text[..]).unwrap(), Verdict::Ok(_)),
+        matches!(verify(&text[..]).unwrap(), Verification::Intact { .. }),
         "{}",
         verify(&text[..]).unwrap()
     );
@@ -279,7 +306,9 @@
     let text = std::fs::read_to_string(&path).unwrap();
     assert_eq!(
         verify(text.as_bytes()).unwrap(),
-        Verdict::Ok(MAX_QUEUED_RECORDS as u64 + 2)
+        Verification::Intact {
+            records: MAX_QUEUED_RECORDS as u64 + 2
+        }
     );
     let last: Vec<_> = text.lines().skip(MAX_QUEUED_RECORDS).collect();
     assert!(
--- a/crates/telemetry/src/audit/verify.rs
+++ b/crates/telemetry/src/audit/verify.rs
@@ -34,24 +34,36 @@
 
 /// What a check of a whole trail comes to. Lines count from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Ok(u64),
-    Broken(u64),
-    Torn(u64),
+pub enum Verification {
+    /// Every record's hash holds and names the record before it.
+    Intact {
+        /// How many records there are.
+        records: u64,
+    },
+    /// This line was changed, or the one before it was changed or removed.
+    Broken {
+        /// The first such line.
+        line: u64,
+    },
+    /// The file ends within this line, as a crash in mid-write leaves it.
+    Torn {
+        /// The last line.
+        line: u64,
+    },
 }
 
-impl fmt::Display for Verdict {
+impl fmt::Display for Verification {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Ok(count) => write!(f, "ok {count}"),
-            Self::Broken(line) => write!(f, "broken at line {line}"),
-            Self::Torn(line) => write!(f, "torn at line {line}"),
+            Self::Intact { records } => write!(f, "ok {records}"),
+            Self::Broken { line } => write!(f, "broken at line {line}"),
+            Self::Torn { line } => write!(f, "torn at line {line}"),
         }
     }
 }
 
 /// Checks a trail from its first line on.
-pub fn verify(mut trail: impl BufRead) -> io::Result<Verdict> {
+pub fn verify(mut trail: impl BufRead) -> io::Result<Verification> {
     let (mut prev, mut line, mut count) = (FIRST_PREVIOUS_HASH.to_owned(), Vec::new(), 0);
     loop {
         count += 1;
@@ -60,7 +72,7 @@
             .take(MAX_LINE_BYTES as u64 + 1)
             .read_until(b'\n', &mut line)?;
         if line.is_empty() {
-            return Ok(Verdict::Ok(count - 1));
+            return Ok(Verification::Intact { records: count - 1 });
         }
         let Some(whole) = line.strip_suffix(b"\n") else {
             // The file's end, or a line longer than any record, which may end somewhere all the same.
@@ -69,13 +81,13 @@
                 .bytes()
                 .find(|byte| !matches!(byte, Ok(byte) if *byte != b'\n'));
             return match ended.transpose()? {
-                None => Ok(Verdict::Torn(count)),
-                Some(_) => Ok(Verdict::Broken(count)),
+                None => Ok(Verification::Torn { line: count }),
+                Some(_) => Ok(Verification::Broken { line: count }),
             };
         };
         match check(whole).filter(|record| record.prev == prev) {
             Some(record) => prev = record.hash,
-            None => return Ok(Verdict::Broken(count)),
+            None => return Ok(Verification::Broken { line: count }),
         }
     }
 }
--- a/crates/telemetry/src/figures/tests.rs
+++ b/crates/telemetry/src/figures/tests.rs
@@ -10,7 +10,7 @@
         &settings,
         &["look up".into(), "put".into()],
         writer,
-        Log::new(writer, crate::Format::Text),
+        Log::new(writer, crate::LogFormat::Text),
     )
     .unwrap()
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,6 +1,6 @@
 //! What observes a node at the operators' wish: figures, the audit trail, the hot list, and the writer behind them.
 //!
-//! The node tells an [`Observer`] what happened; [`Observers`] passes it on to those that are on. Nothing here decides
+//! The node tells an [`Observer`] what happened; [`Telemetry`] passes it on to those that are on. Nothing here decides
 //! anything, nothing calls back into the node, and nothing here ever makes the node wait.
 
 pub mod audit;
@@ -9,7 +9,7 @@
 mod log;
 mod writer;
 
-pub use log::{Format, Log};
+pub use log::{Log, LogFormat};
 
 use audit::{Audit, StopSignal};
 use figures::Figures;
@@ -86,7 +86,7 @@
 const WRITER_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The features that are on.
-pub struct Observers {
+pub struct Telemetry {
     /// The node's log, which shares standard error with them.
     pub log: Log,
     writer: Writer,
@@ -96,12 +96,12 @@
     source: Option<SettingsFile>,
 }
 
-impl Observers {
+impl Telemetry {
     /// Begins what the settings name, for these classes of requests. Its tasks run on the present local set.
     pub fn start(
         settings: &Settings,
         classes: &[Name],
-        format: Format,
+        format: LogFormat,
     ) -> Result<Rc<Self>, String> {
         let writer =
             Writer::start().map_err(|error| format!("cannot start the writer: {error}"))?;
@@ -110,7 +110,7 @@
         let caught = signal(SignalKind::from_raw(libc::SIGXFSZ));
         drop(caught.map_err(|error| format!("cannot catch SIGXFSZ: {error}"))?);
         let source = settings.source.clone();
-        let mut observers = Self {
+        let mut telemetry = Self {
             log,
             writer,
             figures: None,
@@ -120,13 +120,13 @@
         };
         if let Some(settings) = &settings.metrics {
             let (figures, landed) =
-                Figures::open(settings, classes, &observers.writer, observers.log.clone())?;
+                Figures::open(settings, classes, &telemetry.writer, telemetry.log.clone())?;
             let figures = Rc::new(figures);
             tokio::task::spawn_local(figures.clone().run(landed));
-            observers.figures = Some(figures);
+            telemetry.figures = Some(figures);
         }
         if let Some(settings) = &settings.audit {
-            observers.audit = Some(Audit::open(settings.path.as_deref(), &observers.writer)?);
+            telemetry.audit = Some(Audit::open(settings.path.as_deref(), &telemetry.writer)?);
         }
         let mut prints = None;
         if let Some(settings) = settings.enabled_hotlist() {
@@ -137,15 +137,15 @@
                 settings.capacity,
                 settings.window(),
                 classes,
-                &observers.writer,
+                &telemetry.writer,
             )?;
-            observers.hotlist = Some(list);
+            telemetry.hotlist = Some(list);
         }
-        let observers = Rc::new(observers);
+        let telemetry = Rc::new(telemetry);
         if let Some(prints) = prints {
-            tokio::task::spawn_local(observers.clone().print(prints));
+            tokio::task::spawn_local(telemetry.clone().print(prints));
         }
-        Ok(observers)
+        Ok(telemetry)
     }
 
     /// Prints the hot list at each signal, for as long as the node runs.
@@ -158,7 +158,7 @@
     }
 
     /// Descriptors that they hold: they come out of the node's limit.
-    pub fn descriptors(settings: &Settings) -> usize {
+    pub fn descriptor_count(settings: &Settings) -> usize {
         let figures = settings
             .metrics
             .as_ref()
@@ -167,7 +167,7 @@
     }
 
     /// The signals, beside those that have a use, which end the node: caught where their names are wanted.
-    pub fn stops(&self) -> io::Result<Option<UnboundedReceiver<StopSignal>>> {
+    pub fn termination_signals(&self) -> io::Result<Option<UnboundedReceiver<StopSignal>>> {
         let except: &[i32] = if self.hotlist.is_some() {
             &[libc::SIGUSR1]
         } else {
@@ -180,14 +180,14 @@
     }
 
     /// The node of this name listens.
-    pub fn started(&self, node: &str) {
+    pub fn node_started(&self, node: &str) {
         if let Some(audit) = &self.audit {
             audit.start(node);
         }
     }
 
     /// The platform's configuration, and with it the features', is in force: at the start and at each SIGHUP.
-    pub fn loaded(&self, path: &Path, text: &[u8]) {
+    pub fn config_loaded(&self, path: &Path, text: &[u8]) {
         if let Some(audit) = &self.audit {
             audit.loaded("platform", path, digest(text));
             if let Some(SettingsFile { path, sha256 }) = &self.source {
@@ -197,7 +197,7 @@
     }
 
     /// The node stops: what waits goes out, or is left after a while.
-    pub async fn stop(&self, by: StopSignal) {
+    pub async fn shut_down(&self, by: StopSignal) {
         if let Some(figures) = &self.figures {
             figures.stop(FIGURES_FLUSH_TIMEOUT).await;
         }
@@ -208,7 +208,7 @@
     }
 }
 
-impl Observer for Observers {
+impl Observer for Telemetry {
     fn request_received(&self, class: ClassId, path: &str) {
         if let Some(hotlist) = &self.hotlist {
             hotlist.request_received(class, path.rsplit('/').next().unwrap_or_default());
@@ -252,7 +252,7 @@
     }
 
     fn connections_sampled(&self, table: &slatelink_admission::ConnectionStats) {
-        self.log.turn();
+        self.log.report_suppressed();
         if let Some(figures) = &self.figures {
             figures.connections_sampled(table);
         }
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -24,7 +24,7 @@
 
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Format {
+pub enum LogFormat {
     /// The words alone.
     #[default]
     Text,
@@ -98,7 +98,7 @@
 
 impl Log {
     /// A log that writes through `writer`.
-    pub(crate) fn new(writer: &Writer, format: Format) -> Self {
+    pub(crate) fn new(writer: &Writer, format: LogFormat) -> Self {
         let sink = Sink {
             sender: Arc::new(writer.sender(MAX_QUEUED_LINES)),
             lost: Arc::default(),
@@ -109,8 +109,8 @@
             .with_ansi(false)
             .with_target(false);
         let lines = match format {
-            Format::Text => Dispatch::new(lines.with_level(false).without_time().finish()),
-            Format::Json => Dispatch::new(lines.json().flatten_event(true).finish()),
+            LogFormat::Text => Dispatch::new(lines.with_level(false).without_time().finish()),
+            LogFormat::Json => Dispatch::new(lines.json().flatten_event(true).finish()),
         };
         Self {
             lines,
@@ -124,7 +124,7 @@
         dispatcher::with_default(&self.lines, || info!("{text}"));
     }
 
-    /// Writes a line of a topic that may have very many: past a few they are counted, and [`Log::turn`] tells of them.
+    /// Writes a line of a topic that may have very many: past a few they are counted, and [`Log::report_suppressed`] tells of them.
     pub fn rate_limited(&self, topic: &'static str, text: &str) {
         let now = Instant::now();
         let admitted = self
@@ -139,7 +139,7 @@
     }
 
     /// Tells what was left out, where that is due; to be called about each second.
-    pub fn turn(&self) {
+    pub fn report_suppressed(&self) {
         let now = Instant::now();
         let mut due = Vec::new();
         self.topics.borrow_mut().retain(|name, topic| {
@@ -155,7 +155,7 @@
 struct Sink {
     sender: Arc<BoundedSender>,
     lost: Arc<AtomicU64>,
-    format: Format,
+    format: LogFormat,
 }
 
 impl<'a> MakeWriter<'a> for Sink {
@@ -196,11 +196,11 @@
         let lost_lines = lost.load(Ordering::Relaxed);
         let mut lines = match (lost_lines, format) {
             (0, _) => Vec::new(),
-            (_, Format::Text) => {
+            (_, LogFormat::Text) => {
                 format!("{lost_lines} lines of the log are lost: standard error is not read\n")
                     .into_bytes()
             }
-            (_, Format::Json) => {
+            (_, LogFormat::Json) => {
                 format!("{{\"level\":\"WARN\",\"lost\":{lost_lines}}}\n").into_bytes()
             }
         };
