--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -26,7 +26,7 @@
 use slatelink_config::platform::{self, Config, ConfigError};
 use slatelink_policy::{Balancer, Name};
 use slatelink_telemetry::audit::StopSignal;
-use slatelink_telemetry::{Format, Observer, Observers};
+use slatelink_telemetry::{LogFormat, Observer, Telemetry};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -64,7 +64,7 @@
 pub async fn run(
     config: Config,
     wanted: operators::Settings,
-    format: Format,
+    format: LogFormat,
 ) -> Result<ExitCode, Box<dyn Error>> {
     // Before anything else: a signal without a handler ends the process.
     let mut terminate = signal(SignalKind::terminate())?;
@@ -74,17 +74,17 @@
         listen,
         discovery,
         seed,
-        sockets,
-        memory,
-        known,
+        descriptor_limit: sockets,
+        memory_bytes: memory,
+        known_endpoints: known,
         settings,
         path,
-        text,
+        contents: text,
     } = config;
     let listener = TcpListener::bind(listen)
         .await
         .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
-    let side = match wanted.side_port() {
+    let side = match wanted.multiget_port() {
         Some(port) => {
             let beside = SocketAddr::new(listen.ip(), port);
             let bound = TcpListener::bind(beside).await;
@@ -98,18 +98,19 @@
         .map(|class| class.name.clone())
         .collect();
     let beside = side.as_ref().map_or(0, |_| MultiGet::DESCRIPTORS);
-    let places = sockets.saturating_sub(SPARE_SOCKETS + Observers::descriptors(&wanted) + beside);
+    let places =
+        sockets.saturating_sub(SPARE_SOCKETS + Telemetry::descriptor_count(&wanted) + beside);
     let budget = shares(&wanted, places, sockets, memory)?;
-    let connection_limits = connection_limits(&wanted.front, &classes, &budget, sockets)?;
-    let observers = Observers::start(&wanted, &classes, format)?;
-    let log = observers.log.clone();
-    let stops = observers.stops()?;
+    let connection_limits = connection_limits(&wanted.admission, &classes, &budget, sockets)?;
+    let telemetry = Telemetry::start(&wanted, &classes, format)?;
+    let log = telemetry.log.clone();
+    let stops = telemetry.termination_signals()?;
     log.line(&format!(
         "node {name} listens on {}",
         listener.local_addr()?
     ));
-    observers.started(&name);
-    observers.loaded(&path, &text);
+    telemetry.node_started(&name);
+    telemetry.config_loaded(&path, &text);
     drop(text);
 
     // Unbounded, and bounded all the same by the connections: each has one request, or one attempt, in it.
@@ -144,7 +145,7 @@
     // Where lists are pushed, what the agent has counts as told from a process's first moment: it is asked for at
     // once, and the node is ready when it has that. Elsewhere a whole list has a price, and the node holds its own.
     let pushed = !settings.polls_discovery;
-    let seq = (!known.hosts.is_empty() && !pushed).then_some(known.version);
+    let seq = (!known.endpoints.is_empty() && !pushed).then_some(known.version);
     let random = fastrand::Rng::with_seed(seed);
     let (addresses, address) = watch::channel(discovery);
     let discovery = Discovery {
@@ -160,8 +161,8 @@
 
     spawn_local(upstream.clone().sweep());
     spawn_local(table.clone().sweep());
-    spawn_local(report_connections(table, observers.clone()));
-    spawn_local(reload(hangup, addresses, observers.clone()));
+    spawn_local(report_connections(table, telemetry.clone()));
+    spawn_local(reload(hangup, addresses, telemetry.clone()));
     let balancer = Balancer::new(settings, seed);
     let (told, to_driver) = mpsc::unbounded_channel();
     let heeding = heed_departures(lists, told, upstream.clone());
@@ -173,7 +174,7 @@
         ready,
         pushed,
         events,
-        observers.clone(),
+        telemetry.clone(),
     );
     spawn_local(driver.run(known, to_driver, inputs));
     let beside = match side {
@@ -232,7 +233,7 @@
         drained = drained => drained.map(|()| StopSignal::TERMINATE)?,
         stop = at_once => stop,
     };
-    observers.stop(by).await;
+    telemetry.shut_down(by).await;
     // As a shell tells of a process that a signal has ended.
     Ok(if by == StopSignal::TERMINATE {
         ExitCode::SUCCESS
@@ -265,7 +266,7 @@
     sockets: usize,
     memory: Option<u64>,
 ) -> Result<Budget, String> {
-    let beside = wanted.side_port().map_or(0, |_| MultiGet::CONNECTIONS);
+    let beside = wanted.multiget_port().map_or(0, |_| MultiGet::CONNECTIONS);
     // Of three quarters: the rest is for how memory is cut up. A third of it is the servers' connections'.
     let bytes = memory.map_or(usize::MAX, |memory| {
         usize::try_from((memory / 4 * 3).saturating_sub(PROGRAM))
@@ -274,7 +275,7 @@
     });
     let most = places.min(bytes / 3 / SERVERS);
     let servers = Quota {
-        reserved: wanted.front.servers_floor(places).min(most),
+        reserved: wanted.admission.upstream_reservation(places).min(most),
         limit: most,
     };
     let left = places.saturating_sub(servers.reserved + beside);
@@ -302,13 +303,13 @@
 
 /// The limits of the table of clients' connections.
 fn connection_limits(
-    wanted: &operators::Front,
+    wanted: &operators::AdmissionSettings,
     classes: &[Name],
     budget: &Budget,
     sockets: usize,
 ) -> Result<ConnectionLimits, String> {
     if let Some(name) = wanted
-        .per_class
+        .percent_per_class
         .keys()
         .find(|name| !classes.iter().any(|class| class.as_str() == *name))
     {
@@ -320,29 +321,29 @@
     }
     let usable = budget
         .max_descriptors(ConnectionKind::Client)
-        .min(wanted.clients_part(sockets));
+        .min(wanted.client_limit(sockets));
     let share = |class: &Name| {
         wanted
-            .per_class
+            .percent_per_class
             .get(class.as_str())
-            .map(|part| (usable * part.0 / 100).max(1))
+            .map(|part| (usable * part.get() / 100).max(1))
     };
     Ok(ConnectionLimits {
         keep_alive_limit: (usable - usable / FREE_PART).max(1),
-        idle_timeout: wanted.idle(),
-        per_address: wanted.per_address(),
+        idle_timeout: wanted.idle_timeout(),
+        per_address: wanted.connections_per_address(),
         per_class: classes.iter().map(share).collect(),
         active_bytes: ACTIVE_CONNECTION_BYTES,
         parked_bytes: PARKED_CONNECTION_BYTES,
     })
 }
 
-/// Reports the counts of the table to the observers, for as long as the node runs.
-async fn report_connections(table: Rc<ConnectionManager>, observers: Rc<Observers>) {
+/// Reports the counts of the table to the telemetry, for as long as the node runs.
+async fn report_connections(table: Rc<ConnectionManager>, telemetry: Rc<Telemetry>) {
     let mut turns = interval(REPORT_INTERVAL);
     loop {
         turns.tick().await;
-        observers.connections_sampled(&table.stats());
+        telemetry.connections_sampled(&table.stats());
     }
 }
 
@@ -351,15 +352,15 @@
 async fn reload(
     mut hangup: Signal,
     discovery: watch::Sender<SocketAddr>,
-    observers: Rc<Observers>,
+    telemetry: Rc<Telemetry>,
 ) {
-    let log = &observers.log;
+    let log = &telemetry.log;
     while hangup.recv().await.is_some() {
         loop {
             let variable = |name: &str| {
                 std::env::var(name)
                     .ok()
-                    .filter(|_| name != platform::DISCOVERY)
+                    .filter(|_| name != platform::DISCOVERY_VARIABLE)
             };
             match platform::load(variable) {
                 Ok(new) => {
@@ -367,7 +368,7 @@
                         "configuration read again: discovery at {}",
                         new.discovery
                     ));
-                    observers.loaded(&new.path, &new.text);
+                    telemetry.config_loaded(&new.path, &new.contents);
                     // One that stays is not asked again: its watch is as good as it was.
                     discovery.send_if_modified(|held| {
                         std::mem::replace(held, new.discovery) != new.discovery
@@ -377,7 +378,7 @@
                 Err(error) => {
                     log.rate_limited("reload", &format!("configuration not taken: {error}"));
                     // The platform says it once, and the old discovery ends soon.
-                    if !matches!(&error, ConfigError::Unreadable(_, why) if is_local_resource_error(why))
+                    if !matches!(&error, ConfigError::Unreadable { error: why, .. } if is_local_resource_error(why))
                     {
                         break;
                     }
