--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -198,19 +198,29 @@
     Udp(SocketAddr),
 }
 
+/// Why a text names no target of metrics.
+#[derive(Debug, Error)]
+pub enum InvalidTarget {
+    /// What follows `udp:` is no address with a port.
+    #[error("target udp:{0:?} is not an address and port")]
+    Address(String),
+    /// It begins as no target does.
+    #[error("target {0:?} is not stderr, file:<path> or udp:<addr:port>")]
+    Form(String),
+}
+
 impl TryFrom<String> for MetricsTarget {
-    type Error = String;
-    fn try_from(text: String) -> Result<Self, String> {
+    type Error = InvalidTarget;
+
+    fn try_from(text: String) -> Result<Self, InvalidTarget> {
         match text.split_once(':') {
             None if text == "stderr" => Ok(Self::Stderr),
             Some(("file", path)) if !path.is_empty() => Ok(Self::File(path.into())),
             Some(("udp", address)) => match address.parse::<SocketAddr>() {
                 Ok(address) if address.port() > 0 => Ok(Self::Udp(address)),
-                _ => Err(format!("target udp:{address:?} is not an address and port")),
+                _ => Err(InvalidTarget::Address(address.to_owned())),
             },
-            _ => Err(format!(
-                "target {text:?} is not stderr, file:<path> or udp:<addr:port>"
-            )),
+            _ => Err(InvalidTarget::Form(text)),
         }
     }
 }
@@ -228,17 +238,30 @@
 }
 
 impl<const MIN: usize, const MAX: usize> TryFrom<i64> for BoundedInteger<MIN, MAX> {
-    type Error = String;
-    fn try_from(value: i64) -> Result<Self, String> {
-        let within = usize::try_from(value)
+    type Error = OutOfBounds;
+
+    fn try_from(value: i64) -> Result<Self, OutOfBounds> {
+        usize::try_from(value)
             .ok()
-            .filter(|value| (MIN..=MAX).contains(value));
-        within
+            .filter(|value| (MIN..=MAX).contains(value))
             .map(Self)
-            .ok_or_else(|| format!("{value} is not from {MIN} to {MAX}"))
+            .ok_or(OutOfBounds {
+                value,
+                min: MIN,
+                max: MAX,
+            })
     }
 }
 
+/// A number that its key does not take.
+#[derive(Debug, Error)]
+#[error("{value} is not from {min} to {max}")]
+pub struct OutOfBounds {
+    value: i64,
+    min: usize,
+    max: usize,
+}
+
 /// Reads the file at `path`.
 pub fn load(path: PathBuf) -> Result<Settings, SettingsError> {
     let text = match std::fs::read_to_string(&path) {
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -6,7 +6,7 @@
 use slatelink_config::platform::{self, ConfigError};
 use slatelink_node::control::{self, ControlObserver, ControlOptions};
 use slatelink_policy::Settings;
-use slatelink_telemetry::{Log, LogFormat, Telemetry};
+use slatelink_telemetry::{Log, LogFormat, Telemetry, TelemetryError};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::future::pending;
@@ -48,7 +48,7 @@
     Configuration(#[from] ConfigError),
     /// The log.
     #[error("{0}")]
-    Log(String),
+    Telemetry(#[from] TelemetryError),
     /// Its pipes or its runtime.
     #[error("{0}")]
     Io(#[from] io::Error),
@@ -150,7 +150,7 @@
             request_rate: setup.request_rate,
             nodes: nodes.collect(),
             tally: Rc::default(),
-            telemetry: telemetry.map_err(WorkerError::Log)?,
+            telemetry: telemetry?,
         })
     }
 
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -18,7 +18,7 @@
 use rustix::process::{getrlimit, Resource};
 use slatelink_config::operators;
 use slatelink_config::relay::RelaySettings;
-use slatelink_telemetry::{LogFormat, Telemetry};
+use slatelink_telemetry::{LogFormat, Telemetry, TelemetryError};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -50,7 +50,7 @@
     },
     /// The log.
     #[error("{0}")]
-    Log(String),
+    Telemetry(#[from] TelemetryError),
     /// Signals, or the sockets' own failure.
     #[error("{0}")]
     Io(#[from] std::io::Error),
@@ -66,8 +66,7 @@
     let most_callers = most_callers(settings.callers)?;
     let listener = TcpListener::bind(settings.listen).await;
     let listener = listener.map_err(|error| RelayError::Listen(settings.listen, error))?;
-    let telemetry =
-        Telemetry::start(&operators::Settings::default(), &[], format).map_err(RelayError::Log)?;
+    let telemetry = Telemetry::start(&operators::Settings::default(), &[], format)?;
     let log = telemetry.log.clone();
     log.line(&format!("relay listens on {}", listener.local_addr()?));
 
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -8,6 +8,7 @@
 pub use signals::{catch_signals, StopSignal};
 pub use verify::{verify, Verification};
 
+use crate::error::TelemetryError;
 use crate::writer::{BoundedSender, Writer};
 use slatelink_config::EndpointList;
 use slatelink_policy::EndpointId;
@@ -42,12 +43,13 @@
     pub const DESCRIPTORS: usize = 1;
 
     /// Opens the trail for this node alone; without a path it goes to standard error.
-    pub fn open(path: Option<&Path>, writer: &Writer) -> Result<Self, String> {
+    pub fn open(path: Option<&Path>, writer: &Writer) -> Result<Self, TelemetryError> {
         let (trail, torn) = match path {
             None => (Trail::default(), None),
-            Some(path) => {
-                Trail::open(path).map_err(|error| format!("audit: {}: {error}", path.display()))?
-            }
+            Some(path) => Trail::open(path).map_err(|error| TelemetryError::Audit {
+                path: path.to_owned(),
+                error,
+            })?,
         };
         let audit = Self {
             sender: writer.sender(MAX_QUEUED_RECORDS),
--- a/crates/telemetry/src/audit/tests.rs
+++ b/crates/telemetry/src/audit/tests.rs
@@ -176,7 +176,7 @@
     let (path, bytes) = trail("use", 1);
     let held = Trail::open(&path).unwrap();
     assert_eq!(
-        Trail::open(&path).err().unwrap(),
+        Trail::open(&path).err().unwrap().to_string(),
         "another node writes there"
     );
     drop(held);
--- a/crates/telemetry/src/audit/trail.rs
+++ b/crates/telemetry/src/audit/trail.rs
@@ -1,6 +1,7 @@
 //! The file of an audit trail: its records, how it is opened and how a record is appended.
 
 use super::verify::check;
+use crate::error::TrailError;
 use crate::writer::{has_vanished, write_part};
 use serde::Serialize;
 use slatelink_config::digest;
@@ -105,8 +106,7 @@
 
 impl Trail {
     /// Goes on where the file ends. A last line that broke off is cut, and the event tells of it.
-    pub(super) fn open(path: &Path) -> Result<(Self, Option<Event>), String> {
-        let describe = |error: io::Error| error.to_string();
+    pub(super) fn open(path: &Path) -> Result<(Self, Option<Event>), TrailError> {
         let is_new = !path.exists();
         let mut options = File::options();
         // Neither opening nor writing waits for a FIFO's reader.
@@ -115,7 +115,7 @@
             .append(true)
             .create(true)
             .custom_flags(libc::O_NONBLOCK);
-        let mut file = options.open(path).map_err(describe)?;
+        let mut file = options.open(path)?;
         if is_new {
             // The name must outlive a crash as well. Where the folder cannot be synced the file still is.
             let folder = path
@@ -124,16 +124,16 @@
             let _ =
                 File::open(folder.unwrap_or(Path::new("."))).and_then(|folder| folder.sync_all());
         }
-        let state = file.metadata().map_err(describe)?;
+        let state = file.metadata()?;
         // A device holds no trail that two could break.
         if state.is_file() {
             file.try_lock().map_err(|error| match error {
-                TryLockError::WouldBlock => "another node writes there".to_owned(),
-                TryLockError::Error(error) => describe(error),
+                TryLockError::WouldBlock => TrailError::Locked,
+                TryLockError::Error(error) => TrailError::Io(error),
             })?;
         }
         // Its length only once no other node writes.
-        let state = file.metadata().map_err(describe)?;
+        let state = file.metadata()?;
         let (regular, len) = (
             state.is_file(),
             if state.is_file() { state.len() } else { 0 },
@@ -141,11 +141,8 @@
         let from = len.saturating_sub(2 * MAX_LINE_BYTES as u64);
         let mut last_bytes = Vec::new();
         if len > 0 {
-            file.seek(SeekFrom::Start(from)).map_err(describe)?;
-            (&mut file)
-                .take(len - from)
-                .read_to_end(&mut last_bytes)
-                .map_err(describe)?;
+            file.seek(SeekFrom::Start(from))?;
+            (&mut file).take(len - from).read_to_end(&mut last_bytes)?;
         }
         let whole_lines = last_bytes
             .iter()
@@ -166,12 +163,11 @@
                 .next()
                 .unwrap_or_default();
             let found = check(last).and_then(|record| Some((record.seq?, record.hash)));
-            (trail.seq, trail.prev) =
-                found.ok_or("its last whole line is no record of an audit trail")?;
+            (trail.seq, trail.prev) = found.ok_or(TrailError::InvalidLastRecord)?;
         } else if from > 0
             || !(tail.starts_with(FIRST_RECORD_START) || FIRST_RECORD_START.starts_with(tail))
         {
-            return Err("it is no audit trail".to_owned());
+            return Err(TrailError::NotATrail);
         }
         if tail.is_empty() {
             return Ok((trail, None));
@@ -183,7 +179,7 @@
             sha256: digest(tail),
             text: torn,
         };
-        trail.truncate_to_last_record().map_err(describe)?;
+        trail.truncate_to_last_record()?;
         Ok((trail, Some(torn)))
     }
 
--- a/crates/telemetry/src/figures.rs
+++ b/crates/telemetry/src/figures.rs
@@ -4,6 +4,7 @@
 mod line;
 mod output;
 
+use crate::error::TelemetryError;
 use crate::log::Log;
 use crate::writer::Writer;
 use crate::RequestOutcome;
@@ -85,7 +86,7 @@
         classes: &[Name],
         writer: &Writer,
         log: Log,
-    ) -> Result<(Self, UnboundedReceiver<bool>), String> {
+    ) -> Result<(Self, UnboundedReceiver<bool>), TelemetryError> {
         let (results, finished_batches) = unbounded_channel();
         let output = Output::open(&settings.target, writer, results)?;
         let format = settings.format;
--- a/crates/telemetry/src/figures/output.rs
+++ b/crates/telemetry/src/figures/output.rs
@@ -1,5 +1,6 @@
 //! Where figures go: a file, standard error or UDP.
 
+use crate::error::TelemetryError;
 use crate::writer::{has_vanished, write_part, BoundedSender, Writer};
 use slatelink_config::operators::MetricsTarget;
 use std::fs::File;
@@ -28,7 +29,7 @@
         target: &MetricsTarget,
         writer: &Writer,
         results: UnboundedSender<bool>,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, TelemetryError> {
         // A second place: the first is given back only after its batch's result is told.
         let queue = |sink| Self::Queue {
             sender: writer.sender(2),
@@ -43,7 +44,10 @@
                     // A FIFO without a reader: one may come.
                     Err(error) if error.raw_os_error() == Some(libc::ENXIO) => None,
                     Err(error) => {
-                        return Err(format!("figures: cannot open {}: {error}", path.display()))
+                        return Err(TelemetryError::MetricsFile {
+                            path: path.clone(),
+                            error,
+                        })
                     }
                 };
                 queue(Some(Arc::new(Mutex::new(Sink {
@@ -63,10 +67,10 @@
                     socket.connect(address)?;
                     Ok(socket)
                 });
-                Self::Udp(
-                    socket
-                        .map_err(|error| format!("figures: cannot send to {address}: {error}"))?,
-                )
+                Self::Udp(socket.map_err(|error| TelemetryError::MetricsSocket {
+                    address: *address,
+                    error,
+                })?)
             }
         })
     }
--- a/crates/telemetry/src/hotlist.rs
+++ b/crates/telemetry/src/hotlist.rs
@@ -1,6 +1,7 @@
 //! The hottest keys of each class of requests, counted in bounded memory with the Space-Saving method: of a full list
 //! the entry with the least count gives way, and its successor goes on from that count.
 
+use crate::error::TelemetryError;
 use crate::writer::{BoundedSender, Writer};
 use slatelink_policy::{ClassId, Name};
 use std::cell::RefCell;
@@ -144,12 +145,13 @@
         window: Duration,
         classes: &[Name],
         writer: &Writer,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, TelemetryError> {
         let max_capacity = MAX_MEMORY_BYTES / (ENTRY_BYTES * classes.len().max(1));
         if capacity > max_capacity {
-            return Err(format!(
-                "hotlist: a capacity of {capacity} would take over 1 MB, {max_capacity} would not"
-            ));
+            return Err(TelemetryError::HotListCapacity {
+                capacity,
+                max_capacity,
+            });
         }
         // All room that there will be: a list that grew would take twice what it needs.
         let list = |class: &Name| List {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -4,11 +4,13 @@
 //! anything, nothing calls back into the node, and nothing here ever makes the node wait.
 
 pub mod audit;
+mod error;
 mod figures;
 mod hotlist;
 mod log;
 mod writer;
 
+pub use error::{TelemetryError, TrailError};
 pub use log::{Log, LogFormat};
 
 use audit::{Audit, StopSignal};
@@ -102,13 +104,11 @@
         settings: &Settings,
         classes: &[Name],
         format: LogFormat,
-    ) -> Result<Rc<Self>, String> {
-        let writer =
-            Writer::start().map_err(|error| format!("cannot start the writer: {error}"))?;
+    ) -> Result<Rc<Self>, TelemetryError> {
+        let writer = Writer::start().map_err(TelemetryError::Writer)?;
         let log = Log::new(&writer, format);
         // A file that may grow no further is an error of the write, not the process's end. Standard error may be one.
-        let caught = signal(SignalKind::from_raw(libc::SIGXFSZ));
-        drop(caught.map_err(|error| format!("cannot catch SIGXFSZ: {error}"))?);
+        drop(catch("SIGXFSZ", SignalKind::from_raw(libc::SIGXFSZ))?);
         let source = settings.source.clone();
         let mut telemetry = Self {
             log,
@@ -131,8 +131,7 @@
         let mut prints = None;
         if let Some(settings) = settings.enabled_hotlist() {
             // Caught before it is known to be on: uncaught, it ends the process.
-            let caught = signal(SignalKind::user_defined1());
-            prints = Some(caught.map_err(|error| format!("cannot catch SIGUSR1: {error}"))?);
+            prints = Some(catch("SIGUSR1", SignalKind::user_defined1())?);
             let list = HotList::new(
                 settings.capacity,
                 settings.window(),
@@ -208,6 +207,14 @@
     }
 }
 
+/// Installs a handler of the signal of this name.
+fn catch(name: &'static str, kind: SignalKind) -> Result<Signal, TelemetryError> {
+    signal(kind).map_err(|error| TelemetryError::Signal {
+        signal: name,
+        error,
+    })
+}
+
 impl Observer for Telemetry {
     fn request_received(&self, class: ClassId, path: &str) {
         if let Some(hotlist) = &self.hotlist {
