--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -5,8 +5,9 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use slatelink_config::relay::DEFAULT_LEASE_MS;
 use slatelink_lab::scale::bounds::{Estimate, Limits};
-use slatelink_lab::scale::run::{Programs, WorkerProgram};
-use slatelink_lab::scale::{self, Options, Progress, Report, ScaleError, Trouble, TroubleKind};
+use slatelink_lab::scale::{
+    self, Options, Programs, Progress, Report, ScaleError, Trouble, TroubleKind, WorkerProgram,
+};
 use std::error::Error;
 use std::fs::File;
 use std::io::{self, Write};
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,27 +1,39 @@
 //! All that a run starts: discovery, traffic, real nodes and workers, from their start to their end.
 
 use crate::client::Table;
+use crate::nodes::Program;
 use crate::run::Folder;
 use crate::scale::assignment::Assignment;
 use crate::scale::convergence::{Change, Occasion};
 use crate::scale::directory::{EntryChange, FIRST_VERSION};
+use crate::scale::error::ScaleError;
 use crate::scale::options::Options;
 use crate::scale::processes::monotonic_us;
 use crate::scale::protocol::{NodeSetup, Order, Setup};
 use crate::scale::real::{self, RealNode, RealNodeEvent, Surroundings};
 use crate::scale::relays::Relays;
-use crate::scale::run::{Programs, ScaleError};
 use crate::scale::service::{Acknowledged, Service};
 use crate::scale::state::{FleetEvent, FleetState};
 use crate::scale::traffic::{Traffic, TrafficCounts};
-use crate::scale::workers::{Worker, WorkerEvent};
+use crate::scale::workers::{Worker, WorkerEvent, WorkerProgram};
 use std::future::pending;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::sync::{Arc, RwLock};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::task::JoinSet;
 
+/// The programs that a run starts.
+#[derive(Clone)]
+pub struct Programs {
+    /// The real nodes'.
+    pub node: Program,
+    /// The workers'.
+    pub worker: WorkerProgram,
+    /// The relays' binary.
+    pub relay: PathBuf,
+}
+
 /// Events of the members, as they come.
 pub struct Inbox {
     acknowledged: UnboundedReceiver<Acknowledged>,
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -3,12 +3,13 @@
 use crate::scale::bounds::{Estimate, Limits};
 use crate::scale::convergence::{Occasion, TimeSummary, Times};
 use crate::scale::counts::ControlCounts;
+use crate::scale::error::ScaleError;
 use crate::scale::fleet::Fleet;
 use crate::scale::options::TroubleKind;
 use crate::scale::processes::Usage;
+use crate::scale::progress::Progress;
 use crate::scale::protocol::Order;
 use crate::scale::report::{self, ChangeTimes, Report, StartTimes};
-use crate::scale::run::{Progress, ScaleError};
 use crate::scale::sample::{workers_usage, Period, Sample};
 use crate::scale::schedule::{ChangeGenerator, Schedule, Step, TroubleStep};
 use crate::scale::traffic::TrafficCounts;
@@ -18,7 +19,7 @@
 /// What is due is looked at so often.
 const TICK: Duration = Duration::from_millis(5);
 /// A fleet that is not up to date by then does not get there.
-pub const FLEET_START: Duration = Duration::from_secs(120);
+const FLEET_START: Duration = Duration::from_secs(120);
 /// After the last change the fleet has this long to be up to date.
 const SETTLE: Duration = Duration::from_secs(20);
 /// A worker answers within this.
@@ -121,7 +122,11 @@
                 self.fleet.state.convergence.behind(),
                 self.fleet.options.nodes(),
             );
-            return Err(ScaleError::NoStart { behind, nodes });
+            return Err(ScaleError::NoStart {
+                behind,
+                nodes,
+                waited: FLEET_START,
+            });
         }
         self.start_times()
     }
--- a/crates/lab/src/scale/sample.rs
+++ b/crates/lab/src/scale/sample.rs
@@ -1,12 +1,12 @@
 //! What the members of a fleet used up to a moment, and what that comes to for each between two moments.
 
 use crate::scale::counts::ControlCounts;
+use crate::scale::error::ScaleError;
 use crate::scale::fleet::Fleet;
 use crate::scale::options::Options;
 use crate::scale::processes::Usage;
 use crate::scale::relays::RelayProcess;
 use crate::scale::report::{Counts, Discovery, Node, RelayTier, Traffic};
-use crate::scale::run::ScaleError;
 use crate::scale::service::ServiceFigures;
 use crate::scale::workers::Worker;
 use std::collections::BTreeMap;
--- a/crates/lab/src/scale/state.rs
+++ b/crates/lab/src/scale/state.rs
@@ -1,10 +1,10 @@
 //! What a run knows of its fleet, from the members' events. No I/O.
 
 use crate::scale::convergence::Convergence;
+use crate::scale::error::ScaleError;
 use crate::scale::options::Options;
 use crate::scale::protocol::{InForce, Message, WorkerCounts};
 use crate::scale::real::RealNodeEvent;
-use crate::scale::run::ScaleError;
 use crate::scale::service::Acknowledged;
 use crate::scale::workers::WorkerEvent;
 
--- a/crates/lab/src/scale/workers.rs
+++ b/crates/lab/src/scale/workers.rs
@@ -1,8 +1,8 @@
 //! The run's side of its workers: processes of this program that run the simulated nodes.
 
 use crate::scale::protocol::{Message, Order};
-use crate::scale::run::WorkerProgram;
 use std::io;
+use std::path::PathBuf;
 use std::process::Stdio;
 use std::time::Duration;
 use thiserror::Error;
@@ -15,6 +15,15 @@
 /// A worker whose standard input has ended ends within this, or is ended.
 const ENDING: Duration = Duration::from_secs(3);
 
+/// What makes a process a worker.
+#[derive(Clone, Debug)]
+pub struct WorkerProgram {
+    /// The binary.
+    pub path: PathBuf,
+    /// With these arguments.
+    pub arguments: Vec<String>,
+}
+
 /// Why a worker is not there.
 #[derive(Debug, Error)]
 pub enum WorkersError {
