--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,6 +1,8 @@
 //! `slatelink lab`: plays scenarios, compares nodes, lists what there is to play.
 
-use crate::{scale, LogFormat};
+use crate::exit::{success_if, unusable, CommandResult, BROKEN, UNUSABLE};
+use crate::node_arguments::{node_program, NodeArguments};
+use crate::scale;
 use clap::{Args, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
 use slatelink_lab::compare::{self, Measured};
@@ -18,10 +20,6 @@
 use std::thread;
 use std::time::Duration;
 
-/// What does not hold, and what cannot be played.
-pub const BROKEN: u8 = 1;
-pub const UNUSABLE: u8 = 2;
-
 #[derive(Subcommand)]
 pub enum Command {
     /// Play scenarios and check the rules; exit 0 if all hold, 1 if one does not, 2 if one cannot be played
@@ -38,7 +36,7 @@
         #[arg(long, default_value_t = 500, value_parser = clap::value_parser!(u32).range(1..=200_000))]
         batch: u32,
         #[command(flatten)]
-        node: Node,
+        node: NodeArguments,
     },
     /// Measure control at scale: real nodes and many simulated ones against one discovery
     Scale(Box<scale::Command>),
@@ -53,48 +51,6 @@
     },
 }
 
-/// What is under test.
-#[derive(Args, Clone)]
-pub struct Node {
-    /// The node's binary; this one where none is named
-    #[arg(long, value_name = "BINARY")]
-    node: Option<PathBuf>,
-    /// The operators' file of each node
-    #[arg(long, value_name = "FILE")]
-    features: Option<PathBuf>,
-    /// Write the rig's own log to standard error: faults, and what becomes of nodes
-    #[arg(long, value_enum)]
-    log_format: Option<LogFormat>,
-}
-
-impl Node {
-    /// Begins the log, where one is asked for.
-    pub fn log(&self) {
-        let lines = tracing_subscriber::fmt()
-            .with_writer(io::stderr)
-            .with_ansi(false)
-            .with_target(false);
-        match self.log_format {
-            None => {}
-            Some(LogFormat::Text) => lines.init(),
-            Some(LogFormat::Json) => lines.json().flatten_event(true).init(),
-        }
-    }
-
-    pub fn program(&self) -> io::Result<Program> {
-        let binary = self.node.clone().map_or_else(std::env::current_exe, Ok)?;
-        Ok(self.of(binary))
-    }
-
-    fn of(&self, binary: PathBuf) -> Program {
-        let features = self
-            .features
-            .iter()
-            .flat_map(|file| ["--features".to_owned(), file.display().to_string()]);
-        Program::Binary(binary, features.collect())
-    }
-}
-
 #[derive(Args)]
 pub struct Run {
     /// Scenarios, in TOML
@@ -119,7 +75,7 @@
     #[arg(long)]
     json: bool,
     #[command(flatten)]
-    node: Node,
+    node: NodeArguments,
 }
 
 #[derive(Args)]
@@ -139,10 +95,8 @@
     features: Option<PathBuf>,
 }
 
-pub type Code = Result<ExitCode, Box<dyn Error>>;
-
 impl Command {
-    pub fn run(self) -> Code {
+    pub fn run(self) -> CommandResult {
         match self {
             Self::Run(run) => run.run(),
             Self::Compare(compare) => compare.run(),
@@ -151,8 +105,8 @@
                 batch,
                 node,
             } => {
-                node.log();
-                if node.features.is_some() {
+                node.start_log();
+                if node.names_features() {
                     return unusable(
                         "lab idle writes the node's section front itself: --features must go",
                     );
@@ -207,11 +161,6 @@
     }
 }
 
-pub fn unusable(error: impl std::fmt::Display) -> Code {
-    eprintln!("slatelink: {error}");
-    Ok(ExitCode::from(UNUSABLE))
-}
-
 fn name(path: &Path) -> String {
     path.file_stem().map_or_else(
         || path.display().to_string(),
@@ -220,7 +169,7 @@
 }
 
 impl Run {
-    fn run(self) -> Code {
+    fn run(self) -> CommandResult {
         // All are read before the first is played: a typing error in the last one is told at once.
         let mut scenarios = Vec::new();
         for file in &self.files {
@@ -239,7 +188,7 @@
                 return unusable(format!("cannot make {}: {error}", out.display()));
             }
         }
-        self.node.log();
+        self.node.start_log();
         let program = if self.direct {
             Program::Nothing
         } else {
@@ -270,11 +219,7 @@
                 }
             }
         }
-        Ok(if hold {
-            ExitCode::SUCCESS
-        } else {
-            ExitCode::from(BROKEN)
-        })
+        Ok(success_if(hold))
     }
 }
 
@@ -319,7 +264,7 @@
 }
 
 impl Compare {
-    fn run(self) -> Code {
+    fn run(self) -> CommandResult {
         let report = |path: &Path| path.extension().is_some_and(|end| end == "json");
         if report(&self.a) != report(&self.b) {
             return unusable(
@@ -351,16 +296,18 @@
                 Err(error) => return unusable(error),
             };
             let name = name(file);
-            let node = Node {
-                node: None,
-                features: self.features.clone(),
-                log_format: None,
-            };
             let mut pairs = Vec::new();
             for i in 0..self.seeds {
                 let seed = scenario.seed.wrapping_add(i);
-                let measure =
-                    |binary: &Path| one(&name, &scenario, node.of(binary.to_owned()), seed, &stop);
+                let measure = |binary: &Path| {
+                    one(
+                        &name,
+                        &scenario,
+                        node_program(binary.to_owned(), self.features.as_deref()),
+                        seed,
+                        &stop,
+                    )
+                };
                 // In turn, so that what the machine does besides falls on both.
                 let both = if i % 2 == 0 {
                     let a = measure(&self.a)?;
@@ -381,7 +328,7 @@
     }
 }
 
-fn list(folder: &Path) -> Code {
+fn list(folder: &Path) -> CommandResult {
     let entries = match std::fs::read_dir(folder) {
         Ok(entries) => entries,
         Err(error) => return unusable(format!("cannot read {}: {error}", folder.display())),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,11 +1,14 @@
 //! The `slatelink` command: arguments, exit codes and printing.
 
+mod exit;
 mod lab;
 mod multiget;
+mod node_arguments;
 mod relay;
 mod scale;
 mod up;
 
+use crate::exit::{success_if, CommandResult, UNUSABLE};
 use clap::{Parser, Subcommand, ValueEnum};
 use slatelink_config::{operators, platform};
 use slatelink_telemetry::audit::{self, Verdict};
@@ -100,26 +103,22 @@
     }
 }
 
-fn verify(path: PathBuf) -> Result<ExitCode, Box<dyn Error>> {
+fn verify(path: PathBuf) -> CommandResult {
     let verdict = File::open(&path).and_then(|file| audit::verify(BufReader::new(file)));
     match verdict {
         Ok(verdict) => {
             writeln!(io::stdout(), "{verdict}")?;
-            Ok(if matches!(verdict, Verdict::Ok(_)) {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
-            })
+            Ok(success_if(matches!(verdict, Verdict::Ok(_))))
         }
         // Not what a broken trail ends with.
         Err(error) => {
             eprintln!("slatelink: cannot read {}: {error}", path.display());
-            Ok(ExitCode::from(2))
+            Ok(ExitCode::from(UNUSABLE))
         }
     }
 }
 
-fn start(features: Option<PathBuf>, format: LogFormat) -> Result<ExitCode, Box<dyn Error>> {
+fn start(features: Option<PathBuf>, format: LogFormat) -> CommandResult {
     let features = features
         .map(operators::load)
         .transpose()?
--- a/crates/cli/src/multiget.rs
+++ b/crates/cli/src/multiget.rs
@@ -1,5 +1,6 @@
 //! `slatelink multi-get`: asks a node's side port for many keys and prints a line for each.
 
+use crate::exit::{CommandResult, UNUSABLE};
 use bytes::Bytes;
 use clap::Args;
 use http_body_util::{BodyExt, Full};
@@ -58,14 +59,14 @@
 
 impl Command {
     /// Prints a line for each key.
-    pub async fn run(self) -> Result<ExitCode, Box<dyn Error>> {
+    pub async fn run(self) -> CommandResult {
         if self.keys.len() > self.max_items {
             eprintln!(
                 "slatelink: {} keys are more than {}",
                 self.keys.len(),
                 self.max_items
             );
-            return Ok(ExitCode::from(2));
+            return Ok(ExitCode::from(UNUSABLE));
         }
         let until = Instant::now() + Duration::from_millis(self.deadline_ms.into());
         let mut ordered = Ordered {
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -1,5 +1,6 @@
 //! `slatelink relay`: stands between discovery, or other relays, and nodes.
 
+use crate::exit::CommandResult;
 use crate::{one_thread, LogFormat};
 use clap::Args;
 use slatelink_config::relay::{RelaySettings, DEFAULT_LEASE_MS};
@@ -32,7 +33,7 @@
 }
 
 impl Command {
-    pub fn run(self) -> Result<ExitCode, Box<dyn Error>> {
+    pub fn run(self) -> CommandResult {
         let format = self.log_format;
         let settings = self.settings()?;
         LocalSet::new().block_on(
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,6 +1,7 @@
 //! `slatelink lab scale`: real nodes and many simulated ones against a stand-in for discovery, measured.
 
-use crate::lab::{unusable, Code, Node, BROKEN, UNUSABLE};
+use crate::exit::{success_if, unusable, CommandResult, BROKEN, UNUSABLE};
+use crate::node_arguments::NodeArguments;
 use clap::{Args, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use slatelink_config::relay::DEFAULT_LEASE_MS;
@@ -93,7 +94,7 @@
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
     #[command(flatten)]
-    node: Node,
+    node: NodeArguments,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -120,8 +121,8 @@
 }
 
 impl Command {
-    pub fn run(self) -> Code {
-        self.node.log();
+    pub fn run(self) -> CommandResult {
+        self.node.start_log();
         let options = self.options();
         let programs = Programs {
             node: self.node.program()?,
@@ -149,11 +150,7 @@
                     serde_json::to_writer_pretty(file, &report)?;
                 }
                 write!(io::stdout().lock(), "{report}")?;
-                Ok(if report.behind_at_end == 0 {
-                    ExitCode::SUCCESS
-                } else {
-                    ExitCode::from(BROKEN)
-                })
+                Ok(success_if(report.behind_at_end == 0))
             }
             Err(error) => refused(&error),
         }
@@ -195,7 +192,7 @@
 }
 
 /// Runs simulated nodes for a run that has started this process.
-pub fn work() -> Code {
+pub fn work() -> CommandResult {
     scale::work()?;
     Ok(ExitCode::SUCCESS)
 }
@@ -210,7 +207,7 @@
     Ok(())
 }
 
-fn refused(error: &ScaleError) -> Code {
+fn refused(error: &ScaleError) -> CommandResult {
     eprintln!("slatelink: {error}");
     let unusable = matches!(error, ScaleError::Options(_) | ScaleError::Bounds(_));
     Ok(ExitCode::from(if unusable { UNUSABLE } else { BROKEN }))
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -1,15 +1,14 @@
 //! `slatelink up`: a whole fleet on this machine, with light traffic, to look at and to ask.
 
-use crate::lab::Node;
+use crate::exit::{success_if, CommandResult};
+use crate::node_arguments::NodeArguments;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use slatelink_lab::client::Live;
 use slatelink_lab::report::Report;
 use slatelink_lab::run::{play, Options};
 use slatelink_lab::scenario::Scenario;
-use std::error::Error;
 use std::io::{self, IsTerminal, Write};
-use std::process::ExitCode;
 use std::sync::atomic::Ordering;
 use std::sync::mpsc;
 use std::thread;
@@ -33,7 +32,7 @@
     #[arg(long = "for", value_name = "TIME", value_parser = time)]
     long: Option<Duration>,
     #[command(flatten)]
-    node: Node,
+    node: NodeArguments,
 }
 
 fn time(text: &str) -> Result<Duration, String> {
@@ -56,14 +55,14 @@
 }
 
 impl Up {
-    pub fn run(self) -> Result<ExitCode, Box<dyn Error>> {
+    pub fn run(self) -> CommandResult {
         let long = self.long.unwrap_or(LONGEST);
         let text = format!(
             "about = \"a fleet to look at\"\nseconds = {}\n[fleet]\nnodes = {}\nservers = {}\n[load]\nrate = {}\n",
             long.as_secs(), self.nodes, self.servers, self.rate
         );
         let scenario = Scenario::parse(&text, "up".as_ref())?;
-        self.node.log();
+        self.node.start_log();
         let (ready, told) = mpsc::channel();
         let stop = crate::stop_at_interrupt()?;
         let options = Options {
@@ -98,11 +97,7 @@
         let played = playing.join().map_err(|_| "the run ended in a panic")??;
         let report = Report::new("up", &scenario, 1, &played);
         print!("{}", report.text());
-        Ok(if report.holds {
-            ExitCode::SUCCESS
-        } else {
-            ExitCode::FAILURE
-        })
+        Ok(success_if(report.holds))
     }
 }
 
