--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -3,11 +3,11 @@
 use crate::connections::{ConnectionHandle, ConnectionManager, DriveOutcome, ReportingSocket};
 use crate::driver::{ClientRequest, DriverEvent, FinalResponse};
 use crate::upstream::{
-    ForwardedRequest, OpenRequestIds, Upstream, IDEMPOTENCY_KEY, MAX_BODY_BYTES, REQ_DEADLINE,
-    REQ_ID,
+    self, BodyError, ForwardedRequest, OpenRequestIds, Upstream, IDEMPOTENCY_KEY, MAX_BODY_BYTES,
+    REQ_DEADLINE, REQ_ID,
 };
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderName, HeaderValue, ALLOW, CONNECTION, RETRY_AFTER, TRANSFER_ENCODING};
 use hyper::server::conn::http1;
@@ -359,22 +359,19 @@
     ))
 }
 
-/// A request's body, whole.
+/// Reads a request's body to its end.
 pub async fn read_body(body: Incoming) -> Result<Bytes, HttpResponse> {
-    let too_large = || {
-        text_response(
-            StatusCode::PAYLOAD_TOO_LARGE,
-            "the body is larger than 64 KiB",
-        )
-    };
-    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
-        return Err(too_large());
-    }
-    match Limited::new(body, MAX_BODY_BYTES).collect().await {
-        Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(too_large()),
-        Err(_) => Err(text_response(StatusCode::BAD_REQUEST, "the body broke off")),
-    }
+    upstream::read_body(body)
+        .await
+        .map_err(|error| match error {
+            BodyError::TooLarge => text_response(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                "the body is larger than 64 KiB",
+            ),
+            BodyError::Incomplete(_) => {
+                text_response(StatusCode::BAD_REQUEST, "the body broke off")
+            }
+        })
 }
 
 /// What the headers of a request say.
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -1,9 +1,10 @@
-//! One request and its answer over HTTP, as a cache server reads and writes them.
+//! One request and its response over HTTP, as an endpoint reads and writes them.
 
-use super::open_request_ids::OpenRequestId;
+use super::body::{read_body, BodyError};
+use super::request_ids::OpenRequestId;
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full, Limited};
-use hyper::body::{Body, Incoming};
+use http_body_util::Full;
+use hyper::body::Incoming;
 use hyper::client::conn::http1::SendRequest;
 use hyper::header::{HeaderName, HeaderValue, HOST};
 use hyper::http::uri::PathAndQuery;
@@ -13,38 +14,73 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The largest body of a message either way.
-pub const MAX_BODY_BYTES: usize = 64 << 10;
+/// The id of a request, of the client's choice.
 pub const REQ_ID: HeaderName = HeaderName::from_static("req-id");
+/// For how many milliseconds the sender of a request waits for the response.
 pub const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
+/// By this key endpoints recognise a repeat of a request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
-const LOAD: HeaderName = HeaderName::from_static("srv-load");
-const CACHE: HeaderName = HeaderName::from_static("srv-cache");
+/// In a response: `1` where the endpoint rejected the request and did nothing for it.
+const SRV_DECLINED: HeaderName = HeaderName::from_static("srv-declined");
+/// In a response: the endpoint's load report.
+const SRV_LOAD: HeaderName = HeaderName::from_static("srv-load");
+/// In a response: `hit` or `miss`.
+const SRV_CACHE: HeaderName = HeaderName::from_static("srv-cache");
+/// Between the name and the value of each entry of a load report.
+const LOAD_SEPARATOR: char = '=';
 
-/// What of a client's request goes on to a cache server.
+/// What of a client's request is forwarded to an endpoint.
 #[derive(Debug)]
 pub struct ForwardedRequest {
+    /// GET or PUT.
     pub method: Method,
+    /// The path and query as the client sent them.
     pub target: PathAndQuery,
+    /// The client's id of the request.
     pub id: OpenRequestId,
+    /// The client's key, if it sent one.
     pub idempotency_key: Option<HeaderValue>,
+    /// The complete body.
     pub body: Bytes,
 }
 
+impl ForwardedRequest {
+    /// The request for the endpoint at this address, with the time that is left of the attempt.
+    pub(super) fn to_http(
+        &self,
+        address: SocketAddr,
+        deadline: Instant,
+    ) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        let mut request = Request::builder()
+            .method(self.method.clone())
+            .uri(Uri::from(self.target.clone()))
+            .header(HOST, address.to_string())
+            .header(REQ_ID, self.id.value.clone())
+            .header(REQ_DEADLINE, time_left.as_millis() as u64);
+        if let Some(key) = &self.idempotency_key {
+            request = request.header(IDEMPOTENCY_KEY, key.clone());
+        }
+        request.body(Full::new(self.body.clone()))
+    }
+}
+
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptResult {
+    /// What the attempt came to.
     pub status: Status,
+    /// Whether the endpoint had the key cached, where it says so.
     pub cache_result: Option<CacheResult>,
+    /// The endpoint's load report; empty where it sent none.
     pub load: LoadReport,
-    /// The body of a 200 answer, whole.
+    /// The complete body of a 200 response.
     pub body: Option<Bytes>,
 }
 
 impl AttemptResult {
-    /// An end that came with no answer.
-    pub fn without_answer(status: Status) -> Self {
+    /// The end of an attempt that had no response.
+    pub fn without_response(status: Status) -> Self {
         Self {
             status,
             cache_result: None,
@@ -52,95 +88,70 @@
             body: None,
         }
     }
-}
 
-pub(super) fn request(
-    dial: SocketAddr,
-    message: &ForwardedRequest,
-    deadline: Instant,
-) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
-    let left = deadline
-        .saturating_duration_since(Instant::now())
-        .as_millis() as u64;
-    let mut request = Request::builder()
-        .method(message.method.clone())
-        .uri(Uri::from(message.target.clone()))
-        .header(HOST, dial.to_string())
-        .header(REQ_ID, message.id.value.clone())
-        .header(REQ_DEADLINE, left);
-    if let Some(key) = &message.idempotency_key {
-        request = request.header(IDEMPOTENCY_KEY, key.clone());
+    /// What the head of a response says.
+    fn from_head(response: &Response<Incoming>) -> Self {
+        let header = |name: &HeaderName| {
+            response
+                .headers()
+                .get(name)
+                .and_then(|value| value.to_str().ok())
+        };
+        let cache_result = match header(&SRV_CACHE) {
+            Some("hit") => Some(CacheResult::Hit),
+            Some("miss") => Some(CacheResult::Miss),
+            _ => None,
+        };
+        Self {
+            status: response_status(response),
+            cache_result,
+            load: header(&SRV_LOAD)
+                .map(|text| read_load(text, LOAD_SEPARATOR))
+                .unwrap_or_default(),
+            body: None,
+        }
     }
-    request.body(Full::new(message.body.clone()))
 }
 
-/// Sends a request and reads its answer. The flag says whether the connection may carry another.
+/// A request and its response.
+pub(super) struct Exchange {
+    /// What the response says.
+    pub(super) result: AttemptResult,
+    /// Whether the connection may carry another request: the response was read to its end.
+    pub(super) reusable: bool,
+}
+
+/// Sends a request and reads its response.
 pub(super) async fn exchange(
     sender: &mut SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
-) -> Result<(AttemptResult, bool), hyper::Error> {
+) -> Result<Exchange, hyper::Error> {
     let response = sender.send_request(request).await?;
-    let status = outcome(&response);
-    let text = |name: &HeaderName| {
-        response
-            .headers()
-            .get(name)
-            .and_then(|value| value.to_str().ok())
-    };
-    let cache_result = match text(&CACHE) {
-        Some("hit") => Some(CacheResult::Hit),
-        Some("miss") => Some(CacheResult::Miss),
-        _ => None,
-    };
-    let load = text(&LOAD).map_or_else(LoadReport::default, |text| read_load(text, '='));
-    // What is stated to be larger than any answer may be is not waited for.
-    if response.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
-        return Ok((
-            AttemptResult {
-                status: Status::Failed,
-                cache_result,
-                load,
-                body: None,
-            },
-            false,
-        ));
-    }
-    match Limited::new(response.into_body(), MAX_BODY_BYTES)
-        .collect()
-        .await
-    {
+    let mut result = AttemptResult::from_head(&response);
+    match read_body(response.into_body()).await {
         Ok(body) => {
-            let body = (status == Status::Ok).then(|| body.to_bytes());
-            Ok((
-                AttemptResult {
-                    status,
-                    cache_result,
-                    load,
-                    body,
-                },
-                true,
-            ))
+            result.body = (result.status == Status::Ok).then_some(body);
+            Ok(Exchange {
+                result,
+                reusable: true,
+            })
+        }
+        // The endpoint has carried it out, and what it says is of no use.
+        Err(BodyError::TooLarge) => {
+            result.status = Status::Failed;
+            Ok(Exchange {
+                result,
+                reusable: false,
+            })
         }
-        Err(error) => match error.downcast::<hyper::Error>() {
-            Ok(broken) => Err(*broken),
-            // Larger than any answer may be: it ran, and what it says is of no use.
-            Err(_) => Ok((
-                AttemptResult {
-                    status: Status::Failed,
-                    cache_result,
-                    load,
-                    body: None,
-                },
-                false,
-            )),
-        },
+        Err(BodyError::Incomplete(error)) => Err(error),
     }
 }
 
-fn outcome(response: &Response<Incoming>) -> Status {
+fn response_status(response: &Response<Incoming>) -> Status {
     let declined = response
         .headers()
-        .get(DECLINED)
+        .get(SRV_DECLINED)
         .is_some_and(|value| value == "1");
     match response.status() {
         StatusCode::OK => Status::Ok,
--- a/crates/node/src/upstream/idle_history.rs
+++ b/crates/node/src/upstream/idle_history.rs
@@ -1,64 +1,88 @@
-//! For how long an idle connection to a server is worth keeping, learnt from those that were lost.
+//! For how long an idle connection to an endpoint is worth keeping, learnt from the requests lost on those that were kept.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// This many requests lost on connections of about the same idle time, and this share of all of them, show that servers
+/// This many requests lost on connections of about the same idle time, and this share of all of them, show that endpoints
 /// drop connections silently after that time.
 const MIN_DROPS: u32 = 3;
+/// The share that goes with [`MIN_DROPS`].
 const MIN_DROP_SHARE: f64 = 0.2;
 /// Connections break for other causes as well, whatever their idle time: only losses above this multiple of that rate
 /// count as drops.
 const MIN_DROP_EXCESS: f64 = 3.0;
 /// The history is discarded after this: the cause of the drops may be gone.
 pub(super) const HISTORY_LIFETIME: Duration = Duration::from_secs(120);
+/// The buckets of idle times: one for each power of two of milliseconds, the last for all above about half a minute.
+const BUCKETS: usize = 17;
 
-/// The requests on kept connections and their losses by idle time, and how long an idle connection is kept because of
-/// them. Servers state when they close idle connections at the latest; some drop them far earlier without notice, and the
+/// The requests on connections of about the same idle time.
+#[derive(Clone, Copy, Debug, Default)]
+struct Bucket {
+    /// All of them.
+    requests: u32,
+    /// Those whose connection broke before their response.
+    lost: u32,
+}
+
+impl Bucket {
+    fn loss_rate(self) -> f64 {
+        f64::from(self.lost) / f64::from(self.requests.max(1))
+    }
+}
+
+/// The requests and their losses by the idle time of their connections, and the idle timeout that follows from them.
+/// Endpoints state when they close idle connections at the latest; some drop them far earlier without notice, and the
 /// next request there is lost: its class may not allow a retry.
 pub(super) struct IdleHistory {
-    stated: Duration,
-    /// Of the idle times under each power of two of milliseconds: requests, and those that met a drop.
-    spans: [(u32, u32); Self::SPANS],
+    max_idle_timeout: Duration,
+    /// Bucket `n` holds the idle times under 2^n ms that the buckets before do not.
+    buckets: [Bucket; BUCKETS],
     since: Instant,
 }
 
 impl IdleHistory {
-    /// The last one holds all times over about half a minute.
-    const SPANS: usize = 17;
-
-    pub(super) fn new(stated: Duration, now: Instant) -> Self {
+    /// No history: the idle timeout is the longest.
+    pub(super) fn new(max_idle_timeout: Duration, now: Instant) -> Self {
         Self {
-            stated,
-            spans: [(0, 0); Self::SPANS],
+            max_idle_timeout,
+            buckets: [Bucket::default(); BUCKETS],
             since: now,
         }
     }
 
-    pub(super) fn record(&mut self, idle: Duration, dropped: bool, now: Instant) {
+    /// Records a request on a connection that had been idle for so long, and whether it was lost.
+    pub(super) fn record(&mut self, idle_time: Duration, lost: bool, now: Instant) {
         if now - self.since >= HISTORY_LIFETIME {
-            *self = Self::new(self.stated, now);
+            *self = Self::new(self.max_idle_timeout, now);
         }
-        let bits = u64::BITS - (idle.as_millis() as u64).leading_zeros();
-        let (all, lost) = &mut self.spans[(bits as usize).min(Self::SPANS - 1)];
-        *all += 1;
-        *lost += u32::from(dropped);
+        let bucket = &mut self.buckets[bucket_index(idle_time)];
+        bucket.requests += 1;
+        bucket.lost += u32::from(lost);
     }
 
-    /// The shortest idle time that costs requests, or what is stated.
-    pub(super) fn limit(&self) -> Duration {
-        let (mut all, mut lost) = (0, 0);
-        for (bits, span) in self.spans.iter().enumerate() {
-            let share = f64::from(span.1) / f64::from(span.0.max(1));
-            let usual = f64::from(lost) / f64::from(all.max(1));
-            if all > 0
-                && span.1 >= MIN_DROPS
-                && share >= MIN_DROP_SHARE.max(usual * MIN_DROP_EXCESS)
-            {
-                return Duration::from_millis(1 << bits >> 1).min(self.stated);
+    /// The shortest idle time that costs requests, at most the longest timeout.
+    pub(super) fn idle_timeout(&self) -> Duration {
+        let mut shorter = Bucket::default();
+        for (index, bucket) in self.buckets.iter().enumerate() {
+            let min_rate = MIN_DROP_SHARE.max(shorter.loss_rate() * MIN_DROP_EXCESS);
+            let drops = bucket.lost >= MIN_DROPS && bucket.loss_rate() >= min_rate;
+            if drops && shorter.requests > 0 {
+                return min_idle_time(index).min(self.max_idle_timeout);
             }
-            (all, lost) = (all + span.0, lost + span.1);
+            shorter.requests += bucket.requests;
+            shorter.lost += bucket.lost;
         }
-        self.stated
+        self.max_idle_timeout
     }
 }
+
+fn bucket_index(idle_time: Duration) -> usize {
+    let significant_bits = u64::BITS - (idle_time.as_millis() as u64).leading_zeros();
+    (significant_bits as usize).min(BUCKETS - 1)
+}
+
+/// The shortest idle time of a bucket.
+fn min_idle_time(index: usize) -> Duration {
+    Duration::from_millis(1 << index >> 1)
+}
--- a/crates/node/src/upstream/open_request_ids.rs
+++ b/crates/node/src/upstream/request_ids.rs
@@ -5,12 +5,12 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// The ids of requests that have no final answer yet or an attempt out.
+/// The ids of the requests that have no final answer yet, or an attempt in flight. Clones are the same set.
 #[derive(Clone, Debug, Default)]
 pub struct OpenRequestIds(Rc<RefCell<HashSet<HeaderValue>>>);
 
 impl OpenRequestIds {
-    /// `None` for one that is open already.
+    /// Registers an id until the result is dropped. `None` for one that is open already.
     pub fn register(&self, value: HeaderValue) -> Option<OpenRequestId> {
         let new = self.0.borrow_mut().insert(value.clone());
         new.then(|| OpenRequestId {
@@ -20,9 +20,10 @@
     }
 }
 
-/// An id for as long as its request is open: it goes with the last that holds the request's message.
+/// A registered id. It is part of the request's message, and open until the last holder of that drops it.
 #[derive(Debug)]
 pub struct OpenRequestId {
+    /// As the client sent it.
     pub(super) value: HeaderValue,
     ids: OpenRequestIds,
 }
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -1,95 +1,127 @@
-use super::idle_history::HISTORY_LIFETIME;
-use super::*;
+//! The idle time that is learnt, what may start on a reused connection, and which errors are the node's own.
+
+use super::idle_history::{IdleHistory, HISTORY_LIFETIME};
+use super::is_local_resource_error;
+use super::pool::{EndpointPool, PooledConnection};
+use super::socket::EndpointSocket;
+use super::write_progress::WriteProgress;
+use hyper::client::conn::http1;
+use hyper_util::rt::TokioIo;
+use slatelink_admission::{Budget, ConnectionKind, Quota};
+use slatelink_policy::Endpoint;
 use socket2::SockRef;
+use std::io::{self, Write as _};
 use std::mem::MaybeUninit;
+use std::net::TcpListener;
 use std::pin::Pin;
-use std::task::{Context, Poll};
+use std::rc::Rc;
+use std::task::{Context, Poll, Waker};
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::Instant;
 
-const STATED: Duration = Duration::from_secs(30);
+const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Requests on connections that had stood idle for so many milliseconds, of which so many were lost.
-fn notes(idle_history: &mut IdleHistory, idle: u64, all: u32, lost: u32, now: Instant) {
-    (0..all).for_each(|i| idle_history.record(Duration::from_millis(idle), i < lost, now));
+/// Records so many requests on connections that had been idle for so many milliseconds, the first `lost` of them as lost.
+fn record(history: &mut IdleHistory, idle_ms: u64, requests: u32, lost: u32, now: Instant) {
+    for request in 0..requests {
+        history.record(Duration::from_millis(idle_ms), request < lost, now);
+    }
 }
 
-// Guards against requests lost on connections that servers have dropped without a word.
+// Guards against requests lost on connections that endpoints have dropped without notice.
 #[test]
-fn an_idle_time_after_which_connections_are_dropped_is_learnt_and_forgotten() {
+fn the_idle_time_after_which_endpoints_drop_connections_is_learnt_and_later_discarded() {
     let now = Instant::now();
-    let mut idle_history = IdleHistory::new(STATED, now);
-    notes(&mut idle_history, 5, 100, 4, now);
-    notes(&mut idle_history, 200, 4, 2, now);
-    assert_eq!(idle_history.limit(), STATED, "two drops are too few");
-    notes(&mut idle_history, 200, 4, 2, now);
-    assert_eq!(idle_history.limit(), Duration::from_millis(128));
-    notes(&mut idle_history, 5, 1, 0, now + HISTORY_LIFETIME);
-    assert_eq!(idle_history.limit(), STATED, "tried again after a while");
+    let mut history = IdleHistory::new(MAX_IDLE_TIMEOUT, now);
+    record(&mut history, 5, 100, 4, now);
+    record(&mut history, 200, 4, 2, now);
+    assert_eq!(
+        history.idle_timeout(),
+        MAX_IDLE_TIMEOUT,
+        "two drops are too few"
+    );
+    record(&mut history, 200, 4, 2, now);
+    assert_eq!(history.idle_timeout(), Duration::from_millis(128));
+    record(&mut history, 5, 1, 0, now + HISTORY_LIFETIME);
+    assert_eq!(
+        history.idle_timeout(),
+        MAX_IDLE_TIMEOUT,
+        "discarded after its lifetime"
+    );
 }
 
 // Guards against a handshake for each request where connections break at any time.
 #[test]
-fn breaks_that_do_not_grow_with_idleness_leave_connections_kept() {
+fn losses_that_do_not_grow_with_idle_time_leave_the_idle_timeout_unchanged() {
     let now = Instant::now();
-    let mut idle_history = IdleHistory::new(STATED, now);
-    for idle in [0, 1, 10, 100, 1_000, 10_000, 100_000] {
-        notes(&mut idle_history, idle, 30, 9, now);
+    let mut history = IdleHistory::new(MAX_IDLE_TIMEOUT, now);
+    for idle_ms in [0, 1, 10, 100, 1_000, 10_000, 100_000] {
+        record(&mut history, idle_ms, 30, 9, now);
     }
-    assert_eq!(idle_history.limit(), STATED);
+    assert_eq!(history.idle_timeout(), MAX_IDLE_TIMEOUT);
 }
 
-// Guards against what lies in a kept connection's socket, a second copy of an answer or noise, taken for the answer to
-// the request that is written next. hyper sees it only where the runtime has polled in between.
-#[tokio::test]
-async fn a_kept_connection_with_something_to_read_takes_no_request() {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+/// A socket connected to a listener, with the progress that it shares.
+async fn connect_to(listener: &TcpListener) -> (EndpointSocket, Rc<WriteProgress>) {
     let stream = TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
-    let mut server = listener.accept().unwrap().0;
     let progress = Rc::new(WriteProgress::default());
-    let mut watched = WatchedSocket {
+    let socket = EndpointSocket {
         stream: TokioIo::new(stream),
         progress: progress.clone(),
     };
-    let write = |watched: &mut WatchedSocket| {
-        let mut cx = Context::from_waker(std::task::Waker::noop());
-        hyper::rt::Write::poll_write(Pin::new(watched), &mut cx, b"GET")
-    };
+    (socket, progress)
+}
+
+fn poll_write(socket: &mut EndpointSocket) -> Poll<io::Result<usize>> {
+    let mut cx = Context::from_waker(Waker::noop());
+    hyper::rt::Write::poll_write(Pin::new(socket), &mut cx, b"GET")
+}
+
+// Guards against what is left in a reused connection's socket, a duplicate of a response or noise, taken for the response
+// to the request that is written next. hyper sees it only where the runtime has polled in between.
+#[tokio::test]
+async fn no_request_starts_on_a_reused_connection_that_has_something_to_read() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (mut socket, progress) = connect_to(&listener).await;
+    let mut endpoint = listener.accept().unwrap().0;
     progress.reused.set(true);
     assert!(
-        matches!(write(&mut watched), Poll::Ready(Ok(3))),
-        "nothing lies there"
+        matches!(poll_write(&mut socket), Poll::Ready(Ok(3))),
+        "nothing is there to be read"
     );
-    io::Write::write_all(&mut server, b"HTTP/1.1 200 OK\r\n").unwrap();
-    while SockRef::from(watched.stream.inner())
+    endpoint.write_all(b"HTTP/1.1 200 OK\r\n").unwrap();
+    while SockRef::from(socket.stream.inner())
         .peek(&mut [MaybeUninit::uninit()])
         .is_err()
     {
         std::thread::yield_now();
     }
-    // An answer may come while a request is still being written.
+    // A response may come while a request is still being written.
     assert!(
-        matches!(write(&mut watched), Poll::Ready(Ok(3))),
-        "the request's own answer"
+        matches!(poll_write(&mut socket), Poll::Ready(Ok(3))),
+        "the request's own response"
     );
-    progress.begun.set(false);
-    let refused = write(&mut watched);
+    progress.started.set(false);
+    let refused = poll_write(&mut socket);
     assert!(
         matches!(&refused, Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::ConnectionAborted),
         "{refused:?}"
     );
     assert!(
-        !progress.begun.get(),
-        "not a byte went out: another connection serves"
+        !progress.started.get(),
+        "not a byte was written: another connection serves"
     );
-    // On a new one there can be nothing of a request before.
+    // On a new one there can be nothing of an earlier request.
     progress.reused.set(false);
-    assert!(matches!(write(&mut watched), Poll::Ready(Ok(3))));
+    assert!(matches!(poll_write(&mut socket), Poll::Ready(Ok(3))));
 }
 
-// Guards against a node's own want of memory that is held against the server it meant to ask.
+// Guards against a node's own lack of memory that counts against the endpoint it meant to connect to.
 #[test]
-fn a_want_of_descriptors_memory_or_addresses_is_the_nodes_own() {
+fn a_lack_of_descriptors_memory_or_addresses_is_a_local_resource_error() {
     for code in [
         libc::ENOMEM,
         libc::ENFILE,
@@ -107,50 +139,33 @@
     )));
 }
 
-// Guards against a connection that is kept though it has carried nothing, and taken for a new one: what lies in it is looked
-// for only on one that has stood idle.
+// Guards against a connection that is returned to the pool unused and then taken for a new one: only a reused one is
+// checked for something to read.
 #[tokio::test]
-async fn a_connection_kept_unused_is_looked_at_before_its_first_request() {
+async fn a_connection_returned_to_the_pool_unused_counts_as_reused() {
     let run = async {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let stream = TcpStream::connect(listener.local_addr().unwrap())
-            .await
-            .unwrap();
-        let progress = Rc::new(WriteProgress::default());
-        let watched = WatchedSocket {
-            stream: TokioIo::new(stream),
-            progress: progress.clone(),
-        };
-        let (sender, driving) = http1::Builder::new().handshake(watched).await.unwrap();
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let (socket, progress) = connect_to(&listener).await;
+        let (sender, driving) = http1::Builder::new().handshake(socket).await.unwrap();
         let task = tokio::task::spawn_local(async move { drop(driving.await) }).abort_handle();
-        let share = slatelink_admission::Quota {
+        let quota = Quota {
             reserved: 0,
             limit: 1,
         };
-        let budget = Budget::new(1, [share; 3], 0).unwrap();
-        let _lease = budget.lease(ConnectionKind::Upstream).unwrap();
-        let connection = Connection {
+        let budget = Budget::new(1, [quota; 3], 0).unwrap();
+        let connection = PooledConnection {
             incarnation: 0,
             sender,
             progress: progress.clone(),
             task,
             idle_since: Instant::now(),
-            _lease,
-        };
-        let (dial, started) = (Cell::new(listener.local_addr().unwrap()), Cell::default());
-        let (incarnation, accepts_requests, idle) =
-            (Cell::default(), Cell::new(true), RefCell::default());
-        let peer = Peer {
-            dial,
-            started,
-            incarnation,
-            accepts_requests,
-            idle,
+            _lease: budget.lease(ConnectionKind::Upstream).unwrap(),
         };
+        let pool = EndpointPool::new(&Endpoint::new("a"), listener.local_addr().unwrap());
         assert!(!progress.reused.get(), "a new one");
-        peer.keep(connection);
+        pool.put_idle(connection);
         assert!(progress.reused.get());
-        assert_eq!(peer.idle.borrow().len(), 1);
+        assert_eq!(pool.idle.borrow().len(), 1);
     };
     tokio::task::LocalSet::new().run_until(run).await;
 }
