--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,9 +8,9 @@
 mod message;
 mod replica;
 
-pub use history::{CHANGES_BYTES, MAX_VERSIONS};
-pub use message::{Entry, List, MessageError, Version};
+pub use history::{MAX_HISTORY_BYTES, MAX_HISTORY_VERSIONS};
+pub use message::{EndpointRecord, ListUpdate, MessageError, Version};
 pub use replica::{
-    Applied, Call, Question, RejectedList, Replica, Reply, Unavailable, EPOCH_OVERLAP, LIST_BYTES,
-    SHRINK_FACTOR,
+    Answer, ApplyOutcome, ListQuery, RejectedUpdate, Replica, Unavailable, UpstreamCall,
+    EPOCH_AMBIGUITY_WINDOW, MAX_LIST_BYTES, UNCONFIRMED_SHRINK_FACTOR,
 };
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,4 +1,4 @@
-//! Lists and their entries in discovery's form. What an entry says beside its name and health is passed on byte for byte.
+//! Lists and their entries in discovery's form. What an record says beside its name and health is passed on byte for byte.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// The health of a server that was removed.
-const GONE: &str = "gone";
+const REMOVED_HEALTH: &str = "gone";
 
 /// A version of the list, as upstream numbers it.
 #[derive(
@@ -29,13 +29,13 @@
     /// It is not JSON of the expected form.
     #[error("not a list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// An entry lacks what every entry has.
-    #[error("entry {place} of list {version} has no name or no health: {error}")]
-    Entry {
+    /// An record lacks what every record has.
+    #[error("entry {index} of list {version} has no name or no health: {error}")]
+    InvalidRecord {
         /// The list's version.
         version: Version,
-        /// Which entry, from 0.
-        place: usize,
+        /// Which record, from 0.
+        index: usize,
         /// What was found.
         error: serde_json::Error,
     },
@@ -43,26 +43,26 @@
 
 /// One server of the list. Cheap to clone.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct EndpointRecord {
     host: Arc<str>,
-    gone: bool,
+    removed: bool,
     json: Arc<RawValue>,
 }
 
-/// What is read of an entry.
+/// What is read of an record.
 #[derive(Deserialize)]
-struct Head {
+struct RecordFields {
     host: String,
     health: String,
 }
 
-impl Entry {
-    /// Reads an entry; all of its text is kept.
+impl EndpointRecord {
+    /// Reads an record; all of its text is kept.
     pub fn parse(json: Box<RawValue>) -> serde_json::Result<Self> {
-        let Head { host, health } = serde_json::from_str(json.get())?;
+        let RecordFields { host, health } = serde_json::from_str(json.get())?;
         Ok(Self {
             host: host.into(),
-            gone: health == GONE,
+            removed: health == REMOVED_HEALTH,
             json: json.into(),
         })
     }
@@ -73,27 +73,27 @@
     }
 
     /// Whether the server was removed.
-    pub fn is_gone(&self) -> bool {
-        self.gone
+    pub fn is_removed(&self) -> bool {
+        self.removed
     }
 
-    /// The entry as upstream wrote it.
+    /// The record as upstream wrote it.
     pub fn json(&self) -> &str {
         self.json.get()
     }
 
     /// The same server, removed; for a whole list that no longer has it.
-    pub(crate) fn removed(&self) -> Self {
+    pub(crate) fn to_removed(&self) -> Self {
         // It was read as an object before.
         let mut fields: Map<String, Value> =
             serde_json::from_str(self.json.get()).unwrap_or_default();
         fields.insert("host".to_owned(), Value::from(&*self.host));
-        fields.insert("health".to_owned(), Value::from(GONE));
+        fields.insert("health".to_owned(), Value::from(REMOVED_HEALTH));
         let json =
             serde_json::value::to_raw_value(&fields).map_or_else(|_| self.json.clone(), Arc::from);
         Self {
             host: self.host.clone(),
-            gone: true,
+            removed: true,
             json,
         }
     }
@@ -105,74 +105,79 @@
 }
 
 /// Two entries are equal where they say the same in the same words.
-impl PartialEq for Entry {
+impl PartialEq for EndpointRecord {
     fn eq(&self, other: &Self) -> bool {
         self.json.get() == other.json.get()
     }
 }
 
-impl Eq for Entry {}
+impl Eq for EndpointRecord {}
 
 /// A whole list, or a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct List {
+pub struct ListUpdate {
     /// Its version.
     pub version: Version,
     /// Whether what it lacks is gone.
-    pub whole: bool,
+    pub complete: bool,
     /// The entries, or those that changed.
-    pub entries: Vec<Entry>,
+    pub records: Vec<EndpointRecord>,
 }
 
 #[derive(Deserialize)]
-struct ReadList {
-    seq: Version,
-    whole: bool,
-    #[serde(default)]
-    hosts: Vec<Box<RawValue>>,
+struct ReceivedUpdate {
+    #[serde(rename = "seq")]
+    version: Version,
+    #[serde(rename = "whole")]
+    complete: bool,
+    #[serde(default, rename = "hosts")]
+    records: Vec<Box<RawValue>>,
 }
 
 #[derive(Serialize)]
-struct WrittenList<'a> {
-    seq: Version,
-    whole: bool,
-    hosts: Vec<&'a RawValue>,
+struct EncodedUpdate<'a> {
+    #[serde(rename = "seq")]
+    version: Version,
+    #[serde(rename = "whole")]
+    complete: bool,
+    #[serde(rename = "hosts")]
+    records: Vec<&'a RawValue>,
 }
 
-impl List {
+impl ListUpdate {
     /// Reads a message of discovery's.
     pub fn parse(body: &[u8]) -> Result<Self, MessageError> {
-        let ReadList {
-            seq: version,
-            whole,
-            hosts,
+        let ReceivedUpdate {
+            version,
+            complete,
+            records,
         } = serde_json::from_slice(body)?;
-        let entry = |(place, json)| {
-            Entry::parse(json).map_err(|error| MessageError::Entry {
+        let record = |(index, json)| {
+            EndpointRecord::parse(json).map_err(|error| MessageError::InvalidRecord {
                 version,
-                place,
+                index,
                 error,
             })
         };
-        let entries = hosts
+        let records = records
             .into_iter()
             .enumerate()
-            .map(entry)
+            .map(record)
             .collect::<Result<_, _>>()?;
         Ok(Self {
             version,
-            whole,
-            entries,
+            complete,
+            records,
         })
     }
 
     /// Writes it as discovery would.
     pub fn encode(&self) -> serde_json::Result<Vec<u8>> {
-        let hosts = self.entries.iter().map(|entry| &*entry.json).collect();
-        serde_json::to_vec(&WrittenList {
-            seq: self.version,
-            whole: self.whole,
-            hosts,
+        let records = self.records.iter().map(|record| &*record.json).collect();
+        serde_json::to_vec(&EncodedUpdate {
+            version: self.version,
+            complete: self.complete,
+            records,
         })
     }
 }
--- a/crates/membership/src/replica.rs
+++ b/crates/membership/src/replica.rs
@@ -1,7 +1,7 @@
 //! A copy of the list: what upstream says goes in, and answers to callers come out.
 
 use crate::history::History;
-use crate::message::{Entry, List, Version};
+use crate::message::{EndpointRecord, ListUpdate, Version};
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 
 /// A whole list with fewer servers than the one held divided by this, or with none, is only believed once a second call
 /// says so as well: a fault that empties the list would take the whole fleet out of service.
-pub const SHRINK_FACTOR: usize = 2;
+pub const UNCONFIRMED_SHRINK_FACTOR: usize = 2;
 /// For so long after versions went back, the versions of before and of now cannot be told apart by their numbers. Callers
 /// that name one of these get whole lists. A watch lasts 60 s at most, so each caller has heard something new by then.
-pub const EPOCH_OVERLAP: Duration = Duration::from_secs(120);
+pub const EPOCH_AMBIGUITY_WINDOW: Duration = Duration::from_secs(120);
 
 /// A list of more bytes than this, as its entries are kept, is not taken: fifty times that of 4,600 servers.
-pub const LIST_BYTES: usize = 32 << 20;
+pub const MAX_LIST_BYTES: usize = 32 << 20;
 
 /// The next call to upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum UpstreamCall {
     /// The whole list.
-    Whole,
+    Snapshot,
     /// A watch for what is newer than the version held.
     Watch(Version),
     /// What is newer than a version that a caller has and this replica has not, at once.
@@ -30,9 +30,9 @@
 
 /// What became of a list from upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Applied {
+pub struct ApplyOutcome {
     /// Whether callers have news by it.
-    pub news: bool,
+    pub changed: bool,
     /// Whether versions went back, so that a new epoch began with it.
     pub new_epoch: bool,
     /// Entries that a later one of the same message overrode.
@@ -41,63 +41,63 @@
 
 /// Why a list from upstream was not applied. The list held stays, and the next call is another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum RejectedList {
+pub enum RejectedUpdate {
     /// A delta that shows that upstream numbers its lists anew.
-    #[error("delta {listed} does not follow on list {held}: the whole list is asked for")]
-    WentBack {
+    #[error("delta {received} does not follow on list {held}: the whole list is asked for")]
+    VersionRegressed {
         /// The version held.
         held: Version,
         /// The version that was read.
-        listed: Version,
+        received: Version,
     },
     /// A delta to another version than the one held.
-    #[error("delta {listed} is based on a version that is not held: another call is made")]
-    OtherBase {
+    #[error("delta {received} is based on a version that is not held: another call is made")]
+    BaseMismatch {
         /// The version that was read.
-        listed: Version,
+        received: Version,
     },
     /// A list that would take too much memory. The one held stays until its lease runs out.
-    #[error("list {listed} would take {bytes} bytes: at most {LIST_BYTES} are kept")]
+    #[error("list {received} would take {bytes} bytes: at most {MAX_LIST_BYTES} are kept")]
     TooLarge {
         /// The version that was read.
-        listed: Version,
+        received: Version,
         /// Bytes of all entries that would be held.
         bytes: usize,
     },
     /// A whole list that is suddenly far smaller.
     #[error(
-        "whole list {listed} has {servers} servers and list {held} has {servers_held}: it is asked for again"
+        "snapshot {received} has {endpoints} endpoints and list {held} has {held_endpoints}: it is fetched again"
     )]
     Shrunk {
         /// The version held.
         held: Version,
         /// The version that was read.
-        listed: Version,
+        received: Version,
         /// Servers held.
-        servers_held: usize,
+        held_endpoints: usize,
         /// Servers in the list that was read.
-        servers: usize,
+        endpoints: usize,
     },
 }
 
 /// A caller's question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Question {
+pub struct ListQuery {
     /// The version that the caller has; `None` where it asks for the whole list.
     pub after: Option<Version>,
     /// When it came.
-    pub came: Duration,
+    pub received_at: Duration,
     /// Whether the caller's wait is over, so that an answer without news is due.
-    pub wait_is_over: bool,
+    pub wait_expired: bool,
 }
 
 /// The answer to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Reply {
+pub enum Answer {
     /// The whole list.
-    Whole,
+    Snapshot,
     /// What changed since this version; nothing where it is the one held.
-    ChangesSince(Version),
+    DeltaSince(Version),
     /// There is nothing newer yet.
     Wait,
     /// The caller has a version that this replica has not: upstream has to be heard first.
@@ -122,9 +122,9 @@
 
 /// A whole list that is to be asked for again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doubt {
+enum SnapshotReason {
     /// A delta went back.
-    WentBack,
+    VersionRegressed,
     /// A whole list was too small.
     Shrunk,
 }
@@ -144,14 +144,14 @@
     lease: Duration,
     version: Option<Version>,
     /// By name; none of them is gone.
-    servers: BTreeMap<Arc<str>, Entry>,
+    endpoints: BTreeMap<Arc<str>, EndpointRecord>,
     /// Bytes of their entries.
     bytes: usize,
     history: History,
     earlier: Option<EarlierEpochs>,
     /// Epochs begun, the first list's with them.
     epochs: u64,
-    doubt: Option<Doubt>,
+    snapshot_reason: Option<SnapshotReason>,
     /// When upstream's last word was read.
     heard: Option<Duration>,
     /// The newest version that a caller has and this replica has not.
@@ -168,12 +168,12 @@
         Self {
             lease,
             version: None,
-            servers: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             bytes: 0,
             history: History::default(),
             earlier: None,
             epochs: 0,
-            doubt: None,
+            snapshot_reason: None,
             heard: None,
             wanted: None,
             behind: false,
@@ -187,8 +187,8 @@
     }
 
     /// Servers in the list.
-    pub fn servers(&self) -> usize {
-        self.servers.len()
+    pub fn endpoint_count(&self) -> usize {
+        self.endpoints.len()
     }
 
     /// Epochs that began: one with the first list, and one each time versions went back.
@@ -207,53 +207,53 @@
     }
 
     /// The call that upstream is to have next.
-    pub fn next_call(&self) -> Call {
+    pub fn next_call(&self) -> UpstreamCall {
         match (self.next_list_call(), self.wanted) {
-            (Call::Watch(_), Some(wanted)) if !self.behind => Call::Confirm(wanted),
+            (UpstreamCall::Watch(_), Some(wanted)) if !self.behind => UpstreamCall::Confirm(wanted),
             (call, _) => call,
         }
     }
 
     /// The same where upstream is not to be asked for callers' versions now.
-    pub fn next_list_call(&self) -> Call {
+    pub fn next_list_call(&self) -> UpstreamCall {
         self.version
-            .filter(|_| self.doubt.is_none())
-            .map_or(Call::Whole, Call::Watch)
+            .filter(|_| self.snapshot_reason.is_none())
+            .map_or(UpstreamCall::Snapshot, UpstreamCall::Watch)
     }
 
     /// Takes in the answer to a call that was sent at `sent` and read at `read`.
     pub fn apply(
         &mut self,
-        call: Call,
-        list: List,
+        call: UpstreamCall,
+        list: ListUpdate,
         sent: Duration,
         read: Duration,
-    ) -> Result<Applied, RejectedList> {
-        if let Call::Confirm(wanted) = call {
+    ) -> Result<ApplyOutcome, RejectedUpdate> {
+        if let UpstreamCall::Confirm(wanted) = call {
             // Whatever it says, callers that want more have another call made.
             self.wanted = None;
             if list.version < wanted {
                 self.unknown = Some((wanted, sent));
             }
         }
-        match (list.whole, self.version) {
+        match (list.complete, self.version) {
             (true, Some(held)) => self.check_whole(&list, held)?,
             (true, None) => {}
             (false, held) => self.check_delta(call, &list, held)?,
         }
         let bytes = self.bytes_with(&list);
-        if bytes > LIST_BYTES {
-            return Err(RejectedList::TooLarge {
-                listed: list.version,
+        if bytes > MAX_LIST_BYTES {
+            return Err(RejectedUpdate::TooLarge {
+                received: list.version,
                 bytes,
             });
         }
         self.bytes = bytes;
-        self.doubt = None;
+        self.snapshot_reason = None;
         self.behind = false;
         self.heard = Some(read);
         self.wanted = self.wanted.filter(|wanted| *wanted > list.version);
-        Ok(if list.whole {
+        Ok(if list.complete {
             self.take_whole(list, read)
         } else {
             self.take_delta(list)
@@ -261,33 +261,33 @@
     }
 
     /// Bytes of the entries held once this list is applied.
-    fn bytes_with(&self, list: &List) -> usize {
-        let newest = || newest_of_each(&list.entries);
+    fn bytes_with(&self, list: &ListUpdate) -> usize {
+        let newest = || newest_of_each(&list.records);
         let added: usize = newest()
-            .filter(|entry| !entry.is_gone())
-            .map(Entry::bytes)
+            .filter(|record| !record.is_removed())
+            .map(EndpointRecord::bytes)
             .sum();
-        if list.whole {
+        if list.complete {
             return added;
         }
-        let replaced = newest().filter_map(|entry| self.servers.get(entry.host()));
-        self.bytes + added - replaced.map(Entry::bytes).sum::<usize>()
+        let replaced = newest().filter_map(|record| self.endpoints.get(record.host()));
+        self.bytes + added - replaced.map(EndpointRecord::bytes).sum::<usize>()
     }
 
     /// The second whole list in a row that is too small is believed.
-    fn check_whole(&mut self, list: &List, held: Version) -> Result<(), RejectedList> {
-        let servers = newest_of_each(&list.entries)
-            .filter(|entry| !entry.is_gone())
+    fn check_whole(&mut self, list: &ListUpdate, held: Version) -> Result<(), RejectedUpdate> {
+        let endpoints = newest_of_each(&list.records)
+            .filter(|record| !record.is_removed())
             .count();
-        let servers_held = self.servers.len();
-        let shrunk = servers < servers_held.div_ceil(SHRINK_FACTOR);
-        if shrunk && self.doubt != Some(Doubt::Shrunk) {
-            self.doubt = Some(Doubt::Shrunk);
-            return Err(RejectedList::Shrunk {
+        let held_endpoints = self.endpoints.len();
+        let shrunk = endpoints < held_endpoints.div_ceil(UNCONFIRMED_SHRINK_FACTOR);
+        if shrunk && self.snapshot_reason != Some(SnapshotReason::Shrunk) {
+            self.snapshot_reason = Some(SnapshotReason::Shrunk);
+            return Err(RejectedUpdate::Shrunk {
                 held,
-                listed: list.version,
-                servers_held,
-                servers,
+                received: list.version,
+                held_endpoints,
+                endpoints,
             });
         }
         Ok(())
@@ -295,41 +295,41 @@
 
     fn check_delta(
         &mut self,
-        call: Call,
-        list: &List,
+        call: UpstreamCall,
+        list: &ListUpdate,
         held: Option<Version>,
-    ) -> Result<(), RejectedList> {
-        let listed = list.version;
+    ) -> Result<(), RejectedUpdate> {
+        let received = list.version;
         let Some(held) = held else {
-            return Err(RejectedList::OtherBase { listed });
+            return Err(RejectedUpdate::BaseMismatch { received });
         };
-        let below_caller = matches!(call, Call::Confirm(wanted) if listed < wanted);
-        let reused = listed == held && !list.entries.is_empty();
-        if listed < held || below_caller || reused {
-            self.doubt = Some(Doubt::WentBack);
-            return Err(RejectedList::WentBack { held, listed });
+        let below_caller = matches!(call, UpstreamCall::Confirm(wanted) if received < wanted);
+        let reused = received == held && !list.records.is_empty();
+        if received < held || below_caller || reused {
+            self.snapshot_reason = Some(SnapshotReason::VersionRegressed);
+            return Err(RejectedUpdate::VersionRegressed { held, received });
         }
-        if call != Call::Watch(held) {
-            self.behind = listed > held;
-            return Err(RejectedList::OtherBase { listed });
+        if call != UpstreamCall::Watch(held) {
+            self.behind = received > held;
+            return Err(RejectedUpdate::BaseMismatch { received });
         }
         Ok(())
     }
 
-    fn take_whole(&mut self, list: List, now: Duration) -> Applied {
-        let total = list.entries.len();
-        let mut servers: BTreeMap<_, _> = list
-            .entries
+    fn take_whole(&mut self, list: ListUpdate, now: Duration) -> ApplyOutcome {
+        let total = list.records.len();
+        let mut endpoints: BTreeMap<_, _> = list
+            .records
             .into_iter()
-            .map(|entry| (entry.host().clone(), entry))
+            .map(|record| (record.host().clone(), record))
             .collect();
-        let duplicates = total - servers.len();
-        servers.retain(|_, entry| !entry.is_gone());
-        let changes = self.differences(&servers);
+        let duplicates = total - endpoints.len();
+        endpoints.retain(|_, record| !record.is_removed());
+        let changes = self.differences(&endpoints);
         let reused = self.version == Some(list.version) && !changes.is_empty();
         let went_back = self.version.is_some_and(|held| list.version < held);
         let new_epoch = reused || went_back;
-        let news = new_epoch || self.version != Some(list.version);
+        let changed = new_epoch || self.version != Some(list.version);
         if new_epoch {
             self.end_epoch(now);
         }
@@ -339,10 +339,10 @@
         } else {
             self.history.record(list.version, changes);
         }
-        self.servers = servers;
+        self.endpoints = endpoints;
         self.version = Some(list.version);
-        Applied {
-            news,
+        ApplyOutcome {
+            changed,
             new_epoch,
             duplicates,
         }
@@ -359,35 +359,35 @@
     }
 
     /// What the servers held have to become, so that they are these.
-    fn differences(&self, servers: &BTreeMap<Arc<str>, Entry>) -> Vec<Entry> {
+    fn differences(&self, endpoints: &BTreeMap<Arc<str>, EndpointRecord>) -> Vec<EndpointRecord> {
         let lost = self
-            .servers
+            .endpoints
             .iter()
-            .filter(|(host, _)| !servers.contains_key(*host));
-        let lost = lost.map(|(_, entry)| entry.removed());
-        let changed = servers
+            .filter(|(host, _)| !endpoints.contains_key(*host));
+        let lost = lost.map(|(_, record)| record.to_removed());
+        let changed = endpoints
             .iter()
-            .filter(|(host, entry)| self.servers.get(*host) != Some(*entry));
-        lost.chain(changed.map(|(_, entry)| entry.clone()))
+            .filter(|(host, record)| self.endpoints.get(*host) != Some(*record));
+        lost.chain(changed.map(|(_, record)| record.clone()))
             .collect()
     }
 
-    fn take_delta(&mut self, list: List) -> Applied {
-        let total = list.entries.len();
-        let changes: Vec<_> = newest_of_each(&list.entries).cloned().collect();
+    fn take_delta(&mut self, list: ListUpdate) -> ApplyOutcome {
+        let total = list.records.len();
+        let changes: Vec<_> = newest_of_each(&list.records).cloned().collect();
         let duplicates = total - changes.len();
-        let news = self.version != Some(list.version) || !changes.is_empty();
-        for entry in &changes {
-            if entry.is_gone() {
-                self.servers.remove(entry.host());
+        let changed = self.version != Some(list.version) || !changes.is_empty();
+        for record in &changes {
+            if record.is_removed() {
+                self.endpoints.remove(record.host());
             } else {
-                self.servers.insert(entry.host().clone(), entry.clone());
+                self.endpoints.insert(record.host().clone(), record.clone());
             }
         }
         self.history.record(list.version, changes);
         self.version = Some(list.version);
-        Applied {
-            news,
+        ApplyOutcome {
+            changed,
             new_epoch: false,
             duplicates,
         }
@@ -395,12 +395,12 @@
 
     /// The next call goes to another upstream: what the one before was doubted for says nothing of this one.
     pub fn upstream_changed(&mut self) {
-        self.doubt = None;
+        self.snapshot_reason = None;
         self.behind = false;
     }
 
     /// What a caller is answered now. A caller that is to have upstream confirmed is remembered: the next call does that.
-    pub fn answer(&mut self, question: Question, now: Duration) -> Result<Reply, Unavailable> {
+    pub fn answer(&mut self, query: ListQuery, now: Duration) -> Result<Answer, Unavailable> {
         let (version, heard) = self.version.zip(self.heard).ok_or(Unavailable::NoList)?;
         let silent = now.saturating_sub(heard);
         if silent > self.lease {
@@ -409,23 +409,23 @@
                 lease: self.lease,
             });
         }
-        let Some(after) = question.after else {
-            return Ok(Reply::Whole);
+        let Some(after) = query.after else {
+            return Ok(Answer::Snapshot);
         };
         if self.is_ambiguous(after, now) {
-            return Ok(self.answer_ambiguous(after, version, question));
+            return Ok(self.answer_ambiguous(after, version, query));
         }
         if after > version {
-            return Ok(self.answer_newer(after, question.came));
+            return Ok(self.answer_newer(after, query.received_at));
         }
-        if after == version && !question.wait_is_over {
-            return Ok(Reply::Wait);
+        if after == version && !query.wait_expired {
+            return Ok(Answer::Wait);
         }
         let known = self.history.holds(after);
         Ok(if known {
-            Reply::ChangesSince(after)
+            Answer::DeltaSince(after)
         } else {
-            Reply::Whole
+            Answer::Snapshot
         })
     }
 
@@ -433,66 +433,67 @@
     fn is_ambiguous(&self, version: Version, now: Duration) -> bool {
         let earlier = self
             .earlier
-            .filter(|earlier| now.saturating_sub(earlier.ended) <= EPOCH_OVERLAP);
+            .filter(|earlier| now.saturating_sub(earlier.ended) <= EPOCH_AMBIGUITY_WINDOW);
         earlier.is_some_and(|earlier| version <= earlier.highest)
     }
 
     /// Whole lists only. A caller that named the version held in this epoch waits, or it would ask without end.
-    fn answer_ambiguous(&self, after: Version, version: Version, question: Question) -> Reply {
+    fn answer_ambiguous(&self, after: Version, version: Version, query: ListQuery) -> Answer {
         let of_this_epoch = self
             .earlier
-            .is_some_and(|earlier| question.came >= earlier.ended);
-        if after == version && of_this_epoch && !question.wait_is_over {
-            return Reply::Wait;
+            .is_some_and(|earlier| query.received_at >= earlier.ended);
+        if after == version && of_this_epoch && !query.wait_expired {
+            return Answer::Wait;
         }
-        Reply::Whole
+        Answer::Snapshot
     }
 
     /// Either this replica is behind, or upstream does not know that version any more. Only upstream can say which.
-    fn answer_newer(&mut self, after: Version, came: Duration) -> Reply {
+    fn answer_newer(&mut self, after: Version, received_at: Duration) -> Answer {
         if self
             .unknown
-            .is_some_and(|(version, asked)| after <= version && came <= asked)
+            .is_some_and(|(version, asked)| after <= version && received_at <= asked)
         {
-            return Reply::Whole;
+            return Answer::Snapshot;
         }
         self.wanted = self.wanted.max(Some(after));
-        Reply::Confirm
+        Answer::Confirm
     }
 
     /// The message of a reply; `None` where that has none.
-    pub fn message(&self, reply: Reply) -> Option<List> {
+    pub fn message(&self, reply: Answer) -> Option<ListUpdate> {
         let version = self.version?;
         match reply {
-            Reply::Whole => Some(List {
+            Answer::Snapshot => Some(ListUpdate {
                 version,
-                whole: true,
-                entries: self.servers.values().cloned().collect(),
+                complete: true,
+                records: self.endpoints.values().cloned().collect(),
             }),
-            Reply::ChangesSince(after) => {
-                let entries = self.history.since(after)?;
-                Some(List {
+            Answer::DeltaSince(after) => {
+                let records = self.history.since(after)?;
+                Some(ListUpdate {
                     version,
-                    whole: false,
-                    entries,
+                    complete: false,
+                    records,
                 })
             }
-            Reply::Wait | Reply::Confirm => None,
+            Answer::Wait | Answer::Confirm => None,
         }
     }
 }
 
-/// The last entry of each server: a message is read in its order, and the later word stands.
-fn newest_of_each(entries: &[Entry]) -> impl Iterator<Item = &Entry> {
-    let last: HashMap<&str, usize> = entries
+/// The last record of each server: a message is read in its order, and the later word stands.
+fn newest_of_each(records: &[EndpointRecord]) -> impl Iterator<Item = &EndpointRecord> {
+    let last: HashMap<&str, usize> = records
         .iter()
         .enumerate()
-        .map(|(place, entry)| (&**entry.host(), place))
+        .map(|(index, record)| (&**record.host(), index))
         .collect();
-    let is_last = move |place: usize, entry: &Entry| last.get(&**entry.host()) == Some(&place);
-    entries
+    let is_last =
+        move |index: usize, record: &EndpointRecord| last.get(&**record.host()) == Some(&index);
+    records
         .iter()
         .enumerate()
-        .filter(move |(place, entry)| is_last(*place, entry))
-        .map(|(_, entry)| entry)
+        .filter(move |(index, record)| is_last(*index, record))
+        .map(|(_, record)| record)
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,7 +1,9 @@
 //! Lists to test with.
 #![allow(dead_code)]
 
-use slatelink_membership::{Call, Entry, List, Question, Replica, Reply, Unavailable, Version};
+use slatelink_membership::{
+    Answer, EndpointRecord, ListQuery, ListUpdate, Replica, Unavailable, UpstreamCall, Version,
+};
 use std::time::Duration;
 
 pub const LEASE: Duration = Duration::from_secs(10);
@@ -11,54 +13,63 @@
 }
 
 /// A message as discovery writes it, of these servers and their health.
-pub fn list(version: u64, whole: bool, servers: &[(&str, &str)]) -> List {
-    let hosts: Vec<_> = servers
+pub fn list(version: u64, complete: bool, endpoints: &[(&str, &str)]) -> ListUpdate {
+    let hosts: Vec<_> = endpoints
         .iter()
         .map(|(host, health)| {
             format!(r#"{{"host":"{host}","health":"{health}","new_field":[1, 2]}}"#)
         })
         .collect();
     let text = format!(
-        r#"{{"seq":{version},"whole":{whole},"hosts":[{}]}}"#,
+        r#"{{"seq":{version},"whole":{complete},"hosts":[{}]}}"#,
         hosts.join(",")
     );
-    List::parse(text.as_bytes()).unwrap()
+    ListUpdate::parse(text.as_bytes()).unwrap()
 }
 
 /// Name and health of each entry, in their order.
-pub fn words(list: &List) -> Vec<(String, String)> {
-    let word = |entry: &Entry| {
+pub fn words(list: &ListUpdate) -> Vec<(String, String)> {
+    let word = |entry: &EndpointRecord| {
         let json: serde_json::Value = serde_json::from_str(entry.json()).unwrap();
         (
             entry.host().to_string(),
             json["health"].as_str().unwrap().to_owned(),
         )
     };
-    list.entries.iter().map(word).collect()
+    list.records.iter().map(word).collect()
 }
 
-pub fn pairs(servers: &[(&str, &str)]) -> Vec<(String, String)> {
-    servers
+pub fn pairs(endpoints: &[(&str, &str)]) -> Vec<(String, String)> {
+    endpoints
         .iter()
         .map(|(host, health)| (host.to_string(), health.to_string()))
         .collect()
 }
 
 /// One that has this whole list, heard at the origin of time.
-pub fn holding(version: u64, servers: &[(&str, &str)]) -> Replica {
+pub fn holding(version: u64, endpoints: &[(&str, &str)]) -> Replica {
     let mut replica = Replica::new(LEASE);
     replica
-        .apply(Call::Whole, list(version, true, servers), ms(0), ms(0))
+        .apply(
+            UpstreamCall::Snapshot,
+            list(version, true, endpoints),
+            ms(0),
+            ms(0),
+        )
         .unwrap();
     replica
 }
 
 /// Asks at this time, with no wait left.
-pub fn ask(replica: &mut Replica, after: Option<u64>, now: Duration) -> Result<Reply, Unavailable> {
-    let question = Question {
+pub fn ask(
+    replica: &mut Replica,
+    after: Option<u64>,
+    now: Duration,
+) -> Result<Answer, Unavailable> {
+    let query = ListQuery {
         after: after.map(Version),
-        came: now,
-        wait_is_over: true,
+        received_at: now,
+        wait_expired: true,
     };
-    replica.answer(question, now)
+    replica.answer(query, now)
 }
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -5,7 +5,7 @@
 use common::{list, ms, LEASE};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use slatelink_membership::{Call, List, Question, Replica, Reply, Version};
+use slatelink_membership::{Answer, ListQuery, ListUpdate, Replica, UpstreamCall, Version};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -34,8 +34,8 @@
     Ask {
         caller: u8,
         replica: u8,
-        whole: bool,
-        wait_is_over: bool,
+        complete: bool,
+        wait_expired: bool,
     },
 }
 
@@ -46,7 +46,7 @@
         5 => (0..replicas, prop::bool::weighted(0.2))
             .prop_map(|(replica, forgets)| Step::Call { replica, forgets }),
         5 => (0..CALLERS, 0..replicas, prop::bool::weighted(0.1), any::<bool>()).prop_map(
-            |(caller, replica, whole, wait_is_over)| Step::Ask { caller, replica, whole, wait_is_over }
+            |(caller, replica, complete, wait_expired)| Step::Ask { caller, replica, complete, wait_expired }
         ),
     ]
 }
@@ -58,11 +58,11 @@
 
 impl Upstream {
     fn new() -> Self {
-        let servers = (0..HOSTS)
+        let endpoints = (0..HOSTS)
             .map(|host| (format!("s{host}"), "ready".to_owned()))
             .collect();
         Self {
-            lists: BTreeMap::from([(FIRST_VERSION, servers)]),
+            lists: BTreeMap::from([(FIRST_VERSION, endpoints)]),
         }
     }
 
@@ -70,55 +70,59 @@
         *self.lists.last_key_value().unwrap().0
     }
 
-    fn servers(&self) -> &Servers {
+    fn endpoints(&self) -> &Servers {
         self.lists.last_key_value().unwrap().1
     }
 
     fn change(&mut self, host: u8, health: u8) {
-        let (version, mut servers) = (self.version() + 1, self.servers().clone());
+        let (version, mut endpoints) = (self.version() + 1, self.endpoints().clone());
         match health {
-            0 => servers.insert(format!("s{host}"), "ready".to_owned()),
-            1 => servers.insert(format!("s{host}"), "draining".to_owned()),
-            _ => servers.remove(&format!("s{host}")),
+            0 => endpoints.insert(format!("s{host}"), "ready".to_owned()),
+            1 => endpoints.insert(format!("s{host}"), "draining".to_owned()),
+            _ => endpoints.remove(&format!("s{host}")),
         };
-        self.lists.insert(version, servers);
+        self.lists.insert(version, endpoints);
     }
 
     fn restart(&mut self, version: u64, steps_back: u8) {
-        let servers = self.servers().iter().skip(usize::from(steps_back % 3));
-        let servers = servers
+        let endpoints = self.endpoints().iter().skip(usize::from(steps_back % 3));
+        let endpoints = endpoints
             .map(|(host, health)| (host.clone(), health.clone()))
             .collect();
-        self.lists = BTreeMap::from([(version, servers)]);
+        self.lists = BTreeMap::from([(version, endpoints)]);
     }
 
-    fn whole(&self) -> List {
-        let servers: Vec<_> = self
-            .servers()
+    fn snapshot(&self) -> ListUpdate {
+        let endpoints: Vec<_> = self
+            .endpoints()
             .iter()
             .map(|(host, health)| (&**host, &**health))
             .collect();
-        list(self.version(), true, &servers)
+        list(self.version(), true, &endpoints)
     }
 
-    fn answer(&self, call: Call, forgets: bool) -> List {
-        let (Call::Watch(after) | Call::Confirm(after)) = call else {
-            return self.whole();
+    fn answer(&self, call: UpstreamCall, forgets: bool) -> ListUpdate {
+        let (UpstreamCall::Watch(after) | UpstreamCall::Confirm(after)) = call else {
+            return self.snapshot();
         };
         if forgets || !self.lists.contains_key(&after.0) {
-            return self.whole();
+            return self.snapshot();
         }
         // All that was touched since, also where it is again as it was.
         let mut changes = BTreeMap::new();
         let mut before = &self.lists[&after.0];
-        for servers in self.lists.range(after.0 + 1..).map(|(_, servers)| servers) {
-            let hosts = before.keys().chain(servers.keys());
-            for host in hosts.filter(|host| before.get(*host) != servers.get(*host)) {
+        for endpoints in self
+            .lists
+            .range(after.0 + 1..)
+            .map(|(_, endpoints)| endpoints)
+        {
+            let hosts = before.keys().chain(endpoints.keys());
+            for host in hosts.filter(|host| before.get(*host) != endpoints.get(*host)) {
                 changes.insert(host.as_str(), ());
             }
-            before = servers;
+            before = endpoints;
         }
-        let health = |host: &str| self.servers().get(host).map_or("gone", |health| health);
+        let health = |host: &str| self.endpoints().get(host).map_or("gone", |health| health);
         let changes: Vec<_> = changes.keys().map(|host| (*host, health(host))).collect();
         list(self.version(), false, &changes)
     }
@@ -127,18 +131,18 @@
 #[derive(Clone, Debug, Default)]
 struct Caller {
     version: Option<u64>,
-    servers: Servers,
+    endpoints: Servers,
 }
 
 impl Caller {
-    fn take(&mut self, list: &List) {
-        if list.whole {
-            self.servers.clear();
+    fn take(&mut self, list: &ListUpdate) {
+        if list.complete {
+            self.endpoints.clear();
         }
         for (host, health) in common::words(list) {
             match health.as_str() {
-                "gone" => self.servers.remove(&host),
-                _ => self.servers.insert(host, health),
+                "gone" => self.endpoints.remove(&host),
+                _ => self.endpoints.insert(host, health),
             };
         }
         self.version = Some(list.version.0);
@@ -164,17 +168,22 @@
     }
 
     /// Asks a replica without waiting.
-    fn ask(&mut self, replica: usize, after: Option<u64>, wait_is_over: bool) -> Option<List> {
-        let question = Question {
+    fn ask(
+        &mut self,
+        replica: usize,
+        after: Option<u64>,
+        wait_expired: bool,
+    ) -> Option<ListUpdate> {
+        let query = ListQuery {
             after: after.map(Version),
-            came: self.now,
-            wait_is_over,
+            received_at: self.now,
+            wait_expired,
         };
-        let reply = self.replicas[replica].answer(question, self.now).ok()?;
-        if reply == Reply::Confirm {
+        let reply = self.replicas[replica].answer(query, self.now).ok()?;
+        if reply == Answer::Confirm {
             // It calls upstream at once, and asks for what it lacks.
             (0..2).for_each(|_| self.call(replica, false));
-            let reply = self.replicas[replica].answer(question, self.now).ok()?;
+            let reply = self.replicas[replica].answer(query, self.now).ok()?;
             return self.replicas[replica].message(reply);
         }
         self.replicas[replica].message(reply)
@@ -183,8 +192,10 @@
     fn call(&mut self, replica: usize, forgets: bool) {
         let call = self.replicas[replica].next_call();
         let answer = match (replica, call) {
-            (2, Call::Whole) => self.ask(0, None, true),
-            (2, Call::Watch(after) | Call::Confirm(after)) => self.ask(0, Some(after.0), true),
+            (2, UpstreamCall::Snapshot) => self.ask(0, None, true),
+            (2, UpstreamCall::Watch(after) | UpstreamCall::Confirm(after)) => {
+                self.ask(0, Some(after.0), true)
+            }
             _ => Some(self.upstream.answer(call, forgets)),
         };
         let Some(answer) = answer else { return };
@@ -223,12 +234,12 @@
             Step::Ask {
                 caller,
                 replica,
-                whole,
-                wait_is_over,
+                complete,
+                wait_expired,
             } => {
                 let (caller, replica) = (usize::from(caller), usize::from(replica));
-                let after = self.callers[caller].version.filter(|_| !whole);
-                if let Some(list) = self.ask(replica, after, wait_is_over) {
+                let after = self.callers[caller].version.filter(|_| !complete);
+                if let Some(list) = self.ask(replica, after, wait_expired) {
                     self.callers[caller].take(&list);
                 }
             }
@@ -267,7 +278,7 @@
             let list = world.ask(0, after, true);
             prop_assert!(list.is_some(), "it is answered");
             world.callers[caller].take(&list.unwrap());
-            prop_assert_eq!(&world.callers[caller].servers, world.upstream.servers());
+            prop_assert_eq!(&world.callers[caller].endpoints, world.upstream.endpoints());
             prop_assert_eq!(
                 world.callers[caller].version,
                 Some(world.upstream.version())
@@ -288,15 +299,15 @@
                 // Nobody moves: relays that have noticed a restart and others are not told apart by a caller.
                 Step::Ask {
                     caller,
-                    whole,
-                    wait_is_over,
+                    complete,
+                    wait_expired,
                     ..
                 } => {
                     world.play(&Step::Ask {
                         caller,
                         replica: SITE,
-                        whole,
-                        wait_is_over,
+                        complete,
+                        wait_expired,
                     });
                 }
                 step => world.play(&step),
@@ -310,7 +321,7 @@
             let list = world.ask(usize::from(SITE), after, true);
             prop_assert!(list.is_some(), "it is answered");
             world.callers[caller].take(&list.unwrap());
-            prop_assert_eq!(&world.callers[caller].servers, world.upstream.servers());
+            prop_assert_eq!(&world.callers[caller].endpoints, world.upstream.endpoints());
         }
         Ok(())
     });
@@ -324,7 +335,7 @@
         let mut world = World::new(3);
         for step in steps {
             // A caller that asks for the whole list has given up what it had.
-            if matches!(step, Step::Ask { whole: true, .. }) {
+            if matches!(step, Step::Ask { complete: true, .. }) {
                 continue;
             }
             let before: Vec<_> = world.callers.iter().map(|caller| caller.version).collect();
@@ -336,7 +347,7 @@
                     caller.version
                 );
                 if let Some(version) = caller.version {
-                    prop_assert_eq!(&caller.servers, &world.upstream.lists[&version]);
+                    prop_assert_eq!(&caller.endpoints, &world.upstream.lists[&version]);
                 }
             }
         }
@@ -351,8 +362,8 @@
     let ask = |caller, replica| Step::Ask {
         caller,
         replica,
-        whole: false,
-        wait_is_over: true,
+        complete: false,
+        wait_expired: true,
     };
     let call = |replica| Step::Call {
         replica,
@@ -375,6 +386,6 @@
         versions,
         [Some(FIRST_VERSION + 1), Some(FIRST_VERSION + 1), None]
     );
-    assert_eq!(world.callers[0].servers, *world.upstream.servers());
+    assert_eq!(world.callers[0].endpoints, *world.upstream.endpoints());
     assert_eq!(world.now, ms(8_000));
 }
--- a/crates/membership/tests/replica.rs
+++ b/crates/membership/tests/replica.rs
@@ -4,19 +4,19 @@
 
 use common::{ask, holding, list, ms, pairs, words, LEASE};
 use slatelink_membership::{
-    Applied, Call, List, Question, RejectedList, Replica, Reply, Unavailable, Version,
-    CHANGES_BYTES, EPOCH_OVERLAP, LIST_BYTES,
+    Answer, ApplyOutcome, ListQuery, ListUpdate, RejectedUpdate, Replica, Unavailable,
+    UpstreamCall, Version, EPOCH_AMBIGUITY_WINDOW, MAX_HISTORY_BYTES, MAX_LIST_BYTES,
 };
 
 const THREE: [(&str, &str); 3] = [("a", "ready"), ("b", "ready"), ("c", "ready")];
 
-fn watch(version: u64) -> Call {
-    Call::Watch(Version(version))
+fn watch(version: u64) -> UpstreamCall {
+    UpstreamCall::Watch(Version(version))
 }
 
-fn told(replica: &Replica, reply: Reply) -> (u64, bool, Vec<(String, String)>) {
+fn told(replica: &Replica, reply: Answer) -> (u64, bool, Vec<(String, String)>) {
     let list = replica.message(reply).unwrap();
-    (list.version.0, list.whole, words(&list))
+    (list.version.0, list.complete, words(&list))
 }
 
 // Guards against a relay that drops or rewrites what it does not know.
@@ -24,12 +24,14 @@
 fn entries_are_passed_on_byte_for_byte() {
     let text =
         br#"{"seq":7,"whole":true,"hosts":[{"host":"a","health":"odd","share":1.0,"later":{"x": [1]}}]}"#;
-    let read = List::parse(text).unwrap();
+    let read = ListUpdate::parse(text).unwrap();
     assert_eq!(read.encode().unwrap(), text);
     let mut replica = Replica::new(LEASE);
-    replica.apply(Call::Whole, read, ms(0), ms(0)).unwrap();
+    replica
+        .apply(UpstreamCall::Snapshot, read, ms(0), ms(0))
+        .unwrap();
     assert_eq!(
-        replica.message(Reply::Whole).unwrap().encode().unwrap(),
+        replica.message(Answer::Snapshot).unwrap().encode().unwrap(),
         text
     );
 }
@@ -37,7 +39,7 @@
 // Guards against a message that is half read: nothing of it may be applied.
 #[test]
 fn what_is_no_list_is_refused_with_its_place() {
-    let error = List::parse(
+    let error = ListUpdate::parse(
         br#"{"seq":7,"whole":true,"hosts":[{"host":"a","health":"ready"},{"host":"b"}]}"#,
     );
     let text = error.unwrap_err().to_string();
@@ -45,7 +47,7 @@
         text.starts_with("entry 1 of list 7 has no name or no health: missing field `health`"),
         "{text}"
     );
-    assert!(List::parse(b"{\"seq\":-1}")
+    assert!(ListUpdate::parse(b"{\"seq\":-1}")
         .unwrap_err()
         .to_string()
         .starts_with("not a list: "));
@@ -66,8 +68,8 @@
         let applied = replica.apply(call, list(version, false, &[change]), ms(1), ms(1));
         assert_eq!(
             applied,
-            Ok(Applied {
-                news: true,
+            Ok(ApplyOutcome {
+                changed: true,
                 new_epoch: false,
                 duplicates: 0
             })
@@ -87,9 +89,9 @@
     );
     assert_eq!(since(3), (4, false, pairs(&[("c", "draining")])));
     assert_eq!(since(4), (4, false, vec![]));
-    assert_eq!(ask(&mut replica, None, ms(1)), Ok(Reply::Whole));
+    assert_eq!(ask(&mut replica, None, ms(1)), Ok(Answer::Snapshot));
     assert_eq!(
-        told(&replica, Reply::Whole),
+        told(&replica, Answer::Snapshot),
         (4, true, pairs(&[("a", "ready"), ("c", "draining")]))
     );
 }
@@ -104,13 +106,13 @@
     for version in [4, 6, 8] {
         assert_eq!(
             ask(&mut replica, Some(version), ms(0)),
-            Ok(Reply::Whole),
+            Ok(Answer::Snapshot),
             "{version}"
         );
     }
     assert_eq!(
         ask(&mut replica, Some(5), ms(0)),
-        Ok(Reply::ChangesSince(Version(5)))
+        Ok(Answer::DeltaSince(Version(5)))
     );
 }
 
@@ -118,18 +120,18 @@
 #[test]
 fn a_whole_list_is_told_as_its_difference() {
     let mut replica = holding(1, &THREE);
-    let whole = list(
+    let complete = list(
         4,
         true,
         &[("a", "ready"), ("c", "draining"), ("d", "ready")],
     );
-    replica.apply(watch(1), whole, ms(0), ms(0)).unwrap();
+    replica.apply(watch(1), complete, ms(0), ms(0)).unwrap();
     let reply = ask(&mut replica, Some(1), ms(0)).unwrap();
-    let (version, whole, mut entries) = told(&replica, reply);
-    entries.sort();
-    assert_eq!((version, whole), (4, false));
+    let (version, complete, mut records) = told(&replica, reply);
+    records.sort();
+    assert_eq!((version, complete), (4, false));
     assert_eq!(
-        entries,
+        records,
         pairs(&[("b", "gone"), ("c", "draining"), ("d", "ready")])
     );
 }
@@ -138,7 +140,7 @@
 #[test]
 fn changes_are_kept_within_their_bound_and_who_is_behind_gets_the_whole_list() {
     let mut replica = holding(1, &THREE);
-    let padding = "x".repeat(CHANGES_BYTES / 8);
+    let padding = "x".repeat(MAX_HISTORY_BYTES / 8);
     for version in 2..40 {
         let host = format!("{version}-{padding}");
         replica
@@ -150,15 +152,15 @@
             )
             .unwrap();
         assert!(
-            replica.history_bytes() <= CHANGES_BYTES,
+            replica.history_bytes() <= MAX_HISTORY_BYTES,
             "{}",
             replica.history_bytes()
         );
     }
-    assert_eq!(ask(&mut replica, Some(2), ms(0)), Ok(Reply::Whole));
+    assert_eq!(ask(&mut replica, Some(2), ms(0)), Ok(Answer::Snapshot));
     assert_eq!(
         ask(&mut replica, Some(38), ms(0)),
-        Ok(Reply::ChangesSince(Version(38)))
+        Ok(Answer::DeltaSince(Version(38)))
     );
 }
 
@@ -166,14 +168,19 @@
 #[test]
 fn callers_are_failed_without_a_list_and_once_the_lease_has_run_out() {
     let mut replica = Replica::new(LEASE);
-    assert_eq!(replica.next_call(), Call::Whole);
+    assert_eq!(replica.next_call(), UpstreamCall::Snapshot);
     assert_eq!(ask(&mut replica, None, ms(0)), Err(Unavailable::NoList));
     replica
-        .apply(Call::Whole, list(3, true, &THREE), ms(50), ms(100))
+        .apply(
+            UpstreamCall::Snapshot,
+            list(3, true, &THREE),
+            ms(50),
+            ms(100),
+        )
         .unwrap();
     let end = ms(100) + LEASE;
     assert_eq!(replica.expires(), Some(end));
-    assert_eq!(ask(&mut replica, None, end), Ok(Reply::Whole));
+    assert_eq!(ask(&mut replica, None, end), Ok(Answer::Snapshot));
     let late = end + ms(1);
     for after in [None, Some(1), Some(3), Some(9)] {
         let silent = LEASE + ms(1);
@@ -189,10 +196,10 @@
     let applied = replica
         .apply(watch(3), list(3, false, &[]), late, late)
         .unwrap();
-    assert!(!applied.news);
+    assert!(!applied.changed);
     assert_eq!(
         ask(&mut replica, Some(3), late),
-        Ok(Reply::ChangesSince(Version(3)))
+        Ok(Answer::DeltaSince(Version(3)))
     );
 }
 
@@ -203,9 +210,9 @@
     let back = replica.apply(watch(50), list(4, false, &[("a", "ready")]), ms(0), ms(0));
     assert_eq!(
         back,
-        Err(RejectedList::WentBack {
+        Err(RejectedUpdate::VersionRegressed {
             held: Version(50),
-            listed: Version(4)
+            received: Version(4)
         })
     );
     assert_eq!(
@@ -213,45 +220,45 @@
         Some(Version(50)),
         "what it says is not told"
     );
-    assert_eq!(replica.next_call(), Call::Whole);
+    assert_eq!(replica.next_call(), UpstreamCall::Snapshot);
     let now = ms(1000);
     let applied = replica
-        .apply(Call::Whole, list(4, true, &THREE), now, now)
+        .apply(UpstreamCall::Snapshot, list(4, true, &THREE), now, now)
         .unwrap();
-    assert!(applied.new_epoch && applied.news);
+    assert!(applied.new_epoch && applied.changed);
     assert_eq!(replica.epochs(), 2);
     // A watch that was open when versions went back is answered, whatever its number.
-    let waiting = Question {
+    let waiting = ListQuery {
         after: Some(Version(4)),
-        came: ms(999),
-        wait_is_over: false,
+        received_at: ms(999),
+        wait_expired: false,
     };
-    assert_eq!(replica.answer(waiting, now), Ok(Reply::Whole));
+    assert_eq!(replica.answer(waiting, now), Ok(Answer::Snapshot));
     // Of this epoch, for all that is known: it waits.
-    let new = Question {
+    let new = ListQuery {
         after: Some(Version(4)),
-        came: now,
-        wait_is_over: false,
+        received_at: now,
+        wait_expired: false,
     };
-    assert_eq!(replica.answer(new, now), Ok(Reply::Wait));
+    assert_eq!(replica.answer(new, now), Ok(Answer::Wait));
     replica
         .apply(watch(4), list(5, false, &[("a", "gone")]), now, now)
         .unwrap();
     for version in [3, 4, 5, 49, 50] {
         assert_eq!(
             ask(&mut replica, Some(version), now),
-            Ok(Reply::Whole),
+            Ok(Answer::Snapshot),
             "{version}"
         );
     }
     // By then each caller has heard something of this epoch.
-    let later = now + EPOCH_OVERLAP + ms(1);
+    let later = now + EPOCH_AMBIGUITY_WINDOW + ms(1);
     replica
         .apply(watch(5), list(5, false, &[]), later, later)
         .unwrap();
     assert_eq!(
         ask(&mut replica, Some(4), later),
-        Ok(Reply::ChangesSince(Version(4)))
+        Ok(Answer::DeltaSince(Version(4)))
     );
 }
 
@@ -261,20 +268,20 @@
     let mut replica = holding(7, &THREE);
     let again = replica.apply(watch(7), list(7, false, &[("a", "draining")]), ms(0), ms(0));
     assert!(
-        matches!(again, Err(RejectedList::WentBack { .. })),
+        matches!(again, Err(RejectedUpdate::VersionRegressed { .. })),
         "{again:?}"
     );
     let other = [("a", "draining"), ("b", "ready"), ("c", "ready")];
     let applied = replica
-        .apply(Call::Whole, list(7, true, &other), ms(5), ms(5))
+        .apply(UpstreamCall::Snapshot, list(7, true, &other), ms(5), ms(5))
         .unwrap();
-    assert!(applied.new_epoch && applied.news);
-    let waiting = Question {
+    assert!(applied.new_epoch && applied.changed);
+    let waiting = ListQuery {
         after: Some(Version(7)),
-        came: ms(1),
-        wait_is_over: false,
+        received_at: ms(1),
+        wait_expired: false,
     };
-    assert_eq!(replica.answer(waiting, ms(5)), Ok(Reply::Whole));
+    assert_eq!(replica.answer(waiting, ms(5)), Ok(Answer::Snapshot));
 }
 
 // Guards against a fault upstream that empties the list and takes the whole fleet out of service.
@@ -290,27 +297,27 @@
         let mut replica = holding(1, &four);
         let call = replica.next_call();
         let doubted = replica.apply(call, list(2, true, small), ms(0), ms(9));
-        let shrunk = RejectedList::Shrunk {
+        let shrunk = RejectedUpdate::Shrunk {
             held: Version(1),
-            listed: Version(2),
-            servers_held: 4,
-            servers: small.len(),
+            received: Version(2),
+            held_endpoints: 4,
+            endpoints: small.len(),
         };
         assert_eq!(doubted, Err(shrunk));
         assert_eq!(
-            (replica.servers(), replica.expires()),
+            (replica.endpoint_count(), replica.expires()),
             (4, Some(LEASE)),
             "and it renews no lease"
         );
         assert_eq!(
             replica.next_call(),
-            Call::Whole,
+            UpstreamCall::Snapshot,
             "it is asked for again at once"
         );
         replica
-            .apply(Call::Whole, list(2, true, small), ms(10), ms(10))
+            .apply(UpstreamCall::Snapshot, list(2, true, small), ms(10), ms(10))
             .unwrap();
-        assert_eq!(replica.servers(), small.len());
+        assert_eq!(replica.endpoint_count(), small.len());
         let reply = ask(&mut replica, Some(1), ms(10)).unwrap();
         assert_eq!(
             told(&replica, reply).2.len(),
@@ -336,7 +343,7 @@
 // Guards against an upstream that names new servers without end.
 #[test]
 fn a_list_past_its_bound_is_not_taken_and_what_goes_makes_room() {
-    let padding = "x".repeat(LIST_BYTES / 8);
+    let padding = "x".repeat(MAX_LIST_BYTES / 8);
     let host = |number: u64| format!("{number}-{padding}");
     let mut replica = holding(1, &THREE);
     let mut version = 1;
@@ -348,7 +355,7 @@
         }
     };
     assert!(
-        matches!(last, RejectedList::TooLarge { bytes, .. } if bytes > LIST_BYTES),
+        matches!(last, RejectedUpdate::TooLarge { bytes, .. } if bytes > MAX_LIST_BYTES),
         "{last}"
     );
     assert_eq!(replica.version(), Some(Version(version)));
@@ -375,16 +382,16 @@
     let mut replica = Replica::new(LEASE);
     let twice = [("a", "ready"), ("b", "ready"), ("a", "draining")];
     let applied = replica
-        .apply(Call::Whole, list(1, true, &twice), ms(0), ms(0))
+        .apply(UpstreamCall::Snapshot, list(1, true, &twice), ms(0), ms(0))
         .unwrap();
-    assert_eq!((applied.duplicates, replica.servers()), (1, 2));
+    assert_eq!((applied.duplicates, replica.endpoint_count()), (1, 2));
     assert_eq!(
-        told(&replica, Reply::Whole).2,
+        told(&replica, Answer::Snapshot).2,
         pairs(&[("a", "draining"), ("b", "ready")])
     );
     let delta = list(2, false, &[("b", "draining"), ("b", "gone")]);
     let applied = replica.apply(watch(1), delta, ms(0), ms(0)).unwrap();
-    assert_eq!((applied.duplicates, replica.servers()), (1, 1));
+    assert_eq!((applied.duplicates, replica.endpoint_count()), (1, 1));
     let reply = ask(&mut replica, Some(1), ms(0)).unwrap();
     assert_eq!(told(&replica, reply).2, pairs(&[("b", "gone")]));
 }
@@ -394,15 +401,20 @@
 #[test]
 fn a_caller_that_is_newer_is_answered_once_upstream_has_been_asked_for_its_version() {
     let mut behind = holding(5, &THREE);
-    assert_eq!(ask(&mut behind, Some(9), ms(10)), Ok(Reply::Confirm));
+    assert_eq!(ask(&mut behind, Some(9), ms(10)), Ok(Answer::Confirm));
     let call = behind.next_call();
-    assert_eq!(call, Call::Confirm(Version(9)));
+    assert_eq!(call, UpstreamCall::Confirm(Version(9)));
     // Upstream knows it: this one was behind, and asks for what it lacks.
     let other = behind.apply(call, list(9, false, &[]), ms(11), ms(12));
-    assert_eq!(other, Err(RejectedList::OtherBase { listed: Version(9) }));
+    assert_eq!(
+        other,
+        Err(RejectedUpdate::BaseMismatch {
+            received: Version(9)
+        })
+    );
     assert_eq!(
         ask(&mut behind, Some(9), ms(12)),
-        Ok(Reply::Confirm),
+        Ok(Answer::Confirm),
         "also while it asks again"
     );
     assert_eq!(behind.next_call(), watch(5));
@@ -411,33 +423,33 @@
         .unwrap();
     assert_eq!(
         ask(&mut behind, Some(9), ms(14)),
-        Ok(Reply::ChangesSince(Version(9)))
+        Ok(Answer::DeltaSince(Version(9)))
     );
 
     let mut restarted = holding(5, &THREE);
-    assert_eq!(ask(&mut restarted, Some(9), ms(10)), Ok(Reply::Confirm));
+    assert_eq!(ask(&mut restarted, Some(9), ms(10)), Ok(Answer::Confirm));
     // The answer to a call that was made before says nothing about it.
     restarted
         .apply(watch(5), list(5, false, &[]), ms(9), ms(11))
         .unwrap();
-    assert_eq!(ask(&mut restarted, Some(9), ms(11)), Ok(Reply::Confirm));
+    assert_eq!(ask(&mut restarted, Some(9), ms(11)), Ok(Answer::Confirm));
     let call = restarted.next_call();
     restarted
         .apply(call, list(5, true, &THREE), ms(12), ms(13))
         .unwrap();
-    let came = |ms_after| Question {
+    let received_at = |ms_after| ListQuery {
         after: Some(Version(9)),
-        came: ms(ms_after),
-        wait_is_over: false,
+        received_at: ms(ms_after),
+        wait_expired: false,
     };
     assert_eq!(
-        restarted.answer(came(10), ms(13)),
-        Ok(Reply::Whole),
+        restarted.answer(received_at(10), ms(13)),
+        Ok(Answer::Snapshot),
         "upstream does not know that version"
     );
     assert_eq!(
-        restarted.answer(came(13), ms(13)),
-        Ok(Reply::Confirm),
+        restarted.answer(received_at(13), ms(13)),
+        Ok(Answer::Confirm),
         "it came after that call"
     );
 }
@@ -446,19 +458,19 @@
 #[test]
 fn an_upstream_that_answers_a_newer_version_by_an_older_delta_is_asked_for_the_whole_list() {
     let mut replica = holding(5, &THREE);
-    assert_eq!(ask(&mut replica, Some(9), ms(1)), Ok(Reply::Confirm));
+    assert_eq!(ask(&mut replica, Some(9), ms(1)), Ok(Answer::Confirm));
     let call = replica.next_call();
     replica
         .apply(call, list(5, false, &[]), ms(2), ms(2))
         .unwrap_err();
-    assert_eq!(replica.next_call(), Call::Whole);
+    assert_eq!(replica.next_call(), UpstreamCall::Snapshot);
     replica
-        .apply(Call::Whole, list(5, true, &THREE), ms(3), ms(3))
+        .apply(UpstreamCall::Snapshot, list(5, true, &THREE), ms(3), ms(3))
         .unwrap();
-    let question = Question {
+    let query = ListQuery {
         after: Some(Version(9)),
-        came: ms(1),
-        wait_is_over: false,
+        received_at: ms(1),
+        wait_expired: false,
     };
-    assert_eq!(replica.answer(question, ms(3)), Ok(Reply::Whole));
+    assert_eq!(replica.answer(query, ms(3)), Ok(Answer::Snapshot));
 }
--- a/crates/node/src/relay/answers.rs
+++ b/crates/node/src/relay/answers.rs
@@ -1,7 +1,7 @@
 //! Answers as they are written, each encoded once for all callers that get the same.
 
 use bytes::Bytes;
-use slatelink_membership::{List, Reply};
+use slatelink_membership::{Answer, ListUpdate};
 use std::collections::HashMap;
 
 /// Different answers that are kept for one version. Callers that are behind by different versions each have their own; past
@@ -17,18 +17,18 @@
 }
 
 impl EncodedList {
-    fn new(list: &List) -> serde_json::Result<Self> {
+    fn new(list: &ListUpdate) -> serde_json::Result<Self> {
         Ok(Self {
             body: list.encode()?.into(),
-            whole: list.whole,
-            entries: list.entries.len(),
+            whole: list.complete,
+            entries: list.records.len(),
         })
     }
 }
 
 /// The answers of the version held.
 #[derive(Debug, Default)]
-pub struct Answers(HashMap<Reply, EncodedList>);
+pub struct Answers(HashMap<Answer, EncodedList>);
 
 impl Answers {
     /// There is another list: none of the answers holds any more.
@@ -39,8 +39,8 @@
     /// The answer for this reply, encoded anew where it is not kept.
     pub fn encoded(
         &mut self,
-        reply: Reply,
-        list: impl FnOnce() -> Option<List>,
+        reply: Answer,
+        list: impl FnOnce() -> Option<ListUpdate>,
     ) -> Option<serde_json::Result<EncodedList>> {
         if let Some(kept) = self.0.get(&reply) {
             return Some(Ok(kept.clone()));
--- a/crates/node/src/relay/callers.rs
+++ b/crates/node/src/relay/callers.rs
@@ -211,7 +211,7 @@
         };
         let status = self.publisher.look(|replica| Status {
             version: replica.version().map(|version| version.0),
-            servers: replica.servers(),
+            servers: replica.endpoint_count(),
             epochs: replica.epochs(),
             history_bytes: replica.history_bytes(),
             lease_left_ms: replica.expires().map(left),
--- a/crates/node/src/relay/publisher.rs
+++ b/crates/node/src/relay/publisher.rs
@@ -3,7 +3,8 @@
 use super::answers::{Answers, EncodedList};
 use super::request::ListRequest;
 use slatelink_membership::{
-    Applied, Call, List, Question, RejectedList, Replica, Reply, Unavailable, Version,
+    Answer, ApplyOutcome, ListQuery, ListUpdate, RejectedUpdate, Replica, Unavailable,
+    UpstreamCall, Version,
 };
 use slatelink_telemetry::Log;
 use std::cell::RefCell;
@@ -96,7 +97,7 @@
     }
 
     /// The call that upstream is to have next; one for a caller's version only if that `may_confirm`.
-    pub fn next_call(&self, may_confirm: bool) -> Call {
+    pub fn next_call(&self, may_confirm: bool) -> UpstreamCall {
         let replica = self.replica.borrow();
         if may_confirm {
             replica.next_call()
@@ -111,16 +112,21 @@
     }
 
     /// Takes in upstream's answer, and wakes all callers that wait if it has news for them.
-    pub fn apply(&self, call: Call, list: List, sent: Duration) -> Result<Applied, RejectedList> {
+    pub fn apply(
+        &self,
+        call: UpstreamCall,
+        list: ListUpdate,
+        sent: Duration,
+    ) -> Result<ApplyOutcome, RejectedUpdate> {
         let applied = self
             .replica
             .borrow_mut()
             .apply(call, list, sent, self.now());
-        let news = applied.as_ref().is_ok_and(|applied| applied.news);
+        let news = applied.as_ref().is_ok_and(|applied| applied.changed);
         if news {
             self.answers.borrow_mut().clear();
         }
-        if news || !matches!(call, Call::Watch(_)) {
+        if news || !matches!(call, UpstreamCall::Watch(_)) {
             self.wake_callers();
         }
         applied
@@ -132,34 +138,34 @@
 
     /// Until a caller wants upstream's word on a version.
     pub async fn confirm_wanted(&self) {
-        while !matches!(self.next_call(true), Call::Confirm(_)) {
+        while !matches!(self.next_call(true), UpstreamCall::Confirm(_)) {
             self.confirm.notified().await;
         }
     }
 
     /// Answers a caller, once there is something to answer.
     pub async fn answer(&self, request: ListRequest) -> Result<EncodedList, PublishError> {
-        let (came, ends) = (self.now(), Instant::now() + request.wait);
+        let (received_at, ends) = (self.now(), Instant::now() + request.wait);
         let (mut revision, mut stops) = (self.revision.subscribe(), self.stops.subscribe());
         loop {
             if *stops.borrow_and_update() {
                 return Err(PublishError::Stops);
             }
-            let wait_is_over = Instant::now() >= ends;
-            let question = Question {
+            let wait_expired = Instant::now() >= ends;
+            let query = ListQuery {
                 after: request.after,
-                came,
-                wait_is_over,
+                received_at,
+                wait_expired,
             };
-            let reply = self.replica.borrow_mut().answer(question, self.now())?;
+            let reply = self.replica.borrow_mut().answer(query, self.now())?;
             let (until, _waiting) = match (reply, request.after) {
-                (Reply::Wait, Some(version)) => (ends, Some(Waiting::begin(self, version))),
-                (Reply::Confirm, Some(version)) => {
-                    if self.now() >= came + CONFIRM_PATIENCE {
+                (Answer::Wait, Some(version)) => (ends, Some(Waiting::begin(self, version))),
+                (Answer::Confirm, Some(version)) => {
+                    if self.now() >= received_at + CONFIRM_PATIENCE {
                         return Err(PublishError::Unconfirmed(version));
                     }
                     self.confirm.notify_one();
-                    (self.origin + came + CONFIRM_PATIENCE, None)
+                    (self.origin + received_at + CONFIRM_PATIENCE, None)
                 }
                 _ => return self.encoded(reply),
             };
@@ -171,7 +177,7 @@
         }
     }
 
-    fn encoded(&self, reply: Reply) -> Result<EncodedList, PublishError> {
+    fn encoded(&self, reply: Answer) -> Result<EncodedList, PublishError> {
         let replica = self.replica.borrow();
         let encoded = self
             .answers
@@ -206,12 +212,12 @@
 
     /// Why callers are failed now, if they are.
     pub fn unavailable(&self) -> Option<Unavailable> {
-        let question = Question {
+        let query = ListQuery {
             after: None,
-            came: self.now(),
-            wait_is_over: true,
+            received_at: self.now(),
+            wait_expired: true,
         };
-        self.replica.borrow_mut().answer(question, self.now()).err()
+        self.replica.borrow_mut().answer(query, self.now()).err()
     }
 
     /// Looks at the replica.
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream.rs
@@ -12,7 +12,7 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use slatelink_config::relay::RelaySettings;
-use slatelink_membership::{Call, List, MessageError};
+use slatelink_membership::{ListUpdate, MessageError, UpstreamCall};
 use slatelink_telemetry::Log;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
         })
     }
 
-    async fn exchange(&mut self, address: SocketAddr, path: &str) -> Result<List, CallError> {
+    async fn exchange(&mut self, address: SocketAddr, path: &str) -> Result<ListUpdate, CallError> {
         let request = Request::get(path)
             .header(HOST, address.to_string())
             .body(Empty::new())?;
@@ -93,7 +93,7 @@
             .collect()
             .await?
             .to_bytes();
-        Ok(List::parse(&body)?)
+        Ok(ListUpdate::parse(&body)?)
     }
 }
 
@@ -117,7 +117,7 @@
 
 /// What became of a call.
 enum Called {
-    Answered(List),
+    Answered(ListUpdate),
     /// A caller wants upstream's word on a version: the watch is given up for that.
     GivenUp,
 }
@@ -212,16 +212,16 @@
         &mut self,
         link: &mut Link,
         address: SocketAddr,
-        call: Call,
+        call: UpstreamCall,
     ) -> Result<Called, CallError> {
         self.count(|counts| counts.calls += 1);
         let (path, patience) = match call {
-            Call::Whole => ("/v1/servers".to_owned(), self.patience),
-            Call::Watch(held) => (
+            UpstreamCall::Snapshot => ("/v1/servers".to_owned(), self.patience),
+            UpstreamCall::Watch(held) => (
                 format!("/v1/servers?after={held}&wait_ms={}", self.wait.as_millis()),
                 self.wait + self.patience,
             ),
-            Call::Confirm(wanted) => {
+            UpstreamCall::Confirm(wanted) => {
                 self.confirmed = Some(Instant::now());
                 (
                     format!("/v1/servers?after={wanted}&wait_ms=0"),
@@ -233,7 +233,7 @@
         tokio::select! {
             biased;
             answer = answer => answer.map_err(|_| CallError::Overdue)?.map(Called::Answered),
-            () = self.confirm_due(), if matches!(call, Call::Watch(_)) => Ok(Called::GivenUp),
+            () = self.confirm_due(), if matches!(call, UpstreamCall::Watch(_)) => Ok(Called::GivenUp),
         }
     }
 
@@ -252,7 +252,7 @@
     }
 
     /// Hands a list on.
-    fn take(&mut self, call: Call, list: List, sent: Duration) -> Taken {
+    fn take(&mut self, call: UpstreamCall, list: ListUpdate, sent: Duration) -> Taken {
         let version = list.version;
         match self.publisher.apply(call, list, sent) {
             Ok(applied) => {
@@ -270,7 +270,7 @@
                     );
                     self.log.rate_limited("duplicates", &text);
                 }
-                if applied.news {
+                if applied.changed {
                     Taken::News
                 } else {
                     Taken::NoNews
