--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -5,10 +5,12 @@
 //! on a port that must stay its own. One that is cut off accepts and says nothing; once it is back, what was open is
 //! reset.
 
-use crate::http::{listen, reset, Conn, ReadError};
-use crate::model::{Admission, CacheResult, Cluster, Job, JobId, JobResult, ServerLoad};
+mod connection;
+
+use crate::http::{listen, reset, Conn};
+use crate::model::{CacheResult, Cluster, Job, JobId, JobResult, ServerLoad};
 use crate::plan::{mix, Plan};
-use crate::record::{Attempt, AttemptOutcome, Record, Sample, TryId, UnknownRequest};
+use crate::record::{Record, Sample, TryId};
 use crate::scenario::{Class, Effect, Scenario};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,7 +21,7 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch, Notify};
 use tokio::task::spawn_local;
-use tokio::time::{sleep, sleep_until, timeout};
+use tokio::time::{sleep, sleep_until};
 
 /// How a server behaves beside its model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -136,164 +138,20 @@
             if matches!(mode, ServerMode::Down | ServerMode::Refuse) || full {
                 reset(stream);
             } else if let Ok(conn) = Conn::new(stream) {
-                spawn_local(cache_servers.clone().connection(server, node, conn));
+                spawn_local(connection::serve(cache_servers.clone(), server, node, conn));
             }
         })
         .await
     }
 
-    async fn connection(self: Rc<Self>, server: usize, node: usize, mut conn: Conn) {
-        self.open_connections[server].set(self.open_connections[server].get() + 1);
-        if self.requests(server, node, &mut conn).await.is_err() {
-            conn.reset();
-        }
-        self.open_connections[server].set(self.open_connections[server].get() - 1);
+    /// The try that an id names, where the plan has its request.
+    fn planned_try(&self, id: &str) -> Option<TryId> {
+        TryId::parse(id).filter(|id| (id.arrival as usize) < self.plan.arrivals.len())
     }
 
-    /// Serves a connection. An error ends it with a reset.
-    async fn requests(
-        self: &Rc<Self>,
-        server: usize,
-        node: usize,
-        conn: &mut Conn,
-    ) -> Result<(), ()> {
-        let mut mode = self.modes[server].subscribe();
-        loop {
-            let now = *mode.borrow_and_update();
-            match now {
-                ServerMode::Partitioned => {
-                    // Silent until it is back; then whatever was open is gone.
-                    let _ = mode.changed().await;
-                    return Err(());
-                }
-                ServerMode::Down => return Err(()),
-                _ => {}
-            }
-            let request = tokio::select! {
-                request = timeout(self.idle_close, conn.request()) => request,
-                _ = mode.changed() => continue,
-            };
-            let request = match request {
-                Ok(Ok(request)) => request,
-                Ok(Err(ReadError::Ended { .. })) | Err(_) => return Ok(()),
-                Ok(Err(ReadError::Malformed(_))) => return Err(()),
-            };
-            let received = Instant::now();
-            let first = self.since_start_us(request.first.unwrap_or(received));
-            let Some(text) = request.id else {
-                let body = match request.path.as_str() {
-                    _ if !self.probes || now == ServerMode::Hang => None,
-                    "/load" => Some(self.load_report(server)),
-                    "/healthz" => Some(String::new()),
-                    _ => None,
-                };
-                let bytes = body.map_or_else(
-                    || response_head(404, "", 0),
-                    |body| [response_head(200, "", body.len()), body.into_bytes()].concat(),
-                );
-                conn.write(&bytes).await.map_err(drop)?;
-                continue;
-            };
-            let known =
-                TryId::parse(&text).filter(|id| (id.arrival as usize) < self.plan.arrivals.len());
-            let sent_by_hand = self.by_hand && text.starts_with(BY_HAND);
-            if known.is_none() && !sent_by_hand {
-                let unknown = UnknownRequest {
-                    server,
-                    id: text,
-                    at: self.since_start_us(received),
-                };
-                self.record.borrow_mut().unknown_requests.push(unknown);
-                conn.write(&response_head(400, "", 0)).await.map_err(drop)?;
-                continue;
-            }
-            let attempt_index = known.map(|id| {
-                let attempts = &mut self.record.borrow_mut().attempts;
-                attempts.push(Attempt {
-                    id,
-                    node,
-                    server,
-                    first_byte_at: first,
-                    received_at: self.since_start_us(received),
-                    outcome: AttemptOutcome::Ran,
-                });
-                attempts.len() - 1
-            });
-            let set_outcome = |outcome| {
-                if let Some(index) = attempt_index {
-                    self.record.borrow_mut().attempts[index].outcome = outcome;
-                }
-            };
-            if *mode.borrow() == ServerMode::Hang {
-                conn.gone().await;
-                return Ok(());
-            }
-            let job = self.job(known, &request.path);
-            let duplicate = known.is_some_and(|id| self.is_duplicate(id));
-            let result = if duplicate {
-                JobResult::Ok(CacheResult::Hit)
-            } else {
-                let admission = self.cluster.borrow_mut().submit(self.now(), server, job);
-                match admission {
-                    Admission::Declined => {
-                        set_outcome(AttemptOutcome::Declined);
-                        conn.write(&response_head(503, "Srv-Declined: 1\r\n", 0))
-                            .await
-                            .map_err(drop)?;
-                        continue;
-                    }
-                    Admission::Down => {
-                        self.modes[server].send_replace(ServerMode::Down);
-                        return Err(());
-                    }
-                    Admission::Accepted => {}
-                }
-                let (finished, mut result) = oneshot::channel();
-                self.waiting.borrow_mut().insert(job.id, finished);
-                self.job_added.notify_one();
-                loop {
-                    tokio::select! {
-                        result = &mut result => match result {
-                            Ok(result) => break result,
-                            // Its server has died.
-                            Err(_) => return Err(()),
-                        },
-                        // The node has given it up.
-                        () = conn.gone() => {
-                            if self.cluster.borrow_mut().cancel(server, job.id) {
-                                set_outcome(AttemptOutcome::Dropped);
-                            }
-                            self.waiting.borrow_mut().remove(&job.id);
-                            return Ok(());
-                        }
-                        _ = mode.changed() => {
-                            let now = *mode.borrow_and_update();
-                            if now == ServerMode::Partitioned {
-                                // Silent until it is back.
-                                let _ = mode.changed().await;
-                            }
-                            if matches!(now, ServerMode::Partitioned | ServerMode::Down) {
-                                self.waiting.borrow_mut().remove(&job.id);
-                                return Err(());
-                            }
-                        }
-                    }
-                }
-            };
-            let bytes = self.answer(server, &text, job, result);
-            match *mode.borrow() {
-                ServerMode::Reset => return Err(()),
-                ServerMode::Garbage => {
-                    let _ = conn.write(b"\x16\x03\x01 not a status line\r\n\r\n").await;
-                    return Ok(());
-                }
-                ServerMode::Truncate => {
-                    let _ = conn.write(&bytes[..bytes.len() / 2]).await;
-                    return Ok(());
-                }
-                _ => conn.write(&bytes).await.map_err(drop)?,
-            }
-        }
+    /// Whether a person sent the request with this id beside the load, where the run allows that.
+    fn is_by_hand(&self, id: &str) -> bool {
+        self.by_hand && id.starts_with(BY_HAND)
     }
 
     fn job(&self, id: Option<TryId>, path: &str) -> Job {
