--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -4,15 +4,19 @@
 //! answer cannot hold back what would have shown it (no coordinated omission). How late the rig itself sent a try is
 //! kept apart.
 
-use crate::http::{Conn, ReadError};
+mod exchange;
+mod live;
+
+use crate::http::Conn;
 use crate::plan::{Arrival, Plan};
 use crate::record::{End, Record, Try, TryId};
 use crate::scenario::{Class, Load, Scenario};
+use exchange::Exchange;
+pub use live::{percentiles, Live};
 use std::cell::{Cell, RefCell};
-use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, RwLock};
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
@@ -22,70 +26,6 @@
 /// How long a wait for the next arrival may go on before the word to stop is looked for.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Running counts, for whoever watches.
-#[derive(Debug, Default)]
-pub struct Live {
-    /// Requests whose first try is out or over.
-    pub begun: AtomicU64,
-    /// Served within the aim.
-    pub in_time: AtomicU64,
-    /// Served after it.
-    pub late: AtomicU64,
-    /// Tries refused.
-    pub refused: AtomicU64,
-    /// Requests that ended without an answer that serves.
-    pub failed: AtomicU64,
-    /// Milliseconds from due to served, of the latest requests.
-    pub latest: RwLock<Vec<f32>>,
-    /// When nodes last said that a breaker tripped. A word of theirs, to look at: no verdict rests on it.
-    pub trips: RwLock<VecDeque<Instant>>,
-}
-
-impl Live {
-    /// The 50th and 99th percentile of the latest latencies, in milliseconds.
-    pub fn percentiles(&self) -> (f32, f32) {
-        percentiles(
-            self.latest
-                .read()
-                .map(|latest| latest.clone())
-                .unwrap_or_default(),
-        )
-    }
-
-    /// A node says that a breaker tripped.
-    pub fn tripped(&self) {
-        if let Ok(mut trips) = self.trips.write() {
-            trips.push_back(Instant::now());
-            if trips.len() > TRIPS_KEPT {
-                trips.pop_front();
-            }
-        }
-    }
-
-    /// How many tripped within this time.
-    pub fn tripped_within(&self, span: Duration) -> usize {
-        let count =
-            |trips: &VecDeque<Instant>| trips.iter().filter(|at| at.elapsed() < span).count();
-        self.trips.read().map(|trips| count(&trips)).unwrap_or(0)
-    }
-}
-
-/// The 50th and 99th percentile of these values; 0 of none.
-pub fn percentiles(mut values: Vec<f32>) -> (f32, f32) {
-    values.sort_by(f32::total_cmp);
-    let at = |share: f64| {
-        values
-            .get((values.len() as f64 * share) as usize)
-            .copied()
-            .unwrap_or(0.0)
-    };
-    (at(0.5), at(0.99))
-}
-
-/// Latencies and trips kept for whoever watches.
-const LATENCIES_KEPT: usize = 4096;
-const TRIPS_KEPT: usize = 1024;
-
 /// Where the front sends new connections: a node's address while it counts as up.
 pub type Table = Arc<RwLock<Vec<Option<SocketAddr>>>>;
 
@@ -212,18 +152,7 @@
                 End::Served | End::Twice | End::Foreign => {
                     let took = first_due.elapsed();
                     let late = took.as_secs_f64() * 1e3 > class.aim_ms.get();
-                    let count = if late {
-                        &self.live.late
-                    } else {
-                        &self.live.in_time
-                    };
-                    count.fetch_add(1, Ordering::Relaxed);
-                    if let Ok(mut latest) = self.live.latest.write() {
-                        if latest.len() >= LATENCIES_KEPT {
-                            latest.drain(..LATENCIES_KEPT / 2);
-                        }
-                        latest.push(took.as_secs_f32() * 1e3);
-                    }
+                    self.live.served(took, late);
                     return;
                 }
                 End::Refused {
@@ -251,11 +180,16 @@
     ) -> End {
         let patience = class.deadline_ms.get() / 1e3 * self.load.patience.get();
         let give_up_at = (Instant::now() + Duration::from_secs_f64(patience)).min(deadline);
+        let exchange = Exchange {
+            id,
+            arrival,
+            class,
+            due,
+            give_up_at,
+        };
         let mut new_connection = false;
         loop {
-            let tried = self
-                .exchange(id, arrival, class, due, give_up_at, new_connection)
-                .await;
+            let tried = self.exchange(&exchange, new_connection).await;
             self.record.borrow_mut().tries.push(tried);
             match tried.end {
                 End::Broke { begun: false } if !tried.first_on_connection && !new_connection => {
@@ -270,113 +204,9 @@
         }
     }
 
-    async fn exchange(
-        &self,
-        id: TryId,
-        arrival: &Arrival,
-        class: &Class,
-        due: Instant,
-        give_up_at: Instant,
-        new_connection: bool,
-    ) -> Try {
-        let due = due.saturating_duration_since(self.start).as_micros() as u64;
-        let mut tried = Try {
-            id,
-            node: 0,
-            due,
-            sent: self.now(),
-            ended: 0,
-            first_on_connection: true,
-            end: End::NotSent,
-        };
-        let pooled = if new_connection {
-            None
-        } else {
-            self.take_idle()
-        };
-        let mut link = match pooled {
-            Some(pooled) => {
-                tried.first_on_connection = false;
-                pooled.link
-            }
-            None => match timeout_at(give_up_at.into(), self.connect()).await {
-                Ok(Some(opened)) => opened,
-                _ => {
-                    tried.ended = self.now();
-                    return tried;
-                }
-            },
-        };
-        tried.node = link.node;
-        let remaining_ms = give_up_at
-            .saturating_duration_since(Instant::now())
-            .as_millis();
-        let (method, extra, body) = match class.write {
-            true => (
-                "PUT",
-                format!(
-                    "Idempotency-Key: {:x}\r\nContent-Length: 32\r\n",
-                    id.arrival
-                ),
-                [b'v'; 32].as_slice(),
-            ),
-            false => ("GET", String::new(), &[] as &[u8]),
-        };
-        let retry = if id.number > 0 {
-            "Req-Retry: 1\r\n"
-        } else {
-            ""
-        };
-        let mut bytes = format!(
-            "{method} /api/{:016x} HTTP/1.1\r\nHost: lab\r\nReq-Id: {}\r\nReq-Kind: {}\r\nReq-Deadline-Ms: {remaining_ms}\r\n\
-             {retry}{extra}\r\n",
-            arrival.key,
-            id.text(),
-            class.name
-        )
-        .into_bytes();
-        bytes.extend_from_slice(body);
-        if link.conn.write(&bytes).await.is_err() {
-            // Nothing of it may have been read.
-            tried.ended = self.now();
-            tried.end = if tried.first_on_connection {
-                End::NotSent
-            } else {
-                End::Broke { begun: false }
-            };
-            return tried;
-        }
-        tried.sent = self.now();
-        let answer = timeout_at(give_up_at.into(), link.conn.answer()).await;
-        tried.ended = self.now();
-        let mut reusable = false;
-        tried.end = match answer {
-            Err(_) => End::TimedOut,
-            Ok(Err(ReadError::Ended { begun })) => End::Broke { begun },
-            Ok(Err(ReadError::Malformed(_))) => End::Failed(0),
-            Ok(Ok(answer)) => {
-                reusable = !answer.close;
-                let retry_after = answer
-                    .retry_after
-                    .filter(|seconds| (0.0..1e6).contains(seconds));
-                let made_for = answer
-                    .body
-                    .strip_prefix(id.text().as_bytes())
-                    .is_some_and(|rest| rest.starts_with(b" "));
-                match answer.status {
-                    200 if made_for => End::Served,
-                    200 => End::Foreign,
-                    429 | 503 => End::Refused {
-                        retry_after: retry_after.map(|seconds| (seconds * 1e3) as u32),
-                    },
-                    status => End::Failed(status),
-                }
-            }
-        };
-        if reusable {
-            self.idle.borrow_mut().push(Pooled { link, last: tried });
-        }
-        tried
+    /// Keeps a connection for another request.
+    fn keep_idle(&self, link: Link, last: Try) {
+        self.idle.borrow_mut().push(Pooled { link, last });
     }
 
     /// The kept connection that was used last.
