--- a/crates/cli/src/multiget.rs
+++ b/crates/cli/src/multiget.rs
@@ -1,5 +1,6 @@
 //! `slatelink multi-get`: asks a node's side port for many keys and prints a line for each.
 
+use crate::exit::{CommandResult, UNUSABLE};
 use bytes::Bytes;
 use clap::Args;
 use http_body_util::{BodyExt, Full};
@@ -8,7 +9,7 @@
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use serde::{Deserialize, Serialize};
-use slatelink_config::operators::MAX_ITEMS;
+use slatelink_config::operators::DEFAULT_MAX_ITEMS;
 use std::collections::HashSet;
 use std::error::Error;
 use std::io::{self, Write};
@@ -49,7 +50,7 @@
     #[arg(long, value_name = "MS", value_parser = clap::value_parser!(u32).range(1..))]
     deadline_ms: u32,
     /// More keys than this are refused, as the node does past its own `max_items`
-    #[arg(long, value_name = "N", default_value_t = MAX_ITEMS)]
+    #[arg(long, value_name = "N", default_value_t = DEFAULT_MAX_ITEMS)]
     max_items: usize,
     /// The keys; one line is printed for each, in this order
     #[arg(required = true)]
@@ -58,14 +59,14 @@
 
 impl Command {
     /// Prints a line for each key.
-    pub async fn run(self) -> Result<ExitCode, Box<dyn Error>> {
+    pub async fn run(self) -> CommandResult {
         if self.keys.len() > self.max_items {
             eprintln!(
                 "slatelink: {} keys are more than {}",
                 self.keys.len(),
                 self.max_items
             );
-            return Ok(ExitCode::from(2));
+            return Ok(ExitCode::from(UNUSABLE));
         }
         let until = Instant::now() + Duration::from_millis(self.deadline_ms.into());
         let mut ordered = Ordered {
