--- a/crates/wire/src/main.rs
+++ b/crates/wire/src/main.rs
@@ -1,14 +1,33 @@
-//! Hosts balancers on the simulator's wire: one isolated `Balancer` per instance, lines in, lines out.
+//! Hosts balancers on the simulator's wire, on standard input and output: one isolated [`Balancer`] for each instance, a
+//! reply of lines to each batch of lines.
 
 use slatelink_policy::{Action, Balancer, Event, Timestamp};
-use slatelink_wire::{end_reply, write_action, write_fault, Input, Parser};
+use slatelink_wire::{
+    end_reply, write_action, write_failure, InstanceId, Message, Parser, WireError,
+};
+use std::any::Any;
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
+use thiserror::Error;
+
+/// Bytes read from standard input at once: batches of many instances are long.
+const INPUT_BUFFER_BYTES: usize = 256 * 1024;
+
+/// Why the host ends before its input does.
+#[derive(Debug, Error)]
+enum HostError {
+    #[error(transparent)]
+    Wire(#[from] WireError),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
 
 fn main() -> ExitCode {
-    match serve() {
+    let input = BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
+    let output = io::stdout().lock();
+    match serve(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("slatelink-simulator-adapter: {error}");
@@ -17,64 +36,87 @@
     }
 }
 
-fn serve() -> Result<(), Box<dyn std::error::Error>> {
-    let mut input = BufReader::with_capacity(1 << 18, io::stdin().lock());
-    let mut output = io::stdout().lock();
+/// Handles the lines of `input` to its end.
+fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
     let mut parser = Parser::default();
-    let mut instances: HashMap<u32, Balancer> = HashMap::new();
-    let (mut now, mut line, mut reply) = (Timestamp::default(), String::new(), String::new());
-    let mut actions = Vec::new();
-    loop {
-        line.clear();
-        if input.read_line(&mut line)? == 0 {
-            return Ok(());
+    let mut host = Host::default();
+    let mut line = String::new();
+    while input.read_line(&mut line)? > 0 {
+        if let Some(message) = parser.parse_line(&line)? {
+            host.handle(message, &mut output)?;
         }
-        match parser.line(&line)? {
-            None => {}
-            Some(Input::Tick(at)) => now = at,
-            Some(Input::Start {
-                who,
+        line.clear();
+    }
+    Ok(())
+}
+
+/// The instances, and the batch that is being handled.
+#[derive(Default)]
+struct Host {
+    instances: HashMap<InstanceId, Balancer>,
+    /// Time of the batch.
+    now: Timestamp,
+    /// Lines of the reply so far.
+    reply: String,
+    /// Buffer for the actions of one event; kept for its allocation.
+    actions: Vec<Action>,
+}
+
+impl Host {
+    /// Handles a message, and writes the reply to `output` where the batch ends with it.
+    fn handle(&mut self, message: Message, output: &mut impl Write) -> io::Result<()> {
+        match message {
+            Message::Tick(time) => self.now = time,
+            Message::Start {
+                instance,
                 seed,
                 settings,
-            }) => {
-                instances.insert(who, Balancer::new(*settings, seed));
-            }
-            Some(Input::Stop { who }) => {
-                instances.remove(&who);
-            }
-            Some(Input::Event { who, event }) => {
-                if let Some(balancer) = instances.get_mut(&who) {
-                    step(balancer, who, now, event, &mut actions, &mut reply);
-                }
+            } => {
+                self.instances
+                    .insert(instance, Balancer::new(*settings, seed));
             }
-            Some(Input::Turn) => {
-                end_reply(&mut reply);
-                output.write_all(reply.as_bytes())?;
-                output.flush()?;
-                reply.clear();
+            Message::Stop { instance } => {
+                self.instances.remove(&instance);
             }
+            Message::Event { instance, event } => self.handle_event(instance, event),
+            Message::EndOfBatch => self.send_reply(output)?,
         }
+        Ok(())
     }
-}
 
-fn step(
-    balancer: &mut Balancer,
-    who: u32,
-    now: Timestamp,
-    event: Event,
-    actions: &mut Vec<Action>,
-    reply: &mut String,
-) {
-    actions.clear();
-    let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
-    for action in actions.iter() {
-        write_action(reply, who, action);
+    /// Lets an instance handle an event, and adds its actions to the reply. A panic of the decision module becomes part of
+    /// the reply too: the other instances go on.
+    fn handle_event(&mut self, instance: InstanceId, event: Event) {
+        let Some(balancer) = self.instances.get_mut(&instance) else {
+            return;
+        };
+        self.actions.clear();
+        let handled = catch_unwind(AssertUnwindSafe(|| {
+            balancer.handle(self.now, event, &mut self.actions);
+        }));
+        for action in &self.actions {
+            write_action(&mut self.reply, instance, action);
+        }
+        if let Err(panic) = handled {
+            write_failure(&mut self.reply, instance, panic_message(&*panic));
+        }
     }
-    if let Err(panic) = handled {
-        let text = panic.downcast_ref::<String>().map(String::as_str);
-        let text = text
-            .or_else(|| panic.downcast_ref::<&str>().copied())
-            .unwrap_or("panic");
-        write_fault(reply, who, text);
+
+    /// Writes the reply to the batch, and begins the next one.
+    fn send_reply(&mut self, output: &mut impl Write) -> io::Result<()> {
+        end_reply(&mut self.reply);
+        output.write_all(self.reply.as_bytes())?;
+        output.flush()?;
+        self.reply.clear();
+        Ok(())
     }
 }
+
+/// The message of a panic, where it has one of text.
+fn panic_message(panic: &(dyn Any + Send)) -> &str {
+    panic
+        .downcast_ref::<String>()
+        .map(String::as_str)
+        .or_else(|| panic.downcast_ref::<&str>().copied())
+        .unwrap_or("panic")
+}
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: lines in and out, and the host around it.
 
 use slatelink_policy::*;
-use slatelink_wire::{write_action, Input, Parser};
+use slatelink_wire::{write_action, Message, Parser};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 use std::time::Duration;
@@ -12,18 +12,18 @@
     limits.most_tries=6 limits.second_copies=true limits.retry_after=true limits.max_retry_after_us=1000000 \
     membership_mode=subscribe safety.cold_share=0.31 safety.ask_within_us=7000000 safety.stop_sending_within_us=60000 novelty.of=1";
 
-fn parse(lines: &[&str]) -> Vec<Input> {
+fn parse(lines: &[&str]) -> Vec<Message> {
     let mut parser = Parser::default();
     lines
         .iter()
-        .filter_map(|line| parser.line(line).expect("well-formed"))
+        .filter_map(|line| parser.parse_line(line).expect("well-formed"))
         .collect()
 }
 
 #[test]
 fn settings_are_read_and_unknown_ones_skipped() {
-    let Input::Start {
-        who: 3,
+    let Message::Start {
+        instance: 3,
         seed: 5,
         settings,
     } = parse(&[START]).remove(0)
@@ -57,8 +57,8 @@
 #[test]
 fn a_request_is_read_whole() {
     let line = "submit who=3 request_id=c:x cls=log party=t1 object=17 valid_until_us=900 expected_us=12 options=7 odd=1";
-    let Input::Event {
-        who: 3,
+    let Message::Event {
+        instance: 3,
         event: Event::Request(request),
     } = parse(&[START, line]).remove(1)
     else {
@@ -78,7 +78,7 @@
     let line = "returned who=1 request_id=r result=Miss info=2 hop=2 server=s:1 spent_us=70 finished=1 server_stats=avg_ms:1.5,cpu:0.25,waiting:2,new:1";
     let odd = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
     let inputs = parse(&[line, odd]);
-    let Input::Event {
+    let Message::Event {
         event: Event::AttemptEnded(outcome),
         ..
     } = &inputs[0]
@@ -99,7 +99,7 @@
         }
     );
     assert!(
-        matches!(&inputs[1], Input::Event { event: Event::AttemptEnded(o), .. } if o.status == Status::Failed)
+        matches!(&inputs[1], Message::Event { event: Event::AttemptEnded(o), .. } if o.status == Status::Failed)
     );
 }
 
@@ -123,7 +123,7 @@
     let ids: Vec<Vec<&str>> = inputs
         .iter()
         .map(|input| match input {
-            Input::Event {
+            Message::Event {
                 event: Event::Endpoints(EndpointUpdate::Snapshot(list)),
                 ..
             } => list.iter().map(|e| e.id.as_str()).collect(),
@@ -190,7 +190,7 @@
         let mut parser = Parser::default();
         let errors: Vec<String> = lines
             .iter()
-            .filter_map(|line| parser.line(line).err())
+            .filter_map(|line| parser.parse_line(line).err())
             .map(|e| e.to_string())
             .collect();
         assert_eq!(errors.len(), 1, "{lines:?}");
@@ -321,7 +321,7 @@
             "peers_known who=1 how=replace bank=0",
         ];
         let mut inputs = parse(&lines);
-        let Input::Event {
+        let Message::Event {
             event: Event::Endpoints(EndpointUpdate::Snapshot(list)),
             ..
         } = inputs.remove(1)
@@ -329,7 +329,7 @@
             panic!("a list")
         };
         assert_eq!(list[0].weight, 1.0);
-        let Input::Start { settings, .. } = inputs.remove(0) else {
+        let Message::Start { settings, .. } = inputs.remove(0) else {
             panic!("a start")
         };
         let other = Settings::default();
@@ -344,7 +344,7 @@
             )
         );
     }
-    let Input::Start { settings, .. } =
+    let Message::Start { settings, .. } =
         parse(&["power_on who=1 prng=1 safety.cold_share=2"]).remove(0)
     else {
         panic!("a start")
@@ -367,6 +367,6 @@
 #[test]
 fn a_panic_in_a_decision_is_reported_on_one_line_with_its_text() {
     let mut reply = String::new();
-    slatelink_wire::write_fault(&mut reply, 3, "index\nout of range");
+    slatelink_wire::write_failure(&mut reply, 3, "index\nout of range");
     assert_eq!(reply, "bail_out who=3 body_text=index out of range\n");
 }
