--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -1,6 +1,7 @@
-//! The audit trail: who started, stopped and reconfigured the node, and what discovery said of hosts. Each record is
+//! The audit trail: who started, stopped and reconfigured the node, and what discovery said of endpoints. Each record is
 //! a line that names the hash of the one before it, so that no line can be changed or taken out unseen.
 
+mod record;
 mod signals;
 mod trail;
 mod verify;
@@ -10,6 +11,7 @@
 
 use crate::error::TelemetryError;
 use crate::writer::{BoundedSender, Writer};
+use record::Event;
 use slatelink_config::EndpointList;
 use slatelink_policy::EndpointId;
 use std::cell::{Cell, RefCell};
@@ -18,14 +20,16 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
-use trail::{Event, Trail};
+use trail::Trail;
 
-/// Records that may wait for the disk.
+/// Records that may wait for the disk; those past them are counted.
 const MAX_QUEUED_RECORDS: usize = 768;
-/// Longer names in discovery's words are cut.
+/// Longer names, of the node, an endpoint or a state, are cut: a record must fit a line of the trail.
 const MAX_NAME_BYTES: usize = 256;
-/// What a host is before discovery names it and once its whole list lacks it.
+/// The state of an endpoint before discovery names it, and once a complete list lacks it.
 const ABSENT: &str = "absent";
+/// Discovery's own state of an endpoint that has left.
+const REMOVED: &str = "gone";
 
 /// The node's side of the trail. Records are made here and written by the writer's thread.
 pub struct Audit {
@@ -33,9 +37,10 @@
     trail: Arc<Mutex<Trail>>,
     /// Records that found no place in the queue since the last one that did.
     lost: Cell<u64>,
-    /// The stop is the last record.
+    /// The record of the stop is made: no other follows it.
     stopped: Cell<bool>,
-    health: RefCell<BTreeMap<EndpointId, String>>,
+    /// The state of each endpoint, as discovery said it last.
+    states: RefCell<BTreeMap<EndpointId, String>>,
 }
 
 impl Audit {
@@ -56,30 +61,31 @@
             trail: Arc::new(Mutex::new(trail)),
             lost: Cell::default(),
             stopped: Cell::default(),
-            health: RefCell::default(),
+            states: RefCell::default(),
         };
-        torn.into_iter().for_each(|torn| audit.record(torn));
+        if let Some(torn) = torn {
+            audit.record(torn);
+        }
         Ok(audit)
     }
 
-    pub fn start(&self, node: &str) {
-        let (pid, version) = (std::process::id(), env!("CARGO_PKG_VERSION"));
+    /// The node of this name listens.
+    pub fn node_started(&self, node: &str) {
         self.record(Event::Start {
             node: truncated(node),
-            pid,
-            version,
+            pid: std::process::id(),
+            version: env!("CARGO_PKG_VERSION"),
         });
     }
 
-    pub fn stop(&self, stop: StopSignal) {
-        self.record(Event::Stop {
-            signal: stop.signal,
-        });
+    /// The node stops, by this signal. No record follows this one.
+    pub fn node_stopped(&self, stop: StopSignal) {
+        self.record(Event::Stop { signal: stop.name });
         self.stopped.set(true);
     }
 
-    /// A configuration is in force.
-    pub fn loaded(&self, file: &'static str, path: &Path, sha256: String) {
+    /// A configuration is in force: `file` says which of the node's two.
+    pub fn config_loaded(&self, file: &'static str, path: &Path, sha256: String) {
         self.record(Event::Config {
             file,
             path: path.display().to_string(),
@@ -87,53 +93,54 @@
         });
     }
 
-    /// Discovery's word of hosts.
+    /// A list of discovery is in force: each endpoint whose state it changes has a record.
     pub fn endpoints_updated(&self, list: &EndpointList) {
-        let mut health = self.health.borrow_mut();
-        let mut previous = if list.complete {
-            std::mem::take(&mut *health)
+        let mut states = self.states.borrow_mut();
+        // Those that a complete list lacks remain here.
+        let mut unlisted = if list.complete {
+            std::mem::take(&mut *states)
         } else {
             BTreeMap::new()
         };
-        for host in &list.endpoints {
-            let (id, to) = (host.endpoint().id, truncated(host.state()));
-            let from = health.remove(&id).or_else(|| previous.remove(&id));
-            let known = from.is_some();
-            let from = from.unwrap_or_else(|| ABSENT.to_owned());
-            let gone = to == "gone";
-            if from != to && (known || !gone) {
-                self.record(Event::Health {
-                    host: truncated(id.as_str()),
-                    from,
-                    to: to.clone(),
-                });
+        for endpoint in &list.endpoints {
+            let id = EndpointId::from(endpoint.id());
+            let state = truncated(endpoint.state());
+            let previous = states.remove(&id).or_else(|| unlisted.remove(&id));
+            let removed = state == REMOVED;
+            let is_known = previous.is_some();
+            let previous = previous.unwrap_or_else(|| ABSENT.to_owned());
+            if previous != state && (is_known || !removed) {
+                self.state_changed(&id, previous, state.clone());
             }
-            if !gone {
-                health.insert(id, to);
+            if !removed {
+                states.insert(id, state);
             }
         }
-        for (id, from) in previous {
-            self.record(Event::Health {
-                host: truncated(id.as_str()),
-                from,
-                to: ABSENT.to_owned(),
-            });
+        for (id, previous) in unlisted {
+            self.state_changed(&id, previous, ABSENT.to_owned());
         }
     }
 
+    fn state_changed(&self, id: &EndpointId, from: String, to: String) {
+        self.record(Event::Health {
+            endpoint: truncated(id.as_str()),
+            from,
+            to,
+        });
+    }
+
+    /// Has the writer append a record, made at this time. Never waits.
     fn record(&self, event: Event) {
         if self.stopped.get() {
             return;
         }
-        let since_epoch = SystemTime::now()
-            .duration_since(UNIX_EPOCH)
-            .unwrap_or_default();
-        let at_ms = u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX);
-        let (trail, lost) = (self.trail.clone(), self.lost.get());
+        let at_ms = unix_time_ms();
+        let trail = self.trail.clone();
+        let lost = self.lost.get();
         let queued = self.sender.try_send(move |stderr| {
             let mut trail = trail.lock().unwrap_or_else(PoisonError::into_inner);
             trail.lost += lost;
-            if let Err(error) = trail.write(stderr, at_ms, &event) {
+            if let Err(error) = trail.record(stderr, at_ms, &event) {
                 trail.lost += 1;
                 // There is nowhere else to report it to.
                 let _ = writeln!(stderr, "audit: a record is not written: {error}");
@@ -143,6 +150,13 @@
     }
 }
 
+fn unix_time_ms() -> u64 {
+    let since_epoch = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
+}
+
 fn truncated(text: &str) -> String {
     text[..text.floor_char_boundary(MAX_NAME_BYTES)].to_owned()
 }
--- a/crates/telemetry/src/audit/tests.rs
+++ b/crates/telemetry/src/audit/tests.rs
@@ -1,4 +1,5 @@
-use super::trail::{FIRST_PREVIOUS_HASH, MAX_LINE_BYTES};
+use super::record::{FIRST_PREVIOUS_HASH, MAX_LINE_BYTES};
+use super::trail::Destination;
 use super::*;
 use slatelink_config::digest;
 use std::fs::File;
@@ -15,9 +16,9 @@
     File::options().write(true).open("/dev/null").unwrap()
 }
 
-fn health(host: &str) -> Event {
+fn health(endpoint: &str) -> Event {
     Event::Health {
-        host: host.to_owned(),
+        endpoint: endpoint.to_owned(),
         from: "ready".to_owned(),
         to: "draining".to_owned(),
     }
@@ -198,12 +199,10 @@
 fn what_a_failed_write_left_goes_before_the_next_record() {
     let (path, _) = trail("spoiled", 1);
     let (mut trail, _) = Trail::open(&path).unwrap();
-    trail
-        .file
-        .as_mut()
-        .unwrap()
-        .write_all(b"{\"seq\":2,\"at")
-        .unwrap();
+    let Destination::Regular { file, .. } = &mut trail.destination else {
+        panic!("the trail is in a regular file");
+    };
+    file.write_all(b"{\"seq\":2,\"at").unwrap();
     trail.write_failed = true;
     trail
         .append(&mut stderr(), 1, &Event::Lost { records: 1 })
@@ -222,7 +221,7 @@
     let (mut trail, _) = Trail::open(&path).unwrap();
     let moved = path.with_extension("1");
     std::fs::rename(&path, &moved).unwrap();
-    trail.write(&mut stderr(), 1, &health("s-1")).unwrap();
+    trail.record(&mut stderr(), 1, &health("s-1")).unwrap();
     let [old, new] = [&moved, &path].map(|path| std::fs::read_to_string(path).unwrap());
     assert_eq!(
         verify(old.as_bytes()).unwrap(),
@@ -257,7 +256,7 @@
     let long = health(&"h".repeat(5_000));
     let mut lost = 0;
     while lost < 3 {
-        if trail.write(&mut stderr(), 1, &long).is_err() {
+        if trail.record(&mut stderr(), 1, &long).is_err() {
             trail.lost += 1;
             lost += 1;
         }
@@ -265,7 +264,7 @@
     let (mut text, mut bytes) = (Vec::new(), [0; 1 << 16]);
     let n = reader.read(&mut bytes).unwrap();
     text.extend_from_slice(&bytes[..n]);
-    trail.write(&mut stderr(), 1, &health("after")).unwrap();
+    trail.record(&mut stderr(), 1, &health("after")).unwrap();
     while !text.ends_with(b"\n") || !String::from_utf8_lossy(&text).contains("after") {
         let n = reader.read(&mut bytes).unwrap();
         text.extend_from_slice(&bytes[..n]);
@@ -300,7 +299,7 @@
         }
     };
     wait(MAX_QUEUED_RECORDS);
-    audit.stop(StopSignal::TERMINATE);
+    audit.node_stopped(StopSignal::TERMINATE);
     audit.record(health("after the stop"));
     wait(MAX_QUEUED_RECORDS + 2);
     let text = std::fs::read_to_string(&path).unwrap();
--- a/crates/telemetry/src/audit/trail.rs
+++ b/crates/telemetry/src/audit/trail.rs
@@ -1,215 +1,97 @@
-//! The file of an audit trail: its records, how it is opened and how a record is appended.
+//! The file of an audit trail: how it is opened and how a record is appended.
 
-use super::verify::check;
+use super::record::{parse, ChainPosition, Event, FIRST_RECORD_START, MAX_LINE_BYTES};
 use crate::error::TrailError;
 use crate::writer::{has_vanished, write_part};
-use serde::Serialize;
 use slatelink_config::digest;
 use std::fs::{File, TryLockError};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// The first line's `prev`.
-pub(super) const FIRST_PREVIOUS_HASH: &str =
-    "0000000000000000000000000000000000000000000000000000000000000000";
-/// A line is longer than this in no trail, and at a start no more is read to find the last ones.
-pub(super) const MAX_LINE_BYTES: usize = 64 << 10;
-/// How the first record of a trail begins.
-const FIRST_RECORD_START: &[u8] = b"{\"seq\":1,";
+/// So much is read from a file's end to find the last whole line, and the part of one after it.
+const MAX_END_BYTES: u64 = 2 * MAX_LINE_BYTES as u64;
+/// Bytes of a torn line that the record of it quotes: escaped in JSON, where a byte takes up to 6, they fit a line.
+const MAX_TORN_TEXT_BYTES: usize = MAX_LINE_BYTES / 16;
 
-/// What a record tells.
-#[derive(Debug, Serialize)]
-#[serde(tag = "event", rename_all = "lowercase")]
-pub(super) enum Event {
-    Start {
-        node: String,
-        pid: u32,
-        version: &'static str,
-    },
-    Stop {
-        signal: &'static str,
-    },
-    Config {
-        file: &'static str,
-        path: String,
-        sha256: String,
-    },
-    Health {
-        host: String,
-        from: String,
-        to: String,
-    },
-    /// The file ended within a line, which was cut off.
-    Torn {
-        bytes: usize,
-        sha256: String,
-        text: String,
-    },
-    /// So many records before this one could not be written.
-    Lost {
-        records: u64,
-    },
-    /// The file that the trail was in has lost its name, by a move or removal, after so many records, the last of this
-    /// hash. The trail begins anew here.
-    Vanished {
-        records: u64,
-        last: String,
-    },
-}
-
-#[derive(Serialize)]
-struct Record<'a> {
-    seq: u64,
-    at_ms: u64,
-    #[serde(flatten)]
-    event: &'a Event,
-    prev: &'a str,
-}
-
-/// Where a trail stands, and the file it is in.
+/// Where a trail stands, and where it is written.
+#[derive(Default)]
 pub(super) struct Trail {
-    /// `None` for standard error.
-    pub(super) file: Option<File>,
-    path: PathBuf,
-    /// Whether the file can be cut and synced: a device or a FIFO cannot.
-    regular: bool,
-    /// Bytes of whole records.
-    len: u64,
-    /// A write broke off: what it left must go before the next one.
+    pub(super) destination: Destination,
+    /// A write failed, and what it may have left of a record is not yet cut off.
     pub(super) write_failed: bool,
-    /// What a FIFO or device did not take of a record that it has begun: this goes first.
-    unwritten: Vec<u8>,
     /// Records that the trail lacks and does not tell of yet.
     pub(super) lost: u64,
-    seq: u64,
-    prev: String,
+    position: ChainPosition,
 }
 
-impl Default for Trail {
-    fn default() -> Self {
-        let prev = FIRST_PREVIOUS_HASH.to_owned();
-        let (path, unwritten) = (PathBuf::new(), Vec::new());
-        Self {
-            file: None,
-            path,
-            regular: false,
-            len: 0,
-            write_failed: false,
-            unwritten,
-            lost: 0,
-            seq: 0,
-            prev,
-        }
-    }
+/// Where records go.
+#[derive(Default)]
+pub(super) enum Destination {
+    /// Standard error, which the writer's thread owns.
+    #[default]
+    StandardError,
+    /// A regular file, which can be cut and synced.
+    Regular {
+        file: File,
+        path: PathBuf,
+        /// Bytes of whole records.
+        len: u64,
+    },
+    /// A FIFO or a device.
+    Stream {
+        file: File,
+        /// What it did not take of a record that it has begun: this goes first.
+        unwritten: Vec<u8>,
+    },
 }
 
 impl Trail {
-    /// Goes on where the file ends. A last line that broke off is cut, and the event tells of it.
+    /// Continues where the file ends, or begins at its first line. A last line that broke off is cut, and the event tells of
+    /// it.
     pub(super) fn open(path: &Path) -> Result<(Self, Option<Event>), TrailError> {
-        let is_new = !path.exists();
-        let mut options = File::options();
-        // Neither opening nor writing waits for a FIFO's reader.
-        options
-            .read(true)
-            .append(true)
-            .create(true)
-            .custom_flags(libc::O_NONBLOCK);
-        let mut file = options.open(path)?;
-        if is_new {
-            // The name must outlive a crash as well. Where the folder cannot be synced the file still is.
-            let folder = path
-                .parent()
-                .filter(|folder| !folder.as_os_str().is_empty());
-            let _ =
-                File::open(folder.unwrap_or(Path::new("."))).and_then(|folder| folder.sync_all());
+        let mut file = open_or_create(path)?;
+        // A FIFO or device holds no trail that two could break.
+        if !file.metadata()?.is_file() {
+            let unwritten = Vec::new();
+            return Ok((
+                Self {
+                    destination: Destination::Stream { file, unwritten },
+                    ..Self::default()
+                },
+                None,
+            ));
         }
-        let state = file.metadata()?;
-        // A device holds no trail that two could break.
-        if state.is_file() {
-            file.try_lock().map_err(|error| match error {
-                TryLockError::WouldBlock => TrailError::Locked,
-                TryLockError::Error(error) => TrailError::Io(error),
-            })?;
-        }
-        // Its length only once no other node writes.
-        let state = file.metadata()?;
-        let (regular, len) = (
-            state.is_file(),
-            if state.is_file() { state.len() } else { 0 },
-        );
-        let from = len.saturating_sub(2 * MAX_LINE_BYTES as u64);
-        let mut last_bytes = Vec::new();
-        if len > 0 {
-            file.seek(SeekFrom::Start(from))?;
-            (&mut file).take(len - from).read_to_end(&mut last_bytes)?;
-        }
-        let whole_lines = last_bytes
-            .iter()
-            .rposition(|&byte| byte == b'\n')
-            .map_or(0, |last| last + 1);
-        let (lines, tail) = last_bytes.split_at(whole_lines);
-        let (file, path) = (Some(file), path.to_owned());
+        file.try_lock().map_err(|error| match error {
+            TryLockError::WouldBlock => TrailError::Locked,
+            TryLockError::Error(error) => TrailError::Io(error),
+        })?;
+        let end = TrailEnd::read(&mut file)?;
         let mut trail = Self {
-            file,
-            path,
-            regular,
-            len: from + whole_lines as u64,
+            destination: Destination::Regular {
+                file,
+                path: path.to_owned(),
+                len: end.len,
+            },
+            position: end.position,
             ..Self::default()
         };
-        if let Some(lines) = lines.strip_suffix(b"\n") {
-            let last = lines
-                .rsplit(|&byte| byte == b'\n')
-                .next()
-                .unwrap_or_default();
-            let found = check(last).and_then(|record| Some((record.seq?, record.hash)));
-            (trail.seq, trail.prev) = found.ok_or(TrailError::InvalidLastRecord)?;
-        } else if from > 0
-            || !(tail.starts_with(FIRST_RECORD_START) || FIRST_RECORD_START.starts_with(tail))
-        {
-            return Err(TrailError::NotATrail);
-        }
-        if tail.is_empty() {
+        if end.torn.is_empty() {
             return Ok((trail, None));
         }
-        let torn =
-            String::from_utf8_lossy(&tail[..tail.len().min(MAX_LINE_BYTES / 16)]).into_owned();
-        let torn = Event::Torn {
-            bytes: tail.len(),
-            sha256: digest(tail),
-            text: torn,
-        };
         trail.truncate_to_last_record()?;
-        Ok((trail, Some(torn)))
-    }
-
-    /// Cuts off what is no whole record.
-    fn truncate_to_last_record(&mut self) -> io::Result<()> {
-        if let Some(file) = self.file.as_ref().filter(|_| self.regular) {
-            file.set_len(self.len)?;
-            file.sync_all()?;
-        }
-        self.write_failed = false;
-        Ok(())
+        Ok((trail, Some(torn_event(&end.torn))))
     }
 
-    /// Writes a record, and before it one of those that are missing there.
-    pub(super) fn write(&mut self, stderr: &mut File, at_ms: u64, event: &Event) -> io::Result<()> {
-        if self
-            .file
-            .as_ref()
-            .is_some_and(|file| has_vanished(file, &self.path).unwrap_or(false))
-        {
-            let (mut reopened, torn) = Self::open(&self.path).map_err(io::Error::other)?;
-            reopened.lost = self.lost;
-            let vanished = Event::Vanished {
-                records: self.seq,
-                last: self.prev.clone(),
-            };
-            *self = reopened;
-            for event in torn.iter().chain([&vanished]) {
-                self.append(stderr, at_ms, event)?;
-            }
+    /// Writes a record, and before it those that tell of records which are missing there.
+    pub(super) fn record(
+        &mut self,
+        stderr: &mut File,
+        at_ms: u64,
+        event: &Event,
+    ) -> io::Result<()> {
+        if let Some(path) = self.vanished_path() {
+            self.begin_anew(&path, stderr, at_ms)?;
         }
         if self.lost > 0 {
             self.append(stderr, at_ms, &Event::Lost { records: self.lost })?;
@@ -218,6 +100,31 @@
         self.append(stderr, at_ms, event)
     }
 
+    /// Where the trail's file was, if it has lost its name since.
+    fn vanished_path(&self) -> Option<PathBuf> {
+        match &self.destination {
+            Destination::Regular { file, path, .. } => has_vanished(file, path)
+                .unwrap_or(false)
+                .then(|| path.clone()),
+            Destination::StandardError | Destination::Stream { .. } => None,
+        }
+    }
+
+    /// Goes over to the file that has the name now, and tells there of the one that had it.
+    fn begin_anew(&mut self, path: &Path, stderr: &mut File, at_ms: u64) -> io::Result<()> {
+        let (mut reopened, torn) = Self::open(path).map_err(io::Error::other)?;
+        reopened.lost = self.lost;
+        let vanished = Event::Vanished {
+            records: self.position.seq,
+            last: self.position.hash.clone(),
+        };
+        *self = reopened;
+        for event in torn.iter().chain([&vanished]) {
+            self.append(stderr, at_ms, event)?;
+        }
+        Ok(())
+    }
+
     /// Writes a record and has it on disk before it returns.
     pub(super) fn append(
         &mut self,
@@ -228,44 +135,145 @@
         if self.write_failed {
             self.truncate_to_last_record()?;
         }
-        let seq = self.seq + 1;
-        let mut line = serde_json::to_string(&Record {
-            seq,
-            at_ms,
-            event,
-            prev: &self.prev,
-        })?;
-        let hash = digest(line.as_bytes());
-        line.pop();
-        line.push_str(&format!(",\"hash\":\"{hash}\"}}\n"));
-        let written = match &mut self.file {
-            None => stderr.write_all(line.as_bytes()),
-            Some(file) if self.regular => file
-                .write_all(line.as_bytes())
-                .and_then(|()| file.sync_all()),
-            Some(file) => {
-                let (taken, written) = write_part(file, &self.unwritten);
-                self.unwritten.drain(..taken);
-                written?;
-                let (taken, written) = write_part(file, line.as_bytes());
-                match written {
-                    // Once begun it is a record of the trail: its reader gets the rest of it with the next one.
-                    Err(_) if taken > 0 => {
-                        self.unwritten.extend_from_slice(&line.as_bytes()[taken..]);
-                        Ok(())
-                    }
-                    written => written,
-                }
-            }
-        };
-        if let Err(error) = written {
+        let record = self.position.next_record(at_ms, event)?;
+        if let Err(error) = self.destination.write(stderr, record.line.as_bytes()) {
             self.write_failed = true;
             // At once, if that can be: a reader must not see half a record longer than need be.
             let _ = self.truncate_to_last_record();
             return Err(error);
         }
-        self.len += line.len() as u64;
-        (self.seq, self.prev) = (seq, hash);
+        self.position = record.position;
         Ok(())
     }
+
+    /// Cuts off what is no whole record.
+    fn truncate_to_last_record(&mut self) -> io::Result<()> {
+        if let Destination::Regular { file, len, .. } = &self.destination {
+            file.set_len(*len)?;
+            file.sync_all()?;
+        }
+        self.write_failed = false;
+        Ok(())
+    }
+}
+
+impl Destination {
+    /// Writes a whole line, and syncs it where that can be.
+    fn write(&mut self, stderr: &mut File, line: &[u8]) -> io::Result<()> {
+        match self {
+            Self::StandardError => stderr.write_all(line),
+            Self::Regular { file, len, .. } => {
+                file.write_all(line)?;
+                file.sync_all()?;
+                *len += line.len() as u64;
+                Ok(())
+            }
+            Self::Stream { file, unwritten } => write_to_stream(file, unwritten, line),
+        }
+    }
+}
+
+/// Writes what waits and then the line. Once a line is begun it is a record of the trail: its reader gets the rest of it with
+/// the next one.
+fn write_to_stream(file: &mut File, unwritten: &mut Vec<u8>, line: &[u8]) -> io::Result<()> {
+    let (taken, written) = write_part(file, unwritten);
+    unwritten.drain(..taken);
+    written?;
+    let (taken, written) = write_part(file, line);
+    if taken == 0 {
+        return written;
+    }
+    unwritten.extend_from_slice(&line[taken..]);
+    Ok(())
+}
+
+/// Opens the file to read its end and to append to it.
+fn open_or_create(path: &Path) -> io::Result<File> {
+    let is_new = !path.exists();
+    let file = File::options()
+        .read(true)
+        .append(true)
+        .create(true)
+        // Neither opening nor writing waits for a FIFO's reader.
+        .custom_flags(libc::O_NONBLOCK)
+        .open(path)?;
+    if is_new {
+        // The name must outlive a crash as well. Where the folder cannot be synced the file still is.
+        let _ = sync_parent(path);
+    }
+    Ok(file)
+}
+
+fn sync_parent(path: &Path) -> io::Result<()> {
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
+    File::open(folder)?.sync_all()
+}
+
+/// What the end of a trail's regular file says.
+struct TrailEnd {
+    /// Where the last whole record leaves the chain.
+    position: ChainPosition,
+    /// Bytes of whole records.
+    len: u64,
+    /// The part of a line that follows them.
+    torn: Vec<u8>,
+}
+
+impl TrailEnd {
+    /// Reads it, with the lock held: before, another node may write.
+    fn read(file: &mut File) -> Result<Self, TrailError> {
+        let file_len = file.metadata()?.len();
+        let start = file_len.saturating_sub(MAX_END_BYTES);
+        let mut end = Vec::new();
+        if file_len > 0 {
+            file.seek(SeekFrom::Start(start))?;
+            file.take(file_len - start).read_to_end(&mut end)?;
+        }
+        let whole_bytes = end
+            .iter()
+            .rposition(|&byte| byte == b'\n')
+            .map_or(0, |last| last + 1);
+        let torn = end.split_off(whole_bytes);
+        let position = match end.strip_suffix(b"\n") {
+            Some(lines) => last_position(lines).ok_or(TrailError::InvalidLastRecord)?,
+            None if start == 0 && may_begin_trail(&torn) => ChainPosition::default(),
+            None => return Err(TrailError::NotATrail),
+        };
+        Ok(Self {
+            position,
+            len: start + whole_bytes as u64,
+            torn,
+        })
+    }
+}
+
+/// Where the last of these lines leaves the chain; `None` where it is no record.
+fn last_position(lines: &[u8]) -> Option<ChainPosition> {
+    let last = lines
+        .rsplit(|&byte| byte == b'\n')
+        .next()
+        .unwrap_or_default();
+    let record = parse(last)?;
+    Some(ChainPosition {
+        seq: record.seq?,
+        hash: record.hash,
+    })
+}
+
+/// Whether a file that holds this and no whole line may be a trail whose first record broke off.
+fn may_begin_trail(start: &[u8]) -> bool {
+    start.starts_with(FIRST_RECORD_START) || FIRST_RECORD_START.starts_with(start)
+}
+
+/// Tells of a line that broke off.
+fn torn_event(torn: &[u8]) -> Event {
+    let quoted = &torn[..torn.len().min(MAX_TORN_TEXT_BYTES)];
+    Event::Torn {
+        bytes: torn.len(),
+        sha256: digest(torn),
+        text: String::from_utf8_lossy(quoted).into_owned(),
+    }
 }
--- a/crates/telemetry/src/audit/verify.rs
+++ b/crates/telemetry/src/audit/verify.rs
@@ -1,37 +1,9 @@
 //! The check of a trail: whether each line's hash holds and names the line before it.
 
-use super::trail::{FIRST_PREVIOUS_HASH, MAX_LINE_BYTES};
-use serde::Deserialize;
-use slatelink_config::digest;
+use super::record::{parse, FIRST_PREVIOUS_HASH, MAX_LINE_BYTES};
 use std::fmt;
 use std::io::{self, BufRead, Read};
 
-pub(super) struct Checked {
-    pub(super) seq: Option<u64>,
-    prev: String,
-    pub(super) hash: String,
-}
-
-/// A line, less its line feed, whose hash holds.
-pub(super) fn check(line: &[u8]) -> Option<Checked> {
-    #[derive(Deserialize)]
-    struct Fields {
-        seq: Option<u64>,
-        prev: String,
-    }
-    // The hash is the last field: what stands before it, and the closing brace, is what it covers.
-    const FIELD: usize = ",\"hash\":\"\"}".len() + 64;
-    let covered = line.len().checked_sub(FIELD)?;
-    let mut rest = line[..covered].to_vec();
-    rest.push(b'}');
-    let hash = digest(&rest);
-    if line[covered..] != *format!(",\"hash\":\"{hash}\"}}").as_bytes() {
-        return None;
-    }
-    let Fields { seq, prev } = serde_json::from_str(std::str::from_utf8(line).ok()?).ok()?;
-    Some(Checked { seq, prev, hash })
-}
-
 /// What a check of a whole trail comes to. Lines count from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verification {
@@ -62,32 +34,40 @@
     }
 }
 
-/// Checks a trail from its first line on.
+/// Checks a trail from its first line on. Fails where the trail cannot be read.
 pub fn verify(mut trail: impl BufRead) -> io::Result<Verification> {
-    let (mut prev, mut line, mut count) = (FIRST_PREVIOUS_HASH.to_owned(), Vec::new(), 0);
+    let mut previous_hash = FIRST_PREVIOUS_HASH.to_owned();
+    let mut line = Vec::new();
+    let mut line_number = 0;
     loop {
-        count += 1;
+        line_number += 1;
         line.clear();
         (&mut trail)
             .take(MAX_LINE_BYTES as u64 + 1)
             .read_until(b'\n', &mut line)?;
         if line.is_empty() {
-            return Ok(Verification::Intact { records: count - 1 });
+            return Ok(Verification::Intact {
+                records: line_number - 1,
+            });
         }
-        let Some(whole) = line.strip_suffix(b"\n") else {
-            // The file's end, or a line longer than any record, which may end somewhere all the same.
-            let ended = trail
-                .by_ref()
-                .bytes()
-                .find(|byte| !matches!(byte, Ok(byte) if *byte != b'\n'));
-            return match ended.transpose()? {
-                None => Ok(Verification::Torn { line: count }),
-                Some(_) => Ok(Verification::Broken { line: count }),
-            };
+        let Some(record) = line.strip_suffix(b"\n") else {
+            return Ok(if contains_line_feed(&mut trail)? {
+                Verification::Broken { line: line_number }
+            } else {
+                Verification::Torn { line: line_number }
+            });
         };
-        match check(whole).filter(|record| record.prev == prev) {
-            Some(record) => prev = record.hash,
-            None => return Ok(Verification::Broken { line: count }),
+        match parse(record).filter(|record| record.previous_hash == previous_hash) {
+            Some(record) => previous_hash = record.hash,
+            None => return Ok(Verification::Broken { line: line_number }),
         }
     }
 }
+
+/// Whether a line that is longer than any record ends somewhere before the file does.
+fn contains_line_feed(rest: &mut impl BufRead) -> io::Result<bool> {
+    let line_feed_or_error = rest
+        .bytes()
+        .find(|byte| !matches!(byte, Ok(byte) if *byte != b'\n'));
+    Ok(line_feed_or_error.transpose()?.is_some())
+}
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -181,16 +181,16 @@
     /// The node of this name listens.
     pub fn node_started(&self, node: &str) {
         if let Some(audit) = &self.audit {
-            audit.start(node);
+            audit.node_started(node);
         }
     }
 
     /// The platform's configuration, and with it the features', is in force: at the start and at each SIGHUP.
     pub fn config_loaded(&self, path: &Path, text: &[u8]) {
         if let Some(audit) = &self.audit {
-            audit.loaded("platform", path, digest(text));
+            audit.config_loaded("platform", path, digest(text));
             if let Some(SettingsFile { path, sha256 }) = &self.source {
-                audit.loaded("features", path, sha256.clone());
+                audit.config_loaded("features", path, sha256.clone());
             }
         }
     }
@@ -201,7 +201,7 @@
             figures.stop(FIGURES_FLUSH_TIMEOUT).await;
         }
         if let Some(audit) = &self.audit {
-            audit.stop(by);
+            audit.node_stopped(by);
         }
         self.writer.flush(WRITER_FLUSH_TIMEOUT).await;
     }
