--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -5,8 +5,8 @@
 
 use events::{check, Step};
 use slatelink_admission::{
-    Budget, CloseCause, ConnectionKind, ConnectionLimits, ConnectionTable, Directive, Lease,
-    LeaseError, Phase, Quota, TimerWheel,
+    AddressQuotaExceeded, Budget, CloseCause, ConnectionKind, ConnectionLimits, ConnectionTable,
+    Directive, Lease, LeaseError, MemoryShortage, Phase, Quota, TimerWheel,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, Ipv4Addr};
@@ -56,7 +56,7 @@
                     let one = random.usize(0..held.len());
                     let (_, bytes_of, lease) = &mut held[one];
                     let fits = wanted <= *bytes_of || all - *bytes_of + wanted <= bytes;
-                    assert_eq!(lease.hold(wanted), fits, "seed {seed}");
+                    assert_eq!(lease.try_set_bytes(wanted), fits, "seed {seed}");
                     if fits {
                         *bytes_of = wanted;
                     }
@@ -65,9 +65,9 @@
             }
             let counted =
                 ConnectionKind::ALL.map(|side| held.iter().filter(|(of, ..)| *of == side).count());
-            assert_eq!(budget.held().places, counted, "seed {seed}");
+            assert_eq!(budget.usage().descriptors, counted, "seed {seed}");
             assert_eq!(
-                budget.held().bytes,
+                budget.usage().bytes,
                 held.iter().map(|(_, bytes, _)| bytes).sum::<usize>(),
                 "seed {seed}"
             );
@@ -75,13 +75,13 @@
             assert!(
                 ConnectionKind::ALL
                     .iter()
-                    .all(|side| counted[*side as usize] <= budget.most(*side)),
+                    .all(|side| counted[*side as usize] <= budget.max_descriptors(*side)),
                 "seed {seed}"
             );
         }
         held.clear();
         assert_eq!(
-            budget.held(),
+            budget.usage(),
             Default::default(),
             "seed {seed}: all is given back"
         );
@@ -115,7 +115,7 @@
     assert!(budget.lease(ConnectionKind::Client).is_ok());
     drop(clients);
     assert_eq!(
-        budget.most(ConnectionKind::Client),
+        budget.max_descriptors(ConnectionKind::Client),
         8,
         "the servers' floor stays theirs"
     );
@@ -171,7 +171,7 @@
     let budget = Budget::new(1 << 20, [share; 3], 1_000).expect("fits");
     (
         ConnectionTable::new(ConnectionLimits {
-            crowded_at: 1 << 20,
+            keep_alive_limit: 1 << 20,
             idle_timeout: ms(10_000),
             active_bytes: 100,
             parked_bytes: 1,
@@ -220,10 +220,10 @@
             match (random.u8(0..9), some) {
                 (0 | 1, _) => {
                     let last = random.u8(0..3);
-                    if table.check_address_limit(address(last)).is_ok() {
+                    if table.check_address_quota(address(last)).is_ok() {
                         let id = enter(&mut table, &budget, now, last);
                         assert!(
-                            model.insert(id, (Phase::Silent, last)).is_none(),
+                            model.insert(id, (Phase::AwaitingFirstByte, last)).is_none(),
                             "seed {seed}: a number in use"
                         );
                     } else {
@@ -231,18 +231,18 @@
                         assert!(count >= 40, "seed {seed}: kept out with {count}");
                     }
                 }
-                (2 | 3, Some(id)) if model[&id].0 != Phase::Open => {
+                (2 | 3, Some(id)) if model[&id].0 != Phase::Processing => {
                     let phase = &mut model.get_mut(&id).expect("in").0;
                     if table.on_readable(now, id).is_ok() {
                         table.on_bytes_read(now, id);
                         table.on_request_head(now, id);
                         table.on_request(now, id, 0);
-                        *phase = Phase::Open;
-                    } else if *phase != Phase::Silent {
-                        *phase = Phase::Asking;
+                        *phase = Phase::Processing;
+                    } else if *phase != Phase::AwaitingFirstByte {
+                        *phase = Phase::ReadingRequest;
                     }
                 }
-                (4 | 5, Some(id)) if model[&id].0 == Phase::Open => {
+                (4 | 5, Some(id)) if model[&id].0 == Phase::Processing => {
                     table.on_response(now, id);
                     table.on_flushed(now, id);
                     model.get_mut(&id).expect("in").0 = Phase::Idle;
@@ -285,11 +285,11 @@
                 "seed {seed}"
             );
             assert_eq!(stats.closed.iter().sum::<u64>(), left, "seed {seed}");
-            assert_eq!(budget.held().places[0], model.len(), "seed {seed}");
+            assert_eq!(budget.usage().descriptors[0], model.len(), "seed {seed}");
         }
         model.keys().for_each(|id| table.remove(*id));
         assert!(
-            table.is_empty() && budget.held() == Default::default(),
+            table.is_empty() && budget.usage() == Default::default(),
             "seed {seed}: all is given back"
         );
     }
@@ -315,7 +315,10 @@
         .iter()
         .all(|id| table.directive(*id) == Directive::Finish));
     woken.iter().for_each(|id| table.remove(*id));
-    assert_eq!(table.stats().closed[CloseCause::Silent as usize], 100_000);
+    assert_eq!(
+        table.stats().closed[CloseCause::FirstByteTimeout as usize],
+        100_000
+    );
 }
 
 // Guards against an address, or a class, that takes the whole table.
@@ -329,33 +332,37 @@
     let first = enter(&mut table, &budget, ms(0), 1);
     let second = enter(&mut table, &budget, ms(1), 1);
     assert_eq!(
-        table.check_address_limit(address(1)),
-        Err(None),
+        table.check_address_quota(address(1)),
+        Err(AddressQuotaExceeded { evicted: None }),
         "neither is idle"
     );
     assert_eq!(
-        table.check_address_limit(address(2)),
+        table.check_address_quota(address(2)),
         Ok(()),
         "another address has its own share"
     );
     converse(&mut table, ms(2), second);
     converse(&mut table, ms(3), first);
     assert_eq!(
-        table.check_address_limit(address(1)),
-        Err(Some(second)),
+        table.check_address_quota(address(1)),
+        Err(AddressQuotaExceeded {
+            evicted: Some(second)
+        }),
         "idle for longest"
     );
     assert_eq!(table.directive(second), Directive::Finish);
     assert_eq!(
-        table.check_address_limit(address(1)),
-        Err(Some(first)),
+        table.check_address_quota(address(1)),
+        Err(AddressQuotaExceeded {
+            evicted: Some(first)
+        }),
         "the next, as that one ends already"
     );
     table.remove(second);
     table.remove(first);
     let stats = table.stats();
-    assert_eq!(stats.closed[CloseCause::Address as usize], 2);
-    assert_eq!(stats.refused[CloseCause::Address as usize], 1);
+    assert_eq!(stats.closed[CloseCause::AddressQuota as usize], 2);
+    assert_eq!(stats.refused[CloseCause::AddressQuota as usize], 1);
     let ids = [1, 2].map(|last| enter(&mut table, &budget, ms(4), last));
     assert!(!table.on_request(ms(5), ids[0], 1));
     assert!(
@@ -381,12 +388,22 @@
     ids[..9]
         .iter()
         .for_each(|id| converse(&mut table, ms(1), *id));
-    assert_eq!(budget.held().bytes, 902);
-    assert_eq!(table.on_readable(ms(2), ids[9]), Err(Some(ids[0])));
+    assert_eq!(budget.usage().bytes, 902);
+    assert_eq!(
+        table.on_readable(ms(2), ids[9]),
+        Err(MemoryShortage {
+            parking: Some(ids[0])
+        })
+    );
     assert_eq!(table.directive(ids[0]), Directive::Park);
     table.on_parked(ids[0]);
     assert_eq!(table.on_readable(ms(2), ids[9]), Ok(()));
-    assert_eq!(table.on_readable(ms(3), ids[10]), Err(Some(ids[1])));
+    assert_eq!(
+        table.on_readable(ms(3), ids[10]),
+        Err(MemoryShortage {
+            parking: Some(ids[1])
+        })
+    );
     let mut woken = Vec::new();
     while !table.advance(ms(2_100), 64, &mut woken) {}
     assert!(
@@ -398,7 +415,7 @@
         "it waits for no longer than a request may take"
     );
     table.remove(ids[10]);
-    assert_eq!(table.stats().closed[CloseCause::Bytes as usize], 1);
+    assert_eq!(table.stats().closed[CloseCause::MemoryLimit as usize], 1);
 }
 
 // Guards against a crowd that keeps idle connections while answered ones close, and against waiting for nothing.
@@ -450,7 +467,7 @@
         let budget = Budget::new(PLACES, [share(4), share(2), share(0)], BYTES).expect("fits");
         let per_class = vec![Some(3); 4];
         let mut table = ConnectionTable::new(ConnectionLimits {
-            crowded_at: 8,
+            keep_alive_limit: 8,
             idle_timeout: ms(500),
             active_bytes: 4_000,
             parked_bytes: 100,
@@ -512,20 +529,20 @@
                 }
                 _ => {}
             }
-            let held = budget.held();
+            let held = budget.usage();
             assert!(
-                held.bytes <= BYTES && held.places[0] == table.len(),
+                held.bytes <= BYTES && held.descriptors[0] == table.len(),
                 "{held:?} of {} connections",
                 table.len()
             );
-            assert_eq!(table.stats().phases[Phase::Open as usize], open.len());
+            assert_eq!(table.stats().phases[Phase::Processing as usize], open.len());
         }
         table
             .ids()
             .collect::<Vec<_>>()
             .into_iter()
             .for_each(|id| table.remove(id));
-        assert_eq!(budget.held(), Default::default());
+        assert_eq!(budget.usage(), Default::default());
     });
 }
 
@@ -542,7 +559,7 @@
     )
     .expect("fits");
     let terms = ConnectionLimits {
-        crowded_at: 4,
+        keep_alive_limit: 4,
         idle_timeout: ms(60_000),
         active_bytes: 10,
         parked_bytes: 1,
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -6,7 +6,7 @@
 
 pub use handle::{ConnectionHandle, DriveOutcome};
 pub use reporting_socket::ReportingSocket;
-pub use socket::MAX_READ_AHEAD;
+pub use socket::MAX_READ_AHEAD_BYTES;
 
 use slatelink_admission::{
     Budget, CloseCause, ConnectionId, ConnectionKind, ConnectionLimits, ConnectionStats,
@@ -98,10 +98,10 @@
         address: IpAddr,
         others: impl Fn(ConnectionKind) -> bool,
     ) -> Option<ConnectionHandle> {
-        let admitted = self.connections.borrow_mut().check_address_limit(address);
-        if let Err(oldest) = admitted {
+        let admitted = self.connections.borrow_mut().check_address_quota(address);
+        if let Err(exceeded) = admitted {
             // Its own idle one makes room for it, and is as good as closed.
-            self.wake(oldest?);
+            self.wake(exceeded.evicted?);
         }
         let lease = self.lease(others).await;
         let id = self
@@ -177,7 +177,9 @@
         let ids: Vec<_> = self.connections.borrow().ids().collect();
         for part in ids.chunks(BATCH) {
             for id in part {
-                self.connections.borrow_mut().close(*id, CloseCause::Stop);
+                self.connections
+                    .borrow_mut()
+                    .close(*id, CloseCause::Shutdown);
                 self.wake(*id);
             }
             yield_now().await;
@@ -189,7 +191,7 @@
 
     /// Wakes the connection that has waited longest for memory.
     fn wake_starved(&self) {
-        let next = self.connections.borrow_mut().next_starved();
+        let next = self.connections.borrow_mut().next_awaiting_memory();
         self.wake_one(next);
     }
 }
