--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,21 +1,21 @@
-//! What observes a node at the operators' wish: figures, the audit trail, the hot list, and the writer behind them.
+//! What observes a node at the operators' wish: metrics, the audit trail, the hot list, and the writer behind them.
 //!
 //! The node tells an [`Observer`] what happened; [`Telemetry`] passes it on to those that are on. Nothing here decides
 //! anything, nothing calls back into the node, and nothing here ever makes the node wait.
 
 pub mod audit;
 mod error;
-mod figures;
 mod hotlist;
 mod log;
+mod metrics;
 mod writer;
 
 pub use error::{TelemetryError, TrailError};
 pub use log::{Log, LogFormat};
 
 use audit::{Audit, StopSignal};
-use figures::Figures;
 use hotlist::HotList;
+use metrics::Metrics;
 use slatelink_config::operators::{Settings, SettingsFile};
 use slatelink_config::{digest, EndpointList};
 use slatelink_policy::{BreakerScope, ClassId, EndpointId, Name, Status};
@@ -82,8 +82,8 @@
     fn breaker_opened(&self, _scope: &BreakerScope) {}
 }
 
-/// At a stop the figures wait no longer than this for a pipe that is read slowly.
-const FIGURES_FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
+/// At a stop the metrics wait no longer than this for a pipe that is read slowly.
+const METRICS_FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 /// And then all features for the writer: a record that it has begun should be on disk.
 const WRITER_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -92,7 +92,7 @@
     /// The node's log, which shares standard error with them.
     pub log: Log,
     writer: Writer,
-    figures: Option<Rc<Figures>>,
+    metrics: Option<Rc<Metrics>>,
     audit: Option<Audit>,
     hotlist: Option<HotList>,
     source: Option<SettingsFile>,
@@ -113,17 +113,17 @@
         let mut telemetry = Self {
             log,
             writer,
-            figures: None,
+            metrics: None,
             audit: None,
             hotlist: None,
             source,
         };
         if let Some(settings) = &settings.metrics {
-            let (figures, landed) =
-                Figures::open(settings, classes, &telemetry.writer, telemetry.log.clone())?;
-            let figures = Rc::new(figures);
-            tokio::task::spawn_local(figures.clone().run(landed));
-            telemetry.figures = Some(figures);
+            let (metrics, landed) =
+                Metrics::open(settings, classes, &telemetry.writer, telemetry.log.clone())?;
+            let metrics = Rc::new(metrics);
+            tokio::task::spawn_local(metrics.clone().run(landed));
+            telemetry.metrics = Some(metrics);
         }
         if let Some(settings) = &settings.audit {
             telemetry.audit = Some(Audit::open(settings.path.as_deref(), &telemetry.writer)?);
@@ -158,11 +158,11 @@
 
     /// Descriptors that they hold: they come out of the node's limit.
     pub fn descriptor_count(settings: &Settings) -> usize {
-        let figures = settings
+        let metrics = settings
             .metrics
             .as_ref()
-            .map_or(0, |_| Figures::DESCRIPTORS);
-        Writer::DESCRIPTORS + figures + settings.audit.as_ref().map_or(0, |_| Audit::DESCRIPTORS)
+            .map_or(0, |_| Metrics::DESCRIPTORS);
+        Writer::DESCRIPTORS + metrics + settings.audit.as_ref().map_or(0, |_| Audit::DESCRIPTORS)
     }
 
     /// The signals, beside those that have a use, which end the node: caught where their names are wanted.
@@ -197,8 +197,8 @@
 
     /// The node stops: what waits goes out, or is left after a while.
     pub async fn shut_down(&self, by: StopSignal) {
-        if let Some(figures) = &self.figures {
-            figures.stop(FIGURES_FLUSH_TIMEOUT).await;
+        if let Some(metrics) = &self.metrics {
+            metrics.stop(METRICS_FLUSH_TIMEOUT).await;
         }
         if let Some(audit) = &self.audit {
             audit.node_stopped(by);
@@ -220,8 +220,8 @@
         if let Some(hotlist) = &self.hotlist {
             hotlist.request_received(class, path.rsplit('/').next().unwrap_or_default());
         }
-        if let Some(figures) = &self.figures {
-            figures.request_received(class);
+        if let Some(metrics) = &self.metrics {
+            metrics.request_received(class);
         }
     }
 
@@ -232,26 +232,26 @@
         took: Duration,
         end: RequestOutcome,
     ) {
-        if let Some(figures) = &self.figures {
-            figures.request_completed(class, host, took, end);
+        if let Some(metrics) = &self.metrics {
+            metrics.request_completed(class, host, took, end);
         }
     }
 
     fn attempt_started(&self, host: &EndpointId) {
-        if let Some(figures) = &self.figures {
-            figures.attempt_started(host);
+        if let Some(metrics) = &self.metrics {
+            metrics.attempt_started(host);
         }
     }
 
     fn attempt_ended(&self, class: ClassId, host: &EndpointId, status: Status) {
-        if let Some(figures) = &self.figures {
-            figures.attempt_ended(class, host, status);
+        if let Some(metrics) = &self.metrics {
+            metrics.attempt_ended(class, host, status);
         }
     }
 
     fn endpoints_updated(&self, list: &EndpointList) {
-        if let Some(figures) = &self.figures {
-            figures.endpoints_updated(list);
+        if let Some(metrics) = &self.metrics {
+            metrics.endpoints_updated(list);
         }
         if let Some(audit) = &self.audit {
             audit.endpoints_updated(list);
@@ -260,14 +260,14 @@
 
     fn connections_sampled(&self, table: &slatelink_admission::ConnectionStats) {
         self.log.report_suppressed();
-        if let Some(figures) = &self.figures {
-            figures.connections_sampled(table);
+        if let Some(metrics) = &self.metrics {
+            metrics.connections_sampled(table);
         }
     }
 
     fn breaker_opened(&self, scope: &BreakerScope) {
-        if let (Some(figures), BreakerScope::Endpoint(endpoint)) = (&self.figures, scope) {
-            figures.breaker_opened(endpoint);
+        if let (Some(metrics), BreakerScope::Endpoint(endpoint)) = (&self.metrics, scope) {
+            metrics.breaker_opened(endpoint);
         }
         self.log.rate_limited("module", &scope.to_string());
     }
--- a/crates/telemetry/src/figures.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -31,7 +31,7 @@
 /// So many timers are written whole each second; what is past them is counted.
 const MAX_TIMERS_PER_SECOND: u32 = 500;
 /// Stands for the host where none was picked.
-const NO_HOST: &str = "none";
+const NO_ENDPOINT: &str = "none";
 
 /// A counter's name, class, host and last tag.
 type Series = (&'static str, usize, EndpointId, &'static str);
@@ -59,28 +59,28 @@
     /// As they were told last.
     connections: ConnectionStats,
     /// By host: whether its breaker has tripped and nothing was sent there since.
-    blocked: BTreeMap<EndpointId, bool>,
+    breaker_open: BTreeMap<EndpointId, bool>,
     /// Points of one instant and the same tags would replace each other in InfluxDB.
     last_timestamp: u128,
 }
 
 /// See the module's page.
-pub struct Figures {
+pub struct Metrics {
     format: MetricsFormat,
     batch: usize,
     flush: Duration,
     classes: Vec<String>,
-    no_host: EndpointId,
+    no_endpoint: EndpointId,
     output: Output,
     log: Log,
     state: RefCell<State>,
 }
 
-impl Figures {
+impl Metrics {
     /// Descriptors that they hold.
     pub const DESCRIPTORS: usize = 1;
 
-    /// Opens what they go to. The receiver is for [`Figures::run`].
+    /// Opens what they go to. The receiver is for [`Metrics::run`].
     pub fn open(
         settings: &MetricsSettings,
         classes: &[Name],
@@ -90,7 +90,7 @@
         let (results, finished_batches) = unbounded_channel();
         let output = Output::open(&settings.target, writer, results)?;
         let format = settings.format;
-        let figures = Self {
+        let metrics = Self {
             format,
             batch: settings.max_batch_bytes(),
             flush: settings.flush_interval(),
@@ -98,7 +98,7 @@
                 .iter()
                 .map(|name| escape_tag(format, name.as_str()).into_owned())
                 .collect(),
-            no_host: NO_HOST.into(),
+            no_endpoint: NO_ENDPOINT.into(),
             output,
             log,
             state: RefCell::new(State {
@@ -106,7 +106,7 @@
                 ..State::default()
             }),
         };
-        Ok((figures, finished_batches))
+        Ok((metrics, finished_batches))
     }
 
     /// A request of this class was taken.
@@ -120,7 +120,7 @@
     pub fn request_completed(
         &self,
         class: ClassId,
-        host: Option<&EndpointId>,
+        endpoint: Option<&EndpointId>,
         took: Duration,
         end: RequestOutcome,
     ) {
@@ -128,8 +128,8 @@
         if let Some(open) = state.open_requests.get_mut(class.0) {
             *open = open.saturating_sub(1);
         }
-        let host = host.unwrap_or(&self.no_host);
-        self.count(state, ("req.count", class.0, host.clone(), end.word()));
+        let endpoint = endpoint.unwrap_or(&self.no_endpoint);
+        self.count(state, ("req.count", class.0, endpoint.clone(), end.word()));
         let now = Instant::now();
         if state
             .timer_second
@@ -142,12 +142,12 @@
             return;
         }
         state.timers_this_second += 1;
-        let host = escape_tag(self.format, host.as_str());
+        let endpoint = escape_tag(self.format, endpoint.as_str());
         let ms = u64::try_from((took + Duration::from_micros(500)).as_millis()).unwrap_or(u64::MAX);
         self.add_line(
             state,
             "req.time",
-            &[("kind", self.class_name(class)), ("host", &host)],
+            &[("kind", self.class_name(class)), ("host", &endpoint)],
             ms,
             MetricKind::Timer,
         );
@@ -162,7 +162,7 @@
 
     /// Turns what was counted into lines.
     fn write_counts(&self, state: &mut State) {
-        for ((name, class, host, last), count) in std::mem::take(&mut state.counts) {
+        for ((name, class, endpoint, last), count) in std::mem::take(&mut state.counts) {
             let last = (
                 if name == "req.count" {
                     "status"
@@ -171,10 +171,10 @@
                 },
                 last,
             );
-            let host = escape_tag(self.format, host.as_str());
+            let endpoint = escape_tag(self.format, endpoint.as_str());
             let tags = [
                 ("kind", self.class_name(ClassId(class))),
-                ("host", &*host),
+                ("host", &*endpoint),
                 last,
             ];
             self.add_line(state, name, &tags, count, MetricKind::Counter);
@@ -192,32 +192,37 @@
     }
 
     /// An attempt begins.
-    pub fn attempt_started(&self, host: &EndpointId) {
-        if let Some(blocked) = self.state.borrow_mut().blocked.get_mut(host) {
-            *blocked = false;
+    pub fn attempt_started(&self, endpoint: &EndpointId) {
+        if let Some(breaker_open) = self.state.borrow_mut().breaker_open.get_mut(endpoint) {
+            *breaker_open = false;
         }
     }
 
     /// An attempt has ended.
-    pub fn attempt_ended(&self, class: ClassId, host: &EndpointId, status: Status) {
-        let series = ("attempt.count", class.0, host.clone(), outcome_tag(status));
+    pub fn attempt_ended(&self, class: ClassId, endpoint: &EndpointId, status: Status) {
+        let series = (
+            "attempt.count",
+            class.0,
+            endpoint.clone(),
+            outcome_tag(status),
+        );
         self.count(&mut self.state.borrow_mut(), series);
     }
 
     /// Discovery's word of hosts.
     pub fn endpoints_updated(&self, list: &EndpointList) {
-        let blocked = &mut self.state.borrow_mut().blocked;
+        let breaker_open = &mut self.state.borrow_mut().breaker_open;
         let mut previous = if list.complete {
-            std::mem::take(blocked)
+            std::mem::take(breaker_open)
         } else {
             BTreeMap::new()
         };
         for entry in list.endpoints.iter().map(EndpointRecord::endpoint) {
             if entry.availability == Availability::Removed {
-                blocked.remove(&entry.id);
+                breaker_open.remove(&entry.id);
             } else {
-                let was_blocked = previous.remove(&entry.id).unwrap_or(false);
-                blocked.entry(entry.id).or_insert(was_blocked);
+                let was_open = previous.remove(&entry.id).unwrap_or(false);
+                breaker_open.entry(entry.id).or_insert(was_open);
             }
         }
     }
@@ -256,9 +261,9 @@
     }
 
     /// The breaker of this host has tripped.
-    pub fn breaker_opened(&self, host: &EndpointId) {
-        if let Some(blocked) = self.state.borrow_mut().blocked.get_mut(host) {
-            *blocked = true;
+    pub fn breaker_opened(&self, endpoint: &EndpointId) {
+        if let Some(breaker_open) = self.state.borrow_mut().breaker_open.get_mut(endpoint) {
+            *breaker_open = true;
         }
     }
 
@@ -278,7 +283,7 @@
         }
     }
 
-    /// Flushes and waits until all is out, or for `limit`. [`Figures::run`] must be running.
+    /// Flushes and waits until all is out, or for `limit`. [`Metrics::run`] must be running.
     pub async fn stop(&self, limit: Duration) {
         const POLL_INTERVAL: Duration = Duration::from_millis(2);
         self.flush();
@@ -311,18 +316,18 @@
                 MetricKind::Gauge,
             );
         }
-        let blocked = std::mem::take(&mut state.blocked);
-        for (host, &blocked) in &blocked {
-            let host = escape_tag(self.format, host.as_str());
+        let breaker_open = std::mem::take(&mut state.breaker_open);
+        for (endpoint, &breaker_open) in &breaker_open {
+            let endpoint = escape_tag(self.format, endpoint.as_str());
             self.add_line(
                 state,
                 "host.blocked",
-                &[("host", &host)],
-                u64::from(blocked),
+                &[("host", &endpoint)],
+                u64::from(breaker_open),
                 MetricKind::Gauge,
             );
         }
-        state.blocked = blocked;
+        state.breaker_open = breaker_open;
         state.due_bytes = state.lines.len();
         self.send_batches(state);
         self.report_dropped(state);
@@ -340,7 +345,9 @@
     }
 
     fn class_name(&self, class: ClassId) -> &str {
-        self.classes.get(class.0).map_or(NO_HOST, String::as_str)
+        self.classes
+            .get(class.0)
+            .map_or(NO_ENDPOINT, String::as_str)
     }
 
     fn add_line(
--- a/crates/telemetry/src/figures/batch.rs
+++ b/crates/telemetry/src/metrics/batch.rs
@@ -2,7 +2,7 @@
 
 use super::line::MetricKind;
 use super::output::Output;
-use super::{Figures, State};
+use super::{Metrics, State};
 use std::io::Write as _;
 use std::sync::PoisonError;
 
@@ -14,7 +14,7 @@
     pushed_out: u64,
 }
 
-impl Figures {
+impl Metrics {
     /// Sends batches while one is full or due and none is on its way.
     pub(super) fn send_batches(&self, state: &mut State) {
         while state.in_flight.is_none() && (state.lines.len() >= self.batch || state.due_bytes > 0)
@@ -27,14 +27,14 @@
                 }
                 Output::Queue {
                     sender,
-                    sink,
+                    file,
                     results,
                 } => {
-                    let (sink, results) = (sink.clone(), results.clone());
+                    let (file, results) = (file.clone(), results.clone());
                     let queued = sender.try_send(move |stderr| {
-                        let written = match &sink {
+                        let written = match &file {
                             None => stderr.write_all(&batch),
-                            Some(sink) => sink
+                            Some(file) => file
                                 .lock()
                                 .unwrap_or_else(PoisonError::into_inner)
                                 .write(&batch),
--- a/crates/telemetry/src/figures/line.rs
+++ b/crates/telemetry/src/metrics/line.rs
@@ -1,6 +1,6 @@
 //! One figure as a line of text, in the format of StatsD or of InfluxDB.
 
-use super::{Figures, State};
+use super::{Metrics, State};
 use slatelink_config::operators::MetricsFormat;
 use slatelink_policy::Status;
 use std::borrow::Cow;
@@ -31,7 +31,7 @@
     Timer,
 }
 
-impl Figures {
+impl Metrics {
     pub(super) fn format_line(
         &self,
         state: &mut State,
--- a/crates/telemetry/src/figures/output.rs
+++ b/crates/telemetry/src/metrics/output.rs
@@ -1,4 +1,4 @@
-//! Where figures go: a file, standard error or UDP.
+//! Where metrics go: a file, standard error or UDP.
 
 use crate::error::TelemetryError;
 use crate::writer::{has_vanished, write_part, BoundedSender, Writer};
@@ -18,28 +18,28 @@
     Queue {
         sender: BoundedSender,
         /// `None` for standard error.
-        sink: Option<Arc<Mutex<Sink>>>,
+        file: Option<Arc<Mutex<AppendedFile>>>,
         results: UnboundedSender<bool>,
     },
 }
 
 impl Output {
-    /// Opens what figures go to; `results` is told of each batch that the writer is done with.
+    /// Opens what metrics go to; `results` is told of each batch that the writer is done with.
     pub(super) fn open(
         target: &MetricsTarget,
         writer: &Writer,
         results: UnboundedSender<bool>,
     ) -> Result<Self, TelemetryError> {
         // A second place: the first is given back only after its batch's result is told.
-        let queue = |sink| Self::Queue {
+        let queue = |file| Self::Queue {
             sender: writer.sender(2),
-            sink,
+            file,
             results,
         };
         Ok(match target {
             MetricsTarget::Stderr => queue(None),
             MetricsTarget::File(path) => {
-                let file = match Sink::open(path) {
+                let file = match AppendedFile::open(path) {
                     Ok(file) => Some(file),
                     // A FIFO without a reader: one may come.
                     Err(error) if error.raw_os_error() == Some(libc::ENXIO) => None,
@@ -50,7 +50,7 @@
                         })
                     }
                 };
-                queue(Some(Arc::new(Mutex::new(Sink {
+                queue(Some(Arc::new(Mutex::new(AppendedFile {
                     path: path.clone(),
                     file,
                     torn: false,
@@ -77,7 +77,7 @@
 }
 
 /// A file that batches are appended to.
-pub(super) struct Sink {
+pub(super) struct AppendedFile {
     pub(super) path: PathBuf,
     /// `None` while it cannot be opened: a FIFO that nobody reads.
     pub(super) file: Option<File>,
@@ -85,7 +85,7 @@
     pub(super) torn: bool,
 }
 
-impl Sink {
+impl AppendedFile {
     fn open(path: &Path) -> io::Result<File> {
         // Neither opening nor writing waits for a FIFO's reader.
         File::options()
--- a/crates/telemetry/src/figures/tests.rs
+++ b/crates/telemetry/src/metrics/tests.rs
@@ -1,12 +1,12 @@
 use super::line::MAX_TAG_BYTES;
-use super::output::Sink;
+use super::output::AppendedFile;
 use super::*;
 use std::net::{Ipv4Addr, UdpSocket};
 use std::sync::mpsc::channel;
 
-fn figures(text: &str, writer: &Writer) -> (Figures, UnboundedReceiver<bool>) {
+fn metrics(text: &str, writer: &Writer) -> (Metrics, UnboundedReceiver<bool>) {
     let settings: MetricsSettings = toml::from_str(text).unwrap();
-    Figures::open(
+    Metrics::open(
         &settings,
         &["look up".into(), "put".into()],
         writer,
@@ -16,16 +16,16 @@
 }
 
 /// The lines that `events` come to, sent in one datagram or more.
-fn lines(format: &str, events: impl Fn(&Figures)) -> Vec<String> {
+fn lines(format: &str, events: impl Fn(&Metrics)) -> Vec<String> {
     let receiver = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let target = receiver.local_addr().unwrap();
     let writer = Writer::start().unwrap();
-    let (figures, _) = figures(
+    let (metrics, _) = metrics(
         &format!("format = \"{format}\"\ntarget = \"udp:{target}\""),
         &writer,
     );
-    events(&figures);
-    figures.flush();
+    events(&metrics);
+    metrics.flush();
     let (mut lines, mut buffer) = (Vec::new(), [0; 2000]);
     receiver
         .set_read_timeout(Some(Duration::from_secs(60)))
@@ -46,13 +46,13 @@
     lines
 }
 
-fn some_events(figures: &Figures) {
-    let host = EndpointId::from("s,=1 x");
-    figures.request_received(ClassId(0));
-    figures.request_received(ClassId(0));
-    figures.attempt_started(&host);
-    figures.attempt_ended(ClassId(0), &host, Status::TimedOut);
-    figures.request_completed(
+fn some_events(metrics: &Metrics) {
+    let endpoint = EndpointId::from("s,=1 x");
+    metrics.request_received(ClassId(0));
+    metrics.request_received(ClassId(0));
+    metrics.attempt_started(&endpoint);
+    metrics.attempt_ended(ClassId(0), &endpoint, Status::TimedOut);
+    metrics.request_completed(
         ClassId(0),
         None,
         Duration::from_micros(411_600),
@@ -104,15 +104,15 @@
 #[test]
 fn the_buffer_keeps_its_bound_and_the_oldest_lines_go_first() {
     let writer = Writer::start().unwrap();
-    let (figures, mut landed) = figures("target = \"file:/dev/null\"", &writer);
+    let (metrics, mut results) = metrics("target = \"file:/dev/null\"", &writer);
     let stuck = writer.sender(1);
     let (release, held) = channel::<()>();
     assert!(stuck.try_send(move |_| held.recv().unwrap_or_default()));
     // The first batch is handed over and stays; what follows must share the rest of the room.
     for i in 0..20_000 {
-        let state = &mut *figures.state.borrow_mut();
+        let state = &mut *metrics.state.borrow_mut();
         for name in ["req.count", "req.time"] {
-            figures.add_line(
+            metrics.add_line(
                 state,
                 name,
                 &[("kind", "put"), ("host", "h")],
@@ -125,10 +125,10 @@
         );
         assert!(state.lines.capacity() <= MAX_BUFFERED_BYTES);
     }
-    let state = figures.state.borrow();
+    let state = metrics.state.borrow();
     let text = String::from_utf8(state.lines.iter().copied().collect()).unwrap();
     assert!(
-        state.lines.len() > MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES - 2 * figures.batch,
+        state.lines.len() > MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES - 2 * metrics.batch,
         "{} used",
         state.lines.len()
     );
@@ -142,39 +142,39 @@
         .unwrap()
         .starts_with("slatelink.req.time:19999|ms|"));
     let kept = text.lines().count() as u64;
-    let flown = state.in_flight.unwrap().bytes as u64;
-    assert!(state.pushed_out > 0 && state.pushed_out + kept < 40_000 && flown > 0);
+    let in_flight_bytes = state.in_flight.unwrap().bytes as u64;
+    assert!(state.pushed_out > 0 && state.pushed_out + kept < 40_000 && in_flight_bytes > 0);
     assert!(
-        40_000 - state.pushed_out - kept <= flown / 40,
+        40_000 - state.pushed_out - kept <= in_flight_bytes / 40,
         "no line is uncounted"
     );
     drop(state);
     drop(release);
-    assert_eq!(landed.blocking_recv(), Some(true));
+    assert_eq!(results.blocking_recv(), Some(true));
 }
 
-// Guards against figures that become the load, and against counts that are lost where lines are merged or stuck.
+// Guards against metrics that become the load, and against counts that are lost where lines are merged or stuck.
 #[test]
 fn counters_are_exact_and_timers_bounded_however_many_requests_there_are() {
     let writer = Writer::start().unwrap();
     let path = std::env::temp_dir().join(format!("slatelink-merged-{}", std::process::id()));
     let _ = std::fs::remove_file(&path);
-    let (figures, mut landed) = figures(&format!("target = \"file:{}\"", path.display()), &writer);
+    let (metrics, mut results) = metrics(&format!("target = \"file:{}\"", path.display()), &writer);
     let stuck = writer.sender(1);
     let (release, held) = channel::<()>();
     assert!(stuck.try_send(move |_| held.recv().unwrap_or_default()));
-    let (host, start) = (EndpointId::from("h"), std::time::Instant::now());
+    let (endpoint, start) = (EndpointId::from("h"), std::time::Instant::now());
     for i in 0..100_000 {
-        figures.request_received(ClassId(1));
-        figures.attempt_ended(ClassId(1), &host, Status::Ok);
-        figures.request_completed(
+        metrics.request_received(ClassId(1));
+        metrics.attempt_ended(ClassId(1), &endpoint, Status::Ok);
+        metrics.request_completed(
             ClassId(1),
-            Some(&host),
+            Some(&endpoint),
             Duration::from_millis(5),
             RequestOutcome::Served,
         );
         if i % 1_000 == 0 {
-            figures.flush();
+            metrics.flush();
         }
     }
     let seconds = start.elapsed().as_secs() + 1;
@@ -182,14 +182,14 @@
     let ended = |state: &State| {
         state.in_flight.is_none() && state.lines.is_empty() && state.counts.is_empty()
     };
-    while !ended(&figures.state.borrow()) {
-        if figures.state.borrow().in_flight.is_some() {
-            let well = landed.blocking_recv().unwrap();
-            let state = &mut *figures.state.borrow_mut();
-            figures.batch_finished(state, well);
-            figures.send_batches(state);
+    while !ended(&metrics.state.borrow()) {
+        if metrics.state.borrow().in_flight.is_some() {
+            let succeeded = results.blocking_recv().unwrap();
+            let state = &mut *metrics.state.borrow_mut();
+            metrics.batch_finished(state, succeeded);
+            metrics.send_batches(state);
         } else {
-            figures.flush();
+            metrics.flush();
         }
     }
     let text = std::fs::read_to_string(&path).unwrap();
@@ -212,19 +212,19 @@
     std::fs::remove_file(&path).unwrap();
 }
 
-// Guards against figures that go on into a file which has lost its name.
+// Guards against metrics that go on into a file which has lost its name.
 #[test]
 fn a_file_that_was_moved_away_is_made_anew() {
     let path = std::env::temp_dir().join(format!("slatelink-moved-{}", std::process::id()));
-    let mut sink = Sink {
+    let mut file = AppendedFile {
         path: path.clone(),
         file: None,
         torn: false,
     };
-    sink.write(b"one\n").unwrap();
+    file.write(b"one\n").unwrap();
     let moved = path.with_extension("1");
     std::fs::rename(&path, &moved).unwrap();
-    sink.write(b"two\n").unwrap();
+    file.write(b"two\n").unwrap();
     assert_eq!(
         (
             std::fs::read(&moved).unwrap(),
@@ -241,29 +241,29 @@
 #[test]
 fn what_was_dropped_is_told_by_the_first_batch_that_gets_out() {
     let writer = Writer::start().unwrap();
-    let (figures, _landed) = figures("target = \"file:/dev/null\"", &writer);
-    let state = &mut *figures.state.borrow_mut();
+    let (metrics, _landed) = metrics("target = \"file:/dev/null\"", &writer);
+    let state = &mut *metrics.state.borrow_mut();
     for _ in 0..3 {
-        figures.next_batch(state);
-        figures.batch_finished(state, false);
+        metrics.next_batch(state);
+        metrics.batch_finished(state, false);
     }
-    let batch = figures.next_batch(state);
+    let batch = metrics.next_batch(state);
     assert_eq!(batch, b"slatelink.figures.dropped:3|c\n");
-    figures.batch_finished(state, true);
+    metrics.batch_finished(state, true);
     assert_eq!((state.dropped, state.dropped_total), (0, 3));
-    assert_eq!(figures.next_batch(state), b"");
+    assert_eq!(metrics.next_batch(state), b"");
 }
 
 // Guards against a line that no batch can take: it would never leave.
 #[test]
 fn the_longest_line_fits_the_smallest_batch() {
     let writer = Writer::start().unwrap();
-    let (figures, _landed) = figures("format = \"influx\"\nmax_batch_bytes = 512", &writer);
+    let (metrics, _landed) = metrics("format = \"influx\"\nmax_batch_bytes = 512", &writer);
     let long = escape_tag(MetricsFormat::Influx, &"=".repeat(1000)).into_owned();
     assert_eq!(long.len(), 2 * MAX_TAG_BYTES);
     let state = &mut State::default();
     let mut size = |name, tags: &[(&str, &str)], value, metric_kind| {
-        figures
+        metrics
             .format_line(state, name, tags, value, metric_kind)
             .len()
     };
@@ -273,7 +273,7 @@
     let carried = size("figures.dropped", &[], u64::MAX, MetricKind::Counter)
         + size("figures.pushed_out", &[], u64::MAX, MetricKind::Counter);
     assert!(
-        carried + attempt.max(time) <= figures.batch,
+        carried + attempt.max(time) <= metrics.batch,
         "{carried} {attempt} {time}"
     );
     assert!(carried <= LOSS_COUNTER_BYTES);
@@ -284,14 +284,14 @@
 #[test]
 fn a_line_that_broke_off_does_not_take_the_next_one_with_it() {
     let path = std::env::temp_dir().join(format!("slatelink-torn-{}", std::process::id()));
-    let mut sink = Sink {
+    let mut file = AppendedFile {
         path: path.clone(),
         file: None,
         torn: false,
     };
-    sink.write(b"half").unwrap();
-    sink.torn = true;
-    sink.write(b"whole\n").unwrap();
+    file.write(b"half").unwrap();
+    file.torn = true;
+    file.write(b"whole\n").unwrap();
     assert_eq!(std::fs::read(&path).unwrap(), b"half\nwhole\n");
     std::fs::remove_file(&path).unwrap();
 }
