--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -41,7 +41,7 @@
 }
 
 impl RequestOutcome {
-    const fn word(self) -> &'static str {
+    const fn status_tag(self) -> &'static str {
         match self {
             Self::Served => "200",
             Self::Shed => "503",
@@ -198,7 +198,7 @@
     /// The node stops: what waits goes out, or is left after a while.
     pub async fn shut_down(&self, by: StopSignal) {
         if let Some(metrics) = &self.metrics {
-            metrics.stop(METRICS_FLUSH_TIMEOUT).await;
+            metrics.shut_down(METRICS_FLUSH_TIMEOUT).await;
         }
         if let Some(audit) = &self.audit {
             audit.node_stopped(by);
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,6 +1,12 @@
 //! Counters, gauges and timers of requests and attempts, in batches to a file, standard error or UDP.
+//!
+//! An event is counted at once and written as a line at the next flush; timers are written at once, up to a bound. Lines wait in
+//! a buffer of bounded size until a batch of them goes out.
 
-mod batch;
+mod buffer;
+mod counters;
+mod emitter;
+mod file;
 mod line;
 mod output;
 
@@ -8,70 +14,49 @@
 use crate::log::Log;
 use crate::writer::Writer;
 use crate::RequestOutcome;
-use batch::InFlightBatch;
-use line::{escape_tag, outcome_tag, MetricKind};
-use output::Output;
+use buffer::LineBuffer;
+use counters::{attempt_outcome, CounterName, Counters, Series, TimerLimit};
+use emitter::Emitter;
+use line::{escape_tag, LineFormatter, Metric, MetricKind};
+use output::{BatchResult, Output};
 use slatelink_admission::{CloseCause, ConnectionStats, Phase};
 use slatelink_config::operators::{MetricsFormat, MetricsSettings};
 use slatelink_config::{EndpointList, EndpointRecord};
 use slatelink_policy::{Availability, ClassId, EndpointId, Name, Status};
 use std::cell::RefCell;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::{interval, timeout, Instant, MissedTickBehavior};
 
-/// What waits to go out, the batch that is being written included, is never more bytes than this.
-const MAX_BUFFERED_BYTES: usize = 256 << 10;
-/// Of these, kept free for the counters of what was lost, which a batch gets as it goes out.
-const LOSS_COUNTER_BYTES: usize = 256;
-/// So many series of counters are merged between two flushes; one more, and they go out before the flush.
-const MAX_SERIES: usize = 2048;
-/// So many timers are written whole each second; what is past them is counted.
-const MAX_TIMERS_PER_SECOND: u32 = 500;
-/// Stands for the host where none was picked.
-const NO_ENDPOINT: &str = "none";
+/// Value of a tag where there is nothing to name: no endpoint was picked.
+const NONE: &str = "none";
+/// While the node stops, what is left is looked at so often.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A counter's name, class, host and last tag.
-type Series = (&'static str, usize, EndpointId, &'static str);
-
-#[derive(Default)]
+/// What changes as the node runs.
 struct State {
-    /// Counted since the last flush. Where what was written before is stuck they are merged on: no count is lost.
-    counts: BTreeMap<Series, u64>,
-    /// The second that timers are counted in, how many went out in it, and how many of all were left out.
-    timer_second: Option<Instant>,
-    timers_this_second: u32,
-    timers_omitted: u64,
-    /// Whole lines, the oldest first.
-    lines: VecDeque<u8>,
-    /// So many of these bytes have waited for a flush: they go out also where they fill no batch.
-    due_bytes: usize,
-    in_flight: Option<InFlightBatch>,
-    /// Batches dropped, and lines pushed out of a full buffer, that no batch that got out has told of.
-    dropped: u64,
-    pushed_out: u64,
-    dropped_total: u64,
-    /// As standard error has it.
-    dropped_reported: u64,
+    emitter: Emitter,
+    counters: Counters,
+    timer_limit: TimerLimit,
+    /// By class: requests received and not completed.
     open_requests: Vec<u64>,
-    /// As they were told last.
+    /// As they were sampled last.
     connections: ConnectionStats,
-    /// By host: whether its breaker has tripped and nothing was sent there since.
+    /// By endpoint: whether its breaker has opened and nothing was sent there since.
     breaker_open: BTreeMap<EndpointId, bool>,
-    /// Points of one instant and the same tags would replace each other in InfluxDB.
-    last_timestamp: u128,
+    /// Dropped batches that the log has told of.
+    reported_dropped_batches: u64,
 }
 
-/// See the module's page.
+/// Counts what happens and sends it out; see the module's page.
 pub struct Metrics {
     format: MetricsFormat,
-    batch: usize,
-    flush: Duration,
+    flush_interval: Duration,
+    /// By class: its name as a tag's value.
     classes: Vec<String>,
     no_endpoint: EndpointId,
-    output: Output,
     log: Log,
     state: RefCell<State>,
 }
@@ -86,130 +71,97 @@
         classes: &[Name],
         writer: &Writer,
         log: Log,
-    ) -> Result<(Self, UnboundedReceiver<bool>), TelemetryError> {
+    ) -> Result<(Self, UnboundedReceiver<BatchResult>), TelemetryError> {
         let (results, finished_batches) = unbounded_channel();
-        let output = Output::open(&settings.target, writer, results)?;
         let format = settings.format;
+        let emitter = Emitter::new(
+            LineFormatter::new(format),
+            LineBuffer::new(settings.max_batch_bytes()),
+            Output::open(&settings.target, writer, results)?,
+        );
         let metrics = Self {
             format,
-            batch: settings.max_batch_bytes(),
-            flush: settings.flush_interval(),
+            flush_interval: settings.flush_interval(),
             classes: classes
                 .iter()
                 .map(|name| escape_tag(format, name.as_str()).into_owned())
                 .collect(),
-            no_endpoint: NO_ENDPOINT.into(),
-            output,
+            no_endpoint: NONE.into(),
             log,
             state: RefCell::new(State {
+                emitter,
+                counters: Counters::default(),
+                timer_limit: TimerLimit::default(),
                 open_requests: vec![0; classes.len()],
-                ..State::default()
+                connections: ConnectionStats::default(),
+                breaker_open: BTreeMap::new(),
+                reported_dropped_batches: 0,
             }),
         };
         Ok((metrics, finished_batches))
     }
 
-    /// A request of this class was taken.
+    /// See [`crate::Observer::request_received`].
     pub fn request_received(&self, class: ClassId) {
         if let Some(open) = self.state.borrow_mut().open_requests.get_mut(class.0) {
             *open += 1;
         }
     }
 
-    /// It has its final answer; `host` is the server that served it, or was tried last.
+    /// See [`crate::Observer::request_completed`].
     pub fn request_completed(
         &self,
         class: ClassId,
         endpoint: Option<&EndpointId>,
-        took: Duration,
-        end: RequestOutcome,
+        latency: Duration,
+        outcome: RequestOutcome,
     ) {
         let state = &mut *self.state.borrow_mut();
         if let Some(open) = state.open_requests.get_mut(class.0) {
             *open = open.saturating_sub(1);
         }
         let endpoint = endpoint.unwrap_or(&self.no_endpoint);
-        self.count(state, ("req.count", class.0, endpoint.clone(), end.word()));
-        let now = Instant::now();
-        if state
-            .timer_second
-            .is_none_or(|second| now - second >= Duration::from_secs(1))
-        {
-            (state.timer_second, state.timers_this_second) = (Some(now), 0);
-        }
-        if state.timers_this_second == MAX_TIMERS_PER_SECOND {
-            state.timers_omitted += 1;
-            return;
-        }
-        state.timers_this_second += 1;
-        let endpoint = escape_tag(self.format, endpoint.as_str());
-        let ms = u64::try_from((took + Duration::from_micros(500)).as_millis()).unwrap_or(u64::MAX);
-        self.add_line(
+        self.count(
             state,
-            "req.time",
-            &[("kind", self.class_name(class)), ("host", &endpoint)],
-            ms,
-            MetricKind::Timer,
+            Series::new(
+                CounterName::Requests,
+                class,
+                endpoint.clone(),
+                outcome.status_tag(),
+            ),
         );
-    }
-
-    fn count(&self, state: &mut State, series: Series) {
-        *state.counts.entry(series).or_default() += 1;
-        if state.counts.len() >= MAX_SERIES {
-            self.write_counts(state);
-        }
-    }
-
-    /// Turns what was counted into lines.
-    fn write_counts(&self, state: &mut State) {
-        for ((name, class, endpoint, last), count) in std::mem::take(&mut state.counts) {
-            let last = (
-                if name == "req.count" {
-                    "status"
-                } else {
-                    "outcome"
-                },
-                last,
-            );
+        if state.timer_limit.admit(Instant::now()) {
             let endpoint = escape_tag(self.format, endpoint.as_str());
-            let tags = [
-                ("kind", self.class_name(ClassId(class))),
-                ("host", &*endpoint),
-                last,
-            ];
-            self.add_line(state, name, &tags, count, MetricKind::Counter);
-        }
-        let omitted = std::mem::take(&mut state.timers_omitted);
-        if omitted > 0 {
-            self.add_line(
-                state,
-                "figures.times_left_out",
-                &[],
-                omitted,
-                MetricKind::Counter,
-            );
+            let tags = [("kind", self.class_name(class)), ("host", &endpoint)];
+            let latency_ms = rounded_ms(latency);
+            state.emitter.emit(&Metric::new(
+                "req.time",
+                &tags,
+                latency_ms,
+                MetricKind::Timer,
+            ));
         }
     }
 
-    /// An attempt begins.
+    /// See [`crate::Observer::attempt_started`].
     pub fn attempt_started(&self, endpoint: &EndpointId) {
-        if let Some(breaker_open) = self.state.borrow_mut().breaker_open.get_mut(endpoint) {
-            *breaker_open = false;
+        if let Some(open) = self.state.borrow_mut().breaker_open.get_mut(endpoint) {
+            *open = false;
         }
     }
 
-    /// An attempt has ended.
+    /// See [`crate::Observer::attempt_ended`].
     pub fn attempt_ended(&self, class: ClassId, endpoint: &EndpointId, status: Status) {
-        let series = (
-            "attempt.count",
-            class.0,
+        let series = Series::new(
+            CounterName::Attempts,
+            class,
             endpoint.clone(),
-            outcome_tag(status),
+            attempt_outcome(status),
         );
         self.count(&mut self.state.borrow_mut(), series);
     }
 
-    /// Discovery's word of hosts.
+    /// See [`crate::Observer::endpoints_updated`].
     pub fn endpoints_updated(&self, list: &EndpointList) {
         let breaker_open = &mut self.state.borrow_mut().breaker_open;
         let mut previous = if list.complete {
@@ -217,127 +169,130 @@
         } else {
             BTreeMap::new()
         };
-        for entry in list.endpoints.iter().map(EndpointRecord::endpoint) {
-            if entry.availability == Availability::Removed {
-                breaker_open.remove(&entry.id);
+        for endpoint in list.endpoints.iter().map(EndpointRecord::endpoint) {
+            if endpoint.availability == Availability::Removed {
+                breaker_open.remove(&endpoint.id);
             } else {
-                let was_open = previous.remove(&entry.id).unwrap_or(false);
-                breaker_open.entry(entry.id).or_insert(was_open);
+                let was_open = previous.remove(&endpoint.id).unwrap_or(false);
+                breaker_open.entry(endpoint.id).or_insert(was_open);
             }
         }
     }
 
-    /// What the table of clients' connections is like.
-    pub fn connections_sampled(&self, now: &ConnectionStats) {
+    /// See [`crate::Observer::connections_sampled`].
+    pub fn connections_sampled(&self, stats: &ConnectionStats) {
         let state = &mut *self.state.borrow_mut();
-        let previous = std::mem::replace(&mut state.connections, now.clone());
-        for (phase, count) in Phase::ALL.iter().zip(now.phases) {
-            self.add_line(
-                state,
-                "conn.open",
-                &[("phase", phase.label())],
-                count as u64,
-                MetricKind::Gauge,
-            );
+        let emitter = &mut state.emitter;
+        let previous = std::mem::replace(&mut state.connections, stats.clone());
+        for (phase, count) in Phase::ALL.iter().zip(stats.phases) {
+            let tags = [("phase", phase.label())];
+            emitter.emit(&Metric::gauge("conn.open", &tags, count as u64));
         }
-        self.add_line(
-            state,
-            "conn.waiting",
-            &[],
-            now.waiting as u64,
-            MetricKind::Gauge,
-        );
+        emitter.emit(&Metric::gauge("conn.waiting", &[], stats.waiting as u64));
         for (index, cause) in CloseCause::ALL.iter().enumerate() {
             let tags = [("cause", cause.label())];
-            for (name, count) in [
-                ("conn.closed", now.closed[index] - previous.closed[index]),
-                ("conn.refused", now.refused[index] - previous.refused[index]),
-            ] {
+            let closed = stats.closed[index] - previous.closed[index];
+            let refused = stats.refused[index] - previous.refused[index];
+            for (name, count) in [("conn.closed", closed), ("conn.refused", refused)] {
                 if count > 0 {
-                    self.add_line(state, name, &tags, count, MetricKind::Counter);
+                    emitter.emit(&Metric::counter(name, &tags, count));
                 }
             }
         }
     }
 
-    /// The breaker of this host has tripped.
+    /// The breaker of this endpoint has opened.
     pub fn breaker_opened(&self, endpoint: &EndpointId) {
-        if let Some(breaker_open) = self.state.borrow_mut().breaker_open.get_mut(endpoint) {
-            *breaker_open = true;
+        if let Some(open) = self.state.borrow_mut().breaker_open.get_mut(endpoint) {
+            *open = true;
         }
     }
 
     /// Sends what waits each `flush_ms`, and on as the writer is done with a batch; never returns.
-    pub async fn run(self: Rc<Self>, mut finished_batches: UnboundedReceiver<bool>) {
-        let mut flush_timer = interval(self.flush);
+    pub async fn run(self: Rc<Self>, mut finished_batches: UnboundedReceiver<BatchResult>) {
+        let mut flush_timer = interval(self.flush_interval);
         flush_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 _ = flush_timer.tick() => self.flush(),
-                Some(succeeded) = finished_batches.recv() => {
-                    let state = &mut *self.state.borrow_mut();
-                    self.batch_finished(state, succeeded);
-                    self.send_batches(state);
+                Some(result) = finished_batches.recv() => {
+                    let emitter = &mut self.state.borrow_mut().emitter;
+                    emitter.batch_finished(result);
+                    emitter.send_batches();
                 }
             }
         }
     }
 
-    /// Flushes and waits until all is out, or for `limit`. [`Metrics::run`] must be running.
-    pub async fn stop(&self, limit: Duration) {
-        const POLL_INTERVAL: Duration = Duration::from_millis(2);
+    /// Flushes and waits until all is out, or for `limit`; what a stuck pipe does not take by then is lost.
+    /// [`Metrics::run`] must be running.
+    pub async fn shut_down(&self, limit: Duration) {
+        let _ = timeout(limit, self.drain()).await;
+        self.report_dropped(&mut self.state.borrow_mut());
+    }
+
+    async fn drain(&self) {
         self.flush();
-        let has_unsent = |state: &State| state.in_flight.is_some() || !state.lines.is_empty();
-        let empty = async {
-            while has_unsent(&self.state.borrow()) || !self.state.borrow().counts.is_empty() {
-                tokio::time::sleep(POLL_INTERVAL).await;
-                if !has_unsent(&self.state.borrow()) {
-                    self.flush();
-                }
+        let has_unsent = || self.state.borrow().emitter.buffer.has_unsent();
+        while has_unsent() || !self.state.borrow().counters.is_empty() {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+            if !has_unsent() {
+                self.flush();
             }
-        };
-        // What a stuck pipe does not take by then is lost.
-        let _ = timeout(limit, empty).await;
-        self.report_dropped(&mut self.state.borrow_mut());
+        }
     }
 
+    /// Turns what was counted and what is open into lines, and sends them.
     fn flush(&self) {
         let state = &mut *self.state.borrow_mut();
-        if state.lines.len() < MAX_BUFFERED_BYTES / 2 {
-            self.write_counts(state);
+        if !state.emitter.buffer.is_half_full() {
+            self.emit_counters(state);
         }
-        for class in 0..self.classes.len() {
-            let open = state.open_requests[class];
-            self.add_line(
-                state,
-                "req.open",
-                &[("kind", self.class_name(ClassId(class)))],
-                open,
-                MetricKind::Gauge,
-            );
+        for (class, &open) in self.classes.iter().zip(&state.open_requests) {
+            let tags = [("kind", class.as_str())];
+            state.emitter.emit(&Metric::gauge("req.open", &tags, open));
         }
-        let breaker_open = std::mem::take(&mut state.breaker_open);
-        for (endpoint, &breaker_open) in &breaker_open {
+        for (endpoint, &open) in &state.breaker_open {
             let endpoint = escape_tag(self.format, endpoint.as_str());
-            self.add_line(
-                state,
-                "host.blocked",
-                &[("host", &endpoint)],
-                u64::from(breaker_open),
-                MetricKind::Gauge,
-            );
+            let tags = [("host", &*endpoint)];
+            let metric = Metric::gauge("host.blocked", &tags, u64::from(open));
+            state.emitter.emit(&metric);
         }
-        state.breaker_open = breaker_open;
-        state.due_bytes = state.lines.len();
-        self.send_batches(state);
+        state.emitter.flush();
         self.report_dropped(state);
     }
 
-    /// Where no batch gets out, their number can only be told beside them.
+    fn count(&self, state: &mut State, series: Series) {
+        state.counters.increment(series);
+        if state.counters.is_full() {
+            self.emit_counters(state);
+        }
+    }
+
+    /// Turns what was counted into lines.
+    fn emit_counters(&self, state: &mut State) {
+        for (series, count) in state.counters.take() {
+            let endpoint = escape_tag(self.format, series.endpoint.as_str());
+            let tags = [
+                ("kind", self.class_name(series.class())),
+                ("host", &endpoint),
+                (series.name.outcome_tag(), series.outcome),
+            ];
+            let metric = Metric::counter(series.name.metric(), &tags, count);
+            state.emitter.emit(&metric);
+        }
+        let omitted = state.timer_limit.take_omitted();
+        if omitted > 0 {
+            let metric = Metric::counter("figures.times_left_out", &[], omitted);
+            state.emitter.emit(&metric);
+        }
+    }
+
+    /// Logs how many batches were dropped: where none gets out, that can only be told beside them.
     fn report_dropped(&self, state: &mut State) {
-        if state.dropped_total > state.dropped_reported {
-            state.dropped_reported = state.dropped_total;
-            let total = state.dropped_total;
+        let total = state.emitter.buffer.total_dropped_batches;
+        if total > state.reported_dropped_batches {
+            state.reported_dropped_batches = total;
             self.log.line(&format!(
                 "slatelink.figures.dropped: {total} batches so far"
             ));
@@ -345,47 +300,14 @@
     }
 
     fn class_name(&self, class: ClassId) -> &str {
-        self.classes
-            .get(class.0)
-            .map_or(NO_ENDPOINT, String::as_str)
+        self.classes.get(class.0).map_or(NONE, String::as_str)
     }
+}
 
-    fn add_line(
-        &self,
-        state: &mut State,
-        name: &str,
-        tags: &[(&str, &str)],
-        value: u64,
-        metric_kind: MetricKind,
-    ) {
-        let line = self.format_line(state, name, tags, value, metric_kind);
-        let in_flight_bytes = state.in_flight.map_or(0, |flight| flight.bytes);
-        while state.lines.len() + in_flight_bytes + line.len()
-            > MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES
-        {
-            // At most a batch is being written, so some line of those that wait can go.
-            let oldest_end = state
-                .lines
-                .iter()
-                .position(|&byte| byte == b'\n')
-                .map_or(0, |end| end + 1);
-            if oldest_end == 0 {
-                return;
-            }
-            state.lines.drain(..oldest_end);
-            state.due_bytes = state.due_bytes.saturating_sub(oldest_end);
-            state.pushed_out += 1;
-        }
-        let needed = state.lines.len() + line.len();
-        if needed > state.lines.capacity() {
-            // Grown by itself, it could take twice its bound.
-            state.lines.reserve_exact(
-                needed.next_power_of_two().min(MAX_BUFFERED_BYTES) - state.lines.len(),
-            );
-        }
-        state.lines.extend(line.as_bytes());
-        self.send_batches(state);
-    }
+/// Milliseconds, rounded to the nearest.
+fn rounded_ms(duration: Duration) -> u64 {
+    const HALF_A_MS: Duration = Duration::from_micros(500);
+    u64::try_from((duration + HALF_A_MS).as_millis()).unwrap_or(u64::MAX)
 }
 
 #[cfg(test)]
--- a/crates/telemetry/src/metrics/line.rs
+++ b/crates/telemetry/src/metrics/line.rs
@@ -1,88 +1,138 @@
-//! One figure as a line of text, in the format of StatsD or of InfluxDB.
+//! One metric as a line of text, in the format of StatsD or of InfluxDB.
 
-use super::{Metrics, State};
 use slatelink_config::operators::MetricsFormat;
-use slatelink_policy::Status;
 use std::borrow::Cow;
-use std::fmt::Write as _;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A longer name of a class or host is cut.
+/// Stands before the name of each metric.
+const PREFIX: &str = "slatelink.";
+/// A longer name of a class or endpoint is cut.
 pub(super) const MAX_TAG_BYTES: usize = 64;
 
-pub(super) const fn outcome_tag(status: Status) -> &'static str {
-    match status {
-        Status::Ok => "ok",
-        Status::Failed => "failed",
-        Status::Rejected => "full",
-        Status::TimedOut => "timeout",
-        Status::ConnectError => "connect",
-        Status::Reset => "reset",
-        Status::Canceled => "canceled",
-        Status::NotSent => "unsent",
-        Status::Miss => "miss",
-    }
-}
-
+/// What a metric's value is.
 #[derive(Clone, Copy)]
 pub(super) enum MetricKind {
+    /// How many more than when it was written last.
     Counter,
+    /// How many at present.
     Gauge,
+    /// A duration in milliseconds.
     Timer,
 }
 
-impl Metrics {
-    pub(super) fn format_line(
-        &self,
-        state: &mut State,
-        name: &str,
-        tags: &[(&str, &str)],
+impl MetricKind {
+    const fn statsd_type(self) -> &'static str {
+        match self {
+            Self::Counter => "c",
+            Self::Gauge => "g",
+            Self::Timer => "ms",
+        }
+    }
+}
+
+/// A metric with its value.
+pub(super) struct Metric<'a> {
+    name: &'a str,
+    tags: &'a [(&'a str, &'a str)],
+    value: u64,
+    kind: MetricKind,
+}
+
+impl<'a> Metric<'a> {
+    /// `name` is without the common prefix; the values of `tags` are as [`escape_tag`] leaves them.
+    pub(super) const fn new(
+        name: &'a str,
+        tags: &'a [(&'a str, &'a str)],
         value: u64,
-        metric_kind: MetricKind,
-    ) -> String {
-        let mut line = format!("slatelink.{name}");
-        // Writing to a string does not fail.
-        let _ = match self.format {
-            MetricsFormat::Statsd => {
-                let unit = match metric_kind {
-                    MetricKind::Counter => "c",
-                    MetricKind::Gauge => "g",
-                    MetricKind::Timer => "ms",
-                };
-                let _ = write!(line, ":{value}|{unit}");
-                for (index, (name, value)) in tags.iter().enumerate() {
-                    let _ = write!(
-                        line,
-                        "{}{name}:{value}",
-                        if index == 0 { "|#" } else { "," }
-                    );
-                }
-                writeln!(line)
-            }
-            MetricsFormat::Influx => {
-                let now = SystemTime::now()
-                    .duration_since(UNIX_EPOCH)
-                    .unwrap_or_default()
-                    .as_nanos();
-                state.last_timestamp = now.max(state.last_timestamp + 1);
-                for (name, value) in tags {
-                    let _ = write!(line, ",{name}={value}");
-                }
-                writeln!(line, " value={value}i {}", state.last_timestamp)
-            }
-        };
+        kind: MetricKind,
+    ) -> Self {
+        Self {
+            name,
+            tags,
+            value,
+            kind,
+        }
+    }
+
+    /// A counter; see [`Metric::new`].
+    pub(super) const fn counter(name: &'a str, tags: &'a [(&'a str, &'a str)], value: u64) -> Self {
+        Self::new(name, tags, value, MetricKind::Counter)
+    }
+
+    /// A gauge; see [`Metric::new`].
+    pub(super) const fn gauge(name: &'a str, tags: &'a [(&'a str, &'a str)], value: u64) -> Self {
+        Self::new(name, tags, value, MetricKind::Gauge)
+    }
+
+    fn statsd_line(&self) -> String {
+        let mut line = format!(
+            "{PREFIX}{}:{}|{}",
+            self.name,
+            self.value,
+            self.kind.statsd_type()
+        );
+        for (index, (name, value)) in self.tags.iter().enumerate() {
+            line.push_str(if index == 0 { "|#" } else { "," });
+            line.extend([name, ":", value]);
+        }
+        line.push('\n');
+        line
+    }
+
+    fn influx_line(&self, timestamp_ns: u128) -> String {
+        let mut line = format!("{PREFIX}{}", self.name);
+        for (name, value) in self.tags {
+            line.extend([",", name, "=", value]);
+        }
+        line.push_str(&format!(" value={}i {timestamp_ns}\n", self.value));
         line
     }
 }
 
-/// A tag's value as the format takes it. StatsD has no escapes: what it would read otherwise is replaced.
+/// Turns metrics into lines.
+pub(super) struct LineFormatter {
+    format: MetricsFormat,
+    /// In nanoseconds of Unix time.
+    last_timestamp: u128,
+}
+
+impl LineFormatter {
+    /// A formatter that has written no line.
+    pub(super) const fn new(format: MetricsFormat) -> Self {
+        Self {
+            format,
+            last_timestamp: 0,
+        }
+    }
+
+    /// The metric's line, with its line feed.
+    pub(super) fn format(&mut self, metric: &Metric) -> String {
+        match self.format {
+            MetricsFormat::Statsd => metric.statsd_line(),
+            MetricsFormat::Influx => metric.influx_line(self.next_timestamp()),
+        }
+    }
+
+    /// The present time, or a later one: points of one instant and the same tags would replace each other in InfluxDB.
+    fn next_timestamp(&mut self) -> u128 {
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_nanos();
+        self.last_timestamp = now.max(self.last_timestamp + 1);
+        self.last_timestamp
+    }
+}
+
+/// A tag's value as the format takes it, at most [`MAX_TAG_BYTES`] of it. StatsD has no escapes: what it would read
+/// otherwise is replaced.
 pub(super) fn escape_tag(format: MetricsFormat, text: &str) -> Cow<'_, str> {
     let truncated = &text[..text.floor_char_boundary(MAX_TAG_BYTES)];
     if truncated.is_empty() {
         return "_".into();
     }
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if truncated.chars().all(plain) {
+    let is_plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if truncated.chars().all(is_plain) {
         return truncated.into();
     }
     let mut value = String::with_capacity(2 * truncated.len());
--- a/crates/telemetry/src/metrics/output.rs
+++ b/crates/telemetry/src/metrics/output.rs
@@ -1,25 +1,57 @@
-//! Where metrics go: a file, standard error or UDP.
+//! Where batches go: a file, standard error or UDP.
 
+use super::file::AppendedFile;
 use crate::error::TelemetryError;
-use crate::writer::{has_vanished, write_part, BoundedSender, Writer};
+use crate::writer::{BoundedSender, Writer};
 use slatelink_config::operators::MetricsTarget;
-use std::fs::File;
 use std::io::{self, Write as _};
-use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, UdpSocket};
-use std::os::unix::fs::OpenOptionsExt;
-use std::path::{Path, PathBuf};
-use std::sync::{Arc, Mutex};
+use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, UdpSocket};
+use std::path::Path;
+use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::mpsc::UnboundedSender;
 
+/// Batches that may be with the writer: one that is written, and one whose result is already sent but whose place is not yet
+/// given back.
+const MAX_QUEUED_BATCHES: usize = 2;
+
+/// How the writing of a batch ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BatchResult {
+    /// It is out.
+    Written,
+    /// It is lost, at least a part of it.
+    Dropped,
+}
+
+impl BatchResult {
+    fn from_io<T>(result: &io::Result<T>) -> Self {
+        match result {
+            Ok(_) => Self::Written,
+            Err(_) => Self::Dropped,
+        }
+    }
+}
+
+/// What became of a batch that was sent.
+pub(super) enum SendOutcome {
+    /// It is done with.
+    Finished(BatchResult),
+    /// The writer has it, and will tell of its result.
+    InFlight,
+}
+
 /// Where batches go.
 pub(super) enum Output {
+    /// A datagram for each batch.
     Udp(UdpSocket),
     /// By the writer's thread, one batch at a time: what waits here can still give way to what is newer.
     Queue {
+        /// The way to the thread.
         sender: BoundedSender,
         /// `None` for standard error.
         file: Option<Arc<Mutex<AppendedFile>>>,
-        results: UnboundedSender<bool>,
+        /// Told of each batch that the thread is done with.
+        results: UnboundedSender<BatchResult>,
     },
 }
 
@@ -28,91 +60,76 @@
     pub(super) fn open(
         target: &MetricsTarget,
         writer: &Writer,
-        results: UnboundedSender<bool>,
+        results: UnboundedSender<BatchResult>,
     ) -> Result<Self, TelemetryError> {
-        // A second place: the first is given back only after its batch's result is told.
-        let queue = |file| Self::Queue {
-            sender: writer.sender(2),
-            file,
-            results,
+        let file = match target {
+            MetricsTarget::Udp(address) => return Self::open_socket(*address),
+            MetricsTarget::File(path) => Some(open_file(path)?),
+            MetricsTarget::Stderr => None,
         };
-        Ok(match target {
-            MetricsTarget::Stderr => queue(None),
-            MetricsTarget::File(path) => {
-                let file = match AppendedFile::open(path) {
-                    Ok(file) => Some(file),
-                    // A FIFO without a reader: one may come.
-                    Err(error) if error.raw_os_error() == Some(libc::ENXIO) => None,
-                    Err(error) => {
-                        return Err(TelemetryError::MetricsFile {
-                            path: path.clone(),
-                            error,
-                        })
-                    }
-                };
-                queue(Some(Arc::new(Mutex::new(AppendedFile {
-                    path: path.clone(),
-                    file,
-                    torn: false,
-                }))))
+        Ok(Self::Queue {
+            sender: writer.sender(MAX_QUEUED_BATCHES),
+            file: file.map(|file| Arc::new(Mutex::new(file))),
+            results,
+        })
+    }
+
+    fn open_socket(address: SocketAddr) -> Result<Self, TelemetryError> {
+        connect(address)
+            .map(Self::Udp)
+            .map_err(|error| TelemetryError::MetricsSocket { address, error })
+    }
+
+    /// Sends a batch. Never waits.
+    pub(super) fn send(&self, batch: Vec<u8>) -> SendOutcome {
+        match self {
+            Self::Udp(socket) => {
+                let sent = socket.send(batch.trim_ascii_end());
+                SendOutcome::Finished(BatchResult::from_io(&sent))
             }
-            MetricsTarget::Udp(address) => {
-                let any = match address.ip() {
-                    IpAddr::V4(_) => IpAddr::V4(Ipv4Addr::UNSPECIFIED),
-                    IpAddr::V6(_) => IpAddr::V6(Ipv6Addr::UNSPECIFIED),
-                };
-                let socket = UdpSocket::bind((any, 0)).and_then(|socket| {
-                    socket.set_nonblocking(true)?;
-                    // Connected, it hears that nobody listens there.
-                    socket.connect(address)?;
-                    Ok(socket)
+            Self::Queue {
+                sender,
+                file,
+                results,
+            } => {
+                let file = file.clone();
+                let results = results.clone();
+                let queued = sender.try_send(move |stderr| {
+                    let written = match &file {
+                        None => stderr.write_all(&batch),
+                        Some(file) => file
+                            .lock()
+                            .unwrap_or_else(PoisonError::into_inner)
+                            .write(&batch),
+                    };
+                    // The node may have stopped meanwhile.
+                    let _ = results.send(BatchResult::from_io(&written));
                 });
-                Self::Udp(socket.map_err(|error| TelemetryError::MetricsSocket {
-                    address: *address,
-                    error,
-                })?)
+                if queued {
+                    SendOutcome::InFlight
+                } else {
+                    SendOutcome::Finished(BatchResult::Dropped)
+                }
             }
-        })
+        }
     }
 }
 
-/// A file that batches are appended to.
-pub(super) struct AppendedFile {
-    pub(super) path: PathBuf,
-    /// `None` while it cannot be opened: a FIFO that nobody reads.
-    pub(super) file: Option<File>,
-    /// The last write broke off within a line.
-    pub(super) torn: bool,
+fn open_file(path: &Path) -> Result<AppendedFile, TelemetryError> {
+    AppendedFile::open(path).map_err(|error| TelemetryError::MetricsFile {
+        path: path.to_owned(),
+        error,
+    })
 }
 
-impl AppendedFile {
-    fn open(path: &Path) -> io::Result<File> {
-        // Neither opening nor writing waits for a FIFO's reader.
-        File::options()
-            .append(true)
-            .create(true)
-            .custom_flags(libc::O_NONBLOCK)
-            .open(path)
-    }
-
-    pub(super) fn write(&mut self, batch: &[u8]) -> io::Result<()> {
-        if self
-            .file
-            .as_ref()
-            .is_some_and(|file| has_vanished(file, &self.path).unwrap_or(false))
-        {
-            (self.file, self.torn) = (None, false);
-        }
-        let file = match &mut self.file {
-            Some(file) => file,
-            none => none.insert(Self::open(&self.path)?),
-        };
-        if self.torn {
-            file.write_all(b"\n")?;
-            self.torn = false;
-        }
-        let (taken, written) = write_part(file, batch);
-        self.torn = taken > 0 && taken < batch.len();
-        written
-    }
+fn connect(address: SocketAddr) -> io::Result<UdpSocket> {
+    let any = match address.ip() {
+        IpAddr::V4(_) => IpAddr::V4(Ipv4Addr::UNSPECIFIED),
+        IpAddr::V6(_) => IpAddr::V6(Ipv6Addr::UNSPECIFIED),
+    };
+    let socket = UdpSocket::bind((any, 0))?;
+    socket.set_nonblocking(true)?;
+    // Connected, it hears that nobody listens there.
+    socket.connect(address)?;
+    Ok(socket)
 }
--- a/crates/telemetry/src/metrics/tests.rs
+++ b/crates/telemetry/src/metrics/tests.rs
@@ -1,10 +1,12 @@
+use super::buffer::{Losses, LOSS_COUNTER_BYTES, MAX_BUFFERED_BYTES};
+use super::counters::MAX_TIMERS_PER_SECOND;
+use super::file::AppendedFile;
 use super::line::MAX_TAG_BYTES;
-use super::output::AppendedFile;
 use super::*;
 use std::net::{Ipv4Addr, UdpSocket};
 use std::sync::mpsc::channel;
 
-fn metrics(text: &str, writer: &Writer) -> (Metrics, UnboundedReceiver<bool>) {
+fn metrics(text: &str, writer: &Writer) -> (Metrics, UnboundedReceiver<BatchResult>) {
     let settings: MetricsSettings = toml::from_str(text).unwrap();
     Metrics::open(
         &settings,
@@ -110,27 +112,29 @@
     assert!(stuck.try_send(move |_| held.recv().unwrap_or_default()));
     // The first batch is handed over and stays; what follows must share the rest of the room.
     for i in 0..20_000 {
-        let state = &mut *metrics.state.borrow_mut();
+        let emitter = &mut metrics.state.borrow_mut().emitter;
         for name in ["req.count", "req.time"] {
-            metrics.add_line(
-                state,
+            emitter.emit(&Metric::new(
                 name,
                 &[("kind", "put"), ("host", "h")],
                 i,
                 MetricKind::Timer,
-            );
+            ));
         }
+        let buffer = &emitter.buffer;
         assert!(
-            state.lines.len() + state.in_flight.unwrap_or_default().bytes <= MAX_BUFFERED_BYTES
+            buffer.lines.len() + buffer.in_flight.unwrap_or_default().bytes <= MAX_BUFFERED_BYTES
         );
-        assert!(state.lines.capacity() <= MAX_BUFFERED_BYTES);
+        assert!(buffer.lines.capacity() <= MAX_BUFFERED_BYTES);
     }
     let state = metrics.state.borrow();
-    let text = String::from_utf8(state.lines.iter().copied().collect()).unwrap();
+    let buffer = &state.emitter.buffer;
+    let evicted = buffer.losses.evicted_lines;
+    let text = String::from_utf8(buffer.lines.iter().copied().collect()).unwrap();
     assert!(
-        state.lines.len() > MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES - 2 * metrics.batch,
+        buffer.lines.len() > MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES - 2 * buffer.max_batch_bytes,
         "{} used",
-        state.lines.len()
+        buffer.lines.len()
     );
     assert!(
         text.starts_with("slatelink.") && text.ends_with("\n"),
@@ -142,15 +146,15 @@
         .unwrap()
         .starts_with("slatelink.req.time:19999|ms|"));
     let kept = text.lines().count() as u64;
-    let in_flight_bytes = state.in_flight.unwrap().bytes as u64;
-    assert!(state.pushed_out > 0 && state.pushed_out + kept < 40_000 && in_flight_bytes > 0);
+    let in_flight_bytes = buffer.in_flight.unwrap().bytes as u64;
+    assert!(evicted > 0 && evicted + kept < 40_000 && in_flight_bytes > 0);
     assert!(
-        40_000 - state.pushed_out - kept <= in_flight_bytes / 40,
+        40_000 - evicted - kept <= in_flight_bytes / 40,
         "no line is uncounted"
     );
     drop(state);
     drop(release);
-    assert_eq!(results.blocking_recv(), Some(true));
+    assert_eq!(results.blocking_recv(), Some(BatchResult::Written));
 }
 
 // Guards against metrics that become the load, and against counts that are lost where lines are merged or stuck.
@@ -180,14 +184,15 @@
     let seconds = start.elapsed().as_secs() + 1;
     drop(release);
     let ended = |state: &State| {
-        state.in_flight.is_none() && state.lines.is_empty() && state.counts.is_empty()
+        let buffer = &state.emitter.buffer;
+        buffer.in_flight.is_none() && buffer.lines.is_empty() && state.counters.is_empty()
     };
     while !ended(&metrics.state.borrow()) {
-        if metrics.state.borrow().in_flight.is_some() {
-            let succeeded = results.blocking_recv().unwrap();
-            let state = &mut *metrics.state.borrow_mut();
-            metrics.batch_finished(state, succeeded);
-            metrics.send_batches(state);
+        if metrics.state.borrow().emitter.buffer.in_flight.is_some() {
+            let result = results.blocking_recv().unwrap();
+            let emitter = &mut metrics.state.borrow_mut().emitter;
+            emitter.batch_finished(result);
+            emitter.send_batches();
         } else {
             metrics.flush();
         }
@@ -216,11 +221,7 @@
 #[test]
 fn a_file_that_was_moved_away_is_made_anew() {
     let path = std::env::temp_dir().join(format!("slatelink-moved-{}", std::process::id()));
-    let mut file = AppendedFile {
-        path: path.clone(),
-        file: None,
-        torn: false,
-    };
+    let mut file = AppendedFile::open(&path).unwrap();
     file.write(b"one\n").unwrap();
     let moved = path.with_extension("1");
     std::fs::rename(&path, &moved).unwrap();
@@ -242,16 +243,17 @@
 fn what_was_dropped_is_told_by_the_first_batch_that_gets_out() {
     let writer = Writer::start().unwrap();
     let (metrics, _landed) = metrics("target = \"file:/dev/null\"", &writer);
-    let state = &mut *metrics.state.borrow_mut();
+    let emitter = &mut metrics.state.borrow_mut().emitter;
     for _ in 0..3 {
-        metrics.next_batch(state);
-        metrics.batch_finished(state, false);
+        emitter.next_batch();
+        emitter.batch_finished(BatchResult::Dropped);
     }
-    let batch = metrics.next_batch(state);
+    let batch = emitter.next_batch();
     assert_eq!(batch, b"slatelink.figures.dropped:3|c\n");
-    metrics.batch_finished(state, true);
-    assert_eq!((state.dropped, state.dropped_total), (0, 3));
-    assert_eq!(metrics.next_batch(state), b"");
+    emitter.batch_finished(BatchResult::Written);
+    assert_eq!(emitter.buffer.losses, Losses::default());
+    assert_eq!(emitter.buffer.total_dropped_batches, 3);
+    assert_eq!(emitter.next_batch(), b"");
 }
 
 // Guards against a line that no batch can take: it would never leave.
@@ -261,11 +263,11 @@
     let (metrics, _landed) = metrics("format = \"influx\"\nmax_batch_bytes = 512", &writer);
     let long = escape_tag(MetricsFormat::Influx, &"=".repeat(1000)).into_owned();
     assert_eq!(long.len(), 2 * MAX_TAG_BYTES);
-    let state = &mut State::default();
-    let mut size = |name, tags: &[(&str, &str)], value, metric_kind| {
-        metrics
-            .format_line(state, name, tags, value, metric_kind)
-            .len()
+    let emitter = &mut metrics.state.borrow_mut().emitter;
+    let max_batch_bytes = emitter.buffer.max_batch_bytes;
+    let mut size = |name, tags: &[(&str, &str)], value, kind| {
+        let metric = Metric::new(name, tags, value, kind);
+        emitter.formatter.format(&metric).len()
     };
     let tags = [("kind", &*long), ("host", &long), ("outcome", "canceled")];
     let attempt = size("attempt.count", &tags, 1, MetricKind::Counter);
@@ -273,7 +275,7 @@
     let carried = size("figures.dropped", &[], u64::MAX, MetricKind::Counter)
         + size("figures.pushed_out", &[], u64::MAX, MetricKind::Counter);
     assert!(
-        carried + attempt.max(time) <= metrics.batch,
+        carried + attempt.max(time) <= max_batch_bytes,
         "{carried} {attempt} {time}"
     );
     assert!(carried <= LOSS_COUNTER_BYTES);
@@ -284,11 +286,7 @@
 #[test]
 fn a_line_that_broke_off_does_not_take_the_next_one_with_it() {
     let path = std::env::temp_dir().join(format!("slatelink-torn-{}", std::process::id()));
-    let mut file = AppendedFile {
-        path: path.clone(),
-        file: None,
-        torn: false,
-    };
+    let mut file = AppendedFile::open(&path).unwrap();
     file.write(b"half").unwrap();
     file.torn = true;
     file.write(b"whole\n").unwrap();
