--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -38,7 +38,7 @@
     #[serde(default, rename = "front")]
     pub admission: AdmissionSettings,
     #[serde(skip)]
-    pub source: Option<SettingsFile>,
+    pub file: Option<SettingsFile>,
 }
 
 /// The file that the settings are from.
@@ -270,12 +270,12 @@
     };
     let parsed = toml::from_str(&text);
     let read = |settings| {
-        let source = SettingsFile {
+        let file = SettingsFile {
             path: path.clone(),
             sha256: crate::digest(text.as_bytes()),
         };
         Settings {
-            source: Some(source),
+            file: Some(file),
             ..settings
         }
     };
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,6 +1,7 @@
-//! What observes a node at the operators' wish: metrics, the audit trail, the hot list, and the writer behind them.
+//! Telemetry of a node, as the operators' file asks for it: metrics, the audit trail, the hot list, and the writer behind them;
+//! and the node's log.
 //!
-//! The node tells an [`Observer`] what happened; [`Telemetry`] passes it on to those that are on. Nothing here decides
+//! The node tells an [`Observer`] what happened; [`Telemetry`] passes it on to the features that are on. Nothing here decides
 //! anything, nothing calls back into the node, and nothing here ever makes the node wait.
 
 pub mod audit;
@@ -8,15 +9,18 @@
 mod hotlist;
 mod log;
 mod metrics;
+mod observer;
 mod writer;
 
 pub use error::{TelemetryError, TrailError};
 pub use log::{Log, LogFormat};
+pub use observer::{Observer, RequestOutcome};
 
 use audit::{Audit, StopSignal};
 use hotlist::HotList;
 use metrics::Metrics;
-use slatelink_config::operators::{Settings, SettingsFile};
+use slatelink_admission::ConnectionStats;
+use slatelink_config::operators::{HotListSettings, MetricsSettings, Settings, SettingsFile};
 use slatelink_config::{digest, EndpointList};
 use slatelink_policy::{BreakerScope, ClassId, EndpointId, Name, Status};
 use std::io;
@@ -25,81 +29,31 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::task::spawn_local;
 use writer::Writer;
 
-/// How a request ended, as a tag's value.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestOutcome {
-    /// With the answer of a cache server.
-    Served,
-    /// Not done, and harmless to ask again.
-    Shed,
-    /// Not done, or not known.
-    Failed,
-    /// Its client left first.
-    ClientDisconnected,
-}
-
-impl RequestOutcome {
-    const fn status_tag(self) -> &'static str {
-        match self {
-            Self::Served => "200",
-            Self::Shed => "503",
-            Self::Failed => "502",
-            Self::ClientDisconnected => "left",
-        }
-    }
-}
-
-/// Hears what happens in a node, in the order it happens. What it does not care for it leaves out.
-pub trait Observer {
-    /// A request was taken: one of this path.
-    fn request_received(&self, _class: ClassId, _path: &str) {}
-
-    /// A request taken has its final answer, or its client has left. `host`: who served it or was tried last.
-    fn request_completed(
-        &self,
-        _class: ClassId,
-        _host: Option<&EndpointId>,
-        _took: Duration,
-        _end: RequestOutcome,
-    ) {
-    }
-
-    /// An attempt begins.
-    fn attempt_started(&self, _host: &EndpointId) {}
-
-    /// An attempt has ended.
-    fn attempt_ended(&self, _class: ClassId, _host: &EndpointId, _status: Status) {}
-
-    /// Discovery's word, as the node takes it in.
-    fn endpoints_updated(&self, _listing: &EndpointList) {}
-
-    /// What the table of clients' connections is like; each second.
-    fn connections_sampled(&self, _table: &slatelink_admission::ConnectionStats) {}
-
-    /// A circuit breaker of the decision module has opened.
-    fn breaker_opened(&self, _scope: &BreakerScope) {}
-}
-
 /// At a stop the metrics wait no longer than this for a pipe that is read slowly.
 const METRICS_FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 /// And then all features for the writer: a record that it has begun should be on disk.
 const WRITER_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+/// The log's topic of breakers that opened.
+const BREAKER_TOPIC: &str = "module";
 
-/// The features that are on.
+/// The features that are on, and the log.
 pub struct Telemetry {
-    /// The node's log, which shares standard error with them.
+    /// The node's log, which shares standard error with the features.
     pub log: Log,
     writer: Writer,
     metrics: Option<Rc<Metrics>>,
     audit: Option<Audit>,
-    hotlist: Option<HotList>,
-    source: Option<SettingsFile>,
+    hotlist: Option<Rc<HotList>>,
+    /// The operators' file, where there is one.
+    settings_file: Option<SettingsFile>,
 }
 
 impl Telemetry {
-    /// Begins what the settings name, for these classes of requests. Its tasks run on the present local set.
+    /// Starts what the settings name, for these classes of requests. Its tasks run on the present local set. Fails where a file,
+    /// a socket, a signal handler or the writer's thread cannot be had.
     pub fn start(
         settings: &Settings,
         classes: &[Name],
@@ -108,64 +62,41 @@
         let writer = Writer::start().map_err(TelemetryError::Writer)?;
         let log = Log::new(&writer, format);
         // A file that may grow no further is an error of the write, not the process's end. Standard error may be one.
-        drop(catch("SIGXFSZ", SignalKind::from_raw(libc::SIGXFSZ))?);
-        let source = settings.source.clone();
-        let mut telemetry = Self {
+        drop(install_handler("SIGXFSZ", SignalKind::from_raw(libc::SIGXFSZ))?);
+        let metrics = match &settings.metrics {
+            Some(settings) => Some(start_metrics(settings, classes, &writer, &log)?),
+            None => None,
+        };
+        let audit = match &settings.audit {
+            Some(settings) => Some(Audit::open(settings.path.as_deref(), &writer)?),
+            None => None,
+        };
+        let hotlist = match settings.enabled_hotlist() {
+            Some(settings) => Some(start_hotlist(settings, classes, &writer)?),
+            None => None,
+        };
+        Ok(Rc::new(Self {
             log,
             writer,
-            metrics: None,
-            audit: None,
-            hotlist: None,
-            source,
-        };
-        if let Some(settings) = &settings.metrics {
-            let (metrics, landed) =
-                Metrics::open(settings, classes, &telemetry.writer, telemetry.log.clone())?;
-            let metrics = Rc::new(metrics);
-            tokio::task::spawn_local(metrics.clone().run(landed));
-            telemetry.metrics = Some(metrics);
-        }
-        if let Some(settings) = &settings.audit {
-            telemetry.audit = Some(Audit::open(settings.path.as_deref(), &telemetry.writer)?);
-        }
-        let mut prints = None;
-        if let Some(settings) = settings.enabled_hotlist() {
-            // Caught before it is known to be on: uncaught, it ends the process.
-            prints = Some(catch("SIGUSR1", SignalKind::user_defined1())?);
-            let list = HotList::new(
-                settings.capacity,
-                settings.window(),
-                classes,
-                &telemetry.writer,
-            )?;
-            telemetry.hotlist = Some(list);
-        }
-        let telemetry = Rc::new(telemetry);
-        if let Some(prints) = prints {
-            tokio::task::spawn_local(telemetry.clone().print(prints));
-        }
-        Ok(telemetry)
-    }
-
-    /// Prints the hot list at each signal, for as long as the node runs.
-    async fn print(self: Rc<Self>, mut signals: Signal) {
-        while signals.recv().await.is_some() {
-            if let Some(hotlist) = &self.hotlist {
-                hotlist.print();
-            }
-        }
+            metrics,
+            audit,
+            hotlist,
+            settings_file: settings.file.clone(),
+        }))
     }
 
-    /// Descriptors that they hold: they come out of the node's limit.
+    /// Descriptors that the features of these settings hold: they come out of the node's limit.
     pub fn descriptor_count(settings: &Settings) -> usize {
         let metrics = settings
             .metrics
             .as_ref()
             .map_or(0, |_| Metrics::DESCRIPTORS);
-        Writer::DESCRIPTORS + metrics + settings.audit.as_ref().map_or(0, |_| Audit::DESCRIPTORS)
+        let audit = settings.audit.as_ref().map_or(0, |_| Audit::DESCRIPTORS);
+        Writer::DESCRIPTORS + metrics + audit
     }
 
-    /// The signals, beside those that have a use, which end the node: caught where their names are wanted.
+    /// The signals, beside those that have a use, which end the node: caught where the audit trail wants their names, and `None`
+    /// where it is off. Fails where a handler cannot be installed.
     pub fn termination_signals(&self) -> io::Result<Option<UnboundedReceiver<StopSignal>>> {
         let except: &[i32] = if self.hotlist.is_some() {
             &[libc::SIGUSR1]
@@ -185,17 +116,19 @@
         }
     }
 
-    /// The platform's configuration, and with it the features', is in force: at the start and at each SIGHUP.
-    pub fn config_loaded(&self, path: &Path, text: &[u8]) {
-        if let Some(audit) = &self.audit {
-            audit.config_loaded("platform", path, digest(text));
-            if let Some(SettingsFile { path, sha256 }) = &self.source {
-                audit.config_loaded("features", path, sha256.clone());
-            }
+    /// The platform's configuration, read at `path`, is in force, and with it the operators' file: at the start and at each
+    /// SIGHUP.
+    pub fn config_loaded(&self, path: &Path, contents: &[u8]) {
+        let Some(audit) = &self.audit else {
+            return;
+        };
+        audit.config_loaded("platform", path, digest(contents));
+        if let Some(SettingsFile { path, sha256 }) = &self.settings_file {
+            audit.config_loaded("features", path, sha256.clone());
         }
     }
 
-    /// The node stops: what waits goes out, or is left after a while.
+    /// The node stops, by this signal: what waits goes out, or is left after a while.
     pub async fn shut_down(&self, by: StopSignal) {
         if let Some(metrics) = &self.metrics {
             metrics.shut_down(METRICS_FLUSH_TIMEOUT).await;
@@ -207,8 +140,44 @@
     }
 }
 
-/// Installs a handler of the signal of this name.
-fn catch(name: &'static str, kind: SignalKind) -> Result<Signal, TelemetryError> {
+fn start_metrics(
+    settings: &MetricsSettings,
+    classes: &[Name],
+    writer: &Writer,
+    log: &Log,
+) -> Result<Rc<Metrics>, TelemetryError> {
+    let (metrics, finished_batches) = Metrics::open(settings, classes, writer, log.clone())?;
+    let metrics = Rc::new(metrics);
+    spawn_local(metrics.clone().run(finished_batches));
+    Ok(metrics)
+}
+
+fn start_hotlist(
+    settings: &HotListSettings,
+    classes: &[Name],
+    writer: &Writer,
+) -> Result<Rc<HotList>, TelemetryError> {
+    // Caught before it is known to be on: uncaught, it ends the process.
+    let print_signals = install_handler("SIGUSR1", SignalKind::user_defined1())?;
+    let hotlist = Rc::new(HotList::new(
+        settings.capacity,
+        settings.window(),
+        classes,
+        writer,
+    )?);
+    spawn_local(print_at_signals(hotlist.clone(), print_signals));
+    Ok(hotlist)
+}
+
+/// Prints the hot list at each signal, for as long as the node runs.
+async fn print_at_signals(hotlist: Rc<HotList>, mut signals: Signal) {
+    while signals.recv().await.is_some() {
+        hotlist.print();
+    }
+}
+
+/// Installs a handler of the signal of this name. It stays for the process's life, also once the receiver is dropped.
+fn install_handler(name: &'static str, kind: SignalKind) -> Result<Signal, TelemetryError> {
     signal(kind).map_err(|error| TelemetryError::Signal {
         signal: name,
         error,
@@ -218,7 +187,8 @@
 impl Observer for Telemetry {
     fn request_received(&self, class: ClassId, path: &str) {
         if let Some(hotlist) = &self.hotlist {
-            hotlist.request_received(class, path.rsplit('/').next().unwrap_or_default());
+            let key = path.rsplit('/').next().unwrap_or_default();
+            hotlist.request_received(class, key);
         }
         if let Some(metrics) = &self.metrics {
             metrics.request_received(class);
@@ -228,24 +198,24 @@
     fn request_completed(
         &self,
         class: ClassId,
-        host: Option<&EndpointId>,
-        took: Duration,
-        end: RequestOutcome,
+        endpoint: Option<&EndpointId>,
+        latency: Duration,
+        outcome: RequestOutcome,
     ) {
         if let Some(metrics) = &self.metrics {
-            metrics.request_completed(class, host, took, end);
+            metrics.request_completed(class, endpoint, latency, outcome);
         }
     }
 
-    fn attempt_started(&self, host: &EndpointId) {
+    fn attempt_started(&self, endpoint: &EndpointId) {
         if let Some(metrics) = &self.metrics {
-            metrics.attempt_started(host);
+            metrics.attempt_started(endpoint);
         }
     }
 
-    fn attempt_ended(&self, class: ClassId, host: &EndpointId, status: Status) {
+    fn attempt_ended(&self, class: ClassId, endpoint: &EndpointId, status: Status) {
         if let Some(metrics) = &self.metrics {
-            metrics.attempt_ended(class, host, status);
+            metrics.attempt_ended(class, endpoint, status);
         }
     }
 
@@ -258,10 +228,10 @@
         }
     }
 
-    fn connections_sampled(&self, table: &slatelink_admission::ConnectionStats) {
+    fn connections_sampled(&self, stats: &ConnectionStats) {
         self.log.report_suppressed();
         if let Some(metrics) = &self.metrics {
-            metrics.connections_sampled(table);
+            metrics.connections_sampled(stats);
         }
     }
 
@@ -269,6 +239,6 @@
         if let (Some(metrics), BreakerScope::Endpoint(endpoint)) = (&self.metrics, scope) {
             metrics.breaker_opened(endpoint);
         }
-        self.log.rate_limited("module", &scope.to_string());
+        self.log.rate_limited(BREAKER_TOPIC, &scope.to_string());
     }
 }
