--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -62,7 +62,10 @@
         let writer = Writer::start().map_err(TelemetryError::Writer)?;
         let log = Log::new(&writer, format);
         // A file that may grow no further is an error of the write, not the process's end. Standard error may be one.
-        drop(install_handler("SIGXFSZ", SignalKind::from_raw(libc::SIGXFSZ))?);
+        drop(install_handler(
+            "SIGXFSZ",
+            SignalKind::from_raw(libc::SIGXFSZ),
+        )?);
         let metrics = match &settings.metrics {
             Some(settings) => Some(start_metrics(settings, classes, &writer, &log)?),
             None => None,
--- a/crates/telemetry/src/writer.rs
+++ b/crates/telemetry/src/writer.rs
@@ -1,7 +1,7 @@
-//! The one thread that writes files and standard error for the features. The node is one thread too: a pipe that
+//! The one thread that writes files and standard error for the log and the features. The node is one thread too: a pipe that
 //! nobody reads, a slow disk or a FIFO must stall this one and never that.
 
-use std::fs::File;
+use std::fs::{File, Metadata};
 use std::io::{self, Write};
 use std::os::fd::AsFd;
 use std::os::unix::fs::MetadataExt;
@@ -14,11 +14,13 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Places in the queue, at least as many as all senders have together: a sender with room always gets one.
+/// Jobs that may wait, at least as many as all senders may have together: a sender that is not full always finds a place.
 const QUEUE_CAPACITY: usize = 1024;
+
+/// What the thread is to write; it gets standard error.
 type Job = Box<dyn FnOnce(&mut File) + Send>;
 
-/// The way to the thread. It ends with the process, or when the last sender has gone.
+/// The way to the thread, which ends with the process, or when the last sender has gone.
 #[derive(Debug)]
 pub struct Writer {
     jobs: SyncSender<Job>,
@@ -28,6 +30,7 @@
     /// Descriptors that it holds: its own one of standard error, whose lock would else bind two threads.
     pub const DESCRIPTORS: usize = 1;
 
+    /// Starts the thread. Fails where it cannot be had, or a descriptor for it.
     pub fn start() -> io::Result<Self> {
         let mut stderr = File::from(io::stderr().as_fd().try_clone_to_owned()?);
         let (jobs, queue) = sync_channel::<Job>(QUEUE_CAPACITY);
@@ -41,7 +44,7 @@
         Ok(Self { jobs })
     }
 
-    /// A share of the queue: one that is full takes no place from the others.
+    /// A sender of which `capacity` jobs may wait or run at a time: a full one takes no place from the others.
     pub fn sender(&self, capacity: usize) -> BoundedSender {
         BoundedSender {
             jobs: self.jobs.clone(),
@@ -52,19 +55,18 @@
 
     /// Waits until all that was sent before is written, or for `limit`: a stop must not wait for a stuck pipe.
     pub async fn flush(&self, limit: Duration) {
-        let (done, settled) = oneshot::channel();
-        let last = self.sender(1);
-        let queued = last.try_send(move |_| {
+        let (done, finished) = oneshot::channel();
+        let queued = self.sender(1).try_send(move |_| {
             // Nobody waits any more where it came too late.
             let _ = done.send(());
         });
         if queued {
-            let _ = timeout(limit, settled).await;
+            let _ = timeout(limit, finished).await;
         }
     }
 }
 
-/// Writes what the file takes; how many bytes that was, and what kept it from the rest.
+/// Writes as much as the file takes at once. Returns how many bytes that was, and the error that kept it from the rest.
 pub fn write_part(file: &mut File, bytes: &[u8]) -> (usize, io::Result<()>) {
     let mut taken = 0;
     while taken < bytes.len() {
@@ -78,26 +80,28 @@
     (taken, Ok(()))
 }
 
-/// Whether a regular file has lost its name, by a move or removal: what is written there is read by nobody. Others
-/// have none to lose.
+/// Whether a regular file is no longer the one at `path`, after a move or removal: nobody reads what is written there. `false`
+/// for a FIFO or a device.
 pub fn has_vanished(file: &File, path: &Path) -> io::Result<bool> {
-    let held = file.metadata()?;
-    let named = std::fs::metadata(path).map(|named| (named.dev(), named.ino()));
-    Ok(held.is_file() && named.ok() != Some((held.dev(), held.ino())))
+    let opened = file.metadata()?;
+    let inode = |metadata: &Metadata| (metadata.dev(), metadata.ino());
+    let named = std::fs::metadata(path).ok();
+    Ok(opened.is_file() && named.as_ref().map(inode) != Some(inode(&opened)))
 }
 
-/// See [`Writer::sender`].
+/// A bounded way to the thread; see [`Writer::sender`].
 #[derive(Debug)]
 pub struct BoundedSender {
     jobs: SyncSender<Job>,
+    /// Jobs that wait or run.
     queued: Arc<AtomicUsize>,
     capacity: usize,
 }
 
 impl BoundedSender {
-    /// Has the thread do this, with standard error at hand; `false` where no place is left. Never waits.
+    /// Has the thread run this job, which gets standard error; `false` where no place is left. Never waits.
     pub fn try_send(&self, job: impl FnOnce(&mut File) + Send + 'static) -> bool {
-        // Only the node's own thread puts, so no other takes the place in between.
+        // Only the node's own thread sends, so no other takes the place in between.
         if self.queued.load(Ordering::Acquire) >= self.capacity {
             return false;
         }
--- a/crates/telemetry/src/writer/tests.rs
+++ b/crates/telemetry/src/writer/tests.rs
@@ -3,7 +3,7 @@
 
 // Guards against a stuck write that stalls the node, and against one sender that starves another.
 #[test]
-fn a_full_sender_turns_away_at_once_and_leaves_the_others_their_places() {
+fn a_full_sender_refuses_at_once_and_leaves_the_others_their_capacity() {
     let writer = Writer::start().unwrap();
     let (one, two) = (writer.sender(2), writer.sender(1));
     let (release, held) = channel::<()>();
