--- a/crates/telemetry/src/hotlist/tests.rs
+++ b/crates/telemetry/src/hotlist/tests.rs
@@ -1,17 +1,19 @@
+use super::key::MAX_KEY_BYTES;
+use super::report::escaped;
+use super::space_saving::{Entry, ALLOCATION_OVERHEAD};
 use super::*;
 use std::collections::HashMap;
 
-fn list(capacity: usize) -> List {
-    List {
-        class: "look\nup".into(),
-        total: 0,
-        entries: Vec::with_capacity(capacity),
-    }
+const WINDOW: Duration = Duration::from_secs(60);
+
+fn list(capacity: usize) -> HotKeys {
+    HotKeys::new(capacity, WINDOW)
 }
 
-fn printed(list: List, capacity: u64) -> Vec<String> {
+fn printed(keys: HotKeys, now: Instant) -> Vec<String> {
+    let class = "look\nup".into();
     let mut out = Vec::new();
-    print(&mut out, list, capacity, |entry| entry.recent).unwrap();
+    print_list(&mut out, ClassList { class, keys }, 1.0, now).unwrap();
     String::from_utf8(out)
         .unwrap()
         .lines()
@@ -31,7 +33,7 @@
             x if x < 0.5 => format!("warm{}", random.u8(..4)),
             _ => format!("{:x}", random.u16(..2000)),
         };
-        list.count(&key, CAPACITY, 60.0, now);
+        list.count(&key, now);
         *tally.entry(key).or_default() += 1;
         let least = list.entries.iter().map(|entry| entry.count).min().unwrap();
         assert!(least <= i / CAPACITY as u64 || i < CAPACITY as u64);
@@ -55,7 +57,7 @@
         .iter()
         .filter(|(_, &count)| count > bound)
         .all(|(key, _)| held(key)));
-    let lines = printed(list, CAPACITY as u64);
+    let lines = printed(list, now);
     let counts: Vec<u64> = lines
         .iter()
         .map(|line| {
@@ -80,7 +82,7 @@
 // Guards against a class that is missing where it had no traffic.
 #[test]
 fn a_class_without_traffic_says_so() {
-    assert_eq!(printed(list(4), 4), ["hot look\\u{a}up none"]);
+    assert_eq!(printed(list(4), Instant::now()), ["hot look\\u{a}up none"]);
 }
 
 // Guards against keys that take more than their share, break within a character or forge lines of the log.
@@ -96,8 +98,8 @@
         ),
     ] {
         let mut list = list(4);
-        list.count(&key, 4, 60.0, Instant::now());
-        list.count(&key.clone(), 4, 60.0, Instant::now());
+        list.count(&key, Instant::now());
+        list.count(&key.clone(), Instant::now());
         assert_eq!((&*list.entries[0].key, list.entries[0].count), (&*held, 2));
         assert!(held.len() <= MAX_KEY_BYTES);
     }
@@ -112,18 +114,17 @@
 fn the_largest_lists_and_their_copy_stay_under_a_megabyte() {
     let writer = Writer::start().unwrap();
     let classes: Vec<Name> = ["a", "b", "c"].map(Name::from).into();
-    let window = Duration::from_secs(60);
-    let most = MAX_MEMORY_BYTES / (ENTRY_BYTES * classes.len());
+    let most = MAX_MEMORY_BYTES / (COPIES * MAX_ENTRY_BYTES * classes.len());
     assert!(most >= 256, "{most}");
-    assert!(HotList::new(most + 1, window, &classes, &writer).is_err());
-    let hot = HotList::new(most, window, &classes, &writer).unwrap();
+    assert!(HotList::new(most + 1, WINDOW, &classes, &writer).is_err());
+    let hot = HotList::new(most, WINDOW, &classes, &writer).unwrap();
     for i in 0..3 * most {
         for class in 0..3 {
             hot.request_received(ClassId(class), &format!("{i}{}", "k".repeat(200)));
         }
     }
     let lists = hot.lists.borrow();
-    let held = |list: &List| {
+    let held = |list: &HotKeys| {
         let keys: usize = list
             .entries
             .iter()
@@ -131,8 +132,8 @@
             .sum();
         list.entries.capacity() * size_of::<Entry>() + keys
     };
-    let all: usize = lists.iter().map(held).sum();
-    assert!(lists.iter().all(|list| list.entries.len() == most));
+    let all: usize = lists.iter().map(|list| held(&list.keys)).sum();
+    assert!(lists.iter().all(|list| list.keys.entries.len() == most));
     assert!(2 * all <= MAX_MEMORY_BYTES, "{all}");
 }
 
@@ -140,10 +141,11 @@
 #[test]
 fn rates_decay_over_the_window_and_counts_do_not() {
     let (mut list, start) = (list(4), Instant::now());
-    (0..600).for_each(|i| list.count("k", 4, 60.0, start + Duration::from_secs(i)));
-    let recent = list.entries[0].recent;
+    (0..600).for_each(|i| list.count("k", start + Duration::from_secs(i)));
+    let last = start + Duration::from_secs(599);
+    let recent = list.decayed_count(&list.entries[0], last);
     assert!((recent / 60.0 - 1.0).abs() < 0.02, "one a second: {recent}");
-    let later = decayed(recent, Duration::from_secs(60), 60.0);
+    let later = list.decayed_count(&list.entries[0], last + WINDOW);
     assert!((later / recent - (-1.0f64).exp()).abs() < 1e-9);
     assert_eq!(list.entries[0].count, 600);
 }
