--- a/crates/config/src/endpoint_list.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -1,27 +1,33 @@
-//! The list of cache servers in discovery's form.
+//! The endpoint list in discovery's form: JSON, whose keys the fields' `serde(rename)` state.
 
 use serde::Deserialize;
 use slatelink_policy::{Availability, Endpoint, Timestamp};
 use std::net::SocketAddr;
 
-/// Discovery's word for a server that finishes its work and wants no more.
-const DRAINING: &str = "draining";
+/// Discovery's state of an endpoint that takes new work.
+const READY_STATE: &str = "ready";
+/// Discovery's state of an endpoint that finishes its work and takes no more.
+const DRAINING_STATE: &str = "draining";
+/// Discovery's state of an endpoint that has left.
+const REMOVED_STATE: &str = "gone";
+/// The weight of an endpoint where discovery gives none, or one that is no weight.
+const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Discovery's answer: the whole list, or what changed.
+/// Discovery's answer: all endpoints, or those that changed.
 #[derive(Debug, Default, Deserialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// The list's version.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether what it lacks is gone.
+    /// Whether an endpoint that it lacks has left.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// The entries, or those that changed.
+    /// The endpoints, or those that changed.
     #[serde(default, rename = "hosts")]
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// One cache server in it.
+/// One endpoint in the list.
 #[derive(Debug, Deserialize)]
 pub struct EndpointRecord {
     #[serde(rename = "host")]
@@ -38,60 +44,65 @@
     state: String,
     #[serde(rename = "share")]
     weight: Option<f64>,
+    /// In milliseconds of Unix time.
     #[serde(rename = "born_ms")]
     started_ms: Option<u64>,
 }
 
 impl EndpointRecord {
-    /// Where it listens; one that is gone may have no address.
+    /// The endpoint's name, the same at every node.
+    pub fn id(&self) -> &str {
+        &self.id
+    }
+
+    /// Where it listens; one that has left may have no address.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Discovery's own word for whether it takes work.
+    /// Discovery's own word for its availability.
     pub fn state(&self) -> &str {
         &self.state
     }
 
-    /// Its name, alike at every node.
-    pub fn id(&self) -> &str {
-        &self.id
-    }
-
-    /// Its process's start in milliseconds of Unix time; `None` for long ago.
-    pub fn started_ms(&self) -> Option<u64> {
-        self.started_ms.filter(|&at| at > 0)
-    }
-
-    /// Whether it takes work.
+    /// Whether it takes new work.
     pub fn availability(&self) -> Availability {
         match self.state.as_str() {
-            "ready" => Availability::Ready,
-            "gone" => Availability::Removed,
-            // Draining, or a state that this version does not know: keep away from that server.
+            READY_STATE => Availability::Ready,
+            REMOVED_STATE => Availability::Removed,
+            // Draining, or a state that this version does not know: nothing new is sent there.
             _ => Availability::Draining,
         }
     }
 
-    /// Has it left alone, whatever the list says.
+    /// Makes it draining, whatever discovery says.
     pub fn set_draining(&mut self) {
-        DRAINING.clone_into(&mut self.state);
+        DRAINING_STATE.clone_into(&mut self.state);
     }
 
-    /// The entry as the module knows it.
+    /// When its process started, in milliseconds of Unix time; `None` where that is not known, and so long ago.
+    pub fn started_ms(&self) -> Option<u64> {
+        self.started_ms.filter(|&at| at > 0)
+    }
+
+    /// The endpoint as the policy knows it.
     pub fn endpoint(&self) -> Endpoint {
-        let started = self.started_ms();
         Endpoint {
             id: self.id.as_str().into(),
             zone: self.zone.as_deref().map(Into::into),
             kind: self.kind.as_deref().map(Into::into),
             cell: self.cell.unwrap_or(0),
             availability: self.availability(),
-            weight: self
-                .weight
-                .filter(|weight| weight.is_finite() && *weight >= 0.0)
-                .unwrap_or(1.0),
-            started: started.map(|ms| Timestamp::from_micros(ms.saturating_mul(1000))),
+            weight: self.weight(),
+            started: self
+                .started_ms()
+                .map(|ms| Timestamp::from_micros(ms.saturating_mul(1000))),
         }
     }
+
+    fn weight(&self) -> f64 {
+        self.weight
+            .filter(|weight| weight.is_finite() && *weight >= 0.0)
+            .unwrap_or(DEFAULT_WEIGHT)
+    }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,4 +1,5 @@
-//! What a node is told: the platform's configuration, the operators' file, and the list of servers in discovery's form.
+//! Configuration: the platform's file and environment, the operators' file, a relay's settings, and the endpoint list in
+//! discovery's form.
 //!
 //! Owns the formats and their checks: typed values out, or one sentence that says what was read, where, and what was
 //! expected. It reads files when asked to, and never acts on what they say.
@@ -7,6 +8,7 @@
 pub mod operators;
 pub mod platform;
 pub mod relay;
+mod toml_file;
 
 pub use endpoint_list::{EndpointList, EndpointRecord};
 
--- a/crates/config/src/relay.rs
+++ b/crates/config/src/relay.rs
@@ -1,35 +1,36 @@
-//! What a relay of the server list is told: a TOML file, or the same as arguments.
+//! The settings of a relay of the endpoint list: a TOML file, or the same as arguments.
 
-use crate::operators::SettingsError;
+use crate::toml_file::{self, SettingsError};
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::Path;
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long a relay answers after upstream's last word, where nothing else is said. A third of it is the wait of a watch, so
-/// that a relay calls upstream once in 3.3 s where nothing changes.
+/// Milliseconds that a relay answers for after it last heard from upstream, where nothing else is said. A third of it is the wait
+/// of a watch, so that a relay calls upstream once in 3.3 s where nothing changes.
 pub const DEFAULT_LEASE_MS: u64 = 10_000;
 /// Below this a lease would run out between two calls; above it nobody would notice that upstream is gone.
-const LEASE_MS_RANGE: std::ops::RangeInclusive<u64> = 300..=3_600_000;
+const LEASE_MS_RANGE: RangeInclusive<u64> = 300..=3_600_000;
 /// Sources that are tried in turn, at most.
 const MAX_UPSTREAMS: usize = 16;
-/// Connections of callers that may be asked for, at most.
+/// The largest limit on callers' connections that may be set.
 const MAX_CALLERS: usize = 1_000_000;
 
-/// Why a relay cannot start with what it was told.
+/// Why a relay cannot start with its settings.
 #[derive(Debug, Error)]
 pub enum RelayConfigError {
     /// The file cannot be read, or is not of the expected form.
     #[error(transparent)]
     File(#[from] SettingsError),
-    /// There is nothing to relay.
+    /// The number of upstreams is out of its range.
     #[error("a relay needs 1 to {MAX_UPSTREAMS} upstreams, and {0} are named")]
     Upstreams(usize),
     /// The lease is out of its range.
     #[error("lease_ms is {0}: a number from {start} to {end} is wanted", start = LEASE_MS_RANGE.start(), end = LEASE_MS_RANGE.end())]
     Lease(u64),
-    /// The bound on connections is out of its range.
+    /// The limit on callers' connections is out of its range.
     #[error("callers is {0}: a number from 1 to {MAX_CALLERS} is wanted")]
     Callers(usize),
 }
@@ -42,31 +43,27 @@
     pub upstream: Vec<SocketAddr>,
     /// Where callers are answered.
     pub listen: SocketAddr,
-    /// Callers are failed once nothing was heard from upstream for so long.
-    #[serde(default = "default_lease")]
+    /// Callers are refused once nothing was heard from upstream for so many milliseconds.
+    #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
     /// Connections of callers, at most; what the limit on descriptors allows where nothing is said.
     pub callers: Option<usize>,
 }
 
-fn default_lease() -> u64 {
+fn default_lease_ms() -> u64 {
     DEFAULT_LEASE_MS
 }
 
 impl RelaySettings {
-    /// Reads them from a file and checks them.
+    /// Reads them from a file and validates them.
     pub fn load(path: &Path) -> Result<Self, RelayConfigError> {
-        let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
-            path: path.to_owned(),
-            error,
-        })?;
-        let settings: Self =
-            toml::from_str(&text).map_err(|error| SettingsError::malformed(path, &text, &error))?;
+        let text = toml_file::read(path)?;
+        let settings: Self = toml_file::parse(path, &text)?;
         settings.validate()?;
         Ok(settings)
     }
 
-    /// Refuses what makes no sense.
+    /// Fails where a value is out of its range.
     pub fn validate(&self) -> Result<(), RelayConfigError> {
         if !(1..=MAX_UPSTREAMS).contains(&self.upstream.len()) {
             return Err(RelayConfigError::Upstreams(self.upstream.len()));
@@ -74,16 +71,15 @@
         if !LEASE_MS_RANGE.contains(&self.lease_ms) {
             return Err(RelayConfigError::Lease(self.lease_ms));
         }
-        match self
-            .callers
-            .filter(|callers| !(1..=MAX_CALLERS).contains(callers))
-        {
-            Some(callers) => Err(RelayConfigError::Callers(callers)),
-            None => Ok(()),
+        match self.callers {
+            Some(callers) if !(1..=MAX_CALLERS).contains(&callers) => {
+                Err(RelayConfigError::Callers(callers))
+            }
+            _ => Ok(()),
         }
     }
 
-    /// How long callers are answered after upstream's last word.
+    /// Callers are answered for so long after the relay last heard from upstream.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -13,7 +13,7 @@
 use crate::writer::{BoundedSender, Writer};
 use record::Event;
 use slatelink_config::EndpointList;
-use slatelink_policy::EndpointId;
+use slatelink_policy::{Availability, EndpointId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -28,8 +28,6 @@
 const MAX_NAME_BYTES: usize = 256;
 /// The state of an endpoint before discovery names it, and once a complete list lacks it.
 const ABSENT: &str = "absent";
-/// Discovery's own state of an endpoint that has left.
-const REMOVED: &str = "gone";
 
 /// The node's side of the trail. Records are made here and written by the writer's thread.
 pub struct Audit {
@@ -106,7 +104,7 @@
             let id = EndpointId::from(endpoint.id());
             let state = truncated(endpoint.state());
             let previous = states.remove(&id).or_else(|| unlisted.remove(&id));
-            let removed = state == REMOVED;
+            let removed = endpoint.availability() == Availability::Removed;
             let is_known = previous.is_some();
             let previous = previous.unwrap_or_else(|| ABSENT.to_owned());
             if previous != state && (is_known || !removed) {
