--- a/crates/lab/src/rules/tests.rs
+++ b/crates/lab/src/rules/tests.rs
@@ -89,101 +89,56 @@
     );
 }
 
+/// Two attempts of one try, the first of them with this outcome.
+fn attempted_twice(outcome: AttemptOutcome, later: u64) -> Vec<Attempt> {
+    vec![
+        attempt(1, 2_000, outcome),
+        attempt(2, later, AttemptOutcome::Ran),
+    ]
+}
+
+/// The rules broken by a try of this class that was served after these attempts.
+fn broken_by_attempts(class: usize, attempts: Vec<Attempt>) -> Vec<Rule> {
+    broken(class, vec![asked(End::Served)], attempts, vec![])
+}
+
 #[test]
-fn repeats_and_refusals_go_by_the_class() {
-    let twice = |outcome, later| {
-        vec![
-            attempt(1, 2_000, outcome),
-            attempt(2, later, AttemptOutcome::Ran),
-        ]
-    };
-    let tried = |end| vec![asked(end)];
-    assert_eq!(
-        broken(
-            0,
-            tried(End::Served),
-            twice(AttemptOutcome::Ran, 9_000),
-            vec![]
-        ),
-        []
-    );
+fn an_attempt_is_repeated_only_as_its_class_allows() {
+    use AttemptOutcome::{Declined, Dropped, Ran};
+    assert_eq!(broken_by_attempts(0, attempted_twice(Ran, 9_000)), []);
+    assert_eq!(broken_by_attempts(1, attempted_twice(Ran, 9_000)), []);
     assert_eq!(
-        broken(
-            1,
-            tried(End::Served),
-            twice(AttemptOutcome::Ran, 9_000),
-            vec![]
-        ),
-        []
-    );
-    assert_eq!(
-        broken(
-            1,
-            tried(End::Served),
-            twice(AttemptOutcome::Ran, 4_100_000),
-            vec![]
-        ),
+        broken_by_attempts(1, attempted_twice(Ran, 4_100_000)),
         [Rule::Repeats]
     );
     assert_eq!(
-        broken(
-            2,
-            tried(End::Served),
-            twice(AttemptOutcome::Ran, 9_000),
-            vec![]
-        ),
+        broken_by_attempts(2, attempted_twice(Ran, 9_000)),
         [Rule::Repeats]
     );
     assert_eq!(
-        broken(
-            2,
-            tried(End::Served),
-            twice(AttemptOutcome::Dropped, 9_000),
-            vec![]
-        ),
+        broken_by_attempts(2, attempted_twice(Dropped, 9_000)),
         [Rule::Repeats]
     );
-    assert_eq!(
-        broken(
-            2,
-            tried(End::Served),
-            twice(AttemptOutcome::Declined, 9_000),
-            vec![]
-        ),
-        []
-    );
-    let refused = || tried(End::Refused { retry_after: None });
-    assert_eq!(
-        broken(
-            2,
-            refused(),
-            vec![attempt(1, 2_000, AttemptOutcome::Ran)],
-            vec![]
-        ),
-        [Rule::Refusals]
-    );
-    assert_eq!(
-        broken(
-            2,
-            refused(),
-            vec![attempt(1, 2_000, AttemptOutcome::Declined)],
-            vec![]
-        ),
-        []
-    );
-    assert_eq!(
-        broken(
-            0,
-            refused(),
-            vec![attempt(1, 2_000, AttemptOutcome::Ran)],
-            vec![]
-        ),
-        []
-    );
-    let many = (0..7)
+    assert_eq!(broken_by_attempts(2, attempted_twice(Declined, 9_000)), []);
+}
+
+#[test]
+fn a_try_has_at_most_six_attempts() {
+    let attempts = (0..7)
         .map(|i| attempt(i, 2_000 + i as u64, AttemptOutcome::Ran))
         .collect();
-    assert_eq!(broken(0, tried(End::Served), many, vec![]), [Rule::Repeats]);
+    assert_eq!(broken_by_attempts(0, attempts), [Rule::Repeats]);
+}
+
+#[test]
+fn a_non_idempotent_request_that_ran_is_not_shed() {
+    let broken_by_refusal = |class, outcome| {
+        let tries = vec![asked(End::Refused { retry_after: None })];
+        broken(class, tries, vec![attempt(1, 2_000, outcome)], vec![])
+    };
+    assert_eq!(broken_by_refusal(2, AttemptOutcome::Ran), [Rule::Refusals]);
+    assert_eq!(broken_by_refusal(2, AttemptOutcome::Declined), []);
+    assert_eq!(broken_by_refusal(0, AttemptOutcome::Ran), []);
 }
 
 #[test]
