--- a/crates/lab/src/nodes.rs
+++ b/crates/lab/src/nodes.rs
@@ -1,10 +1,17 @@
 //! The nodes under test: real processes of a given binary, their configuration, their signals and their ends.
 
+mod config;
+mod log;
+mod program;
+
 use crate::client::{healthy, Live, Table};
 use crate::record::{NodeEvent, ProcessEvent};
-use crate::scenario::{Effect, Fault, Kind, Scenario};
+use crate::scenario::{Fault, Kind, Scenario};
+pub(crate) use config::config;
+use log::{listening_address, LogTail};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
+pub use program::Program;
 use serde_json::{json, Value};
 use std::io;
 use std::net::SocketAddr;
@@ -23,44 +30,8 @@
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// A node that does not exit in this time after SIGTERM has failed to stop; the platform would kill it.
 const STOP_TIMEOUT: Duration = Duration::from_millis(4500);
-/// Of a node's log, the lines kept for a report of its death.
-const LOG_TAIL_LINES: usize = 20;
-
-/// What is under test.
-#[derive(Clone)]
-pub enum Program {
-    /// A binary, started as the platform does, with these arguments.
-    Binary(PathBuf, Vec<String>),
-    /// Something inside this process, which is given a node's configuration and says where it listens: for tests of
-    /// the checker. It cannot be killed or signalled.
-    InProcess(Arc<dyn Fn(Value) -> io::Result<SocketAddr> + Send + Sync>),
-    /// Nothing: clients ask the servers themselves, for what the rig can do without a node.
-    Nothing,
-}
-
-impl Program {
-    /// The same with this section `front` of the operators' file, which is written into `folder`.
-    pub fn with_front(self, front: &toml::Table, folder: &Path) -> Result<Self, NodeError> {
-        let Self::Binary(path, mut arguments) = self else {
-            return Ok(self);
-        };
-        if front.is_empty() {
-            return Ok(Self::Binary(path, arguments));
-        }
-        if arguments.iter().any(|argument| argument == "--features") {
-            return Err(NodeError::TwoFiles);
-        }
-        let file = folder.join("features.toml");
-        let whole =
-            toml::Table::from_iter([("front".to_owned(), toml::Value::Table(front.clone()))]);
-        std::fs::write(&file, whole.to_string()).map_err(|error| NodeError::Files {
-            path: file.clone(),
-            error,
-        })?;
-        arguments.extend(["--features".to_owned(), file.display().to_string()]);
-        Ok(Self::Binary(path, arguments))
-    }
-}
+/// A node that was sent SIGTERM stays in the table of clients for so long: connections keep coming for a while.
+const TERMINATED_IN_TABLE: Duration = Duration::from_millis(300);
 
 /// Why nodes do not run.
 #[derive(Debug, Error)]
@@ -92,6 +63,26 @@
 /// The events of all nodes' processes, in order.
 pub type NodeEvents = Arc<Mutex<Vec<NodeEvent>>>;
 
+/// What all nodes of a run have in common.
+pub struct NodeEnvironment<'a> {
+    /// The fleet that they belong to.
+    pub scenario: &'a Scenario,
+    /// The seed of the run.
+    pub seed: u64,
+    /// What is started.
+    pub program: Program,
+    /// Where their configurations go.
+    pub folder: &'a Path,
+    /// Where they listen, for their clients.
+    pub table: Table,
+    /// The record of their processes.
+    pub events: NodeEvents,
+    /// The run's start, which times of events count from.
+    pub start: Instant,
+    /// Running counts, which the circuit breakers they log are added to.
+    pub live: Arc<Live>,
+}
+
 /// One node, over all starts of its process.
 pub struct Node {
     index: usize,
@@ -106,42 +97,28 @@
     start: Instant,
     front_late: Duration,
     child: Option<Child>,
-    log: Arc<Mutex<Vec<String>>>,
+    log: LogTail,
     live: Arc<Live>,
 }
 
 impl Node {
-    /// A node that is not started yet. `folder` is where its configuration goes.
-    #[expect(
-        clippy::too_many_arguments,
-        reason = "a node's whole surroundings, named once"
-    )]
-    pub fn new(
-        index: usize,
-        scenario: &Scenario,
-        seed: u64,
-        program: Program,
-        discovery: [SocketAddr; 2],
-        folder: &Path,
-        table: Table,
-        events: NodeEvents,
-        start: Instant,
-        live: Arc<Live>,
-    ) -> Self {
+    /// A node that is not started yet, with the two addresses that discovery answers it at.
+    pub fn new(index: usize, discovery: [SocketAddr; 2], environment: &NodeEnvironment) -> Self {
+        let NodeEnvironment { scenario, seed, .. } = *environment;
         Self {
             index,
-            program,
+            program: environment.program.clone(),
             config: config(index, scenario, seed, discovery[0]),
             discovery,
             current_discovery: 0,
-            file: folder.join(format!("n{index}.json")),
-            table,
-            events,
-            start,
+            file: environment.folder.join(format!("n{index}.json")),
+            table: environment.table.clone(),
+            events: environment.events.clone(),
+            start: environment.start,
             front_late: Duration::from_secs_f64(scenario.fleet.front_late_s.get()),
             child: None,
-            log: Arc::default(),
-            live,
+            log: LogTail::default(),
+            live: environment.live.clone(),
         }
     }
 
@@ -175,6 +152,11 @@
             })
     }
 
+    /// Its position in the fleet.
+    pub fn index(&self) -> usize {
+        self.index
+    }
+
     /// The process's id, while it runs.
     pub fn pid(&self) -> Option<i32> {
         self.child
@@ -186,93 +168,64 @@
     /// Starts its process and waits until it is ready; then clients get its address.
     pub async fn start(&mut self) -> Result<SocketAddr, NodeError> {
         self.write_config()?;
-        let address = match &self.program {
+        let address = match self.program.clone() {
             Program::InProcess(launch) => launch(self.config.clone())
                 .map_err(|error| NodeError::Start("a node inside".into(), error))?,
-            Program::Nothing => {
-                return Err(NodeError::NotReady {
-                    node: self.index,
-                    why: "there is none".into(),
-                })
-            }
-            Program::Binary(path, arguments) => {
-                let mut child = Command::new(path)
-                    .args(arguments)
-                    .env("LB_CONFIG", &self.file)
-                    .env(
-                        "LB_DISCOVERY",
-                        self.discovery[self.current_discovery].to_string(),
-                    )
-                    .env_remove("LB_NAME")
-                    .env_remove("LB_LISTEN")
-                    .stdin(Stdio::null())
-                    .stdout(Stdio::null())
-                    .stderr(Stdio::piped())
-                    .kill_on_drop(true)
-                    // Ctrl-C is for the rig, which ends its nodes itself.
-                    .process_group(0)
-                    .spawn()
-                    .map_err(|error| NodeError::Start(path.display().to_string(), error))?;
-                let stderr = child.stderr.take();
-                self.child = Some(child);
-                let Some(stderr) = stderr else {
-                    return Err(NodeError::NotReady {
-                        node: self.index,
-                        why: "it has no standard error".into(),
-                    });
-                };
-                let mut lines = BufReader::new(stderr).lines();
-                let listens = async {
-                    while let Ok(Some(line)) = lines.next_line().await {
-                        if let Some((_, address)) = line.split_once(" listens on ") {
-                            return address.trim().parse().ok();
-                        }
-                        keep(&self.log, line);
-                    }
-                    None
-                };
-                let address = timeout(READY_TIMEOUT, listens).await.ok().flatten();
-                let (log, live) = (self.log.clone(), self.live.clone());
-                tokio::spawn(async move {
-                    while let Ok(Some(line)) = lines.next_line().await {
-                        if line.starts_with("breaker of ") && line.contains(" tripped") {
-                            live.tripped();
-                        }
-                        keep(&log, line);
-                    }
-                });
-                address.ok_or_else(|| NodeError::NotReady {
-                    node: self.index,
-                    why: self.log_tail(),
-                })?
-            }
+            Program::Nothing => return Err(self.not_ready("there is none")),
+            Program::Binary(path, arguments) => self.start_process(&path, &arguments).await?,
         };
+        self.wait_until_healthy(address).await?;
+        self.record_event(ProcessEvent::Ready, "");
+        self.set_address(Some(address));
+        Ok(address)
+    }
+
+    /// Starts a binary as the platform does; where it listens.
+    async fn start_process(
+        &mut self,
+        path: &Path,
+        arguments: &[String],
+    ) -> Result<SocketAddr, NodeError> {
+        let discovery = self.discovery[self.current_discovery];
+        let mut child = Command::new(path)
+            .args(arguments)
+            .env("LB_CONFIG", &self.file)
+            .env("LB_DISCOVERY", discovery.to_string())
+            .env_remove("LB_NAME")
+            .env_remove("LB_LISTEN")
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .kill_on_drop(true)
+            // Ctrl-C is for the lab, which ends its nodes itself.
+            .process_group(0)
+            .spawn()
+            .map_err(|error| NodeError::Start(path.display().to_string(), error))?;
+        let stderr = child.stderr.take();
+        self.child = Some(child);
+        let stderr = stderr.ok_or_else(|| self.not_ready("it has no standard error"))?;
+        let mut lines = BufReader::new(stderr).lines();
+        let listens = listening_address(&mut lines, &self.log);
+        let address = timeout(READY_TIMEOUT, listens).await.ok().flatten();
+        tokio::spawn(log::follow(lines, self.log.clone(), self.live.clone()));
+        address.ok_or_else(|| self.not_ready(&self.log.text()))
+    }
+
+    async fn wait_until_healthy(&self, address: SocketAddr) -> Result<(), NodeError> {
         let started = Instant::now();
         while !healthy(address).await {
             if started.elapsed() > READY_TIMEOUT {
-                return Err(NodeError::NotReady {
-                    node: self.index,
-                    why: self.log_tail(),
-                });
+                return Err(self.not_ready(&self.log.text()));
             }
             sleep(READY_POLL_INTERVAL).await;
         }
-        self.record_event(ProcessEvent::Ready, "");
-        self.set_address(Some(address));
-        Ok(address)
+        Ok(())
     }
 
-    /// The end of its log.
-    fn log_tail(&self) -> String {
-        let log = self
-            .log
-            .lock()
-            .map(|log| log.join("; "))
-            .unwrap_or_default();
-        if log.is_empty() {
-            "it said nothing".to_owned()
-        } else {
-            log
+    fn not_ready(&self, why: &str) -> NodeError {
+        NodeError::NotReady {
+            node: self.index,
+            why: why.to_owned(),
         }
     }
 
@@ -287,7 +240,7 @@
         self.child = None;
         self.record_event(
             ProcessEvent::Died,
-            &format!("{status}; {}", self.log_tail()),
+            &format!("{status}; {}", self.log.text()),
         );
         self.set_address(None);
         true
@@ -349,14 +302,13 @@
         }
         self.record_event(ProcessEvent::Terminating, "");
         self.signal(Signal::SIGTERM);
-        // Connections keep coming for a while after the signal.
-        sleep(Duration::from_millis(300)).await;
+        sleep(TERMINATED_IN_TABLE).await;
         self.set_address(None);
         match self.wait().await {
             Some(status) if status.success() => self.record_event(ProcessEvent::Exited, ""),
             Some(status) => self.record_event(
                 ProcessEvent::Died,
-                &format!("{status} after SIGTERM; {}", self.log_tail()),
+                &format!("{status} after SIGTERM; {}", self.log.text()),
             ),
             None => {
                 self.record_event(ProcessEvent::Died, "it did not end within 4.8 s of SIGTERM");
@@ -366,55 +318,3 @@
         }
     }
 }
-
-fn keep(log: &Mutex<Vec<String>>, line: String) {
-    if let Ok(mut log) = log.lock() {
-        if log.len() >= LOG_TAIL_LINES {
-            log.remove(0);
-        }
-        log.push(line);
-    }
-}
-
-/// A node's configuration, as the platform writes it.
-pub(crate) fn config(index: usize, scenario: &Scenario, seed: u64, discovery: SocketAddr) -> Value {
-    let fleet = &scenario.fleet;
-    let us = |seconds: f64| (seconds * 1e6) as u64;
-    let lanes: Vec<_> = scenario
-        .classes
-        .iter()
-        .map(|class| {
-            let effect = match class.effect {
-                Effect::Safe => "safe",
-                Effect::Keyed => "keyed",
-                Effect::Unsafe => "unsafe",
-            };
-            json!({
-                "name": class.name, "effect": effect, "dedup_scope": "all", "worth": class.worth.get(),
-                "promise_us": us(class.aim_ms.get() / 1e3), "hard_limit_us": us(class.deadline_ms.get() / 1e3),
-                "repeat_window_us": us(class.window_s.get()), "late_value": 0.0,
-            })
-        })
-        .collect();
-    json!({
-        "name": format!("n{index}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
-        "seed": format!("{:016x}", crate::plan::mix(seed ^ index as u64)),
-        "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
-        "known": {"seq": 0, "whole": true, "hosts": []},
-        "settings": {
-            "az": fleet.zones[index % fleet.zones.len()], "zones": fleet.zones, "balancers": fleet.nodes,
-            "membership_mode": "subscribe", "weights": "cores", "orgs": [], "lanes": lanes,
-            "family_info": {"mode": "through"},
-            "report": {"fields": if fleet.reports { "inflight,queue,util" } else { "" }},
-            "limits": {
-                "connect_timeout_us": 250_000, "keepalive_us": us(fleet.idle_close_s.get()), "most_tries": 6,
-                "cancelling": true, "retry_after": true, "max_retry_after_us": 2_000_000, "second_copies": true,
-                "probing": false,
-            },
-            "safety": {
-                "cold_share": fleet.cold_share.get(), "warm_within_us": us(fleet.warm_s.get()),
-                "fall_multiple": fleet.fall_times.get(), "fall_us": us(fleet.fall_s.get()),
-            },
-        },
-    })
-}
--- /dev/null
+++ b/crates/lab/src/nodes/config.rs
@@ -0,0 +1,51 @@
+//! A node's configuration file, as the platform writes it.
+
+use crate::scenario::{Effect, Scenario};
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+
+/// Microseconds in a second: the unit of the configuration's times.
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// The configuration of the node at this position, with discovery at this address.
+pub(crate) fn config(index: usize, scenario: &Scenario, seed: u64, discovery: SocketAddr) -> Value {
+    let fleet = &scenario.fleet;
+    let us = |seconds: f64| (seconds * MICROS_PER_SECOND) as u64;
+    let classes: Vec<_> = scenario
+        .classes
+        .iter()
+        .map(|class| {
+            let effect = match class.effect {
+                Effect::Safe => "safe",
+                Effect::Keyed => "keyed",
+                Effect::Unsafe => "unsafe",
+            };
+            json!({
+                "name": class.name, "effect": effect, "dedup_scope": "all", "worth": class.worth.get(),
+                "promise_us": us(class.aim_ms.get() / 1e3), "hard_limit_us": us(class.deadline_ms.get() / 1e3),
+                "repeat_window_us": us(class.window_s.get()), "late_value": 0.0,
+            })
+        })
+        .collect();
+    json!({
+        "name": format!("n{index}"), "listen": "127.0.0.1:0", "discovery": discovery.to_string(),
+        "seed": format!("{:016x}", crate::plan::mix(seed ^ index as u64)),
+        "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
+        "known": {"seq": 0, "whole": true, "hosts": []},
+        "settings": {
+            "az": fleet.zones[index % fleet.zones.len()], "zones": fleet.zones, "balancers": fleet.nodes,
+            "membership_mode": "subscribe", "weights": "cores", "orgs": [], "lanes": classes,
+            "family_info": {"mode": "through"},
+            "report": {"fields": if fleet.reports { "inflight,queue,util" } else { "" }},
+            "limits": {
+                "connect_timeout_us": 250_000, "keepalive_us": us(fleet.idle_close_s.get()), "most_tries": 6,
+                "cancelling": true, "retry_after": true, "max_retry_after_us": 2_000_000, "second_copies": true,
+                "probing": false,
+            },
+            "safety": {
+                "cold_share": fleet.cold_share.get(), "warm_within_us": us(fleet.warm_s.get()),
+                "fall_multiple": fleet.fall_times.get(), "fall_us": us(fleet.fall_s.get()),
+            },
+        },
+    })
+}
--- a/crates/lab/src/run/nodes.rs
+++ b/crates/lab/src/run/nodes.rs
@@ -3,13 +3,15 @@
 use super::faults::faults_by_target;
 use super::{join_thread, spawn_thread, Addresses, Command, Folder, Options, RunError};
 use crate::client::{Clients, Table};
-use crate::nodes::{Node, NodeError, NodeEvents, Program};
+use crate::nodes::{Node, NodeEnvironment, NodeError, NodeEvents, Program};
 use crate::plan::Plan;
 use crate::record::{NodeEvent, ProcessEvent, Record};
 use crate::scenario::{Fault, Scenario};
 use std::io;
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, RwLock};
+use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 use tokio::runtime;
 use tokio::sync::{mpsc as channel, watch};
@@ -45,136 +47,184 @@
     folder: &Folder,
     commands: channel::UnboundedSender<Command>,
 ) -> Result<LoadOutcome, RunError> {
-    let Addresses {
-        mut discovery,
-        servers,
-    } = listening;
-    let listed = match options.program {
-        Program::Nothing => {
-            discovery.clear();
-            servers.into_iter().map(Some).collect()
-        }
+    let Addresses { discovery, servers } = listening;
+    let environment = NodeEnvironment {
+        scenario,
+        seed: options.seed,
+        program: options
+            .program
+            .clone()
+            .with_front(&scenario.front, &folder.0)?,
+        folder: &folder.0,
+        table: table(&options.program, &discovery, servers),
+        events: NodeEvents::default(),
+        start,
+        live: options.live.clone(),
+    };
+    let nodes = start_nodes(&environment, options, discovery).await?;
+    sleep(SETTLE_TIME).await;
+    let load_start = Instant::now();
+    // The stand-ins end only after this.
+    let _ = commands.send(Command::StartFaults);
+    let clients = spawn_clients(scenario, options, plan, &environment.table, load_start)?;
+    let nodes: Vec<_> = nodes
+        .into_iter()
+        .map(|node| RunningNode::spawn(node, scenario, load_start, &commands, &options.stop))
+        .collect();
+    while !clients.is_finished() {
+        sleep(POLL_INTERVAL).await;
+    }
+    let lasted = load_start.elapsed();
+    sleep(LINGER_TIME).await;
+    let failure = stop_nodes(nodes).await;
+    let clients = join_thread(clients, "clients")??;
+    if let Some(error) = failure {
+        record_failure(&environment, &error);
+    }
+    let node_events = environment.events.lock();
+    Ok(LoadOutcome {
+        clients,
+        node_events: node_events.map(|events| events.clone()).unwrap_or_default(),
+        load_start: load_start.duration_since(start).as_micros() as u64,
+        lasted,
+    })
+}
+
+/// Where clients connect: to nodes once they are up, or to the servers themselves where there are no nodes.
+fn table(program: &Program, discovery: &[[SocketAddr; 2]], servers: Vec<SocketAddr>) -> Table {
+    let listed = match program {
+        Program::Nothing => servers.into_iter().map(Some).collect(),
         _ => vec![None; discovery.len()],
     };
-    let table: Table = Arc::new(RwLock::new(listed));
-    let events: NodeEvents = Arc::default();
-    let program = options
-        .program
-        .clone()
-        .with_front(&scenario.front, &folder.0)?;
-    let mut started = Vec::new();
+    Arc::new(RwLock::new(listed))
+}
+
+/// Starts the nodes one after the other, and reports them as ready.
+async fn start_nodes(
+    environment: &NodeEnvironment<'_>,
+    options: &Options,
+    mut discovery: Vec<[SocketAddr; 2]>,
+) -> Result<Vec<Node>, RunError> {
+    if matches!(options.program, Program::Nothing) {
+        discovery.clear();
+    }
+    let (mut nodes, mut started) = (Vec::new(), Vec::new());
     for (index, discovery) in discovery.into_iter().enumerate() {
-        let program = program.clone();
-        let (table, events) = (table.clone(), events.clone());
-        let mut node = Node::new(
-            index,
-            scenario,
-            options.seed,
-            program,
-            discovery,
-            &folder.0,
-            table,
-            events,
-            start,
-            options.live.clone(),
-        );
+        let mut node = Node::new(index, discovery, environment);
         let address = node.start().await?;
-        started.push((node, address));
+        started.push((address, node.pid()));
+        nodes.push(node);
     }
     if let Some(ready) = &options.ready {
         // Whoever asked may have gone.
-        let _ = ready.send(
-            started
-                .iter()
-                .map(|(node, address)| (*address, node.pid()))
-                .collect(),
-        );
+        let _ = ready.send(started);
     }
-    sleep(SETTLE_TIME).await;
-    let load_start = Instant::now();
-    // The stand-ins end only after this.
-    let _ = commands.send(Command::StartFaults);
-    let clients = spawn_thread("clients", {
-        let (scenario, plan, table) = (scenario.clone(), plan.clone(), table.clone());
-        let (live, stop) = (options.live.clone(), options.stop.clone());
-        move || {
-            let runtime = runtime::Builder::new_current_thread()
-                .enable_all()
-                .build()?;
-            let clients = Clients::new(&scenario, plan, load_start, table, live, stop);
-            Ok::<_, io::Error>(LocalSet::new().block_on(&runtime, clients.run()))
-        }
-    })?;
-    let mut running = Vec::new();
-    for (index, (mut node, _)) in started.into_iter().enumerate() {
+    Ok(nodes)
+}
+
+/// Starts the clients on a thread of their own.
+fn spawn_clients(
+    scenario: &Scenario,
+    options: &Options,
+    plan: &Arc<Plan>,
+    table: &Table,
+    load_start: Instant,
+) -> io::Result<JoinHandle<io::Result<Record>>> {
+    let (scenario, plan, table) = (scenario.clone(), plan.clone(), table.clone());
+    let (live, stop) = (options.live.clone(), options.stop.clone());
+    spawn_thread("clients", move || {
+        let runtime = runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
+        let clients = Clients::new(&scenario, plan, load_start, table, live, stop);
+        Ok(LocalSet::new().block_on(&runtime, clients.run()))
+    })
+}
+
+/// A node that a task of its own watches.
+struct RunningNode {
+    /// Set to end the watch, and with it the node.
+    stop_watching: watch::Sender<bool>,
+    task: tokio::task::JoinHandle<Result<(), NodeError>>,
+}
+
+impl RunningNode {
+    /// Plays the scenario's faults of this node, until it is stopped.
+    fn spawn(
+        node: Node,
+        scenario: &Scenario,
+        load_start: Instant,
+        commands: &channel::UnboundedSender<Command>,
+        stop: &Arc<AtomicBool>,
+    ) -> Self {
+        let index = node.index();
         let mut faults: Vec<_> = faults_by_target(scenario)
             .filter(|(fault, target, _)| fault.kind.targets_nodes() && *target == index)
             .map(|(fault, _, at)| (at, fault))
             .collect();
         faults.sort_by_key(|(at, _)| *at);
-        let (commands, stop) = (commands.clone(), options.stop.clone());
         let (stop_watching, watch_ended) = watch::channel(false);
-        running.push((
+        let watched = watch_node(
+            node,
+            load_start,
+            faults,
+            commands.clone(),
+            stop.clone(),
+            watch_ended,
+        );
+        Self {
             stop_watching,
-            tokio::spawn(async move {
-                let result = watch_node(
-                    &mut node,
-                    index,
-                    load_start,
-                    faults,
-                    commands,
-                    stop,
-                    watch_ended,
-                )
-                .await;
-                node.stop().await;
-                result
-            }),
-        ));
-    }
-    while !clients.is_finished() {
-        sleep(POLL_INTERVAL).await;
+            task: tokio::spawn(watched),
+        }
     }
-    let lasted = load_start.elapsed();
-    sleep(LINGER_TIME).await;
+}
+
+/// Stops all nodes; the first that did not come back after a fault says why.
+async fn stop_nodes(nodes: Vec<RunningNode>) -> Option<NodeError> {
     let mut first_error = None;
-    for (stop_watching, task) in running {
+    for RunningNode {
+        stop_watching,
+        task,
+    } in nodes
+    {
         stop_watching.send_replace(true);
         if let Ok(Err(error)) = task.await {
             first_error = first_error.or(Some(error));
         }
     }
-    let clients = join_thread(clients, "clients")??;
-    // A node that does not come back is a failure of the node under test, and stands in the record as one.
-    if let Some(error) = first_error {
-        let at = start.elapsed().as_micros() as u64;
-        if let Ok(mut events) = events.lock() {
-            let detail = error.to_string();
-            events.push(NodeEvent {
-                node: 0,
-                event: ProcessEvent::Died,
-                at,
-                detail,
-            });
-        }
+    first_error
+}
+
+/// A node that does not come back is a failure of the node under test, and stands in the record as one.
+fn record_failure(environment: &NodeEnvironment, error: &NodeError) {
+    let at = environment.start.elapsed().as_micros() as u64;
+    if let Ok(mut events) = environment.events.lock() {
+        events.push(NodeEvent {
+            node: 0,
+            event: ProcessEvent::Died,
+            at,
+            detail: error.to_string(),
+        });
     }
-    let node_events = events
-        .lock()
-        .map(|events| events.clone())
-        .unwrap_or_default();
-    let load_start = load_start.duration_since(start).as_micros() as u64;
-    Ok(LoadOutcome {
-        clients,
-        node_events,
-        load_start,
-        lasted,
-    })
 }
 
-/// Plays a node's faults and watches whether its process has died.
+/// Watches a node until `watch_ended` is set, and stops it then.
 async fn watch_node(
+    mut node: Node,
+    load_start: Instant,
+    faults: Vec<(Duration, Fault)>,
+    commands: channel::UnboundedSender<Command>,
+    stop: Arc<AtomicBool>,
+    watch_ended: watch::Receiver<bool>,
+) -> Result<(), NodeError> {
+    let played = play_faults(&mut node, load_start, faults, commands, stop, watch_ended).await;
+    node.stop().await;
+    played
+}
+
+/// Plays a node's faults and watches whether its process has died.
+async fn play_faults(
     node: &mut Node,
-    index: usize,
     load_start: Instant,
     faults: Vec<(Duration, Fault)>,
     commands: channel::UnboundedSender<Command>,
@@ -187,7 +237,10 @@
         if next.is_some_and(|at| at <= Instant::now()) && !stop.load(Ordering::Relaxed) {
             if let Some((_, fault)) = faults.next() {
                 if let Some(which) = node.inject_fault(&fault).await? {
-                    let _ = commands.send(Command::CloseOldAddress { node: index, which });
+                    let _ = commands.send(Command::CloseOldAddress {
+                        node: node.index(),
+                        which,
+                    });
                 }
             }
         }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,7 +1,7 @@
 //! All that a run starts: discovery, traffic, real nodes and workers, from their start to their end.
 
 use crate::client::Table;
-use crate::nodes::Program;
+use crate::nodes::{NodeEnvironment, NodeEvents, Program};
 use crate::run::Folder;
 use crate::scale::assignment::Assignment;
 use crate::scale::convergence::{Change, Occasion};
@@ -10,7 +10,7 @@
 use crate::scale::options::Options;
 use crate::scale::processes::monotonic_us;
 use crate::scale::protocol::{NodeSetup, Order, Setup};
-use crate::scale::real::{self, RealNode, RealNodeEvent, Surroundings};
+use crate::scale::real::{self, RealNode, RealNodeEvent};
 use crate::scale::relays::Relays;
 use crate::scale::service::{Acknowledged, Service};
 use crate::scale::state::{FleetEvent, FleetState};
@@ -20,6 +20,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, RwLock};
+use std::time::Instant;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::task::JoinSet;
 
@@ -94,16 +95,21 @@
         let (real_sender, real_events) = unbounded_channel();
         let relay_upstream = assignment.of_relays(&service.addresses);
         let relays = Relays::start(options, &programs.relay, relay_upstream).await?;
-        let around = Surroundings {
+        let environment = NodeEnvironment {
             scenario: &scenario,
             seed: options.seed,
             program: programs.node.clone(),
             folder: &folder.0,
             table,
-            events: real_sender,
+            events: NodeEvents::default(),
+            start: Instant::now(),
+            live: Arc::default(),
         };
         let addresses = &service.addresses;
-        let start_real = |node| RealNode::start(node, assignment.of_real(node, addresses), &around);
+        let start_real = |node| {
+            let discovery = assignment.of_real(node, addresses);
+            RealNode::start(node, discovery, &environment, real_sender.clone())
+        };
         let real = (0..options.real).map(start_real).collect();
         let (worker_sender, worker_events) = unbounded_channel();
         let configuration = real::write_configuration(&scenario, options.seed, &folder.0)?;
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -1,15 +1,13 @@
 //! Real nodes of a scale run: processes of the node's binary, each driven by a task.
 
-use crate::client::{Live, Table};
-use crate::nodes::{Node, NodeError, NodeEvents, Program};
+use crate::nodes::{Node, NodeEnvironment, NodeError};
 use crate::scale::bounds::REAL_NODE_SOCKETS;
 use crate::scale::options::Options;
 use crate::scale::processes::monotonic_us;
 use crate::scenario::{Scenario, ScenarioError};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::interval;
@@ -70,39 +68,17 @@
     task: JoinHandle<()>,
 }
 
-/// Where real nodes belong.
-pub struct Surroundings<'a> {
-    /// The fleet.
-    pub scenario: &'a Scenario,
-    /// Of all that is drawn.
-    pub seed: u64,
-    /// The node's binary.
-    pub program: Program,
-    /// Where configurations go.
-    pub folder: &'a Path,
-    /// Where nodes listen, for their clients.
-    pub table: Table,
-    /// Events of nodes go there, with the node's number.
-    pub events: UnboundedSender<(usize, RealNodeEvent)>,
-}
-
 impl RealNode {
-    /// Starts one that discovery answers at these addresses.
-    pub fn start(number: usize, discovery: [SocketAddr; 2], around: &Surroundings) -> Self {
+    /// Starts one that discovery answers at these addresses. Its events go to `events`, with its number.
+    pub fn start(
+        number: usize,
+        discovery: [SocketAddr; 2],
+        environment: &NodeEnvironment,
+        events: UnboundedSender<(usize, RealNodeEvent)>,
+    ) -> Self {
         let (orders, inbox) = unbounded_channel();
-        let node = Node::new(
-            number,
-            around.scenario,
-            around.seed,
-            around.program.clone(),
-            discovery,
-            around.folder,
-            around.table.clone(),
-            NodeEvents::default(),
-            Instant::now(),
-            Arc::<Live>::default(),
-        );
-        let task = spawn_local(drive(number, node, inbox, around.events.clone()));
+        let node = Node::new(number, discovery, environment);
+        let task = spawn_local(drive(number, node, inbox, events));
         Self { orders, task }
     }
 
