--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -11,8 +11,7 @@
 use crate::exit::{success_if, CommandResult, UNUSABLE};
 use clap::{Parser, Subcommand, ValueEnum};
 use slatelink_config::{operators, platform};
-use slatelink_telemetry::audit::{self, Verdict};
-use slatelink_telemetry::Format;
+use slatelink_telemetry::audit::{self, Verification};
 use std::error::Error;
 use std::fs::File;
 use std::io::{self, BufReader, Write};
@@ -47,7 +46,7 @@
     Json,
 }
 
-impl From<LogFormat> for Format {
+impl From<LogFormat> for slatelink_telemetry::LogFormat {
     fn from(format: LogFormat) -> Self {
         match format {
             LogFormat::Text => Self::Text,
@@ -104,11 +103,14 @@
 }
 
 fn verify(path: PathBuf) -> CommandResult {
-    let verdict = File::open(&path).and_then(|file| audit::verify(BufReader::new(file)));
-    match verdict {
-        Ok(verdict) => {
-            writeln!(io::stdout(), "{verdict}")?;
-            Ok(success_if(matches!(verdict, Verdict::Ok(_))))
+    let verification = File::open(&path).and_then(|file| audit::verify(BufReader::new(file)));
+    match verification {
+        Ok(verification) => {
+            writeln!(io::stdout(), "{verification}")?;
+            Ok(success_if(matches!(
+                verification,
+                Verification::Intact { .. }
+            )))
         }
         // Not what a broken trail ends with.
         Err(error) => {
