--- /dev/null
+++ b/crates/cli/src/lab/compare.rs
@@ -0,0 +1,118 @@
+//! `slatelink lab compare`: two reports side by side, or two node binaries in turn over the same seeds.
+
+use super::play::{play_with_bar, scenario_name};
+use crate::exit::{unusable, CommandResult, BROKEN};
+use crate::node_arguments::node_program;
+use clap::Args;
+use slatelink_lab::compare::{self, Measured};
+use slatelink_lab::scenario::Scenario;
+use std::error::Error;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use std::sync::atomic::AtomicBool;
+use std::sync::Arc;
+
+#[derive(Args)]
+pub struct Compare {
+    /// A report in JSON, or a node's binary
+    a: PathBuf,
+    /// The same of the other
+    b: PathBuf,
+    /// Scenarios to play with both binaries
+    #[arg(long = "scenario", value_name = "FILE")]
+    scenarios: Vec<PathBuf>,
+    /// Seeds that each is played with
+    #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(2..=1_000))]
+    seeds: u64,
+    /// The operators' file of each node
+    #[arg(long, value_name = "FILE")]
+    features: Option<PathBuf>,
+}
+
+/// What the two binaries came to, by seed.
+type Pairs = Vec<(Measured, Measured)>;
+
+impl Compare {
+    /// Compares, and prints the differences.
+    pub fn run(self) -> CommandResult {
+        match (is_report(&self.a), is_report(&self.b)) {
+            (true, true) => self.compare_reports(),
+            (false, false) => self.compare_binaries(),
+            _ => unusable(
+                "one is a report and the other is not: compare two reports, or two binaries",
+            ),
+        }
+    }
+
+    fn compare_reports(&self) -> CommandResult {
+        match (read_report(&self.a), read_report(&self.b)) {
+            (Ok(a), Ok(b)) => {
+                print!("{}", compare::pair(&a, &b));
+                Ok(ExitCode::SUCCESS)
+            }
+            (Err(error), _) | (_, Err(error)) => unusable(error),
+        }
+    }
+
+    fn compare_binaries(&self) -> CommandResult {
+        if self.scenarios.is_empty() {
+            return unusable("two binaries need a --scenario to play");
+        }
+        let stop = crate::signals::stop_at_interrupt()?;
+        for file in &self.scenarios {
+            let scenario = match Scenario::load(file) {
+                Ok(scenario) => scenario,
+                Err(error) => return unusable(error),
+            };
+            let name = scenario_name(file);
+            let Some(pairs) = self.play_pairs(&name, &scenario, &stop)? else {
+                eprintln!("slatelink: stopped");
+                return Ok(ExitCode::from(BROKEN));
+            };
+            print!("{}", compare::paired(&name, &pairs));
+        }
+        Ok(ExitCode::SUCCESS)
+    }
+
+    /// Plays a scenario with both binaries over all seeds; `None` where that was stopped.
+    fn play_pairs(
+        &self,
+        name: &str,
+        scenario: &Scenario,
+        stop: &Arc<AtomicBool>,
+    ) -> Result<Option<Pairs>, Box<dyn Error>> {
+        let mut pairs = Pairs::new();
+        for offset in 0..self.seeds {
+            let seed = scenario.seed.wrapping_add(offset);
+            let measure = |binary: &Path| {
+                let program = node_program(binary.to_owned(), self.features.as_deref());
+                play_with_bar(name, scenario, program, seed, stop)
+            };
+            // In turn, so that what the machine does besides falls on both.
+            let (a, b) = if offset % 2 == 0 {
+                let a = measure(&self.a)?;
+                (a, measure(&self.b)?)
+            } else {
+                let b = measure(&self.b)?;
+                (measure(&self.a)?, b)
+            };
+            let (Some(a), Some(b)) = (a, b) else {
+                return Ok(None);
+            };
+            pairs.push((Measured::of(&a), Measured::of(&b)));
+        }
+        Ok(Some(pairs))
+    }
+}
+
+/// Whether a path names a report, and not a node's binary.
+fn is_report(path: &Path) -> bool {
+    path.extension().is_some_and(|end| end == "json")
+}
+
+fn read_report(path: &Path) -> Result<Measured, String> {
+    let text =
+        std::fs::read(path).map_err(|error| format!("cannot read {}: {error}", path.display()))?;
+    serde_json::from_slice(&text)
+        .map_err(|error| format!("{} is no report: {error}", path.display()))
+}
--- /dev/null
+++ b/crates/cli/src/lab/play.rs
@@ -0,0 +1,76 @@
+//! Plays one scenario with a progress bar on the terminal.
+
+use indicatif::{ProgressBar, ProgressStyle};
+use slatelink_lab::client::Live;
+use slatelink_lab::nodes::Program;
+use slatelink_lab::report::Report;
+use slatelink_lab::run::{play, Options};
+use slatelink_lab::scenario::Scenario;
+use std::error::Error;
+use std::path::Path;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+
+/// The bar is drawn anew this often.
+const BAR_INTERVAL: Duration = Duration::from_millis(50);
+/// Steps of the bar for each second of the scenario.
+const STEPS_PER_SECOND: f64 = 10.0;
+
+/// A scenario's name: its file's, without the extension.
+pub fn scenario_name(path: &Path) -> String {
+    path.file_stem().map_or_else(
+        || path.display().to_string(),
+        |stem| stem.to_string_lossy().into_owned(),
+    )
+}
+
+/// Plays a scenario with a bar, which draws nothing where there is no terminal. `None` where `stop` ended it.
+pub fn play_with_bar(
+    name: &str,
+    scenario: &Scenario,
+    program: Program,
+    seed: u64,
+    stop: &Arc<AtomicBool>,
+) -> Result<Option<Report>, Box<dyn Error>> {
+    let options = Options {
+        stop: stop.clone(),
+        ..Options::new(program, seed)
+    };
+    let bar = bar(name, scenario, seed);
+    let played = thread::scope(|scope| {
+        let playing = scope.spawn(|| play(scenario, &options));
+        while !playing.is_finished() {
+            thread::sleep(BAR_INTERVAL);
+            show(&bar, scenario, &options.live);
+        }
+        playing.join()
+    });
+    bar.finish_and_clear();
+    let played = played.map_err(|_| "the run ended in a panic")??;
+    let stopped = options.stop.load(Ordering::Relaxed);
+    Ok((!stopped).then(|| Report::new(name, scenario, seed, &played)))
+}
+
+fn bar(name: &str, scenario: &Scenario, seed: u64) -> ProgressBar {
+    let bar = ProgressBar::new((scenario.seconds.get() * STEPS_PER_SECOND) as u64);
+    let style = ProgressStyle::with_template("{prefix} {bar:30} {percent:>3} %  {msg}");
+    bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()));
+    bar.set_prefix(format!("{name} seed {seed}"));
+    bar
+}
+
+fn show(bar: &ProgressBar, scenario: &Scenario, live: &Live) {
+    let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+    let (begun, in_time) = (count(&live.begun), count(&live.in_time));
+    if begun == 0 {
+        return;
+    }
+    let elapsed_s = begun as f64 / scenario.load.rate.get();
+    bar.set_position((elapsed_s * STEPS_PER_SECOND) as u64);
+    bar.set_message(format!(
+        "{begun} asked, {in_time} in time, {} refused",
+        count(&live.refused)
+    ));
+}
--- /dev/null
+++ b/crates/cli/src/lab/run.rs
@@ -0,0 +1,118 @@
+//! `slatelink lab run`: plays scenarios and checks the rules.
+
+use super::play::{play_with_bar, scenario_name};
+use crate::exit::{success_if, unusable, CommandResult, BROKEN};
+use crate::node_arguments::NodeArguments;
+use clap::Args;
+use slatelink_lab::nodes::Program;
+use slatelink_lab::report::Report;
+use slatelink_lab::scenario::{Scenario, ScenarioError};
+use std::error::Error;
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+#[derive(Args)]
+pub struct Run {
+    /// Scenarios, in TOML
+    #[arg(required = true, value_name = "FILE")]
+    files: Vec<PathBuf>,
+    /// The first seed; the scenario's own where none is named
+    #[arg(long)]
+    seed: Option<u64>,
+    /// Play each so many times, with seeds that follow one another
+    #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=10_000))]
+    repeat: u64,
+    /// First tries a second, in place of the scenario's
+    #[arg(long, value_name = "N", value_parser = clap::value_parser!(u32).range(1..=200_000))]
+    rate: Option<u32>,
+    /// Send the load straight to the cache servers, with no node between: what the rig itself can do
+    #[arg(long, conflicts_with_all = ["node", "features"])]
+    direct: bool,
+    /// Write a report of each run there, as JSON and as a page
+    #[arg(long, value_name = "DIR")]
+    out: Option<PathBuf>,
+    /// Print the reports as JSON lines
+    #[arg(long)]
+    json: bool,
+    #[command(flatten)]
+    node: NodeArguments,
+}
+
+/// A scenario that was read, with its name.
+struct NamedScenario {
+    name: String,
+    scenario: Scenario,
+}
+
+impl Run {
+    /// Plays each scenario with each of its seeds, and prints the reports.
+    pub fn run(self) -> CommandResult {
+        // All are read before the first is played: a typing error in the last one is reported at once.
+        let scenarios: Result<Vec<_>, _> = self.files.iter().map(|file| self.load(file)).collect();
+        let scenarios = match scenarios {
+            Ok(scenarios) => scenarios,
+            Err(error) => return unusable(error),
+        };
+        if let Some(out) = &self.out {
+            if let Err(error) = std::fs::create_dir_all(out) {
+                return unusable(format!("cannot make {}: {error}", out.display()));
+            }
+        }
+        self.node.start_log();
+        let program = if self.direct {
+            Program::Nothing
+        } else {
+            self.node.program()?
+        };
+        let stop = crate::signals::stop_at_interrupt()?;
+        let mut all_hold = true;
+        for NamedScenario { name, scenario } in &scenarios {
+            let first = self.seed.unwrap_or(scenario.seed);
+            for seed in (0..self.repeat).map(|offset| first.wrapping_add(offset)) {
+                let played = play_with_bar(name, scenario, program.clone(), seed, &stop)?;
+                let Some(report) = played else {
+                    eprintln!("slatelink: stopped");
+                    return Ok(ExitCode::from(BROKEN));
+                };
+                all_hold &= report.holds;
+                self.write_files(name, seed, &report)?;
+                self.print(&report)?;
+            }
+        }
+        Ok(success_if(all_hold))
+    }
+
+    /// Reads a scenario, with the rate that is asked for in place of its own.
+    fn load(&self, file: &Path) -> Result<NamedScenario, ScenarioError> {
+        let mut scenario = Scenario::load(file)?;
+        if let Some(rate) = self.rate.and_then(|rate| f64::from(rate).try_into().ok()) {
+            scenario.load.rate = rate;
+        }
+        Ok(NamedScenario {
+            name: scenario_name(file),
+            scenario,
+        })
+    }
+
+    /// Writes a report as JSON and as a page, where a folder is named.
+    fn write_files(&self, name: &str, seed: u64, report: &Report) -> Result<(), Box<dyn Error>> {
+        if let Some(out) = &self.out {
+            let path = out.join(format!("{name}-{seed}"));
+            let json = serde_json::to_vec_pretty(report)?;
+            std::fs::write(path.with_extension("json"), json)?;
+            std::fs::write(path.with_extension("html"), report.html()?)?;
+        }
+        Ok(())
+    }
+
+    fn print(&self, report: &Report) -> Result<(), Box<dyn Error>> {
+        let mut out = io::stdout().lock();
+        if self.json {
+            writeln!(out, "{}", serde_json::to_string(report)?)?;
+        } else {
+            write!(out, "{}", report.text())?;
+        }
+        Ok(())
+    }
+}
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/lab/scale.rs
@@ -20,12 +20,12 @@
 use std::time::Duration;
 
 /// The progress line is written anew this often.
-const PROGRESS: Duration = Duration::from_millis(200);
-/// The hidden command that makes a process a worker.
-pub const WORKER: [&str; 2] = ["lab", "scale-worker"];
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
+/// Arguments of the hidden command that makes a process of this binary a worker.
+const WORKER_ARGUMENTS: [&str; 2] = ["lab", "scale-worker"];
 
 #[derive(Args)]
-pub struct Command {
+pub struct Scale {
     /// Nodes that are processes of their own
     #[arg(long, value_name = "N", default_value_t = 1)]
     real: usize,
@@ -120,7 +120,8 @@
     }
 }
 
-impl Command {
+impl Scale {
+    /// Runs it and prints its report.
     pub fn run(self) -> CommandResult {
         self.node.start_log();
         let options = self.options();
@@ -128,12 +129,12 @@
             node: self.node.program()?,
             worker: WorkerProgram {
                 path: std::env::current_exe()?,
-                arguments: WORKER.map(str::to_owned).to_vec(),
+                arguments: WORKER_ARGUMENTS.map(str::to_owned).to_vec(),
             },
             relay: std::env::current_exe()?,
         };
         if let Err(error) = announce(&options) {
-            return refused(&error);
+            return failed(&error);
         }
         // A path that cannot be written is an error before the run, not after it.
         let json = match self.json.as_ref().map(|path| (path, File::create(path))) {
@@ -143,8 +144,8 @@
                 return unusable(format!("cannot write {}: {error}", path.display()));
             }
         };
-        let stop = crate::stop_at_interrupt()?;
-        match watched(&options, &programs, &stop)? {
+        let stop = crate::signals::stop_at_interrupt()?;
+        match run_with_progress(&options, &programs, &stop)? {
             Ok(report) => {
                 if let Some(file) = json {
                     serde_json::to_writer_pretty(file, &report)?;
@@ -152,7 +153,7 @@
                 write!(io::stdout().lock(), "{report}")?;
                 Ok(success_if(report.behind_at_end == 0))
             }
-            Err(error) => refused(&error),
+            Err(error) => failed(&error),
         }
     }
 
@@ -207,14 +208,14 @@
     Ok(())
 }
 
-fn refused(error: &ScaleError) -> CommandResult {
+fn failed(error: &ScaleError) -> CommandResult {
     eprintln!("slatelink: {error}");
     let unusable = matches!(error, ScaleError::Options(_) | ScaleError::Bounds(_));
     Ok(ExitCode::from(if unusable { UNUSABLE } else { BROKEN }))
 }
 
 /// Runs it with a progress line, which is not drawn where no terminal is.
-fn watched(
+fn run_with_progress(
     options: &Options,
     programs: &Programs,
     stop: &Arc<AtomicBool>,
@@ -228,7 +229,7 @@
         while !running.is_finished() {
             line.set_message(progress.line());
             line.tick();
-            thread::sleep(PROGRESS);
+            thread::sleep(PROGRESS_INTERVAL);
         }
         running.join()
     });
--- a/crates/cli/src/multiget.rs
+++ b/crates/cli/src/multi_get.rs
@@ -1,6 +1,7 @@
 //! `slatelink multi-get`: asks a node's side port for many keys and prints a line for each.
 
 use crate::exit::{CommandResult, UNUSABLE};
+use crate::runtime::single_threaded_runtime;
 use bytes::Bytes;
 use clap::Args;
 use http_body_util::{BodyExt, Full};
@@ -58,8 +59,12 @@
 }
 
 impl Command {
-    /// Prints a line for each key.
-    pub async fn run(self) -> CommandResult {
+    /// Asks, and prints a line for each key.
+    pub fn run(self) -> CommandResult {
+        single_threaded_runtime()?.block_on(self.ask_and_print())
+    }
+
+    async fn ask_and_print(self) -> CommandResult {
         if self.keys.len() > self.max_items {
             eprintln!(
                 "slatelink: {} keys are more than {}",
--- a/crates/cli/src/node_arguments.rs
+++ b/crates/cli/src/node_arguments.rs
@@ -1,6 +1,6 @@
 //! The arguments that name the node under test, shared by `lab`, `lab scale` and `up`.
 
-use crate::LogFormat;
+use crate::log_format::LogFormat;
 use clap::Args;
 use slatelink_lab::nodes::Program;
 use std::io;
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -1,7 +1,8 @@
 //! `slatelink relay`: stands between discovery, or other relays, and nodes.
 
 use crate::exit::CommandResult;
-use crate::{one_thread, LogFormat};
+use crate::log_format::LogFormat;
+use crate::runtime::single_threaded_runtime;
 use clap::Args;
 use slatelink_config::relay::{RelaySettings, DEFAULT_LEASE_MS};
 use std::error::Error;
@@ -33,11 +34,12 @@
 }
 
 impl Command {
+    /// Runs the relay until SIGTERM.
     pub fn run(self) -> CommandResult {
         let format = self.log_format;
         let settings = self.settings()?;
         LocalSet::new().block_on(
-            &one_thread()?,
+            &single_threaded_runtime()?,
             slatelink_node::relay::run(settings, format.into()),
         )?;
         Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -6,10 +6,10 @@
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use slatelink_lab::client::Live;
 use slatelink_lab::report::Report;
-use slatelink_lab::run::{play, Options};
-use slatelink_lab::scenario::Scenario;
+use slatelink_lab::run::{play, Options, Started};
+use slatelink_lab::scenario::{Scenario, ScenarioError};
 use std::io::{self, IsTerminal, Write};
-use std::sync::atomic::Ordering;
+use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::mpsc;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -17,6 +17,15 @@
 /// Without `--for` a fleet ends by itself after so long: its load is drawn ahead.
 const LONGEST: Duration = Duration::from_secs(3600);
 
+/// The seed of the run.
+const SEED: u64 = 1;
+/// Whether the run is over is looked at this often.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The table or line is written anew this often.
+const DISPLAY_INTERVAL: Duration = Duration::from_secs(1);
+/// Circuit breakers that opened within this are shown.
+const BREAKER_SPAN: Duration = Duration::from_secs(6);
+
 #[derive(Args)]
 pub struct Up {
     /// Cache servers
@@ -55,21 +64,16 @@
 }
 
 impl Up {
+    /// Runs the fleet until its time is over or Ctrl-C, and prints what it came to.
     pub fn run(self) -> CommandResult {
-        let long = self.long.unwrap_or(LONGEST);
-        let text = format!(
-            "about = \"a fleet to look at\"\nseconds = {}\n[fleet]\nnodes = {}\nservers = {}\n[load]\nrate = {}\n",
-            long.as_secs(), self.nodes, self.servers, self.rate
-        );
-        let scenario = Scenario::parse(&text, "up".as_ref())?;
+        let scenario = self.scenario()?;
         self.node.start_log();
-        let (ready, told) = mpsc::channel();
-        let stop = crate::stop_at_interrupt()?;
+        let (ready, ready_nodes) = mpsc::channel();
         let options = Options {
             by_hand: true,
             ready: Some(ready),
-            stop,
-            ..Options::new(self.node.program()?, 1)
+            stop: crate::signals::stop_at_interrupt()?,
+            ..Options::new(self.node.program()?, SEED)
         };
         let live = options.live.clone();
         let playing = {
@@ -77,72 +81,150 @@
             thread::spawn(move || play(&scenario, &options))
         };
         // The sender goes with the run, also where its nodes do not start.
-        if let Ok(nodes) = told.recv() {
-            let mut out = io::stdout().lock();
-            for (place, (address, pid)) in nodes.iter().enumerate() {
-                let pid = pid.map_or_else(String::new, |pid| format!(", process {pid}"));
-                writeln!(out, "node n{place} answers at http://{address}{pid}")?;
-            }
-            if let Some((address, _)) = nodes.first() {
-                writeln!(out, "ask it yourself:\n  curl -i -H 'Req-Id: by-hand-1' -H 'Req-Kind: lookup' -H 'Req-Deadline-Ms: 500' http://{address}/api/7f3a9c21e0b4d655")?;
-            }
-            writeln!(
-                out,
-                "{} cache servers, {} requests a second; Ctrl-C ends it",
-                self.servers, self.rate
-            )?;
-            out.flush()?;
+        if let Ok(nodes) = ready_nodes.recv() {
+            self.introduce(&nodes)?;
         }
         watch(&live, || playing.is_finished());
         let played = playing.join().map_err(|_| "the run ended in a panic")??;
-        let report = Report::new("up", &scenario, 1, &played);
+        let report = Report::new("up", &scenario, SEED, &played);
         print!("{}", report.text());
         Ok(success_if(report.holds))
     }
+
+    fn scenario(&self) -> Result<Scenario, ScenarioError> {
+        let duration = self.long.unwrap_or(LONGEST);
+        let text = format!(
+            "about = \"a fleet to look at\"\nseconds = {}\n[fleet]\nnodes = {}\nservers = {}\n[load]\nrate = {}\n",
+            duration.as_secs(),
+            self.nodes,
+            self.servers,
+            self.rate
+        );
+        Scenario::parse(&text, "up".as_ref())
+    }
+
+    /// Prints where the nodes answer, and how to ask one.
+    fn introduce(&self, nodes: &[Started]) -> io::Result<()> {
+        let mut out = io::stdout().lock();
+        for (place, (address, pid)) in nodes.iter().enumerate() {
+            let pid = pid.map_or_else(String::new, |pid| format!(", process {pid}"));
+            writeln!(out, "node n{place} answers at http://{address}{pid}")?;
+        }
+        if let Some((address, _)) = nodes.first() {
+            writeln!(out, "ask it yourself:\n  curl -i -H 'Req-Id: by-hand-1' -H 'Req-Kind: lookup' -H 'Req-Deadline-Ms: 500' http://{address}/api/7f3a9c21e0b4d655")?;
+        }
+        writeln!(
+            out,
+            "{} cache servers, {} requests a second; Ctrl-C ends it",
+            self.servers, self.rate
+        )?;
+        out.flush()
+    }
+}
+
+/// Counts at one moment.
+#[derive(Clone, Copy)]
+struct Counts {
+    begun: u64,
+    in_time: u64,
+    refused: u64,
+}
+
+impl Counts {
+    fn of(live: &Live) -> Self {
+        Self {
+            begun: load(&live.begun),
+            in_time: load(&live.in_time),
+            refused: load(&live.refused),
+        }
+    }
+
+    /// What was counted since an earlier moment, a second.
+    fn rates_since(&self, earlier: &Self, elapsed: Duration) -> Rates {
+        let rate = |now: u64, before: u64| (now - before) as f64 / elapsed.as_secs_f64();
+        Rates {
+            requests: rate(self.begun, earlier.begun),
+            in_time: rate(self.in_time, earlier.in_time),
+            refused: rate(self.refused, earlier.refused),
+        }
+    }
+}
+
+/// Counts a second.
+struct Rates {
+    requests: f64,
+    in_time: f64,
+    refused: f64,
+}
+
+fn load(counter: &AtomicU64) -> u64 {
+    counter.load(Ordering::Relaxed)
 }
 
 /// A table that is drawn anew each second where a terminal is there, and a line a second where not.
-fn watch(live: &Live, over: impl Fn() -> bool) {
+fn watch(live: &Live, is_over: impl Fn() -> bool) {
     let terminal = io::stdout().is_terminal();
-    let target = if terminal {
-        ProgressDrawTarget::stdout()
-    } else {
-        ProgressDrawTarget::hidden()
-    };
-    let table = ProgressBar::with_draw_target(None, target);
-    table.set_style(
-        ProgressStyle::with_template("{msg}").unwrap_or_else(|_| ProgressStyle::default_spinner()),
-    );
-    let count = |of: &std::sync::atomic::AtomicU64| of.load(Ordering::Relaxed);
-    let (mut before, mut at) = ([0; 3], Instant::now());
-    while !over() {
-        thread::sleep(Duration::from_millis(50));
-        if at.elapsed() < Duration::from_secs(1) {
+    let table = table(terminal);
+    let (mut before, mut at) = (Counts::of(&Live::default()), Instant::now());
+    while !is_over() {
+        thread::sleep(POLL_INTERVAL);
+        if at.elapsed() < DISPLAY_INTERVAL {
             continue;
         }
-        let now = [
-            count(&live.begun),
-            count(&live.in_time),
-            count(&live.refused),
-        ];
-        let rate = |i: usize| (now[i] - before[i]) as f64 / at.elapsed().as_secs_f64();
-        let (p50, p99) = live.percentiles();
-        let tripped = live.tripped_within(Duration::from_secs(6));
-        let failed = count(&live.failed);
+        let now = Counts::of(live);
+        let rates = now.rates_since(&before, at.elapsed());
         if terminal {
-            table.set_message(format!(
-                "requests/s {:>8.1}\nin time/s  {:>8.1}\nrefused/s  {:>8.1}\nunserved   {failed:>8}\np50 ms     {p50:>8.1}\np99 ms     {p99:>8.1}\nbreakers tripped in the last 6 s {tripped}",
-                rate(0), rate(1), rate(2)
-            ));
+            table.set_message(table_text(&rates, live));
         } else {
             // Where nobody reads any more the run goes on to its end.
-            let _ = writeln!(
-                io::stdout(),
-                "{:.1} requests/s, {:.1} in time/s, {:.1} refused/s, {failed} unserved, p50 {p50:.1} ms, p99 {p99:.1} ms, {tripped} breakers tripped in the last 6 s",
-                rate(0), rate(1), rate(2)
-            );
+            let _ = writeln!(io::stdout(), "{}", line_text(&rates, live));
         }
         (before, at) = (now, Instant::now());
     }
     table.finish_and_clear();
 }
+
+fn table(terminal: bool) -> ProgressBar {
+    let target = if terminal {
+        ProgressDrawTarget::stdout()
+    } else {
+        ProgressDrawTarget::hidden()
+    };
+    let table = ProgressBar::with_draw_target(None, target);
+    let style = ProgressStyle::with_template("{msg}");
+    table.set_style(style.unwrap_or_else(|_| ProgressStyle::default_spinner()));
+    table
+}
+
+fn table_text(rates: &Rates, live: &Live) -> String {
+    let (p50, p99) = live.percentiles();
+    let tripped = live.tripped_within(BREAKER_SPAN);
+    let failed = load(&live.failed);
+    let Rates {
+        requests,
+        in_time,
+        refused,
+    } = rates;
+    format!(
+        "requests/s {requests:>8.1}\nin time/s  {in_time:>8.1}\nrefused/s  {refused:>8.1}\n\
+         unserved   {failed:>8}\np50 ms     {p50:>8.1}\np99 ms     {p99:>8.1}\n\
+         breakers tripped in the last {} s {tripped}",
+        BREAKER_SPAN.as_secs()
+    )
+}
+
+fn line_text(rates: &Rates, live: &Live) -> String {
+    let (p50, p99) = live.percentiles();
+    let tripped = live.tripped_within(BREAKER_SPAN);
+    let failed = load(&live.failed);
+    let Rates {
+        requests,
+        in_time,
+        refused,
+    } = rates;
+    format!(
+        "{requests:.1} requests/s, {in_time:.1} in time/s, {refused:.1} refused/s, {failed} unserved, \
+         p50 {p50:.1} ms, p99 {p99:.1} ms, {tripped} breakers tripped in the last {} s",
+        BREAKER_SPAN.as_secs()
+    )
+}
