--- /dev/null
+++ b/crates/cli/tests/node_common/http.rs
@@ -0,0 +1,117 @@
+//! HTTP/1.1 messages, and a client that sends and reads them one at a time.
+
+use std::collections::HashMap;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::TcpStream;
+
+/// An HTTP message as it came: its first line, its headers by lower-case name, its body.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Message {
+    pub start: String,
+    pub headers: HashMap<String, String>,
+    pub body: Vec<u8>,
+}
+
+impl Message {
+    /// Reads one message; `None` where the connection ends first. A body that breaks off is an error.
+    pub fn read(stream: &mut BufReader<TcpStream>) -> std::io::Result<Option<Self>> {
+        let mut message = Self::default();
+        loop {
+            let mut line = String::new();
+            if stream.read_line(&mut line)? == 0 {
+                return Ok(None);
+            }
+            match line.trim_end() {
+                "" => break,
+                line if message.start.is_empty() => message.start = line.to_owned(),
+                line => {
+                    let (name, value) = line.split_once(':').unwrap();
+                    message
+                        .headers
+                        .insert(name.to_ascii_lowercase(), value.trim().to_owned());
+                }
+            }
+        }
+        let length = message
+            .header("content-length")
+            .map_or(0, |length| length.parse().unwrap());
+        message.body = vec![0; length];
+        stream.read_exact(&mut message.body)?;
+        Ok(Some(message))
+    }
+
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.headers.get(name).map(String::as_str)
+    }
+
+    pub fn status(&self) -> u16 {
+        self.start.split(' ').nth(1).unwrap().parse().unwrap()
+    }
+}
+
+pub fn answer(status: &str, headers: &str, body: &str) -> String {
+    format!(
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+}
+
+pub fn read(class: &str, key: u64, deadline_ms: u64) -> String {
+    format!(
+        "GET /api/{key:016x} HTTP/1.1\r\nHost: s\r\nReq-Id: {key:x}\r\nReq-Kind: {class}\r\n\
+         Req-Deadline-Ms: {deadline_ms}\r\n\r\n"
+    )
+}
+
+/// A client's connection.
+pub struct Client(BufReader<TcpStream>);
+
+impl Client {
+    pub fn on(stream: TcpStream) -> Self {
+        Self(BufReader::new(stream))
+    }
+
+    pub fn send(&mut self, text: &str) {
+        self.0.get_mut().write_all(text.as_bytes()).unwrap();
+    }
+
+    /// Sends what the node takes before it closes.
+    pub fn try_send(&mut self, text: &str) {
+        let _ = self.0.get_mut().write_all(text.as_bytes());
+    }
+
+    /// Sends no more: the node sees that the client has gone.
+    pub fn leave(&self) {
+        self.0
+            .get_ref()
+            .shutdown(std::net::Shutdown::Write)
+            .unwrap();
+    }
+
+    /// The next answer; `None` where the node closes the connection first.
+    pub fn answer(&mut self) -> Option<Message> {
+        match Message::read(&mut self.0) {
+            Ok(message) => message,
+            Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => None,
+            Err(error) => panic!("no answer: {error}"),
+        }
+    }
+
+    /// All that comes until the node closes, as it comes.
+    pub fn rest(&mut self) -> String {
+        let mut text = String::new();
+        self.0.read_to_string(&mut text).unwrap();
+        text
+    }
+
+    /// `None` where the node has closed the connection.
+    pub fn try_ask(&mut self, text: &str) -> Option<Message> {
+        self.0.get_mut().write_all(text.as_bytes()).ok()?;
+        self.answer()
+    }
+
+    pub fn ask(&mut self, text: &str) -> Message {
+        self.send(text);
+        self.answer().expect("an answer")
+    }
+}
