--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -86,7 +86,7 @@
     pub fn mark_unready(&self, list: &EndpointList) {
         let pools = self.pools.borrow();
         let unready = list
-            .hosts
+            .endpoints
             .iter()
             .filter(|host| host.availability() != Availability::Ready);
         for pool in unready.filter_map(|host| pools.get(&EndpointId::from(host.id()))) {
--- a/crates/telemetry/src/figures/output.rs
+++ b/crates/telemetry/src/figures/output.rs
@@ -1,7 +1,8 @@
 //! Where figures go: a file, standard error or UDP.
 
+use crate::error::TelemetryError;
 use crate::writer::{has_vanished, write_part, BoundedSender, Writer};
-use slatelink_config::operators::Target;
+use slatelink_config::operators::MetricsTarget;
 use std::fs::File;
 use std::io::{self, Write as _};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, UdpSocket};
@@ -25,10 +26,10 @@
 impl Output {
     /// Opens what figures go to; `results` is told of each batch that the writer is done with.
     pub(super) fn open(
-        target: &Target,
+        target: &MetricsTarget,
         writer: &Writer,
         results: UnboundedSender<bool>,
-    ) -> Result<Self, String> {
+    ) -> Result<Self, TelemetryError> {
         // A second place: the first is given back only after its batch's result is told.
         let queue = |sink| Self::Queue {
             sender: writer.sender(2),
@@ -36,14 +37,17 @@
             results,
         };
         Ok(match target {
-            Target::Stderr => queue(None),
-            Target::File(path) => {
+            MetricsTarget::Stderr => queue(None),
+            MetricsTarget::File(path) => {
                 let file = match Sink::open(path) {
                     Ok(file) => Some(file),
                     // A FIFO without a reader: one may come.
                     Err(error) if error.raw_os_error() == Some(libc::ENXIO) => None,
                     Err(error) => {
-                        return Err(format!("figures: cannot open {}: {error}", path.display()))
+                        return Err(TelemetryError::MetricsFile {
+                            path: path.clone(),
+                            error,
+                        })
                     }
                 };
                 queue(Some(Arc::new(Mutex::new(Sink {
@@ -52,7 +56,7 @@
                     torn: false,
                 }))))
             }
-            Target::Udp(address) => {
+            MetricsTarget::Udp(address) => {
                 let any = match address.ip() {
                     IpAddr::V4(_) => IpAddr::V4(Ipv4Addr::UNSPECIFIED),
                     IpAddr::V6(_) => IpAddr::V6(Ipv6Addr::UNSPECIFIED),
@@ -63,10 +67,10 @@
                     socket.connect(address)?;
                     Ok(socket)
                 });
-                Self::Udp(
-                    socket
-                        .map_err(|error| format!("figures: cannot send to {address}: {error}"))?,
-                )
+                Self::Udp(socket.map_err(|error| TelemetryError::MetricsSocket {
+                    address: *address,
+                    error,
+                })?)
             }
         })
     }
