--- a/crates/node/src/connections/handle.rs
+++ b/crates/node/src/connections/handle.rs
@@ -1,9 +1,10 @@
-//! A connection's place in the table: its events, and how its directives are carried out.
+//! One connection: its events go to the table, and the table's directives are carried out.
 
 use super::socket::Socket;
 use super::ConnectionManager;
 use bytes::{Bytes, BytesMut};
-use slatelink_admission::{ConnectionId, Directive, KeepAlive, Phase};
+use slatelink_admission::{ConnectionId, ConnectionTable, Directive, KeepAlive, Phase};
+use std::cell::RefMut;
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -11,107 +12,105 @@
 use std::time::Duration;
 use tokio::time::sleep_until;
 
-/// For so long after its last write to a client a connection stays open unless that closes it: closed over bytes that
-/// nobody has read, it would be reset, and take with it what the client has not read yet.
+/// For so long after its last write a connection stays open, unless its client closes it: closed with received bytes that
+/// nobody has read, it would be reset, and the client would lose what it has not read of the response yet.
 const LINGER_TIME: Duration = Duration::from_secs(1);
 
-/// A connection's place in the table.
+/// A connection in the table of its port, which it leaves when dropped.
 pub struct ConnectionHandle {
-    pub(super) table: Rc<ConnectionManager>,
+    pub(super) manager: Rc<ConnectionManager>,
     pub(super) id: ConnectionId,
     pub(super) socket: Socket,
 }
 
 impl ConnectionHandle {
-    /// What is polled with this context is woken where the table has something to tell it.
-    fn follow(&self, cx: &Context<'_>) {
-        if let Some(waker) = self.table.wakers.borrow_mut().get_mut(self.id as usize) {
+    /// The table. Not to be held over a wake-up or an await.
+    pub(super) fn table(&self) -> RefMut<'_, ConnectionTable> {
+        self.manager.table.borrow_mut()
+    }
+
+    /// The present on the table's clock.
+    pub(super) fn now(&self) -> Duration {
+        self.manager.now()
+    }
+
+    /// Has the task of this context woken when the table has a new directive for the connection.
+    fn register_waker(&self, cx: &Context<'_>) {
+        if let Some(waker) = self.manager.wakers.borrow_mut().get_mut(self.id as usize) {
             // A task's waker stays the same for as long as it runs.
             waker.get_or_insert_with(|| cx.waker().clone());
         }
     }
 
     fn directive(&self) -> Directive {
-        self.table.connections.borrow_mut().directive(self.id)
+        self.table().directive(self.id)
     }
 
-    /// Whether the connection closes with the response that it is about to write.
-    pub fn closes_with_response(&self) -> bool {
-        let keep_alive = self
-            .table
-            .connections
-            .borrow_mut()
-            .keep_alive(self.table.now(), self.id);
-        if let KeepAlive::KeepAndEvict(idle) = keep_alive {
-            self.table.wake(idle);
-        }
-        keep_alive == KeepAlive::Close
+    fn is_in_phase(&self, phase: Phase) -> bool {
+        self.table().phase(self.id) == phase
     }
 
-    /// A request's head has come; its body may follow.
+    /// Reports that the head of a request was read; its body may follow.
     pub fn on_request_head(&self) {
-        self.table
-            .connections
-            .borrow_mut()
-            .on_request_head(self.table.now(), self.id);
+        self.table().on_request_head(self.now(), self.id);
     }
 
-    /// A request of this class has come whole. Whether its class has more of them open than its share.
+    /// Reports that a request of this class was read completely. Whether its class has more of them open than its quota.
     pub fn on_request(&self, class: usize) -> bool {
-        self.table
-            .connections
-            .borrow_mut()
-            .on_request(self.table.now(), self.id, class)
+        self.table().on_request(self.now(), self.id, class)
     }
 
-    /// So many more bytes are held for its request, until the answer. `false` where there is no memory for them.
+    /// Reserves memory for the body of a request, until its response. `false` where there is none.
     pub fn reserve_request_bytes(&self, bytes: usize) -> bool {
-        self.table
-            .connections
-            .borrow_mut()
-            .reserve_request_bytes(self.id, bytes)
+        self.table().reserve_request_bytes(self.id, bytes)
     }
 
-    /// Its answer is at hand.
+    /// Reports that the response to a request is about to be written.
     pub fn on_response(&self) {
-        self.table
-            .connections
-            .borrow_mut()
-            .on_response(self.table.now(), self.id);
+        self.table().on_response(self.now(), self.id);
+    }
+
+    /// Whether the connection closes with the response that it is about to write. Another may be evicted in its place.
+    pub fn closes_with_response(&self) -> bool {
+        let keep_alive = self.table().keep_alive(self.now(), self.id);
+        if let KeepAlive::KeepAndEvict(idle) = keep_alive {
+            self.manager.wake(idle);
+        }
+        keep_alive == KeepAlive::Close
     }
 
-    /// The connection gives up all but its socket; `before` was read from that and not used.
-    pub fn park(&self, before: &Bytes) {
-        self.table.connections.borrow_mut().on_parked(self.id);
-        self.table.wake_starved();
-        let mut ahead = self.socket.ahead.borrow_mut();
-        let behind = ahead.split();
-        // A buffer of its own size: as it comes each would keep all of what it was read into.
-        *ahead = BytesMut::with_capacity(before.len() + behind.len());
-        ahead.extend_from_slice(before);
-        ahead.extend_from_slice(&behind);
+    /// Reports that the connection has released all but its socket. `unread` was read from that before, and not used yet.
+    pub fn park(&self, unread: &Bytes) {
+        self.table().on_parked(self.id);
+        self.manager.wake_awaiting_memory();
+        let mut read_ahead = self.socket.read_ahead.borrow_mut();
+        let later = read_ahead.split();
+        // A buffer of its own size: either of them would keep all of the buffer that it was read into.
+        *read_ahead = BytesMut::with_capacity(unread.len() + later.len());
+        read_ahead.extend_from_slice(unread);
+        read_ahead.extend_from_slice(&later);
     }
 
-    /// Whether what the client sends is not read as requests any more, since it sent too much at once.
-    pub fn overrun(&self) -> bool {
-        self.socket.overrun.get()
+    /// Whether the client has sent more ahead of a response than is kept: no further request is read.
+    pub fn read_ahead_exceeded(&self) -> bool {
+        self.socket.read_ahead_exceeded.get()
     }
 
-    /// Whether the client has gone, also where its end stands behind bytes that nobody has asked for.
+    /// Whether the client has closed its side, also where that stands behind bytes that nobody has asked for.
     pub fn client_has_left(&self) -> bool {
-        self.socket.read_ahead();
-        self.socket.ended.get()
+        self.socket.fill_read_ahead();
+        self.socket.read_closed.get()
     }
 
-    /// The same, polled again whenever there is more to look at.
+    /// The same; the task is woken when there is more to be read.
     fn poll_client_has_left(&self, cx: &mut Context<'_>) -> bool {
-        while !self.socket.ended.get() {
+        while !self.socket.read_closed.get() {
             match self.socket.stream.poll_read_ready(cx) {
                 Poll::Pending => return false,
-                Poll::Ready(Err(_)) => self.socket.ended.set(true),
-                Poll::Ready(Ok(())) if self.socket.read_ahead() => {
+                Poll::Ready(Err(_)) => self.socket.read_closed.set(true),
+                Poll::Ready(Ok(())) if self.socket.fill_read_ahead() => {
                     cx.waker().wake_by_ref();
-                    return self.socket.ended.get();
+                    return self.socket.read_closed.get();
                 }
                 Poll::Ready(Ok(())) => {}
             }
@@ -119,86 +118,92 @@
         true
     }
 
-    fn is_at(&self, phase: Phase) -> bool {
-        self.table.connections.borrow().phase(self.id) == phase
-    }
-
-    /// Keeps a connection that was shut for as long as its client may still be reading, and reads nothing from it: what
-    /// crossed the end is its client's to send again, elsewhere.
+    /// Keeps a connection whose write side is shut down open for as long as its client may still be reading, and reads
+    /// nothing from it: a request that crossed the end is the client's to send again, elsewhere.
     pub async fn linger(&self) {
-        let Some(wrote) = self.socket.wrote.get().filter(|_| self.socket.shut.get()) else {
+        let Some(last_write_at) = self.socket.last_write_at.get() else {
             return;
         };
-        if self.socket.ended.get() || !self.table.connections.borrow().may_linger(self.id) {
+        if !self.socket.write_shut_down.get() || self.socket.read_closed.get() {
             return;
         }
-        let until = wrote + LINGER_TIME;
-        let mut seen = [0];
+        if !self.table().may_linger(self.id) {
+            return;
+        }
+        let deadline = last_write_at + LINGER_TIME;
+        let mut first_byte = [0];
         tokio::select! {
             // Closed by the client, unless there are bytes: nothing tells what stands behind those.
-            seen = self.socket.stream.peek(&mut seen) => if matches!(seen, Ok(n) if n > 0) {
-                sleep_until(until).await;
+            peeked = self.socket.stream.peek(&mut first_byte) => if matches!(peeked, Ok(bytes) if bytes > 0) {
+                sleep_until(deadline).await;
             },
-            () = sleep_until(until) => {}
+            () = sleep_until(deadline) => {}
         }
     }
 
-    /// Waits until bytes arrive on a parked connection and there is memory to read them. `false` where
-    /// the node ends it first, or it is broken.
-    pub fn poll_spoken(&self, cx: &mut Context<'_>) -> Poll<bool> {
-        self.follow(cx);
-        // What has come by then is taken: it goes before the end.
-        let spoken = match self.socket.ahead.borrow().is_empty() {
-            true => self.socket.stream.poll_read_ready(cx),
-            false => Poll::Ready(Ok(())),
+    /// Waits until bytes arrive on a parked connection and there is memory to read them. `false` where the node closes it
+    /// first, or it is broken.
+    pub fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<bool> {
+        self.register_waker(cx);
+        // What has arrived by then is read: it goes before the end.
+        let readable = if self.socket.read_ahead.borrow().is_empty() {
+            self.socket.stream.poll_read_ready(cx)
+        } else {
+            Poll::Ready(Ok(()))
         };
-        let directive = self.directive();
-        if matches!(spoken, Poll::Ready(Err(_))) || directive == Directive::Abort {
-            return Poll::Ready(false);
-        }
-        if spoken.is_ready() {
-            let reserved = self
-                .table
-                .connections
-                .borrow_mut()
-                .on_readable(self.table.now(), self.id);
-            let Err(shortage) = reserved else {
-                return Poll::Ready(true);
-            };
-            self.table.wake_one(shortage.parking);
-            return Poll::Pending;
+        match (readable, self.directive()) {
+            (_, Directive::Abort) | (Poll::Ready(Err(_)), _) => Poll::Ready(false),
+            (Poll::Ready(Ok(())), _) => self.poll_memory(),
+            (Poll::Pending, Directive::Finish) => Poll::Ready(false),
+            (Poll::Pending, Directive::Continue | Directive::Park) => Poll::Pending,
         }
-        match directive {
-            Directive::Finish => Poll::Ready(false),
-            _ => Poll::Pending,
+    }
+
+    /// Ready once there is memory to read the bytes that have arrived.
+    fn poll_memory(&self) -> Poll<bool> {
+        let reserved = self.table().on_readable(self.now(), self.id);
+        match reserved {
+            Ok(()) => Poll::Ready(true),
+            Err(shortage) => {
+                self.manager.wake_if_any(shortage.parking);
+                Poll::Pending
+            }
         }
     }
 
-    /// Drives a connection to its end, or until it is to be parked: what was taken is finished when the node closes; a
-    /// connection whose time is up is dropped, but for an idle one, which may be met by a request just then.
-    pub async fn drive<C>(&self, serving: &mut C, close: impl Fn(Pin<&mut C>)) -> DriveOutcome
+    /// Drives hyper's part of a connection to its end, or until it is to be parked. What was read is finished when the node
+    /// closes; a connection whose time is up is dropped, but for an idle one, which may receive a request just then.
+    /// `shut_down` has hyper finish and close.
+    pub async fn drive<C>(
+        &self,
+        http_connection: &mut C,
+        shut_down: impl Fn(Pin<&mut C>),
+    ) -> DriveOutcome
     where
         C: Future + Unpin,
     {
-        let mut closed = false;
+        let mut shutting_down = false;
         poll_fn(|cx| {
-            self.follow(cx);
+            self.register_waker(cx);
             loop {
                 // An error here is a client that left or spoke no HTTP: hyper has answered what can be.
-                if Pin::new(&mut *serving).poll(cx).is_ready() {
-                    return Poll::Ready(DriveOutcome::Over);
+                if Pin::new(&mut *http_connection).poll(cx).is_ready() {
+                    return Poll::Ready(DriveOutcome::Closed);
                 }
                 // hyper looks for the client's end only while it has read nothing more of it.
-                if self.is_at(Phase::Processing) && self.poll_client_has_left(cx) {
-                    return Poll::Ready(DriveOutcome::Over);
+                if self.is_in_phase(Phase::Processing) && self.poll_client_has_left(cx) {
+                    return Poll::Ready(DriveOutcome::Closed);
                 }
                 match self.directive() {
-                    Directive::Abort => return Poll::Ready(DriveOutcome::Over),
+                    Directive::Abort => return Poll::Ready(DriveOutcome::Closed),
                     Directive::Park => return Poll::Ready(DriveOutcome::Park),
-                    // Closed now, hyper would drop the half of a request that it has: its answer closes the connection.
-                    Directive::Finish if !closed && !self.is_at(Phase::ReadingRequest) => {
-                        closed = true;
-                        close(Pin::new(serving));
+                    // Shut down while it reads a request, hyper would drop what it has of it: there the response closes
+                    // the connection.
+                    Directive::Finish
+                        if !shutting_down && !self.is_in_phase(Phase::ReadingRequest) =>
+                    {
+                        shutting_down = true;
+                        shut_down(Pin::new(http_connection));
                     }
                     Directive::Finish | Directive::Continue => return Poll::Pending,
                 }
@@ -210,20 +215,20 @@
 
 impl Drop for ConnectionHandle {
     fn drop(&mut self) {
-        self.table.connections.borrow_mut().remove(self.id);
-        if let Some(waker) = self.table.wakers.borrow_mut().get_mut(self.id as usize) {
+        self.table().remove(self.id);
+        if let Some(waker) = self.manager.wakers.borrow_mut().get_mut(self.id as usize) {
             *waker = None;
         }
-        self.table.wake_starved();
-        self.table.freed.notify_one();
+        self.manager.wake_awaiting_memory();
+        self.manager.connection_closed.notify_one();
     }
 }
 
-/// What a connection came to.
+/// How hyper's part of a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DriveOutcome {
-    /// It has ended, or is to be dropped.
-    Over,
-    /// It has been idle for a while.
+    /// The connection has ended, or is to be dropped.
+    Closed,
+    /// It has been idle for a while: all but the socket is to be released.
     Park,
 }
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -201,7 +201,7 @@
         loop {
             match &mut this.state {
                 State::Parked => {
-                    this.state = match ready!(this.place.poll_spoken(cx)) {
+                    this.state = match ready!(this.place.poll_readable(cx)) {
                         true => State::Busy(Box::pin(busy(this.place.clone(), this.front.clone()))),
                         false => State::Over,
                     };
@@ -209,7 +209,7 @@
                 State::Busy(busy) => {
                     this.state = match ready!(busy.as_mut().poll(cx)) {
                         DriveOutcome::Park => State::Parked,
-                        DriveOutcome::Over => State::Over,
+                        DriveOutcome::Closed => State::Over,
                     };
                 }
                 State::Over => return Poll::Ready(()),
@@ -233,7 +233,7 @@
         .drive(&mut serving, |serving| serving.graceful_shutdown())
         .await;
     match driven {
-        DriveOutcome::Over => {
+        DriveOutcome::Closed => {
             // Its buffers are not needed for that.
             drop(serving);
             place.linger().await;
@@ -276,7 +276,7 @@
     // others wait unaccepted, or cannot connect at all.
     if !usable
         || place.closes_with_response()
-        || place.overrun()
+        || place.read_ahead_exceeded()
         || *front.stage.borrow() >= ShutdownStage::Draining
     {
         response
