--- a/crates/node/src/multiget.rs
+++ b/crates/node/src/multiget.rs
@@ -208,7 +208,7 @@
         ));
     }
     let bad = |what| text_response(StatusCode::BAD_REQUEST, what);
-    let terms = parse_parameters(&side.front, &head.headers).map_err(bad)?;
+    let terms = parse_parameters(&side.front, &head.headers)?;
     let body = read_body(body).await?;
     let items: Vec<Item> = serde_json::from_slice(&body)
         .map_err(|_| bad("not a list of items with key and req_id"))?;
--- /dev/null
+++ b/crates/node/src/server/connection.rs
@@ -0,0 +1,92 @@
+//! The life of a client connection: parked between requests, served while it has some, lingering at its end.
+
+use super::request::handle_request;
+use super::{ServerContext, MAX_HEAD_BYTES};
+use crate::connections::{ConnectionHandle, DriveOutcome, ReportingSocket};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use std::convert::Infallible;
+use std::future::Future;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+
+/// A client connection, which ends with this future. Between requests it holds nothing but its socket: hyper's part, with
+/// buffers and parser, is in a box of its own, made when the client sends something and dropped a while after its response.
+pub struct ClientConnection {
+    handle: Rc<ConnectionHandle>,
+    context: Rc<ServerContext>,
+    state: State,
+}
+
+enum State {
+    /// Waits for bytes.
+    Parked,
+    /// hyper reads requests and writes responses.
+    Serving(Pin<Box<dyn Future<Output = DriveOutcome>>>),
+    Closed,
+}
+
+impl ClientConnection {
+    /// A connection that was just admitted.
+    pub fn new(handle: ConnectionHandle, context: Rc<ServerContext>) -> Self {
+        Self {
+            handle: Rc::new(handle),
+            context,
+            state: State::Parked,
+        }
+    }
+}
+
+impl Future for ClientConnection {
+    type Output = ();
+
+    fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
+        let this = &mut *self;
+        loop {
+            this.state = match &mut this.state {
+                State::Parked => {
+                    if ready!(this.handle.poll_readable(cx)) {
+                        let serving = serve_requests(this.handle.clone(), this.context.clone());
+                        State::Serving(Box::pin(serving))
+                    } else {
+                        State::Closed
+                    }
+                }
+                State::Serving(serving) => match ready!(serving.as_mut().poll(cx)) {
+                    DriveOutcome::Park => State::Parked,
+                    DriveOutcome::Closed => State::Closed,
+                },
+                State::Closed => return Poll::Ready(()),
+            }
+        }
+    }
+}
+
+/// Serves requests until the connection ends, or has been idle for a while: then its socket is given back.
+async fn serve_requests(
+    connection: Rc<ConnectionHandle>,
+    context: Rc<ServerContext>,
+) -> DriveOutcome {
+    let service = service_fn(async |request| {
+        connection.on_request_head();
+        let response = handle_request(&context, &connection, request).await;
+        connection.on_response();
+        Ok::<_, Infallible>(response)
+    });
+    let mut http = http1::Builder::new();
+    http.max_buf_size(MAX_HEAD_BYTES);
+    let mut serving = http.serve_connection(ReportingSocket(connection.clone()), service);
+    let outcome = connection
+        .drive(&mut serving, |serving| serving.graceful_shutdown())
+        .await;
+    match outcome {
+        DriveOutcome::Closed => {
+            // Lingering needs no buffers.
+            drop(serving);
+            connection.linger().await;
+        }
+        DriveOutcome::Park => connection.park(&serving.into_parts().read_buf),
+    }
+    outcome
+}
--- /dev/null
+++ b/crates/node/src/server/request.rs
@@ -0,0 +1,160 @@
+//! A client's request, from its head to its response.
+
+use super::error::RequestError;
+use super::parameters::RequestHeaders;
+use super::response::{client_response, text_response, HttpResponse};
+use super::submit::submit_request;
+use super::{ServerContext, ShutdownStage};
+use crate::connections::ConnectionHandle;
+use crate::upstream::{read_body, BodyError, ForwardedRequest, MAX_BODY_BYTES};
+use bytes::Bytes;
+use hyper::body::{Body, Incoming};
+use hyper::header::{HeaderValue, CONNECTION, TRANSFER_ENCODING};
+use hyper::http::request::Parts;
+use hyper::{Method, Request, StatusCode};
+use std::hash::{DefaultHasher, Hasher};
+use tokio::time::Instant;
+
+/// The path of the health check.
+const HEALTH_PATH: &str = "/healthz";
+/// What the paths of all other requests begin with; the last segment is the key.
+const API_PREFIX: &str = "/api/";
+
+/// Answers a request, and closes the connection with the response where it should not be reused.
+pub(super) async fn handle_request(
+    context: &ServerContext,
+    connection: &ConnectionHandle,
+    request: Request<Incoming>,
+) -> HttpResponse {
+    let (mut response, usable) = match respond(context, connection, request).await {
+        Ok(response) => (response, true),
+        Err(error) => (HttpResponse::from(error), false),
+    };
+    // A client that sends what cannot be used comes again at once: not on this connection, where it would cost the others
+    // the least of waits between two.
+    // Where descriptors run out an answered connection releases its own at once: kept, it would stand idle for its time
+    // while others wait unaccepted, or cannot connect at all.
+    if !usable
+        || connection.closes_with_response()
+        || connection.read_ahead_exceeded()
+        || context.stage() >= ShutdownStage::Draining
+    {
+        response
+            .headers_mut()
+            .insert(CONNECTION, HeaderValue::from_static("close"));
+    }
+    response
+}
+
+async fn respond(
+    context: &ServerContext,
+    connection: &ConnectionHandle,
+    request: Request<Incoming>,
+) -> Result<HttpResponse, RequestError> {
+    let received_at = Instant::now();
+    let (head, body) = request.into_parts();
+    let target = head
+        .uri
+        .path_and_query()
+        .cloned()
+        .ok_or(RequestError::MissingPath)?;
+    if target.path() == HEALTH_PATH {
+        return health(context, &head.method);
+    }
+    let key = path_key(target.path()).ok_or(RequestError::UnknownPath)?;
+    check_framing(&head)?;
+    let headers = RequestHeaders::parse(context, &head.headers)?;
+    let body = receive_body(connection, body).await?;
+    // Its client may have gone before it was read: nothing is begun for nobody.
+    if connection.client_has_left() {
+        return Err(RequestError::ClientDisconnected);
+    }
+    // Forwarded, it would be a duplicate of another client's request.
+    let id = context
+        .open_ids
+        .register(headers.id)
+        .ok_or(RequestError::DuplicateId)?;
+    let mut parameters = headers.parameters;
+    let class_over_quota = connection.on_request(parameters.class.0);
+    parameters.over_quota = class_over_quota || body.unread.is_some();
+    let message = ForwardedRequest {
+        method: head.method,
+        target,
+        id,
+        idempotency_key: headers.idempotency_key,
+        body: body.bytes,
+    };
+    let answer = submit_request(context, received_at, key, parameters, message).await;
+    // Not before: hyper drains a body that is dropped unread, or reads no more from the connection.
+    drop(body.unread);
+    Ok(client_response(answer))
+}
+
+/// The response to a health check.
+fn health(context: &ServerContext, method: &Method) -> Result<HttpResponse, RequestError> {
+    if method != Method::GET {
+        return Err(RequestError::MethodNotAllowed { allowed: "GET" });
+    }
+    let ready = context.ready.get() && context.stage() == ShutdownStage::Serving;
+    Ok(if ready {
+        text_response(StatusCode::OK, "ready")
+    } else {
+        text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
+    })
+}
+
+/// The key that a path names, if it names one.
+fn path_key(path: &str) -> Option<u64> {
+    let name = path.strip_prefix(API_PREFIX)?.rsplit('/').next()?;
+    (!name.is_empty()).then(|| key_number(name))
+}
+
+/// The number by which a key is placed: keys are 64-bit numbers in hexadecimal; any other name goes by its hash, the same
+/// at every node.
+pub fn key_number(name: &str) -> u64 {
+    u64::from_str_radix(name, 16).unwrap_or_else(|_| {
+        let mut hasher = DefaultHasher::new();
+        hasher.write(name.as_bytes());
+        hasher.finish()
+    })
+}
+
+/// Checks the method and that the body's length is stated.
+fn check_framing(head: &Parts) -> Result<(), RequestError> {
+    if head.method != Method::GET && head.method != Method::PUT {
+        return Err(RequestError::MethodNotAllowed {
+            allowed: "GET, PUT",
+        });
+    }
+    // hyper drops a length that stands beside it, and what the two disagree on may hide another request.
+    if head.headers.contains_key(TRANSFER_ENCODING) {
+        return Err(RequestError::LengthRequired);
+    }
+    Ok(())
+}
+
+/// The body of a request.
+struct RequestBody {
+    /// What was read: all of it, or nothing.
+    bytes: Bytes,
+    /// The body where there was no memory to read it: the request is to be shed.
+    unread: Option<Incoming>,
+}
+
+/// Reads the body if there is memory for it.
+async fn receive_body(
+    connection: &ConnectionHandle,
+    body: Incoming,
+) -> Result<RequestBody, BodyError> {
+    let min_bytes = body.size_hint().lower().min(MAX_BODY_BYTES as u64) as usize;
+    if !connection.reserve_request_bytes(min_bytes) {
+        return Ok(RequestBody {
+            bytes: Bytes::new(),
+            unread: Some(body),
+        });
+    }
+    Ok(RequestBody {
+        bytes: read_body(body).await?,
+        unread: None,
+    })
+}
