--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -3,9 +3,9 @@
 //! It is the client of discovery and the decision module of a whole node, wired to each other as there, without listener,
 //! connections to cache servers and clients. Requests can be drawn at a rate; each attempt ends at once, as served.
 
-use crate::decisions::Decisions;
 use crate::discovery::Discovery;
 use crate::driver::DriverEvent;
+use crate::policy_runner::PolicyRunner;
 use slatelink_config::EndpointList;
 use slatelink_policy::{
     Action, Balancer, ClassId, Endpoint, EndpointId, EndpointUpdate, Event, LoadReport, Outcome,
@@ -66,7 +66,7 @@
         log,
     } = options;
     let (events, inputs) = mpsc::unbounded_channel();
-    let follow = Rc::new(Notify::new());
+    let poll_requested = Rc::new(Notify::new());
     let mut random = fastrand::Rng::with_seed(seed);
     let client = Discovery {
         address: discovery,
@@ -80,12 +80,12 @@
     };
     // Dropped with this future, the set ends its task.
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(client.run(follow.clone()));
+    tasks.spawn_local(client.run(poll_requested.clone()));
     let driver = ControlDriver {
         requests: Requests::new(&settings, request_rate, random),
-        decisions: Decisions::new(Balancer::new(settings, seed)),
-        follow,
-        wakes: BTreeSet::new(),
+        policy: PolicyRunner::new(Balancer::new(settings, seed)),
+        poll_requested,
+        timers: BTreeSet::new(),
         sent: 0,
         processor_clock,
         observer,
@@ -95,9 +95,9 @@
 
 /// Delivers events to the decision module and carries out what of its actions concerns control.
 struct ControlDriver {
-    decisions: Decisions,
-    follow: Rc<Notify>,
-    wakes: BTreeSet<Instant>,
+    policy: PolicyRunner,
+    poll_requested: Rc<Notify>,
+    timers: BTreeSet<Instant>,
     requests: Requests,
     /// Attempts so far.
     sent: u64,
@@ -107,14 +107,14 @@
 
 impl ControlDriver {
     async fn run(mut self, mut inputs: UnboundedReceiver<DriverEvent>) {
-        self.decisions
-            .push(Event::LastKnownEndpoints(Arc::from([])));
-        self.handle_due();
+        self.policy
+            .enqueue(Event::LastKnownEndpoints(Arc::from([])));
+        self.handle_queued_events();
         loop {
-            let (wake, request) = (self.wakes.first().copied(), self.requests.next);
+            let (wake, request) = (self.timers.first().copied(), self.requests.next);
             tokio::select! {
                 input = inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_event(input),
                     None => return,
                 },
                 () = at(wake) => self.wake(),
@@ -123,13 +123,13 @@
         }
     }
 
-    fn take(&mut self, input: DriverEvent) {
+    fn handle_event(&mut self, input: DriverEvent) {
         match input {
-            DriverEvent::EndpointListReceived(list) => self.learn(&list),
+            DriverEvent::EndpointListReceived(list) => self.apply_endpoint_list(&list),
             DriverEvent::DiscoveryFailed => {
-                self.decisions
-                    .push(Event::Endpoints(EndpointUpdate::Unavailable));
-                self.handle_due();
+                self.policy
+                    .enqueue(Event::Endpoints(EndpointUpdate::Unavailable));
+                self.handle_queued_events();
                 self.observer.discovery_failed();
             }
             // Only the client of discovery has the sending end.
@@ -139,21 +139,21 @@
         }
     }
 
-    fn learn(&mut self, list: &EndpointList) {
+    fn apply_endpoint_list(&mut self, list: &EndpointList) {
         let entries: Arc<[Endpoint]> = list.endpoints.iter().map(|host| host.endpoint()).collect();
-        self.decisions.push_list(entries, list.complete);
-        self.handle_due();
+        self.policy.enqueue_endpoints(entries, list.complete);
+        self.handle_queued_events();
         self.observer
             .endpoint_list_applied(list.version, list.complete);
     }
 
     fn wake(&mut self) {
         let now = Instant::now();
-        while self.wakes.first().is_some_and(|at| *at <= now) {
-            self.wakes.pop_first();
-            self.decisions.push(Event::Timer);
+        while self.timers.first().is_some_and(|at| *at <= now) {
+            self.timers.pop_first();
+            self.policy.enqueue(Event::Timer);
         }
-        self.handle_due();
+        self.handle_queued_events();
     }
 
     fn request(&mut self) {
@@ -164,19 +164,19 @@
         let request = Request {
             class: Some(class),
             key: Some(key),
-            ..Request::new(id.as_str(), self.decisions.at(now + patience))
+            ..Request::new(id.as_str(), self.policy.timestamp(now + patience))
         };
         let sent_before = self.sent;
-        self.decisions.push(Event::Request(request));
-        self.handle_due();
+        self.policy.enqueue(Event::Request(request));
+        self.handle_queued_events();
         let processor = (self.processor_clock)().saturating_sub(begun);
         self.observer
             .request_handled(self.sent > sent_before, processor);
     }
 
-    fn handle_due(&mut self) {
+    fn handle_queued_events(&mut self) {
         let mut actions = Vec::new();
-        while self.decisions.handle_next(&mut actions) {
+        while self.policy.handle_next(&mut actions) {
             for action in actions.drain(..) {
                 self.carry_out(action);
             }
@@ -187,12 +187,12 @@
         match action {
             Action::Send { id, server, .. } => {
                 self.sent += 1;
-                self.decisions.push(served(id, server));
+                self.policy.enqueue(served(id, server));
             }
             Action::Wake { after } => {
-                self.wakes.insert(Instant::now() + after);
+                self.timers.insert(Instant::now() + after);
             }
-            Action::PollDiscovery => self.follow.notify_one(),
+            Action::PollDiscovery => self.poll_requested.notify_one(),
             // There are no clients to answer and no connections to close.
             Action::Shed { .. }
             | Action::Fail { .. }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,7 +1,7 @@
 //! Drives the module: the only owner of the `Balancer` and of what is open. Events come in by channel and the
 //! module's actions are carried out in order; nothing is picked, repeated or refused here.
 
-use crate::decisions::Decisions;
+use crate::policy_runner::PolicyRunner;
 use crate::upstream::{AttemptLimits, AttemptResult, ForwardedRequest, Upstream};
 use bytes::Bytes;
 use hyper::StatusCode;
@@ -21,11 +21,11 @@
 use tokio::time::{sleep_until, Instant};
 
 /// Taken off a client's time: it counts from when the client sent, and the answer has its way back to go.
-const MARGIN: Duration = Duration::from_millis(5);
+const NETWORK_MARGIN: Duration = Duration::from_millis(5);
 /// Where lists are pushed a new process waits for its first one, but no longer than this for an agent that is silent.
-const AGENT: Duration = Duration::from_secs(2);
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long past a request's time, less the margin, the module has for its own answer.
-const GUARD: Duration = Duration::from_millis(4);
+const RESPONSE_GRACE: Duration = Duration::from_millis(4);
 
 /// A client's request, read whole.
 #[derive(Debug)]
@@ -86,12 +86,12 @@
 struct OpenRequest {
     message: Rc<ForwardedRequest>,
     /// `None` once the final answer is given, or its client has gone.
-    answer: Option<oneshot::Sender<FinalResponse>>,
+    response_sender: Option<oneshot::Sender<FinalResponse>>,
     /// Tells its attempts of that: those which have not begun then never do.
-    over: Rc<Cell<bool>>,
+    canceled: Rc<Cell<bool>>,
     class: ClassId,
-    at: Instant,
-    until: Instant,
+    received_at: Instant,
+    deadline: Instant,
     attempts: Vec<Attempt>,
 }
 
@@ -103,36 +103,36 @@
 
     /// Nothing more is begun for it. Who waits for its answer, if nobody has had one.
     fn close(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
-        self.over.set(true);
-        self.answer.take()
+        self.canceled.set(true);
+        self.response_sender.take()
     }
 }
 
 struct Attempt {
     server: EndpointId,
-    at: Instant,
+    started_at: Instant,
     /// Its end is not known yet.
-    out: bool,
+    in_flight: bool,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Wake,
-    Guard(RequestId),
+    ResponseDeadline(RequestId),
 }
 
 /// See the module's page.
 pub struct Driver {
-    decisions: Decisions,
+    policy: PolicyRunner,
     upstream: Rc<Upstream>,
-    follow: Rc<Notify>,
+    poll_requested: Rc<Notify>,
     ready: Rc<Cell<bool>>,
     /// Until when clients are kept waiting for the first list; `None` once they are not.
-    awaits: Option<Instant>,
-    some_ready: bool,
+    first_list_deadline: Option<Instant>,
+    has_ready_endpoint: bool,
     events: UnboundedSender<DriverEvent>,
     observer: Rc<dyn Observer>,
-    open: HashMap<RequestId, OpenRequest>,
+    open_requests: HashMap<RequestId, OpenRequest>,
     timers: BTreeSet<(Instant, Timer)>,
 }
 
@@ -141,22 +141,22 @@
     pub fn new(
         balancer: Balancer,
         upstream: Rc<Upstream>,
-        follow: Rc<Notify>,
+        poll_requested: Rc<Notify>,
         ready: Rc<Cell<bool>>,
         pushed: bool,
         events: UnboundedSender<DriverEvent>,
         observer: Rc<dyn Observer>,
     ) -> Self {
         Self {
-            decisions: Decisions::new(balancer),
+            policy: PolicyRunner::new(balancer),
             upstream,
-            follow,
+            poll_requested,
             ready,
-            awaits: pushed.then(|| Instant::now() + AGENT),
-            some_ready: false,
+            first_list_deadline: pushed.then(|| Instant::now() + FIRST_LIST_TIMEOUT),
+            has_ready_endpoint: false,
             events,
             observer,
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
             timers: BTreeSet::new(),
         }
     }
@@ -169,12 +169,12 @@
         mut lists: UnboundedReceiver<DriverEvent>,
         mut inputs: UnboundedReceiver<DriverEvent>,
     ) {
-        let entries = self.learn(&EndpointList {
+        let entries = self.apply_endpoint_list(&EndpointList {
             complete: true,
             ..known
         });
-        self.decisions.push(Event::LastKnownEndpoints(entries));
-        self.handle_due();
+        self.policy.enqueue(Event::LastKnownEndpoints(entries));
+        self.handle_queued_events();
         loop {
             let next = self.timers.first().map(|(at, _)| *at);
             let timer = async {
@@ -186,58 +186,64 @@
             tokio::select! {
                 biased;
                 list = lists.recv() => match list {
-                    Some(list) => self.take(list),
+                    Some(list) => self.handle_event(list),
                     None => return,
                 },
-                () = timer => self.ring(),
+                () = timer => self.handle_expired_timers(),
                 input = inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_event(input),
                     None => return,
                 },
             }
-            self.handle_due();
+            self.handle_queued_events();
         }
     }
 
-    fn take(&mut self, input: DriverEvent) {
+    fn handle_event(&mut self, input: DriverEvent) {
         match input {
-            DriverEvent::RequestReceived(request) => self.request(*request),
+            DriverEvent::RequestReceived(request) => self.on_request_received(*request),
             DriverEvent::ClientDisconnected(number) => {
                 let id = request_id(number);
-                if let Some(open) = self.open.get_mut(&id).filter(|open| open.answer.is_some()) {
+                if let Some(open) = self
+                    .open_requests
+                    .get_mut(&id)
+                    .filter(|open| open.response_sender.is_some())
+                {
                     drop(open.close());
                     self.observer.request_completed(
                         open.class,
                         open.last(),
-                        open.at.elapsed(),
+                        open.received_at.elapsed(),
                         RequestOutcome::ClientDisconnected,
                     );
-                    self.decisions.push(Event::RequestCanceled(id.clone()));
-                    self.tidy(&id);
+                    self.policy.enqueue(Event::RequestCanceled(id.clone()));
+                    self.remove_if_finished(&id);
                 }
             }
             DriverEvent::AttemptEnded {
                 id,
                 attempt,
                 result,
-            } => self.ended(id, attempt, result),
+            } => self.on_attempt_ended(id, attempt, result),
             DriverEvent::EndpointListReceived(list) => {
-                self.awaits = None;
-                let entries = self.learn(&list);
-                self.decisions.push_list(entries, list.complete);
+                self.first_list_deadline = None;
+                let entries = self.apply_endpoint_list(&list);
+                self.policy.enqueue_endpoints(entries, list.complete);
             }
             DriverEvent::DiscoveryFailed => {
-                self.awaits = self.awaits.filter(|until| Instant::now() < *until);
-                self.be_ready();
-                self.decisions
-                    .push(Event::Endpoints(EndpointUpdate::Unavailable));
+                self.first_list_deadline = self
+                    .first_list_deadline
+                    .filter(|until| Instant::now() < *until);
+                self.update_readiness();
+                self.policy
+                    .enqueue(Event::Endpoints(EndpointUpdate::Unavailable));
             }
         }
     }
 
     /// Hands a list to the connections and gives its entries back as the module's. It goes to both in one
     /// step, so that no attempt of the module's can overtake it.
-    fn learn(&mut self, list: &EndpointList) -> Arc<[Endpoint]> {
+    fn apply_endpoint_list(&mut self, list: &EndpointList) -> Arc<[Endpoint]> {
         self.observer.endpoints_updated(list);
         let entries: Arc<[Endpoint]> = list.endpoints.iter().map(|host| host.endpoint()).collect();
         if list.complete {
@@ -250,57 +256,59 @@
                 _ => self.upstream.update_endpoint(entry, host.address()),
             }
         }
-        self.some_ready |= entries
+        self.has_ready_endpoint |= entries
             .iter()
             .any(|entry| entry.availability == Availability::Ready);
-        self.be_ready();
+        self.update_readiness();
         entries
     }
 
     /// Lets clients come, for good, once there is a server to send to and no first list to wait for.
-    fn be_ready(&self) {
-        if self.some_ready && self.awaits.is_none() {
+    fn update_readiness(&self) {
+        if self.has_ready_endpoint && self.first_list_deadline.is_none() {
             self.ready.set(true);
         }
     }
 
-    fn request(&mut self, request: ClientRequest) {
+    fn on_request_received(&mut self, request: ClientRequest) {
         let id = request_id(request.number);
-        let until = request.received_at + request.timeout.saturating_sub(MARGIN);
+        let deadline = request.received_at + request.timeout.saturating_sub(NETWORK_MARGIN);
         self.observer
             .request_received(request.class, request.message.target.path());
         let open = OpenRequest {
             message: Rc::new(request.message),
-            answer: Some(request.response_sender),
-            over: Rc::default(),
+            response_sender: Some(request.response_sender),
+            canceled: Rc::default(),
             class: request.class,
-            at: request.received_at,
-            until,
+            received_at: request.received_at,
+            deadline,
             attempts: Vec::new(),
         };
-        self.open.insert(id.clone(), open);
-        self.timers
-            .insert((until + GUARD, Timer::Guard(id.clone())));
-        self.decisions.push(Event::Request(Request {
+        self.open_requests.insert(id.clone(), open);
+        self.timers.insert((
+            deadline + RESPONSE_GRACE,
+            Timer::ResponseDeadline(id.clone()),
+        ));
+        self.policy.enqueue(Event::Request(Request {
             id,
             class: Some(request.class),
             key: request.key,
-            deadline: self.decisions.at(until),
+            deadline: self.policy.timestamp(deadline),
             expected_work: request.expected_work,
             write: request.write,
             over_quota: request.over_quota,
         }));
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, result: AttemptResult) {
-        let Some(open) = self.open.get_mut(&id) else {
+    fn on_attempt_ended(&mut self, id: RequestId, attempt: u32, result: AttemptResult) {
+        let Some(open) = self.open_requests.get_mut(&id) else {
             return;
         };
         let Some(sent) = open.attempts.get_mut(attempt as usize) else {
             return;
         };
-        sent.out = false;
-        let (server, took) = (sent.server.clone(), sent.at.elapsed());
+        sent.in_flight = false;
+        let (server, took) = (sent.server.clone(), sent.started_at.elapsed());
         self.observer
             .attempt_ended(open.class, &server, result.status);
         if let Some(body) = result.body {
@@ -311,15 +319,15 @@
                 FinalResponse::Served(body),
             );
         }
-        let answered = open.answer.is_none();
+        let answered = open.response_sender.is_none();
         let AttemptResult {
             status,
             cache_result,
             load,
             ..
         } = result;
-        self.tidy(&id);
-        self.decisions.push(Event::AttemptEnded(Outcome {
+        self.remove_if_finished(&id);
+        self.policy.enqueue(Event::AttemptEnded(Outcome {
             id,
             attempt,
             server,
@@ -332,24 +340,26 @@
     }
 
     /// Drops a request that has its answer and no attempt out.
-    fn tidy(&mut self, id: &RequestId) {
+    fn remove_if_finished(&mut self, id: &RequestId) {
         let over = |open: &OpenRequest| {
-            open.answer.is_none() && open.attempts.iter().all(|sent| !sent.out)
+            open.response_sender.is_none() && open.attempts.iter().all(|sent| !sent.in_flight)
         };
-        if let Some(open) = self.open.get(id).filter(|open| over(open)) {
+        if let Some(open) = self.open_requests.get(id).filter(|open| over(open)) {
             // Left to fire, the timers of what is long done would outnumber what is open.
-            self.timers
-                .remove(&(open.until + GUARD, Timer::Guard(id.clone())));
-            self.open.remove(id);
+            self.timers.remove(&(
+                open.deadline + RESPONSE_GRACE,
+                Timer::ResponseDeadline(id.clone()),
+            ));
+            self.open_requests.remove(id);
         }
     }
 
-    fn ring(&mut self) {
+    fn handle_expired_timers(&mut self) {
         let now = Instant::now();
         while self.timers.first().is_some_and(|(at, _)| *at <= now) {
             match self.timers.pop_first() {
-                Some((_, Timer::Wake)) => self.decisions.push(Event::Timer),
-                Some((_, Timer::Guard(id))) => self.guard(id),
+                Some((_, Timer::Wake)) => self.policy.enqueue(Event::Timer),
+                Some((_, Timer::ResponseDeadline(id))) => self.on_response_deadline(id),
                 None => {}
             }
         }
@@ -357,19 +367,23 @@
 
     /// A request that the module has left open until its time is all but over would be lost: it fails here,
     /// and the module learns that nothing is owed any more. What its attempts come to is still reported.
-    fn guard(&mut self, id: RequestId) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| open.answer.is_some()) else {
+    fn on_response_deadline(&mut self, id: RequestId) {
+        let Some(open) = self
+            .open_requests
+            .get_mut(&id)
+            .filter(|open| open.response_sender.is_some())
+        else {
             return;
         };
         let last = open.last().cloned();
         reply(&*self.observer, open, last.as_ref(), FinalResponse::Failed);
-        self.tidy(&id);
-        self.decisions.push(Event::RequestCanceled(id));
+        self.remove_if_finished(&id);
+        self.policy.enqueue(Event::RequestCanceled(id));
     }
 
-    fn handle_due(&mut self) {
+    fn handle_queued_events(&mut self) {
         let mut actions = Vec::new();
-        while self.decisions.handle_next(&mut actions) {
+        while self.policy.handle_next(&mut actions) {
             for action in actions.drain(..) {
                 self.carry_out(action);
             }
@@ -394,7 +408,7 @@
                 self.timers.insert((Instant::now() + after, Timer::Wake));
             }
             Action::CloseIdleConnections { server } => self.upstream.close_idle(&server),
-            Action::PollDiscovery => self.follow.notify_one(),
+            Action::PollDiscovery => self.poll_requested.notify_one(),
             Action::BreakerOpened(scope) => self.observer.breaker_opened(&scope),
         }
     }
@@ -406,15 +420,15 @@
         timeout: Duration,
         begin_within: Duration,
     ) {
-        let Some(open) = self.open.get_mut(&id) else {
+        let Some(open) = self.open_requests.get_mut(&id) else {
             return;
         };
         let (at, attempt) = (Instant::now(), open.attempts.len() as u32);
-        let deadline = open.until.min(at + timeout);
+        let deadline = open.deadline.min(at + timeout);
         let bounds = AttemptLimits {
             start_deadline: deadline.min(at + begin_within),
             deadline,
-            canceled: open.over.clone(),
+            canceled: open.canceled.clone(),
         };
         self.observer.attempt_started(&server);
         let (upstream, events) = (self.upstream.clone(), self.events.clone());
@@ -430,16 +444,16 @@
         });
         open.attempts.push(Attempt {
             server,
-            at,
-            out: true,
+            started_at: at,
+            in_flight: true,
         });
     }
 
     fn finish(&mut self, id: &RequestId, answer: FinalResponse) {
-        if let Some(open) = self.open.get_mut(id) {
+        if let Some(open) = self.open_requests.get_mut(id) {
             let last = open.last().cloned();
             reply(&*self.observer, open, last.as_ref(), answer);
-            self.tidy(id);
+            self.remove_if_finished(id);
         }
     }
 }
@@ -456,7 +470,7 @@
             FinalResponse::Shed { .. } => RequestOutcome::Shed,
             FinalResponse::Failed => RequestOutcome::Failed,
         };
-        observer.request_completed(open.class, host, open.at.elapsed(), end);
+        observer.request_completed(open.class, host, open.received_at.elapsed(), end);
         // A client that has gone meanwhile is owed nothing.
         let _ = sender.send(answer);
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,10 +6,10 @@
 
 mod connections;
 pub mod control;
-mod decisions;
 mod discovery;
 mod driver;
 mod multiget;
+mod policy_runner;
 pub mod relay;
 mod server;
 mod upstream;
