--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,53 +1,54 @@
 //! The control plane of a node by itself, for measurements of many in one process.
 //!
 //! It is the client of discovery and the decision module of a whole node, wired to each other as there, without listener,
-//! connections to cache servers and clients. Requests can be drawn at a rate; each attempt ends at once, as served.
+//! connections to endpoints and clients. Requests can be generated at a rate; each attempt ends at once, as served.
+
+mod generated_requests;
 
 use crate::discovery::Discovery;
 use crate::driver::DriverEvent;
-use crate::policy_runner::PolicyRunner;
+use crate::policy_runner::{endpoints, ActionExecutor, PolicyRunner};
+use crate::timer_queue::{sleep_until_some, TimerQueue};
+use generated_requests::RequestGenerator;
 use slatelink_config::EndpointList;
 use slatelink_policy::{
-    Action, Balancer, ClassId, Endpoint, EndpointId, EndpointUpdate, Event, LoadReport, Outcome,
-    Request, RequestId, Settings, Status,
+    Action, Balancer, EndpointId, EndpointUpdate, Event, LoadReport, Outcome, Request, RequestId,
+    Settings, Status,
 };
 use slatelink_telemetry::Log;
-use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
-use tokio::sync::mpsc::{self, UnboundedReceiver};
+use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{watch, Notify};
 use tokio::task::JoinSet;
-use tokio::time::{sleep_until, Instant};
+use tokio::time::Instant;
 
-/// How long a drawn request's attempt is said to have taken.
-const SERVICE_TIME: Duration = Duration::from_millis(1);
-/// Keys of drawn requests are below this.
-const KEYS: u64 = 20_000;
+/// The latency that is reported of each attempt.
+const REPORTED_LATENCY: Duration = Duration::from_millis(1);
 
-/// Hears what happens in a control plane.
+/// Told of what happens in a control plane.
 pub trait ControlObserver {
-    /// The decision module decides by the list of this version from now on; `complete` if it came as a snapshot.
+    /// The decision module decides by the endpoint list of this version from now on; `complete` if it came as a snapshot.
     fn endpoint_list_applied(&self, version: u64, complete: bool);
 
     /// A call to discovery has failed.
     fn discovery_failed(&self) {}
 
-    /// The module has handled a drawn request, in so much processor time; `sent` if it chose a server for it.
-    fn request_handled(&self, _sent: bool, _processor: Duration) {}
+    /// The module has handled a generated request, in so much processor time; `sent` if it chose an endpoint for it.
+    fn request_handled(&self, _sent: bool, _processor_time: Duration) {}
 }
 
 /// What a control plane is made of.
 pub struct ControlOptions {
     /// The settings of the decision module.
     pub settings: Settings,
-    /// Of all that is drawn: by the module, by the client of discovery, and the requests.
+    /// Seed of all random draws: the module's, the client of discovery's, and those of generated requests.
     pub seed: u64,
     /// Where discovery answers; a new address is what a new configuration brings.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// Requests a second, drawn with exponential gaps; zero for none.
+    /// Requests a second, with exponential gaps; zero for none.
     pub request_rate: f64,
     /// The processor time of the thread so far.
     pub processor_clock: fn() -> Duration,
@@ -55,83 +56,80 @@
     pub log: Log,
 }
 
-/// Runs a control plane, with no list at first, for as long as the future lives; within a `LocalSet`.
+/// Runs a control plane, with no endpoints at first, for as long as the future lives; within a `LocalSet`.
 pub async fn run(options: ControlOptions, observer: Rc<dyn ControlObserver>) {
-    let ControlOptions {
-        settings,
-        seed,
-        discovery,
-        request_rate,
-        processor_clock,
-        log,
-    } = options;
-    let (events, inputs) = mpsc::unbounded_channel();
+    let (events, received_events) = mpsc::unbounded_channel();
     let poll_requested = Rc::new(Notify::new());
-    let mut random = fastrand::Rng::with_seed(seed);
-    let client = Discovery {
-        address: discovery,
-        seq: None,
-        pushed: !settings.polls_discovery,
-        drain_grace: settings.drain_grace,
-        max_poll_interval: settings.max_poll_interval,
-        random: random.fork(),
-        events,
-        log,
-    };
+    let mut random = fastrand::Rng::with_seed(options.seed);
+    let client = discovery_client(&options, random.fork(), events);
     // Dropped with this future, the set ends its task.
     let mut tasks = JoinSet::new();
     tasks.spawn_local(client.run(poll_requested.clone()));
     let driver = ControlDriver {
-        requests: Requests::new(&settings, request_rate, random),
-        policy: PolicyRunner::new(Balancer::new(settings, seed)),
+        requests: RequestGenerator::new(&options.settings, options.request_rate, random),
+        policy: PolicyRunner::new(Balancer::new(options.settings, options.seed)),
         poll_requested,
-        timers: BTreeSet::new(),
-        sent: 0,
-        processor_clock,
+        wake_timers: TimerQueue::new(),
+        attempts: 0,
+        processor_clock: options.processor_clock,
         observer,
     };
-    driver.run(inputs).await;
+    driver.run(received_events).await;
 }
 
-/// Delivers events to the decision module and carries out what of its actions concerns control.
+/// The client of discovery as a whole node has it, without a list.
+fn discovery_client(
+    options: &ControlOptions,
+    random: fastrand::Rng,
+    events: UnboundedSender<DriverEvent>,
+) -> Discovery {
+    let settings = &options.settings;
+    Discovery {
+        address: options.discovery.clone(),
+        seq: None,
+        pushed: !settings.polls_discovery,
+        drain_grace: settings.drain_grace,
+        max_poll_interval: settings.max_poll_interval,
+        random,
+        events,
+        log: options.log.clone(),
+    }
+}
+
+/// Tells the decision module of events, and carries out those of its actions that concern control.
 struct ControlDriver {
     policy: PolicyRunner,
     poll_requested: Rc<Notify>,
-    timers: BTreeSet<Instant>,
-    requests: Requests,
+    /// Times at which the module asked for a timer event.
+    wake_timers: TimerQueue<()>,
+    requests: RequestGenerator,
     /// Attempts so far.
-    sent: u64,
+    attempts: u64,
     processor_clock: fn() -> Duration,
     observer: Rc<dyn ControlObserver>,
 }
 
 impl ControlDriver {
-    async fn run(mut self, mut inputs: UnboundedReceiver<DriverEvent>) {
+    async fn run(mut self, mut discovery_events: UnboundedReceiver<DriverEvent>) {
         self.policy
             .enqueue(Event::LastKnownEndpoints(Arc::from([])));
         self.handle_queued_events();
         loop {
-            let (wake, request) = (self.timers.first().copied(), self.requests.next);
             tokio::select! {
-                input = inputs.recv() => match input {
-                    Some(input) => self.handle_event(input),
+                event = discovery_events.recv() => match event {
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
-                () = at(wake) => self.wake(),
-                () = at(request) => self.request(),
+                () = self.wake_timers.next_expiry() => self.handle_expired_timers(),
+                () = sleep_until_some(self.requests.next_arrival()) => self.generate_request(),
             }
         }
     }
 
-    fn handle_event(&mut self, input: DriverEvent) {
-        match input {
+    fn handle_event(&mut self, event: DriverEvent) {
+        match event {
             DriverEvent::EndpointListReceived(list) => self.apply_endpoint_list(&list),
-            DriverEvent::DiscoveryFailed => {
-                self.policy
-                    .enqueue(Event::Endpoints(EndpointUpdate::Unavailable));
-                self.handle_queued_events();
-                self.observer.discovery_failed();
-            }
+            DriverEvent::DiscoveryFailed => self.on_discovery_failed(),
             // Only the client of discovery has the sending end.
             DriverEvent::RequestReceived(_)
             | DriverEvent::ClientDisconnected(_)
@@ -140,58 +138,59 @@
     }
 
     fn apply_endpoint_list(&mut self, list: &EndpointList) {
-        let entries: Arc<[Endpoint]> = list.endpoints.iter().map(|host| host.endpoint()).collect();
-        self.policy.enqueue_endpoints(entries, list.complete);
+        self.policy
+            .enqueue_endpoints(endpoints(list), list.complete);
         self.handle_queued_events();
         self.observer
             .endpoint_list_applied(list.version, list.complete);
     }
 
-    fn wake(&mut self) {
+    fn on_discovery_failed(&mut self) {
+        self.policy
+            .enqueue(Event::Endpoints(EndpointUpdate::Unavailable));
+        self.handle_queued_events();
+        self.observer.discovery_failed();
+    }
+
+    fn handle_expired_timers(&mut self) {
         let now = Instant::now();
-        while self.timers.first().is_some_and(|at| *at <= now) {
-            self.timers.pop_first();
+        while self.wake_timers.pop_expired(now).is_some() {
             self.policy.enqueue(Event::Timer);
         }
         self.handle_queued_events();
     }
 
-    fn request(&mut self) {
-        let begun = (self.processor_clock)();
+    fn generate_request(&mut self) {
+        let processor_time_before = (self.processor_clock)();
         let now = Instant::now();
-        let (class, patience, key) = self.requests.draw(now);
-        let id = RequestId::from(self.requests.drawn.to_string().as_str());
-        let request = Request {
-            class: Some(class),
-            key: Some(key),
-            ..Request::new(id.as_str(), self.policy.timestamp(now + patience))
-        };
-        let sent_before = self.sent;
-        self.policy.enqueue(Event::Request(request));
+        let generated = self.requests.generate(now);
+        let id = generated.number.to_string();
+        let deadline = self.policy.timestamp(now + generated.timeout);
+        let attempts_before = self.attempts;
+        self.policy.enqueue(Event::Request(Request {
+            class: Some(generated.class),
+            key: Some(generated.key),
+            ..Request::new(&id, deadline)
+        }));
         self.handle_queued_events();
-        let processor = (self.processor_clock)().saturating_sub(begun);
-        self.observer
-            .request_handled(self.sent > sent_before, processor);
+        let processor_time = (self.processor_clock)().saturating_sub(processor_time_before);
+        let sent = self.attempts > attempts_before;
+        self.observer.request_handled(sent, processor_time);
     }
+}
 
-    fn handle_queued_events(&mut self) {
-        let mut actions = Vec::new();
-        while self.policy.handle_next(&mut actions) {
-            for action in actions.drain(..) {
-                self.carry_out(action);
-            }
-        }
+impl ActionExecutor for ControlDriver {
+    fn policy(&mut self) -> &mut PolicyRunner {
+        &mut self.policy
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send { id, server, .. } => {
-                self.sent += 1;
+                self.attempts += 1;
                 self.policy.enqueue(served(id, server));
             }
-            Action::Wake { after } => {
-                self.timers.insert(Instant::now() + after);
-            }
+            Action::Wake { after } => self.wake_timers.schedule(Instant::now() + after, ()),
             Action::PollDiscovery => self.poll_requested.notify_one(),
             // There are no clients to answer and no connections to close.
             Action::Shed { .. }
@@ -203,71 +202,15 @@
 }
 
 /// The end of a request's first attempt, served: there is no second one.
-fn served(id: RequestId, server: EndpointId) -> Event {
+fn served(id: RequestId, endpoint: EndpointId) -> Event {
     Event::AttemptEnded(Outcome {
         id,
         attempt: 0,
-        server,
+        server: endpoint,
         status: Status::Ok,
         cache_result: None,
-        latency: SERVICE_TIME,
+        latency: REPORTED_LATENCY,
         answered: true,
         load: LoadReport::default(),
     })
 }
-
-/// Requests that are drawn.
-struct Requests {
-    /// Each class with the time that its clients wait.
-    classes: Vec<(ClassId, Duration)>,
-    rate: f64,
-    random: fastrand::Rng,
-    drawn: u64,
-    next: Option<Instant>,
-}
-
-impl Requests {
-    fn new(settings: &Settings, rate: f64, random: fastrand::Rng) -> Self {
-        let deadlines = settings.classes.iter().map(|class| class.deadline);
-        let classes: Vec<_> = deadlines
-            .enumerate()
-            .map(|(i, deadline)| (ClassId(i), deadline))
-            .collect();
-        let mut requests = Self {
-            classes,
-            rate,
-            random,
-            drawn: 0,
-            next: None,
-        };
-        requests.schedule(Instant::now());
-        requests
-    }
-
-    /// Sets when the next request comes, if any does.
-    fn schedule(&mut self, from: Instant) {
-        if self.rate > 0.0 && !self.classes.is_empty() {
-            let gap = -(1.0 - self.random.f64()).ln() / self.rate;
-            self.next = Some(from + Duration::from_secs_f64(gap));
-        }
-    }
-
-    /// A request's class, its client's patience and its key.
-    fn draw(&mut self, now: Instant) -> (ClassId, Duration, u64) {
-        self.drawn += 1;
-        let place = self.random.usize(..self.classes.len());
-        let (class, patience) = self.classes[place];
-        let key = self.random.u64(..KEYS);
-        // From when it was due: a late one does not thin out those that follow.
-        self.schedule(self.next.unwrap_or(now));
-        (class, patience, key)
-    }
-}
-
-/// Waits until this time; for ever where there is none.
-async fn at(time: Option<Instant>) {
-    match time {
-        Some(time) => sleep_until(time).await,
-        None => std::future::pending().await,
-    }
-}
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,197 +1,114 @@
-//! Drives the module: the only owner of the `Balancer` and of what is open. Events come in by channel and the
-//! module's actions are carried out in order; nothing is picked, repeated or refused here.
+//! The driver: takes a request from its arrival to its final response, as the decision module says.
+//!
+//! It alone owns the decision module and the open requests. Events come in by channel, become events of the module, and
+//! the module's actions are carried out in order; no endpoint is chosen, nothing retried and nothing shed here.
+//!
+//! The way of a request: `on_request_received` opens it, `start_attempt` forwards it, `on_attempt_ended` reports an
+//! attempt's result to the module, `respond` gives the final response, and `remove_if_finished` forgets it. Two events
+//! can cut that short: `on_client_disconnected` and `on_response_deadline`.
 
-use crate::policy_runner::PolicyRunner;
-use crate::upstream::{AttemptLimits, AttemptResult, ForwardedRequest, Upstream};
-use bytes::Bytes;
-use hyper::StatusCode;
+mod messages;
+mod open_request;
+mod readiness;
+
+pub use messages::{ClientRequest, DriverEvent, FinalResponse};
+
+use crate::policy_runner::{endpoints, ActionExecutor, PolicyRunner};
+use crate::timer_queue::TimerQueue;
+use crate::upstream::{AttemptResult, Upstream};
+use open_request::OpenRequest;
+use readiness::Readiness;
 use slatelink_config::EndpointList;
 use slatelink_policy::{
-    Action, Availability, Balancer, ClassId, Endpoint, EndpointId, EndpointUpdate, Event, Outcome,
-    Request, RequestId,
+    Action, Availability, Balancer, Endpoint, EndpointId, EndpointUpdate, Event, Outcome, Request,
+    RequestId,
 };
-use slatelink_telemetry::{Observer, RequestOutcome};
+use slatelink_telemetry::Observer;
 use std::cell::Cell;
-use std::collections::{BTreeSet, HashMap};
+use std::collections::HashMap;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
-use tokio::sync::{oneshot, Notify};
-use tokio::time::{sleep_until, Instant};
-
-/// Taken off a client's time: it counts from when the client sent, and the answer has its way back to go.
-const NETWORK_MARGIN: Duration = Duration::from_millis(5);
-/// Where lists are pushed a new process waits for its first one, but no longer than this for an agent that is silent.
-const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long past a request's time, less the margin, the module has for its own answer.
-const RESPONSE_GRACE: Duration = Duration::from_millis(4);
-
-/// A client's request, read whole.
-#[derive(Debug)]
-pub struct ClientRequest {
-    /// Unique within the process; the client's own id may be used again for a later request.
-    pub number: u64,
-    /// When its head was read.
-    pub received_at: Instant,
-    /// Time from `received_at` after which the client gives up.
-    pub timeout: Duration,
-    pub class: ClassId,
-    pub key: Option<u64>,
-    pub expected_work: Option<Duration>,
-    pub write: bool,
-    pub over_quota: bool,
-    pub message: ForwardedRequest,
-    /// Takes its final response; its receiver is dropped when the client disconnects.
-    pub response_sender: oneshot::Sender<FinalResponse>,
-}
-
-/// The final answer to a request.
-#[derive(Debug)]
-pub enum FinalResponse {
-    /// The body of the cache server's answer.
-    Served(Bytes),
-    /// Not done and safe to ask again.
-    Shed { retry_after: Duration },
-    /// Not done, or not known.
-    Failed,
-}
-
-impl FinalResponse {
-    /// What its client reads.
-    pub const fn status(&self) -> StatusCode {
-        match self {
-            Self::Served(_) => StatusCode::OK,
-            Self::Shed { .. } => StatusCode::SERVICE_UNAVAILABLE,
-            Self::Failed => StatusCode::BAD_GATEWAY,
-        }
-    }
-}
-
-/// What the node's other parts tell the driver.
-#[derive(Debug)]
-pub enum DriverEvent {
-    RequestReceived(Box<ClientRequest>),
-    /// The client of the request of this number has disconnected.
-    ClientDisconnected(u64),
-    AttemptEnded {
-        id: RequestId,
-        attempt: u32,
-        result: AttemptResult,
-    },
-    EndpointListReceived(EndpointList),
-    DiscoveryFailed,
-}
-
-struct OpenRequest {
-    message: Rc<ForwardedRequest>,
-    /// `None` once the final answer is given, or its client has gone.
-    response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// Tells its attempts of that: those which have not begun then never do.
-    canceled: Rc<Cell<bool>>,
-    class: ClassId,
-    received_at: Instant,
-    deadline: Instant,
-    attempts: Vec<Attempt>,
-}
-
-impl OpenRequest {
-    /// Who was tried last.
-    fn last(&self) -> Option<&EndpointId> {
-        self.attempts.last().map(|sent| &sent.server)
-    }
-
-    /// Nothing more is begun for it. Who waits for its answer, if nobody has had one.
-    fn close(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
-        self.canceled.set(true);
-        self.response_sender.take()
-    }
-}
-
-struct Attempt {
-    server: EndpointId,
-    started_at: Instant,
-    /// Its end is not known yet.
-    in_flight: bool,
-}
+use tokio::sync::Notify;
+use tokio::time::Instant;
 
+/// What the driver does at a point in time.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    Wake,
+    /// The decision module asked for a timer event.
+    PolicyWake,
+    /// This request must have been sent a response.
     ResponseDeadline(RequestId),
 }
 
-/// See the module's page.
+/// What a driver is made of.
+pub struct DriverOptions {
+    /// The decision module.
+    pub balancer: Balancer,
+    /// Makes the attempts.
+    pub upstream: Rc<Upstream>,
+    /// Notified when the decision module asks for a poll of discovery.
+    pub poll_requested: Rc<Notify>,
+    /// Set once clients may come.
+    pub ready: Rc<Cell<bool>>,
+    /// Whether the node is not ready before discovery has sent its first list.
+    pub awaits_first_list: bool,
+    /// Where attempts report their ends: the sending end of the events that `run` reads.
+    pub events: UnboundedSender<DriverEvent>,
+    /// Told of all that happens to requests.
+    pub observer: Rc<dyn Observer>,
+}
+
+/// The owner of the decision module and of the open requests.
 pub struct Driver {
     policy: PolicyRunner,
     upstream: Rc<Upstream>,
     poll_requested: Rc<Notify>,
-    ready: Rc<Cell<bool>>,
-    /// Until when clients are kept waiting for the first list; `None` once they are not.
-    first_list_deadline: Option<Instant>,
-    has_ready_endpoint: bool,
+    readiness: Readiness,
     events: UnboundedSender<DriverEvent>,
     observer: Rc<dyn Observer>,
     open_requests: HashMap<RequestId, OpenRequest>,
-    timers: BTreeSet<(Instant, Timer)>,
+    timers: TimerQueue<Timer>,
 }
 
 impl Driver {
-    /// `events` is where attempts report to: the sending end of what `run` reads.
-    pub fn new(
-        balancer: Balancer,
-        upstream: Rc<Upstream>,
-        poll_requested: Rc<Notify>,
-        ready: Rc<Cell<bool>>,
-        pushed: bool,
-        events: UnboundedSender<DriverEvent>,
-        observer: Rc<dyn Observer>,
-    ) -> Self {
+    /// A driver without endpoints and requests.
+    pub fn new(options: DriverOptions) -> Self {
         Self {
-            policy: PolicyRunner::new(balancer),
-            upstream,
-            poll_requested,
-            ready,
-            first_list_deadline: pushed.then(|| Instant::now() + FIRST_LIST_TIMEOUT),
-            has_ready_endpoint: false,
-            events,
-            observer,
+            policy: PolicyRunner::new(options.balancer),
+            upstream: options.upstream,
+            poll_requested: options.poll_requested,
+            readiness: Readiness::new(options.ready, options.awaits_first_list),
+            events: options.events,
+            observer: options.observer,
             open_requests: HashMap::new(),
-            timers: BTreeSet::new(),
+            timers: TimerQueue::new(),
         }
     }
 
-    /// Runs for as long as the node does. What discovery says comes by a channel of its own and goes before all else: in
-    /// one queue it would wait until the whole of a burst of requests has been decided by the old list.
+    /// Runs for as long as the node does, from the endpoints that it knew last.
+    ///
+    /// Events of discovery come by a channel of their own and go before all others: in one queue they would wait until
+    /// the whole of a burst of requests has been decided by the old list.
     pub async fn run(
         mut self,
-        known: EndpointList,
-        mut lists: UnboundedReceiver<DriverEvent>,
-        mut inputs: UnboundedReceiver<DriverEvent>,
+        known_endpoints: EndpointList,
+        mut discovery_events: UnboundedReceiver<DriverEvent>,
+        mut events: UnboundedReceiver<DriverEvent>,
     ) {
-        let entries = self.apply_endpoint_list(&EndpointList {
-            complete: true,
-            ..known
-        });
-        self.policy.enqueue(Event::LastKnownEndpoints(entries));
+        self.apply_known_endpoints(known_endpoints);
         self.handle_queued_events();
         loop {
-            let next = self.timers.first().map(|(at, _)| *at);
-            let timer = async {
-                match next {
-                    Some(at) => sleep_until(at).await,
-                    None => std::future::pending().await,
-                }
-            };
             tokio::select! {
                 biased;
-                list = lists.recv() => match list {
-                    Some(list) => self.handle_event(list),
+                event = discovery_events.recv() => match event {
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
-                () = timer => self.handle_expired_timers(),
-                input = inputs.recv() => match input {
-                    Some(input) => self.handle_event(input),
+                () = self.timers.next_expiry() => self.handle_expired_timers(),
+                event = events.recv() => match event {
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
             }
@@ -199,283 +116,230 @@
         }
     }
 
-    fn handle_event(&mut self, input: DriverEvent) {
-        match input {
+    fn handle_event(&mut self, event: DriverEvent) {
+        match event {
             DriverEvent::RequestReceived(request) => self.on_request_received(*request),
             DriverEvent::ClientDisconnected(number) => {
-                let id = request_id(number);
-                if let Some(open) = self
-                    .open_requests
-                    .get_mut(&id)
-                    .filter(|open| open.response_sender.is_some())
-                {
-                    drop(open.close());
-                    self.observer.request_completed(
-                        open.class,
-                        open.last(),
-                        open.received_at.elapsed(),
-                        RequestOutcome::ClientDisconnected,
-                    );
-                    self.policy.enqueue(Event::RequestCanceled(id.clone()));
-                    self.remove_if_finished(&id);
-                }
+                self.on_client_disconnected(request_id(number));
             }
             DriverEvent::AttemptEnded {
                 id,
                 attempt,
                 result,
             } => self.on_attempt_ended(id, attempt, result),
-            DriverEvent::EndpointListReceived(list) => {
-                self.first_list_deadline = None;
-                let entries = self.apply_endpoint_list(&list);
-                self.policy.enqueue_endpoints(entries, list.complete);
-            }
-            DriverEvent::DiscoveryFailed => {
-                self.first_list_deadline = self
-                    .first_list_deadline
-                    .filter(|until| Instant::now() < *until);
-                self.update_readiness();
-                self.policy
-                    .enqueue(Event::Endpoints(EndpointUpdate::Unavailable));
-            }
+            DriverEvent::EndpointListReceived(list) => self.on_endpoint_list_received(&list),
+            DriverEvent::DiscoveryFailed => self.on_discovery_failed(),
         }
     }
 
-    /// Hands a list to the connections and gives its entries back as the module's. It goes to both in one
-    /// step, so that no attempt of the module's can overtake it.
-    fn apply_endpoint_list(&mut self, list: &EndpointList) -> Arc<[Endpoint]> {
-        self.observer.endpoints_updated(list);
-        let entries: Arc<[Endpoint]> = list.endpoints.iter().map(|host| host.endpoint()).collect();
-        if list.complete {
-            self.upstream
-                .retain_endpoints(|id| entries.iter().any(|entry| entry.id == *id));
-        }
-        for (host, entry) in list.endpoints.iter().zip(entries.iter()) {
-            match entry.availability {
-                Availability::Removed => self.upstream.remove_endpoint(&entry.id),
-                _ => self.upstream.update_endpoint(entry, host.address()),
+    fn handle_expired_timers(&mut self) {
+        let now = Instant::now();
+        while let Some(timer) = self.timers.pop_expired(now) {
+            match timer {
+                Timer::PolicyWake => self.policy.enqueue(Event::Timer),
+                Timer::ResponseDeadline(id) => self.on_response_deadline(id),
             }
         }
-        self.has_ready_endpoint |= entries
-            .iter()
-            .any(|entry| entry.availability == Availability::Ready);
-        self.update_readiness();
-        entries
-    }
-
-    /// Lets clients come, for good, once there is a server to send to and no first list to wait for.
-    fn update_readiness(&self) {
-        if self.has_ready_endpoint && self.first_list_deadline.is_none() {
-            self.ready.set(true);
-        }
     }
+}
 
+/// The way of a request.
+impl Driver {
     fn on_request_received(&mut self, request: ClientRequest) {
         let id = request_id(request.number);
-        let deadline = request.received_at + request.timeout.saturating_sub(NETWORK_MARGIN);
-        self.observer
-            .request_received(request.class, request.message.target.path());
-        let open = OpenRequest {
-            message: Rc::new(request.message),
-            response_sender: Some(request.response_sender),
-            canceled: Rc::default(),
-            class: request.class,
-            received_at: request.received_at,
-            deadline,
-            attempts: Vec::new(),
-        };
-        self.open_requests.insert(id.clone(), open);
-        self.timers.insert((
-            deadline + RESPONSE_GRACE,
+        let (key, expected_work) = (request.key, request.expected_work);
+        let (write, over_quota) = (request.write, request.over_quota);
+        let open = OpenRequest::new(request);
+        self.observer.request_received(open.class(), open.path());
+        self.timers.schedule(
+            open.response_deadline(),
             Timer::ResponseDeadline(id.clone()),
-        ));
+        );
         self.policy.enqueue(Event::Request(Request {
-            id,
-            class: Some(request.class),
-            key: request.key,
-            deadline: self.policy.timestamp(deadline),
-            expected_work: request.expected_work,
-            write: request.write,
-            over_quota: request.over_quota,
+            id: id.clone(),
+            class: Some(open.class()),
+            key,
+            deadline: self.policy.timestamp(open.deadline()),
+            expected_work,
+            write,
+            over_quota,
         }));
+        self.open_requests.insert(id, open);
+    }
+
+    fn start_attempt(
+        &mut self,
+        id: RequestId,
+        endpoint: EndpointId,
+        timeout: Duration,
+        begin_within: Duration,
+    ) {
+        let Some(open) = self.open_requests.get_mut(&id) else {
+            return;
+        };
+        let attempt = open.start_attempt(endpoint.clone(), timeout, begin_within);
+        self.observer.attempt_started(&endpoint);
+        let (upstream, events) = (self.upstream.clone(), self.events.clone());
+        tokio::task::spawn_local(async move {
+            let result = upstream
+                .attempt(&endpoint, &attempt.message, attempt.limits)
+                .await;
+            // Only fails once the driver is gone, with which the node ends.
+            let _ = events.send(DriverEvent::AttemptEnded {
+                id,
+                attempt: attempt.number,
+                result,
+            });
+        });
     }
 
     fn on_attempt_ended(&mut self, id: RequestId, attempt: u32, result: AttemptResult) {
         let Some(open) = self.open_requests.get_mut(&id) else {
             return;
         };
-        let Some(sent) = open.attempts.get_mut(attempt as usize) else {
+        let Some(ended) = open.end_attempt(attempt, result.status, result.body, &*self.observer)
+        else {
             return;
         };
-        sent.in_flight = false;
-        let (server, took) = (sent.server.clone(), sent.started_at.elapsed());
-        self.observer
-            .attempt_ended(open.class, &server, result.status);
-        if let Some(body) = result.body {
-            reply(
-                &*self.observer,
-                open,
-                Some(&server),
-                FinalResponse::Served(body),
-            );
-        }
-        let answered = open.response_sender.is_none();
-        let AttemptResult {
-            status,
-            cache_result,
-            load,
-            ..
-        } = result;
+        let answered = !open.awaits_response();
         self.remove_if_finished(&id);
         self.policy.enqueue(Event::AttemptEnded(Outcome {
             id,
             attempt,
-            server,
-            status,
-            cache_result,
-            latency: took,
+            server: ended.endpoint,
+            status: result.status,
+            cache_result: result.cache_result,
+            latency: ended.latency,
             answered,
-            load,
+            load: result.load,
         }));
     }
 
-    /// Drops a request that has its answer and no attempt out.
-    fn remove_if_finished(&mut self, id: &RequestId) {
-        let over = |open: &OpenRequest| {
-            open.response_sender.is_none() && open.attempts.iter().all(|sent| !sent.in_flight)
-        };
-        if let Some(open) = self.open_requests.get(id).filter(|open| over(open)) {
-            // Left to fire, the timers of what is long done would outnumber what is open.
-            self.timers.remove(&(
-                open.deadline + RESPONSE_GRACE,
-                Timer::ResponseDeadline(id.clone()),
-            ));
-            self.open_requests.remove(id);
+    /// Gives the final response that the decision module has decided on.
+    fn respond(&mut self, id: &RequestId, response: FinalResponse) {
+        if let Some(open) = self.open_requests.get_mut(id) {
+            open.respond(response, &*self.observer);
+            self.remove_if_finished(id);
         }
     }
 
-    fn handle_expired_timers(&mut self) {
-        let now = Instant::now();
-        while self.timers.first().is_some_and(|(at, _)| *at <= now) {
-            match self.timers.pop_first() {
-                Some((_, Timer::Wake)) => self.policy.enqueue(Event::Timer),
-                Some((_, Timer::ResponseDeadline(id))) => self.on_response_deadline(id),
-                None => {}
-            }
-        }
+    fn on_client_disconnected(&mut self, id: RequestId) {
+        let Some(open) = self
+            .open_requests
+            .get_mut(&id)
+            .filter(|open| open.awaits_response())
+        else {
+            return;
+        };
+        open.disconnect(&*self.observer);
+        self.remove_if_finished(&id);
+        self.policy.enqueue(Event::RequestCanceled(id));
     }
 
-    /// A request that the module has left open until its time is all but over would be lost: it fails here,
-    /// and the module learns that nothing is owed any more. What its attempts come to is still reported.
+    /// Fails a request that the decision module has left without a response, and cancels it there. The results of
+    /// its attempts in flight are still reported to the module.
     fn on_response_deadline(&mut self, id: RequestId) {
         let Some(open) = self
             .open_requests
             .get_mut(&id)
-            .filter(|open| open.response_sender.is_some())
+            .filter(|open| open.awaits_response())
         else {
             return;
         };
-        let last = open.last().cloned();
-        reply(&*self.observer, open, last.as_ref(), FinalResponse::Failed);
+        open.respond(FinalResponse::Failed, &*self.observer);
         self.remove_if_finished(&id);
         self.policy.enqueue(Event::RequestCanceled(id));
     }
 
-    fn handle_queued_events(&mut self) {
-        let mut actions = Vec::new();
-        while self.policy.handle_next(&mut actions) {
-            for action in actions.drain(..) {
-                self.carry_out(action);
+    fn remove_if_finished(&mut self, id: &RequestId) {
+        let Some(open) = self.open_requests.get(id).filter(|open| open.is_finished()) else {
+            return;
+        };
+        // Left to expire, the timers of finished requests would outnumber the open requests.
+        self.timers.cancel(
+            open.response_deadline(),
+            Timer::ResponseDeadline(id.clone()),
+        );
+        self.open_requests.remove(id);
+    }
+}
+
+/// Endpoint lists.
+impl Driver {
+    /// Begins with the endpoints that the node knew last, of which discovery may think otherwise.
+    fn apply_known_endpoints(&mut self, known_endpoints: EndpointList) {
+        let snapshot = EndpointList {
+            complete: true,
+            ..known_endpoints
+        };
+        let endpoints = self.apply_endpoint_list(&snapshot);
+        self.policy.enqueue(Event::LastKnownEndpoints(endpoints));
+    }
+
+    fn on_endpoint_list_received(&mut self, list: &EndpointList) {
+        self.readiness.on_list_received();
+        let endpoints = self.apply_endpoint_list(list);
+        self.policy.enqueue_endpoints(endpoints, list.complete);
+    }
+
+    fn on_discovery_failed(&mut self) {
+        self.readiness.on_discovery_failed();
+        self.policy
+            .enqueue(Event::Endpoints(EndpointUpdate::Unavailable));
+    }
+
+    /// Applies a list to the connections to endpoints and to readiness, and returns its endpoints for the decision
+    /// module. The caller queues them in the same step, so that no attempt is made by a list that the connections lack.
+    fn apply_endpoint_list(&mut self, list: &EndpointList) -> Arc<[Endpoint]> {
+        self.observer.endpoints_updated(list);
+        let endpoints = endpoints(list);
+        if list.complete {
+            self.upstream
+                .retain_endpoints(|id| endpoints.iter().any(|endpoint| endpoint.id == *id));
+        }
+        for (record, endpoint) in list.endpoints.iter().zip(endpoints.iter()) {
+            match endpoint.availability {
+                Availability::Removed => self.upstream.remove_endpoint(&endpoint.id),
+                _ => self.upstream.update_endpoint(endpoint, record.address()),
             }
         }
+        let has_ready_endpoint = endpoints
+            .iter()
+            .any(|endpoint| endpoint.availability == Availability::Ready);
+        self.readiness.on_list_applied(has_ready_endpoint);
+        endpoints
+    }
+}
+
+impl ActionExecutor for Driver {
+    fn policy(&mut self) -> &mut PolicyRunner {
+        &mut self.policy
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
             Action::Send {
                 id,
                 server,
                 timeout,
                 begin_within,
-            } => {
-                self.send(id, server, timeout, begin_within);
-            }
+            } => self.start_attempt(id, server, timeout, begin_within),
             Action::Shed { id, retry_after } => {
-                self.finish(&id, FinalResponse::Shed { retry_after })
+                self.respond(&id, FinalResponse::Shed { retry_after });
             }
-            Action::Fail { id } => self.finish(&id, FinalResponse::Failed),
+            Action::Fail { id } => self.respond(&id, FinalResponse::Failed),
             Action::Wake { after } => {
-                self.timers.insert((Instant::now() + after, Timer::Wake));
+                let at = Instant::now() + after;
+                self.timers.schedule(at, Timer::PolicyWake);
             }
             Action::CloseIdleConnections { server } => self.upstream.close_idle(&server),
             Action::PollDiscovery => self.poll_requested.notify_one(),
             Action::BreakerOpened(scope) => self.observer.breaker_opened(&scope),
         }
     }
-
-    fn send(
-        &mut self,
-        id: RequestId,
-        server: EndpointId,
-        timeout: Duration,
-        begin_within: Duration,
-    ) {
-        let Some(open) = self.open_requests.get_mut(&id) else {
-            return;
-        };
-        let (at, attempt) = (Instant::now(), open.attempts.len() as u32);
-        let deadline = open.deadline.min(at + timeout);
-        let bounds = AttemptLimits {
-            start_deadline: deadline.min(at + begin_within),
-            deadline,
-            canceled: open.canceled.clone(),
-        };
-        self.observer.attempt_started(&server);
-        let (upstream, events) = (self.upstream.clone(), self.events.clone());
-        let (message, target) = (open.message.clone(), server.clone());
-        tokio::task::spawn_local(async move {
-            let result = upstream.attempt(&target, &message, bounds).await;
-            // The driver only goes when the node does.
-            let _ = events.send(DriverEvent::AttemptEnded {
-                id,
-                attempt,
-                result,
-            });
-        });
-        open.attempts.push(Attempt {
-            server,
-            started_at: at,
-            in_flight: true,
-        });
-    }
-
-    fn finish(&mut self, id: &RequestId, answer: FinalResponse) {
-        if let Some(open) = self.open_requests.get_mut(id) {
-            let last = open.last().cloned();
-            reply(&*self.observer, open, last.as_ref(), answer);
-            self.remove_if_finished(id);
-        }
-    }
-}
-
-fn reply(
-    observer: &dyn Observer,
-    open: &mut OpenRequest,
-    host: Option<&EndpointId>,
-    answer: FinalResponse,
-) {
-    if let Some(sender) = open.close() {
-        let end = match &answer {
-            FinalResponse::Served(_) => RequestOutcome::Served,
-            FinalResponse::Shed { .. } => RequestOutcome::Shed,
-            FinalResponse::Failed => RequestOutcome::Failed,
-        };
-        observer.request_completed(open.class, host, open.received_at.elapsed(), end);
-        // A client that has gone meanwhile is owed nothing.
-        let _ = sender.send(answer);
-    }
 }
 
+/// The decision module's id of the client's request of this number.
 fn request_id(number: u64) -> RequestId {
     RequestId::from(number.to_string().as_str())
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -12,11 +12,12 @@
 mod policy_runner;
 pub mod relay;
 mod server;
+mod timer_queue;
 mod upstream;
 
 use connections::{ConnectionManager, MAX_READ_AHEAD_BYTES};
 use discovery::Discovery;
-use driver::{Driver, DriverEvent};
+use driver::{Driver, DriverEvent, DriverOptions};
 use multiget::MultiGet;
 use server::{
     serve, ClientConnection, DescriptorSource, ServerContext, ShutdownStage, MAX_HEAD_BYTES,
@@ -117,7 +118,7 @@
     let (events, inputs) = mpsc::unbounded_channel();
     let (heard, lists) = mpsc::unbounded_channel();
     let (stages, stage) = watch::channel(ShutdownStage::Serving);
-    let (follow, ready) = (Rc::new(Notify::new()), Rc::default());
+    let (poll_requested, ready) = (Rc::new(Notify::new()), Rc::default());
     let table = ConnectionManager::new(
         budget.clone(),
         ConnectionKind::Client,
@@ -166,16 +167,16 @@
     let balancer = Balancer::new(settings, seed);
     let (told, to_driver) = mpsc::unbounded_channel();
     let heeding = heed_departures(lists, told, upstream.clone());
-    let following = discovery.run(follow.clone());
-    let driver = Driver::new(
+    let following = discovery.run(poll_requested.clone());
+    let driver = Driver::new(DriverOptions {
         balancer,
-        upstream.clone(),
-        follow,
+        upstream: upstream.clone(),
+        poll_requested,
         ready,
-        pushed,
+        awaits_first_list: pushed,
         events,
-        telemetry.clone(),
-    );
+        observer: telemetry.clone(),
+    });
     spawn_local(driver.run(known, to_driver, inputs));
     let beside = match side {
         Some(listener) => {
--- /dev/null
+++ b/crates/node/src/timer_queue.rs
@@ -0,0 +1,55 @@
+//! Timers that are set for a point in time each, and handed out once it has come.
+
+use std::collections::BTreeSet;
+use std::future::pending;
+use tokio::time::{sleep_until, Instant};
+
+/// Timers in the order of their times; those of one time in their own order. Setting or canceling one costs O(log n).
+///
+/// The same timer set twice for the same time is one.
+#[derive(Debug)]
+pub struct TimerQueue<T> {
+    timers: BTreeSet<(Instant, T)>,
+}
+
+impl<T: Ord> TimerQueue<T> {
+    /// A queue without timers.
+    pub const fn new() -> Self {
+        Self {
+            timers: BTreeSet::new(),
+        }
+    }
+
+    /// Sets a timer for a point in time.
+    pub fn schedule(&mut self, at: Instant, timer: T) {
+        self.timers.insert((at, timer));
+    }
+
+    /// Removes a timer that is set for this time.
+    pub fn cancel(&mut self, at: Instant, timer: T) {
+        self.timers.remove(&(at, timer));
+    }
+
+    /// Removes and returns the earliest timer whose time has come by `now`.
+    pub fn pop_expired(&mut self, now: Instant) -> Option<T> {
+        let (at, _) = self.timers.first()?;
+        if *at > now {
+            return None;
+        }
+        self.timers.pop_first().map(|(_, timer)| timer)
+    }
+
+    /// Waits for the time of the earliest timer; forever if there is none.
+    pub async fn next_expiry(&self) {
+        let earliest = self.timers.first().map(|(at, _)| *at);
+        sleep_until_some(earliest).await;
+    }
+}
+
+/// Waits until a point in time; forever if there is none.
+pub async fn sleep_until_some(time: Option<Instant>) {
+    match time {
+        Some(time) => sleep_until(time).await,
+        None => pending().await,
+    }
+}
