--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -4,7 +4,7 @@
 //! connections to cache servers and clients. Requests can be drawn at a rate; each attempt ends at once, as served.
 
 use crate::decisions::Decisions;
-use crate::discovery::Discovery;
+use crate::discovery::{self, DiscoveryOptions};
 use crate::driver::DriverEvent;
 use slatelink_config::EndpointList;
 use slatelink_policy::{
@@ -66,11 +66,11 @@
         log,
     } = options;
     let (events, inputs) = mpsc::unbounded_channel();
-    let follow = Rc::new(Notify::new());
+    let poll_requested = Rc::new(Notify::new());
     let mut random = fastrand::Rng::with_seed(seed);
-    let client = Discovery {
+    let discovery = DiscoveryOptions {
         address: discovery,
-        seq: None,
+        version: None,
         pushed: !settings.polls_discovery,
         drain_grace: settings.drain_grace,
         max_poll_interval: settings.max_poll_interval,
@@ -80,11 +80,11 @@
     };
     // Dropped with this future, the set ends its task.
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(client.run(follow.clone()));
+    tasks.spawn_local(discovery::run(discovery, poll_requested.clone()));
     let driver = ControlDriver {
         requests: Requests::new(&settings, request_rate, random),
         decisions: Decisions::new(Balancer::new(settings, seed)),
-        follow,
+        poll_requested,
         wakes: BTreeSet::new(),
         sent: 0,
         processor_clock,
@@ -96,7 +96,7 @@
 /// Delivers events to the decision module and carries out what of its actions concerns control.
 struct ControlDriver {
     decisions: Decisions,
-    follow: Rc<Notify>,
+    poll_requested: Rc<Notify>,
     wakes: BTreeSet<Instant>,
     requests: Requests,
     /// Attempts so far.
@@ -191,7 +191,7 @@
             Action::Wake { after } => {
                 self.wakes.insert(Instant::now() + after);
             }
-            Action::PollDiscovery => self.follow.notify_one(),
+            Action::PollDiscovery => self.poll_requested.notify_one(),
             // There are no clients to answer and no connections to close.
             Action::Shed { .. }
             | Action::Fail { .. }
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -25,11 +25,11 @@
 use tokio::time::{sleep, Instant};
 
 /// How the client of discovery begins.
-pub struct Discovery {
+pub struct DiscoveryOptions {
     /// Where it answers. A new address ends what was going on at the old one, but for reading what that still says.
     pub address: watch::Receiver<SocketAddr>,
     /// Version of the list held; `None` where none is.
-    pub seq: Option<u64>,
+    pub version: Option<u64>,
     /// Whether changes come unprompted: a watch is open all the time then, and the module says nothing of it.
     pub pushed: bool,
     /// Nothing is sent to a server later than this after its departure was told.
@@ -41,29 +41,27 @@
     pub log: Log,
 }
 
-impl Discovery {
-    /// Watches whenever it is told to, until a call fails: then the module is told and says when to try again.
-    /// A new address starts anew at once, from the whole list: versions of the old one mean nothing there, and
-    /// the node serves from the list it holds until that has come.
-    pub async fn run(self, follow: Rc<Notify>) {
-        let mut address = self.address.clone();
-        let mut client = Client::new(self);
-        let mut moved = None;
-        loop {
-            let at = *address.borrow_and_update();
-            tokio::select! {
-                () = client.watch_at(at, &follow, moved) => return,
-                changed = address.changed() => if changed.is_err() { return },
-            }
-            client.leave_address();
-            moved = Some(Instant::now());
+/// Watches whenever it is told to, until a call fails: then the module is told and says when to try again.
+/// A new address starts anew at once, from the whole list: versions of the old one mean nothing there, and
+/// the node serves from the list it holds until that has come.
+pub async fn run(options: DiscoveryOptions, poll_requested: Rc<Notify>) {
+    let mut address = options.address.clone();
+    let mut client = Client::new(options);
+    let mut moved = None;
+    loop {
+        let at = *address.borrow_and_update();
+        tokio::select! {
+            () = client.watch_at(at, &poll_requested, moved) => return,
+            changed = address.changed() => if changed.is_err() { return },
         }
+        client.leave_address();
+        moved = Some(Instant::now());
     }
 }
 
 /// The client at work.
 struct Client {
-    seq: Option<u64>,
+    version: Option<u64>,
     pushed: bool,
     drain_grace: Duration,
     max_poll_interval: Duration,
@@ -84,9 +82,9 @@
 }
 
 impl Client {
-    fn new(begin: Discovery) -> Self {
-        let Discovery {
-            seq,
+    fn new(options: DiscoveryOptions) -> Self {
+        let DiscoveryOptions {
+            version,
             pushed,
             drain_grace,
             max_poll_interval,
@@ -94,9 +92,9 @@
             events,
             log,
             ..
-        } = begin;
+        } = options;
         Self {
-            seq,
+            version,
             pushed,
             drain_grace,
             max_poll_interval,
@@ -117,15 +115,20 @@
     fn leave_address(&mut self) {
         self.in_flight.supersede_all(LATE_ANSWER);
         self.source = self.source.next();
-        self.seq = None;
+        self.version = None;
     }
 
     /// Watches at one address, until the driver has gone. Where it moved there, the module's word to watch holds.
-    async fn watch_at(&mut self, address: SocketAddr, follow: &Notify, moved: Option<Instant>) {
+    async fn watch_at(
+        &mut self,
+        address: SocketAddr,
+        poll_requested: &Notify,
+        moved: Option<Instant>,
+    ) {
         let mut at_once = moved.is_some();
         loop {
             if !self.pushed && !std::mem::take(&mut at_once) {
-                self.reading(follow.notified()).await;
+                self.reading(poll_requested.notified()).await;
             }
             let mut link = None;
             loop {
@@ -136,7 +139,7 @@
                 match called {
                     Ok(list) => {
                         self.answered = Some(Instant::now());
-                        let early = self.seq == Some(list.version) && asked.elapsed() < EARLY;
+                        let early = self.version == Some(list.version) && asked.elapsed() < EARLY;
                         match self.take(list) {
                             Taken::Older => self.reading(sleep(PACE)).await,
                             Taken::Newest if early && !unsure => self.reading(sleep(PACE)).await,
@@ -148,7 +151,7 @@
                         self.log
                             .rate_limited("discovery", &format!("discovery: {error}"));
                         let new_there =
-                            self.seq.is_none() && moved.is_some_and(|at| at.elapsed() < MOVED);
+                            self.version.is_none() && moved.is_some_and(|at| at.elapsed() < MOVED);
                         at_once = new_there || self.failed_late;
                         // The module's word is waited for but where it has no say.
                         if (self.pushed || !at_once)
@@ -220,9 +223,9 @@
             return;
         };
         // Whether the driver is there shows at the next list.
-        if source != self.source || self.seq.is_none() {
+        if source != self.source || self.version.is_none() {
             self.tell_leaving(list, source);
-        } else if self.seq.is_some_and(|held| list.version > held) {
+        } else if self.version.is_some_and(|held| list.version > held) {
             self.take(list);
         }
     }
@@ -231,17 +234,17 @@
     fn take(&mut self, list: EndpointList) -> Taken {
         // It would bring servers back that are gone. Discovery may have lost its versions all the same: the whole list is
         // taken as it comes, and until then what this one says of servers that leave.
-        if let Some(held) = self.seq.filter(|held| list.version < *held) {
+        if let Some(held) = self.version.filter(|held| list.version < *held) {
             let text = format!(
                 "discovery: list {} is older than {held}: asking for the whole list",
                 list.version
             );
             self.log.rate_limited("discovery", &text);
-            self.seq = None;
+            self.version = None;
             self.tell_leaving(list, self.source);
             return Taken::Older;
         }
-        self.seq = Some(list.version);
+        self.version = Some(list.version);
         match self.tell(list, self.source) {
             true => Taken::Newest,
             false => Taken::NobodyListens,
--- a/crates/node/src/discovery/leaving_tests.rs
+++ b/crates/node/src/discovery/leaving_tests.rs
@@ -475,9 +475,9 @@
         max_poll_interval,
         ..
     } = Settings::default();
-    let watching = Discovery {
+    let options = DiscoveryOptions {
         address,
-        seq: Some(1),
+        version: Some(1),
         pushed: false,
         drain_grace,
         max_poll_interval,
@@ -485,9 +485,9 @@
         events,
         log: log.clone(),
     };
-    let follow = Rc::new(Notify::new());
-    follow.notify_one();
-    spawn_local(watching.run(follow.clone()));
+    let poll_requested = Rc::new(Notify::new());
+    poll_requested.notify_one();
+    spawn_local(run(options, poll_requested.clone()));
     spawn_local(async move {
         let mut random = fastrand::Rng::with_seed(seed ^ 0x9e37);
         while let Some(input) = inputs.recv().await {
@@ -497,7 +497,7 @@
             }
             if failed {
                 sleep(Duration::from_millis(random.u64(360..840))).await;
-                follow.notify_one();
+                poll_requested.notify_one();
             }
         }
         drop(addresses);
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -150,10 +150,10 @@
         polls_discovery,
         ..
     } = settings;
-    let (log, seq, pushed) = (log.clone(), Some(1), !polls_discovery);
-    let watching = Discovery {
+    let (log, version, pushed) = (log.clone(), Some(1), !polls_discovery);
+    let options = DiscoveryOptions {
         address,
-        seq,
+        version,
         pushed,
         drain_grace,
         max_poll_interval,
@@ -161,11 +161,11 @@
         events,
         log,
     };
-    let follow = Rc::new(Notify::new());
+    let poll_requested = Rc::new(Notify::new());
     if !pushed {
-        follow.notify_one();
+        poll_requested.notify_one();
     }
-    spawn_local(watching.run(follow.clone()));
+    spawn_local(run(options, poll_requested.clone()));
     spawn_local(async move {
         while let Some(input) = inputs.recv().await {
             let failed = matches!(input, DriverEvent::DiscoveryFailed);
@@ -174,7 +174,7 @@
             }
             if failed && !pushed {
                 sleep(FOLLOW_AGAIN).await;
-                follow.notify_one();
+                poll_requested.notify_one();
             }
         }
         drop(kept);
--- a/crates/node/src/discovery/watching.rs
+++ b/crates/node/src/discovery/watching.rs
@@ -30,8 +30,8 @@
 impl Client {
     /// Discovery's next word: the whole list where none is held, or what a watch brings.
     pub(super) async fn ask(&mut self, address: SocketAddr, link: Option<Link>) -> Called {
-        match self.seq {
-            Some(seq) => self.watch(address, seq, link).await,
+        match self.version {
+            Some(version) => self.watch(address, version, link).await,
             None => self.whole_list(address, link).await,
         }
     }
@@ -51,11 +51,11 @@
     }
 
     /// What a watch brings, or one of those that renew it.
-    async fn watch(&mut self, address: SocketAddr, seq: u64, link: Option<Link>) -> Called {
+    async fn watch(&mut self, address: SocketAddr, version: u64, link: Option<Link>) -> Called {
         let mut opened = Instant::now();
         let mut unverified = self.unsure;
         let mut next_call = opened + self.first_call_beside();
-        let mut watches = Watches::new(self.start(address, Ask::After(seq, WAIT), link));
+        let mut watches = Watches::new(self.start(address, Ask::After(version, WAIT), link));
         loop {
             let over = opened + WAIT + OVERDUE;
             if let Ok(called) = timeout_at(next_call.min(over), self.answer_of(&mut watches)).await
@@ -71,8 +71,8 @@
             }
             let asked = Instant::now();
             let beside = match unverified {
-                true => self.verify(address, seq, &mut watches).await,
-                false => self.renew(address, seq, &mut watches).await,
+                true => self.verify(address, version, &mut watches).await,
+                false => self.renew(address, version, &mut watches).await,
             };
             match beside {
                 Beside::Called(called) => return called,
@@ -114,13 +114,13 @@
     }
 
     /// Makes sure of a watch that was opened after a failed call.
-    async fn verify(&mut self, address: SocketAddr, seq: u64, watches: &mut Watches) -> Beside {
-        let ask = Ask::After(seq, BRIEF);
+    async fn verify(&mut self, address: SocketAddr, version: u64, watches: &mut Watches) -> Beside {
+        let ask = Ask::After(version, BRIEF);
         match self
             .prompt(address, ask, None, Some(VERIFY_HEDGE), watches)
             .await
         {
-            Prompt::Answered((Ok(list), _)) if list.version == seq && !watches.is_broken() => {
+            Prompt::Answered((Ok(list), _)) if list.version == version && !watches.is_broken() => {
                 self.unsure = false;
                 self.failed_late = false;
                 self.answered = Some(Instant::now());
@@ -131,15 +131,15 @@
     }
 
     /// Makes a call that stands in the newest watch's place, or shows what that has missed.
-    async fn renew(&mut self, address: SocketAddr, seq: u64, watches: &mut Watches) -> Beside {
+    async fn renew(&mut self, address: SocketAddr, version: u64, watches: &mut Watches) -> Beside {
         let confirm = self.confirm_at.is_some_and(|at| Instant::now() >= at);
         if !confirm && !self.unsure {
-            return self.renew_by_watch(address, seq, watches).await;
+            return self.renew_by_watch(address, version, watches).await;
         }
         let ask = if confirm {
             Ask::Whole
         } else {
-            Ask::After(seq, BRIEF)
+            Ask::After(version, BRIEF)
         };
         let prompt = self.prompt(address, ask, None, None, watches).await;
         if confirm && matches!(prompt, Prompt::Answered(_)) {
@@ -164,10 +164,10 @@
     async fn renew_by_watch(
         &mut self,
         address: SocketAddr,
-        seq: u64,
+        version: u64,
         watches: &mut Watches,
     ) -> Beside {
-        let fresh = self.start(address, Ask::After(seq, WAIT), None);
+        let fresh = self.start(address, Ask::After(version, WAIT), None);
         let until = Instant::now() + OVERLAP;
         loop {
             let calls: Vec<_> = watches.open().chain([fresh]).collect();
@@ -177,7 +177,7 @@
             };
             match called {
                 (Ok(list), link) => {
-                    if ended == fresh && list.version > seq {
+                    if ended == fresh && list.version > version {
                         let news = list.version;
                         let text = format!(
                             "discovery: list {news} came by a new watch, not by the old one"
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -123,7 +123,7 @@
 pub struct Driver {
     decisions: Decisions,
     upstream: Rc<Upstream>,
-    follow: Rc<Notify>,
+    poll_requested: Rc<Notify>,
     ready: Rc<Cell<bool>>,
     /// Until when clients are kept waiting for the first list; `None` once they are not.
     awaits: Option<Instant>,
@@ -139,7 +139,7 @@
     pub fn new(
         balancer: Balancer,
         upstream: Rc<Upstream>,
-        follow: Rc<Notify>,
+        poll_requested: Rc<Notify>,
         ready: Rc<Cell<bool>>,
         pushed: bool,
         events: UnboundedSender<DriverEvent>,
@@ -148,7 +148,7 @@
         Self {
             decisions: Decisions::new(balancer),
             upstream,
-            follow,
+            poll_requested,
             ready,
             awaits: pushed.then(|| Instant::now() + AGENT),
             some_ready: false,
@@ -388,7 +388,7 @@
                 self.timers.insert((Instant::now() + after, Timer::Wake));
             }
             Action::CloseIdleConnections { server } => self.upstream.close_idle(&server),
-            Action::PollDiscovery => self.follow.notify_one(),
+            Action::PollDiscovery => self.poll_requested.notify_one(),
             Action::BreakerOpened(scope) => self.observer.breaker_opened(&scope),
         }
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -15,7 +15,7 @@
 mod upstream;
 
 use connections::{ConnectionManager, MAX_READ_AHEAD};
-use discovery::Discovery;
+use discovery::DiscoveryOptions;
 use driver::{Driver, DriverEvent};
 use multiget::MultiGet;
 use server::{serve, Connection, DescriptorSource, ServerContext, ShutdownStage, LARGEST_HEAD};
@@ -114,7 +114,7 @@
     let (events, inputs) = mpsc::unbounded_channel();
     let (heard, lists) = mpsc::unbounded_channel();
     let (stages, stage) = watch::channel(ShutdownStage::Serving);
-    let (follow, ready) = (Rc::new(Notify::new()), Rc::default());
+    let (poll_requested, ready) = (Rc::new(Notify::new()), Rc::default());
     let table = ConnectionManager::new(
         budget.clone(),
         ConnectionKind::Client,
@@ -142,12 +142,12 @@
     // Where lists are pushed, what the agent has counts as told from a process's first moment: it is asked for at
     // once, and the node is ready when it has that. Elsewhere a whole list has a price, and the node holds its own.
     let pushed = !settings.polls_discovery;
-    let seq = (!known.hosts.is_empty() && !pushed).then_some(known.version);
+    let version = (!known.hosts.is_empty() && !pushed).then_some(known.version);
     let random = fastrand::Rng::with_seed(seed);
     let (addresses, address) = watch::channel(discovery);
-    let discovery = Discovery {
+    let discovery = DiscoveryOptions {
         address,
-        seq,
+        version,
         pushed,
         drain_grace: settings.drain_grace,
         max_poll_interval: settings.max_poll_interval,
@@ -163,11 +163,11 @@
     let balancer = Balancer::new(settings, seed);
     let (told, to_driver) = mpsc::unbounded_channel();
     let heeding = heed_departures(lists, told, upstream.clone());
-    let following = discovery.run(follow.clone());
+    let following = discovery::run(discovery, poll_requested.clone());
     let driver = Driver::new(
         balancer,
         upstream.clone(),
-        follow,
+        poll_requested,
         ready,
         pushed,
         events,
