--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -3,14 +3,16 @@
 mod call;
 mod departures;
 mod in_flight;
+mod notified;
 mod timing;
 mod watches;
 mod watching;
 
 use crate::driver::DriverEvent;
 use call::{call, Ask, CallError, Called, Link};
-use departures::{Departures, REMEMBERED};
+use departures::{Departures, ANNOUNCEMENT_LIFETIME};
 use in_flight::{Answered, Call, CallId, InFlight, Source};
+use notified::NOTIFIED_AFTER_ADDRESS_CHANGE;
 use slatelink_config::EndpointList;
 use slatelink_policy::Availability;
 use slatelink_telemetry::Log;
@@ -113,7 +115,7 @@
 
     /// What the old address still writes counts as told.
     fn leave_address(&mut self) {
-        self.in_flight.supersede_all(LATE_ANSWER);
+        self.in_flight.supersede_all(LATE_ANSWER_READ_TIME);
         self.source = self.source.next();
         self.version = None;
     }
@@ -139,10 +141,13 @@
                 match called {
                     Ok(list) => {
                         self.answered = Some(Instant::now());
-                        let early = self.version == Some(list.version) && asked.elapsed() < EARLY;
+                        let early = self.version == Some(list.version)
+                            && asked.elapsed() < EARLY_ANSWER_THRESHOLD;
                         match self.take(list) {
-                            Taken::Older => self.reading(sleep(PACE)).await,
-                            Taken::Newest if early && !unsure => self.reading(sleep(PACE)).await,
+                            Taken::Older => self.reading(sleep(EARLY_ANSWER_PAUSE)).await,
+                            Taken::Newest if early && !unsure => {
+                                self.reading(sleep(EARLY_ANSWER_PAUSE)).await
+                            }
                             Taken::Newest => {}
                             Taken::NobodyListens => return,
                         }
@@ -150,8 +155,8 @@
                     Err(error) => {
                         self.log
                             .rate_limited("discovery", &format!("discovery: {error}"));
-                        let new_there =
-                            self.version.is_none() && moved.is_some_and(|at| at.elapsed() < MOVED);
+                        let new_there = self.version.is_none()
+                            && moved.is_some_and(|at| at.elapsed() < NOTIFIED_AFTER_ADDRESS_CHANGE);
                         at_once = new_there || self.failed_late;
                         // The module's word is waited for but where it has no say.
                         if (self.pushed || !at_once)
@@ -172,16 +177,26 @@
     fn pause_after(&mut self, error: &CallError, unsure: bool, new_there: bool) -> Duration {
         let pause = match error {
             _ if self.pushed && !unsure => Duration::ZERO,
-            _ if self.pushed => self.drain_grace.mul_f64(PUSHED_AGAIN_PART),
+            _ if self.pushed => self
+                .drain_grace
+                .mul_f64(PUSHED_BACKOFF_DRAIN_GRACE_FRACTION),
             CallError::Overdue => Duration::ZERO,
-            _ if new_there => MOVED_AGAIN,
-            _ if self.failed_late => LATE_PAUSE,
-            CallError::Status(_) if self.answered.is_some_and(|at| at.elapsed() < RECENT) => {
-                return self.spread(RECENT_AGAIN, RECENT_AGAIN_SPREAD);
+            _ if new_there => ADDRESS_CHANGE_BACKOFF,
+            _ if self.failed_late => LATE_FAILURE_BACKOFF,
+            CallError::Status(_)
+                if self
+                    .answered
+                    .is_some_and(|at| at.elapsed() < RECENT_ANSWER_WINDOW) =>
+            {
+                return RECENT_ANSWER_BACKOFF.draw(&mut self.random);
             }
             _ => Duration::ZERO,
         };
-        self.spread(pause, 0.5)
+        let backoff = Jittered {
+            mean: pause,
+            jitter: BACKOFF_JITTER,
+        };
+        backoff.draw(&mut self.random)
     }
 
     fn start(&mut self, address: SocketAddr, ask: Ask, link: Option<Link>) -> CallId {
@@ -265,16 +280,12 @@
         if self.departures.amend(&mut list, source, now) {
             let text = "discovery: a server that leaves stays left alone, against a list that is not newer";
             self.log.rate_limited("discovery", text);
-            self.confirm_at = Some(now + REMEMBERED);
+            self.confirm_at = Some(now + ANNOUNCEMENT_LIFETIME);
         }
         self.events
             .send(DriverEvent::EndpointListReceived(list))
             .is_ok()
     }
-
-    fn spread(&mut self, time: Duration, part: f64) -> Duration {
-        time.mul_f64(1.0 + part * (2.0 * self.random.f64() - 1.0))
-    }
 }
 
 /// What became of a list.
--- a/crates/node/src/discovery/departures.rs
+++ b/crates/node/src/discovery/departures.rs
@@ -13,7 +13,7 @@
 
 /// For so long a departure outweighs lists that can't be told to be newer. An older one that is still on its way has
 /// come by then, and a discovery that has lost its state has found it again.
-pub const REMEMBERED: Duration = Duration::from_secs(30);
+pub const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_secs(30);
 
 struct Departure {
     source: Source,
@@ -30,7 +30,7 @@
     taken: Instant,
 }
 
-/// The departures of late, by server. As many as the lists of `REMEMBERED` named.
+/// The departures of late, by server. As many as the lists of `ANNOUNCEMENT_LIFETIME` named.
 #[derive(Default)]
 pub struct Departures {
     servers: HashMap<String, Departure>,
@@ -44,7 +44,7 @@
     /// Whether there were any of these.
     pub fn amend(&mut self, list: &mut EndpointList, source: Source, now: Instant) -> bool {
         self.servers
-            .retain(|_, departure| now - departure.announced < REMEMBERED);
+            .retain(|_, departure| now - departure.announced < ANNOUNCEMENT_LIFETIME);
         let version = list.version;
         let newer = self.advance(list, source, now);
         let mut amended = false;
@@ -84,7 +84,7 @@
     /// Takes in who is listed, unless the list is not newer than one of the same source. Whether it was newer.
     fn advance(&mut self, list: &EndpointList, source: Source, now: Instant) -> bool {
         let outweighs = |newest: &&Newest| {
-            let fresh = now - newest.taken < REMEMBERED;
+            let fresh = now - newest.taken < ANNOUNCEMENT_LIFETIME;
             fresh && newest.source == source && newest.version >= list.version
         };
         if self.newest.as_ref().filter(outweighs).is_some() {
--- a/crates/node/src/discovery/leaving_tests.rs
+++ b/crates/node/src/discovery/leaving_tests.rs
@@ -1,6 +1,7 @@
 //! What a watch tells of servers that leave, where that crosses another call of the same node.
 
-use super::tests::{client_at, list, play, wait_of, QUEUE, TOLD_AFTER_FAILURE};
+use super::notified::*;
+use super::tests::{client_at, list, play, wait_of};
 use super::*;
 use slatelink_policy::Settings;
 use socket2::SockRef;
@@ -14,7 +15,7 @@
 use tokio::time::{sleep_until, timeout_at};
 
 /// Within so long of the word the driver must have it: the rule leaves 0.25 s, and the way to a server is part of that.
-const AT_ONCE: Duration = Duration::from_millis(200);
+const PROMPTLY: Duration = Duration::from_millis(200);
 
 /// A call that the test answers itself.
 struct Asked {
@@ -152,7 +153,7 @@
             second.answer(&changes(3, &later));
             first.answer(&changes(2, &[("s-1", "draining")]));
             // The call that follows is not answered.
-            heard_leaving(&mut heard, "s-2", AT_ONCE).await
+            heard_leaving(&mut heard, "s-2", PROMPTLY).await
         });
         if came.is_none() {
             missed.push(later_on);
@@ -177,7 +178,7 @@
         whole.answer(&changes(5, &[("s-2", "ready")]));
         watch.answer(&changes(6, &[("s-1", "draining")]));
         // The call that follows is not answered.
-        let came = heard_leaving(&mut heard, "s-1", AT_ONCE).await;
+        let came = heard_leaving(&mut heard, "s-1", PROMPTLY).await;
         assert!(came.is_some(), "a drain that was written, and so told");
     });
 }
@@ -203,7 +204,7 @@
             let mut words = [(&old, "old"), (&new, "new")];
             words.sort_by_key(|(_, name)| *name != written_first);
             words.iter().for_each(|(watch, name)| write(watch, name));
-            let until = Instant::now() + AT_ONCE;
+            let until = Instant::now() + PROMPTLY;
             let mut drained = false;
             while let Ok(Some((_, input))) = timeout_at(until, heard.recv()).await {
                 let DriverEvent::EndpointListReceived(list) = input else {
@@ -241,7 +242,7 @@
                 b'R' => call.refuse(),
                 // In the queue from when it came, also beside another call.
                 b'r' => drop(spawn_local(async move {
-                    sleep_until(call.at + QUEUE).await;
+                    sleep_until(call.at + QUEUE_LIMIT).await;
                     call.refuse();
                 })),
                 b'X' => call.reset(),
@@ -250,7 +251,7 @@
         }
         let call = calls.recv().await.unwrap();
         spawn_local(async move {
-            sleep_until(call.at + QUEUE).await;
+            sleep_until(call.at + QUEUE_LIMIT).await;
             call.answer(&changes(2, &[("s-1", "draining")]));
             std::future::pending::<()>().await;
         });
@@ -274,14 +275,14 @@
     ] {
         let took = (0..2).map(|seed| after(first, meets, seed)).max().unwrap();
         println!("{meets}: {took:?}");
-        assert!(took >= QUEUE, "{meets}: {took:?}");
-        if took >= TOLD_AFTER_FAILURE {
+        assert!(took >= QUEUE_LIMIT, "{meets}: {took:?}");
+        if took >= NOTIFIED_AFTER_FAILED_CALL {
             late.push((meets, took));
         }
     }
     assert!(
         late.is_empty(),
-        "later than {TOLD_AFTER_FAILURE:?}: {late:?}"
+        "later than {NOTIFIED_AFTER_FAILED_CALL:?}: {late:?}"
     );
 }
 
@@ -289,9 +290,9 @@
 #[test]
 fn a_first_call_that_is_refused_or_waits_in_the_queue_brings_a_drain_in_time() {
     for (meets, most) in [
-        ("", QUEUE + AT_ONCE),
-        ("R", TOLD_AFTER_FAILURE),
-        ("r", TOLD_AFTER_FAILURE),
+        ("", QUEUE_LIMIT + PROMPTLY),
+        ("R", NOTIFIED_AFTER_FAILED_CALL),
+        ("r", NOTIFIED_AFTER_FAILED_CALL),
     ] {
         for seed in 0..3 {
             let took = match meets {
@@ -299,7 +300,7 @@
                     let (address, mut calls) = manual().await;
                     let mut heard = client_at(address, seed, false, &log).0;
                     let call = calls.recv().await.unwrap();
-                    sleep(QUEUE).await;
+                    sleep(QUEUE_LIMIT).await;
                     call.answer(&changes(2, &[("s-1", "draining")]));
                     list(&mut heard, 2).await - call.at
                 }),
@@ -361,13 +362,13 @@
                     .for_each(|call| call.answer(&change));
                 spawn_local(async move {
                     while let Some(call) = calls.recv().await {
-                        sleep(QUEUE).await;
+                        sleep(QUEUE_LIMIT).await;
                         call.answer(&change);
                     }
                 });
                 list(&mut heard, 2).await - changed
             });
-            if took >= TOLD_AFTER_FAILURE {
+            if took >= NOTIFIED_AFTER_FAILED_CALL {
                 late.push((change_after, seed, took));
             }
         }
@@ -385,20 +386,20 @@
     for seed in 0..3 {
         let took = play(async |log| {
             let (mut heard, mut calls, old, silent) = renewed(seed, &log).await;
-            sleep_until(silent.at + OVERLAP + Duration::from_secs(1)).await;
+            sleep_until(silent.at + RENEWAL_OVERLAP + Duration::from_secs(1)).await;
             assert!(old.stands(), "a closed watch is a call that was given up");
             let answered = Instant::now();
             old.answer(&changes(2, &[("s-1", "draining")]));
             spawn_local(async move {
                 while let Some(call) = calls.recv().await {
-                    sleep(QUEUE).await;
+                    sleep(QUEUE_LIMIT).await;
                     call.answer(&changes(3, &[("s-2", "draining")]));
                 }
                 drop(silent);
             });
             list(&mut heard, 3).await - answered
         });
-        assert!(took < QUEUE + AT_ONCE, "seed {seed}: {took:?}");
+        assert!(took < QUEUE_LIMIT + PROMPTLY, "seed {seed}: {took:?}");
     }
 }
 
@@ -434,7 +435,7 @@
                     }
                     let now = Instant::now();
                     free = free.max(now);
-                    if free - now > QUEUE {
+                    if free - now > QUEUE_LIMIT {
                         refusals.set(refusals.get() + 1);
                         call.refuse();
                         continue;
@@ -534,7 +535,7 @@
         });
         let missed = took
             .iter()
-            .filter(|took| **took >= TOLD_AFTER_FAILURE)
+            .filter(|took| **took >= NOTIFIED_AFTER_FAILED_CALL)
             .count();
         if missed > 0 {
             late.push((nodes, missed, took[took.len() - 1]));
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -1,4 +1,5 @@
 use super::call::CONNECT_TIMEOUT;
+use super::notified::*;
 use super::*;
 use slatelink_policy::Settings;
 use slatelink_telemetry::{Format, Observers};
@@ -8,14 +9,8 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::task::{spawn_local, yield_now, LocalSet};
 
-/// What a change that a silent watch misses has, past the watch's wait, until it counts as told.
-const TOLD: Duration = Duration::from_secs(2);
 /// The module's longest pause after it was told of a failure.
-pub(super) const FOLLOW_AGAIN: Duration = Duration::from_millis(840);
-/// After a call that failed each change counts as told so long after discovery had it and could be reached.
-pub(super) const TOLD_AFTER_FAILURE: Duration = Duration::from_secs(6);
-/// Who stands in discovery's queue has a turn by then, or is refused.
-pub(super) const QUEUE: Duration = Duration::from_secs(2);
+pub(super) const POLICY_BACKOFF_LIMIT: Duration = Duration::from_millis(840);
 
 /// What the stand-in does with a call.
 pub(super) enum Reply {
@@ -173,7 +168,7 @@
                 return;
             }
             if failed && !pushed {
-                sleep(FOLLOW_AGAIN).await;
+                sleep(POLICY_BACKOFF_LIMIT).await;
                 poll_requested.notify_one();
             }
         }
@@ -237,7 +232,7 @@
             let (address, calls) = stand_in(reply).await;
             let came = list(&mut client(address, seed, &log), 2).await;
             let (asked, path) = calls.borrow()[0].clone();
-            let told = asked + wait_of(&path) + TOLD;
+            let told = asked + wait_of(&path) + NOTIFIED_AFTER_WATCH_WAIT;
             // Discovery's queue is 2 s long at times, and its connection may fail: there must be time for more tries.
             let most = told - Duration::from_secs(10);
             assert!(
@@ -292,7 +287,7 @@
         assert!(
             calls[1..5]
                 .windows(2)
-                .all(|two| two[1].0 - two[0].0 >= RENEW_AGAIN / 2),
+                .all(|two| two[1].0 - two[0].0 >= RENEWAL_BACKOFF.mean / 2),
             "{calls:?}"
         );
     });
@@ -327,7 +322,11 @@
             "{pauses:?}"
         );
         assert!(
-            pauses[4] >= Settings::default().drain_grace.mul_f64(PUSHED_AGAIN_PART) / 2,
+            pauses[4]
+                >= Settings::default()
+                    .drain_grace
+                    .mul_f64(PUSHED_BACKOFF_DRAIN_GRACE_FRACTION)
+                    / 2,
             "an agent that fails is not asked without end: {pauses:?}"
         );
     });
@@ -364,7 +363,9 @@
             );
             let total: Duration = pauses.iter().sum();
             assert!(
-                total >= grace.mul_f64(PUSHED_AGAIN_PART / 2.0) * pauses.len() as u32,
+                total
+                    >= grace.mul_f64(PUSHED_BACKOFF_DRAIN_GRACE_FRACTION / 2.0)
+                        * pauses.len() as u32,
                 "an agent that fails is not asked without end: {pauses:?} of {grace:?}"
             );
         }
@@ -398,7 +399,7 @@
                 addresses.send_replace(new);
                 let took = list(&mut heard, 7).await - moved;
                 assert!(
-                    took >= least && took < MOVED,
+                    took >= least && took < NOTIFIED_AFTER_ADDRESS_CHANGE,
                     "{took:?}, {:?}",
                     calls.borrow()
                 );
@@ -447,7 +448,11 @@
             told - moved
         );
         let came = list(&mut heard, 7).await;
-        assert!(came - moved < MOVED, "{:?}", came - moved);
+        assert!(
+            came - moved < NOTIFIED_AFTER_ADDRESS_CHANGE,
+            "{:?}",
+            came - moved
+        );
         while calls.borrow().len() < 2 {
             sleep(Duration::from_millis(10)).await;
         }
@@ -477,7 +482,7 @@
         let most = (again.iter()).map(|from| {
             again
                 .iter()
-                .filter(|at| **at >= *from && **at - *from < TOLD)
+                .filter(|at| **at >= *from && **at - *from < NOTIFIED_AFTER_WATCH_WAIT)
                 .count()
         });
         let most = most.max().unwrap();
@@ -503,18 +508,18 @@
                     Some(b'R') => Reply::Refused,
                     Some(b'X') => Reply::Reset,
                     Some(_) => Reply::Nothing,
-                    None if call == fails.len() => Reply::After(call, QUEUE, 2),
+                    None if call == fails.len() => Reply::After(call, QUEUE_LIMIT, 2),
                     None => Reply::Nothing,
                 };
                 let (address, calls) = stand_in(reply).await;
                 let came = list(&mut client(address, seed, &log), 2).await;
                 let took = came - calls.borrow()[first].0;
                 assert!(
-                    took < TOLD_AFTER_FAILURE,
+                    took < NOTIFIED_AFTER_FAILED_CALL,
                     "{fails}: {took:?} of {:?}",
                     calls.borrow()
                 );
-                assert!(took >= QUEUE, "{fails}: {took:?}");
+                assert!(took >= QUEUE_LIMIT, "{fails}: {took:?}");
             });
         }
     }
@@ -543,20 +548,24 @@
         let mut heard = client(address, 1, &log);
         let (failed, input) = heard.recv().await.unwrap();
         assert!(matches!(input, DriverEvent::DiscoveryFailed));
-        while Instant::now() < failed + FOLLOW_AGAIN + CONNECT_TIMEOUT / 10 {
+        while Instant::now() < failed + POLICY_BACKOFF_LIMIT + CONNECT_TIMEOUT / 10 {
             sleep(Duration::from_millis(10)).await;
         }
         drop(filling);
         let reached = Instant::now();
         let reply = |call, path: &str| match path.contains("after=1&") {
-            true => Reply::After(call, QUEUE, 2),
+            true => Reply::After(call, QUEUE_LIMIT, 2),
             false => Reply::Nothing,
         };
         let (_, calls) = stand_in_on(TcpListener::from_std(listener.into()).unwrap(), reply);
         let took = list(&mut heard, 2).await - reached;
-        assert!(took < TOLD_AFTER_FAILURE, "{took:?}, {:?}", calls.borrow());
         assert!(
-            took > QUEUE + CONNECT_TIMEOUT / 2,
+            took < NOTIFIED_AFTER_FAILED_CALL,
+            "{took:?}, {:?}",
+            calls.borrow()
+        );
+        assert!(
+            took > QUEUE_LIMIT + CONNECT_TIMEOUT / 2,
             "it met the node at a call that nobody took: {took:?}"
         );
     });
@@ -581,15 +590,15 @@
             let came = list(&mut client(address, seed, &log), 2).await;
             let calls = calls.borrow();
             let waits: Vec<_> = calls[..3].iter().map(|(_, path)| wait_of(path)).collect();
-            assert_eq!(waits, [WAIT, WAIT, BRIEF]);
+            assert_eq!(waits, [WATCH_WAIT, WATCH_WAIT, CATCH_UP_WAIT]);
             let verified = calls[2].0 - calls[1].0;
             assert!(
-                verified >= QUEUE,
+                verified >= QUEUE_LIMIT,
                 "the watch has had its turn: {verified:?}"
             );
-            let answered = calls[2].0 - calls[0].0 + QUEUE;
+            let answered = calls[2].0 - calls[0].0 + QUEUE_LIMIT;
             assert!(
-                answered < TOLD_AFTER_FAILURE,
+                answered < NOTIFIED_AFTER_FAILED_CALL,
                 "its answer may be too late: {answered:?}"
             );
             let late = came - (calls[2].0 + Duration::from_secs(5));
--- a/crates/node/src/discovery/watches.rs
+++ b/crates/node/src/discovery/watches.rs
@@ -1,7 +1,7 @@
 //! The watches that a node has open at discovery: the newest, and the one that it renewed.
 
 use super::in_flight::{CallId, InFlight};
-use super::timing::OVERLAP;
+use super::timing::SUPERSEDED_READ_TIME;
 use std::time::Duration;
 
 /// The open watches: two at most, beside those that are only read to their end.
@@ -39,7 +39,7 @@
     pub fn renew(&mut self, fresh: CallId, in_flight: &mut InFlight) {
         if let Some(newest) = self.newest.replace(fresh) {
             if let Some(oldest) = self.previous.replace(newest) {
-                in_flight.supersede(oldest, OVERLAP);
+                in_flight.supersede(oldest, SUPERSEDED_READ_TIME);
             }
         }
     }
--- a/crates/node/src/discovery/watching.rs
+++ b/crates/node/src/discovery/watching.rs
@@ -38,7 +38,7 @@
 
     async fn whole_list(&mut self, address: SocketAddr, link: Option<Link>) -> Called {
         let asked = Instant::now();
-        let hedge = self.failed_late.then_some(HEDGE);
+        let hedge = self.failed_late.then_some(LATE_FAILURE_HEDGE_DELAY);
         let called = match self
             .prompt(address, Ask::Whole, link, hedge, &mut Watches::default())
             .await
@@ -46,7 +46,7 @@
             Prompt::Answered(called) | Prompt::Watch(called) => called,
             Prompt::Failed(error) => (Err(error), None),
         };
-        self.failed_late = called.0.is_err() && asked.elapsed() >= LATE_FAILURE;
+        self.failed_late = called.0.is_err() && asked.elapsed() >= LATE_FAILURE_THRESHOLD;
         called
     }
 
@@ -55,14 +55,15 @@
         let mut opened = Instant::now();
         let mut unverified = self.unsure;
         let mut next_call = opened + self.first_call_beside();
-        let mut watches = Watches::new(self.start(address, Ask::After(version, WAIT), link));
+        let mut watches = Watches::new(self.start(address, Ask::After(version, WATCH_WAIT), link));
         loop {
-            let over = opened + WAIT + OVERDUE;
+            let over = opened + WATCH_WAIT + WATCH_ANSWER_GRACE;
             if let Ok(called) = timeout_at(next_call.min(over), self.answer_of(&mut watches)).await
             {
                 let waited = opened.elapsed();
-                self.failed_late =
-                    unverified && called.0.is_err() && (LATE_FAILURE..TURN).contains(&waited);
+                self.failed_late = unverified
+                    && called.0.is_err()
+                    && (LATE_FAILURE_THRESHOLD..POLL_TIMEOUT).contains(&waited);
                 return called;
             }
             if over <= next_call {
@@ -82,7 +83,7 @@
                     unverified = false;
                     next_call = asked + self.renewal();
                 }
-                Beside::Failed(error) if asked.elapsed() >= LATE_FAILURE => {
+                Beside::Failed(error) if asked.elapsed() >= LATE_FAILURE_THRESHOLD => {
                     // No time is left to wait before the next call. Those that are open are read on.
                     self.failed_late = true;
                     let left = over.saturating_duration_since(Instant::now());
@@ -95,7 +96,7 @@
                         &format!("discovery: watch not renewed: {error}"),
                     );
                     self.unsure = true;
-                    next_call = Instant::now() + self.spread(RENEW_AGAIN, RENEW_AGAIN_SPREAD);
+                    next_call = Instant::now() + RENEWAL_BACKOFF.draw(&mut self.random);
                 }
             }
         }
@@ -107,7 +108,7 @@
             let (ended, called) = self.answer_to(&watches.open().collect::<Vec<_>>()).await;
             watches.remove(ended);
             if called.0.is_ok() || watches.is_broken() {
-                watches.supersede(&mut self.in_flight, OVERLAP);
+                watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
                 return called;
             }
         }
@@ -115,9 +116,9 @@
 
     /// Makes sure of a watch that was opened after a failed call.
     async fn verify(&mut self, address: SocketAddr, version: u64, watches: &mut Watches) -> Beside {
-        let ask = Ask::After(version, BRIEF);
+        let ask = Ask::After(version, CATCH_UP_WAIT);
         match self
-            .prompt(address, ask, None, Some(VERIFY_HEDGE), watches)
+            .prompt(address, ask, None, Some(VERIFICATION_HEDGE_DELAY), watches)
             .await
         {
             Prompt::Answered((Ok(list), _)) if list.version == version && !watches.is_broken() => {
@@ -139,7 +140,7 @@
         let ask = if confirm {
             Ask::Whole
         } else {
-            Ask::After(version, BRIEF)
+            Ask::After(version, CATCH_UP_WAIT)
         };
         let prompt = self.prompt(address, ask, None, None, watches).await;
         if confirm && matches!(prompt, Prompt::Answered(_)) {
@@ -152,7 +153,7 @@
     fn end_of_call_beside(&mut self, prompt: Prompt, watches: &mut Watches) -> Beside {
         match prompt {
             Prompt::Answered(called) => {
-                watches.supersede(&mut self.in_flight, OVERLAP);
+                watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
                 Beside::Called(called)
             }
             Prompt::Watch(called) => Beside::Called(called),
@@ -167,8 +168,8 @@
         version: u64,
         watches: &mut Watches,
     ) -> Beside {
-        let fresh = self.start(address, Ask::After(version, WAIT), None);
-        let until = Instant::now() + OVERLAP;
+        let fresh = self.start(address, Ask::After(version, WATCH_WAIT), None);
+        let until = Instant::now() + RENEWAL_OVERLAP;
         loop {
             let calls: Vec<_> = watches.open().chain([fresh]).collect();
             let Ok((ended, called)) = timeout_at(until, self.answer_to(&calls)).await else {
@@ -185,9 +186,9 @@
                         self.log.rate_limited("discovery", &text);
                     }
                     watches.remove(ended);
-                    watches.supersede(&mut self.in_flight, OVERLAP);
+                    watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
                     if ended != fresh {
-                        self.in_flight.supersede(fresh, OVERLAP);
+                        self.in_flight.supersede(fresh, SUPERSEDED_READ_TIME);
                     }
                     return Beside::Called((Ok(list), link));
                 }
@@ -213,17 +214,17 @@
         watches: &mut Watches,
     ) -> Prompt {
         let mut calls = vec![self.start(address, ask, link)];
-        let mut until = Instant::now() + hedge.unwrap_or(TURN);
+        let mut until = Instant::now() + hedge.unwrap_or(POLL_TIMEOUT);
         let mut hedged = hedge.is_none();
         loop {
             let all: Vec<_> = watches.open().chain(calls.iter().copied()).collect();
             let Ok((ended, called)) = timeout_at(until, self.answer_to(&all)).await else {
                 if std::mem::replace(&mut hedged, true) {
-                    self.supersede(&calls, LATE_ANSWER);
+                    self.supersede(&calls, LATE_ANSWER_READ_TIME);
                     return Prompt::Failed(CallError::Overdue);
                 }
                 calls.push(self.start(address, ask, None));
-                until = Instant::now() + TURN;
+                until = Instant::now() + POLL_TIMEOUT;
                 continue;
             };
             let by_watch = watches.contains(ended);
@@ -231,9 +232,9 @@
             calls.retain(|call| *call != ended);
             match called {
                 (Ok(list), link) => {
-                    self.supersede(&calls, OVERLAP);
+                    self.supersede(&calls, SUPERSEDED_READ_TIME);
                     if by_watch {
-                        watches.supersede(&mut self.in_flight, OVERLAP);
+                        watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
                         return Prompt::Watch((Ok(list), link));
                     }
                     return Prompt::Answered((Ok(list), link));
@@ -253,8 +254,8 @@
     /// How long after a watch was opened another call is made beside it.
     fn first_call_beside(&mut self) -> Duration {
         match self.unsure {
-            true if self.failed_late => HEDGE,
-            true => self.spread(VERIFY, VERIFY_SPREAD),
+            true if self.failed_late => LATE_FAILURE_HEDGE_DELAY,
+            true => WATCH_VERIFICATION_DELAY.draw(&mut self.random),
             false => self.renewal(),
         }
     }
@@ -262,10 +263,12 @@
     /// How long after it was opened a watch is renewed.
     fn renewal(&mut self) -> Duration {
         if self.answered.is_some() || self.pushed {
-            return self.spread(RENEW, RENEW_SPREAD);
+            return WATCH_RENEWAL_INTERVAL.draw(&mut self.random);
         }
-        let Range { start, end } = FIRST_RENEWAL_PART;
+        let Range { start, end } = FIRST_RENEWAL_FRACTION;
         let part = start + (end - start) * self.random.f64();
-        self.max_poll_interval.mul_f64(part).min(RENEW)
+        self.max_poll_interval
+            .mul_f64(part)
+            .min(WATCH_RENEWAL_INTERVAL.mean)
     }
 }
