--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -9,7 +9,7 @@
 mod watching;
 
 use crate::driver::DriverEvent;
-use call::{call, Ask, CallError, Called, Link};
+use call::{call, CallOutcome, DiscoveryConnection, DiscoveryError, ListRequest};
 use departures::{Departures, ANNOUNCEMENT_LIFETIME};
 use in_flight::{Answered, Call, CallId, InFlight, Source};
 use notified::NOTIFIED_AFTER_ADDRESS_CHANGE;
@@ -132,13 +132,13 @@
             if !self.pushed && !std::mem::take(&mut at_once) {
                 self.reading(poll_requested.notified()).await;
             }
-            let mut link = None;
+            let mut connection = None;
             loop {
                 let asked = Instant::now();
-                let (called, kept) = self.ask(address, link.take()).await;
-                link = kept;
-                let unsure = std::mem::replace(&mut self.unsure, called.is_err());
-                match called {
+                let outcome = self.ask(address, connection.take()).await;
+                connection = outcome.connection;
+                let unsure = std::mem::replace(&mut self.unsure, outcome.result.is_err());
+                match outcome.result {
                     Ok(list) => {
                         self.answered = Some(Instant::now());
                         let early = self.version == Some(list.version)
@@ -174,16 +174,16 @@
     }
 
     /// How long the next call waits here, beside what the module says.
-    fn pause_after(&mut self, error: &CallError, unsure: bool, new_there: bool) -> Duration {
+    fn pause_after(&mut self, error: &DiscoveryError, unsure: bool, new_there: bool) -> Duration {
         let pause = match error {
             _ if self.pushed && !unsure => Duration::ZERO,
             _ if self.pushed => self
                 .drain_grace
                 .mul_f64(PUSHED_BACKOFF_DRAIN_GRACE_FRACTION),
-            CallError::Overdue => Duration::ZERO,
+            DiscoveryError::ConnectTimedOut | DiscoveryError::AnswerTimedOut => Duration::ZERO,
             _ if new_there => ADDRESS_CHANGE_BACKOFF,
             _ if self.failed_late => LATE_FAILURE_BACKOFF,
-            CallError::Status(_)
+            DiscoveryError::Status(_)
                 if self
                     .answered
                     .is_some_and(|at| at.elapsed() < RECENT_ANSWER_WINDOW) =>
@@ -199,17 +199,22 @@
         backoff.draw(&mut self.random)
     }
 
-    fn start(&mut self, address: SocketAddr, ask: Ask, link: Option<Link>) -> CallId {
-        let call: Call = Box::pin(call(address, ask, link));
+    fn start(
+        &mut self,
+        address: SocketAddr,
+        request: ListRequest,
+        connection: Option<DiscoveryConnection>,
+    ) -> CallId {
+        let call: Call = Box::pin(call(address, request, connection));
         self.in_flight.start(self.source, call)
     }
 
     /// How the first of these calls ended. What others bring meanwhile is heeded.
-    async fn answer_to(&mut self, calls: &[CallId]) -> (CallId, Called) {
+    async fn answer_to(&mut self, calls: &[CallId]) -> (CallId, CallOutcome) {
         loop {
             let answered = self.in_flight.next().await;
             if calls.contains(&answered.id) {
-                return (answered.id, answered.called);
+                return (answered.id, answered.outcome);
             }
             self.heed(answered);
         }
@@ -231,7 +236,9 @@
     fn heed(&mut self, answered: Answered) {
         let Answered {
             source,
-            called: (Ok(list), _),
+            outcome: CallOutcome {
+                result: Ok(list), ..
+            },
             ..
         } = answered
         else {
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -1,7 +1,8 @@
-//! One call to discovery: its connection, its request and its answer.
+//! One call to discovery over HTTP/1.1: its connection, its request and its answer.
 
 use bytes::Bytes;
-use http_body_util::{BodyExt, Empty, Limited};
+use http_body_util::{BodyExt, Empty};
+use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
@@ -16,126 +17,181 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A connection that has not come up after this is given up.
+/// A connection that isn't established within this time has failed.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A longer answer is no list.
-const LARGEST_LIST: usize = 8 << 20;
-/// The connection and what waits for it are polled in turn so often at a time: an answer that lies in the socket is read
-/// whole by one poll, however busy the node's other tasks are.
+/// Bound on the body of an answer, in bytes.
+const MAX_BODY_BYTES: usize = 8 << 20;
+/// The connection and what waits for it are polled in turn so often at a time: an answer that has arrived at the socket is
+/// read completely by one poll, however busy the node's other tasks are.
 const POLL_ROUNDS: usize = 4;
 
-/// Why a call brought no list.
+/// Why a call brought no endpoint list.
 #[derive(Debug, Error)]
-pub enum CallError {
-    #[error("{0}")]
+pub enum DiscoveryError {
+    /// The connection could not be established or set up.
+    #[error("cannot connect: {0}")]
     Connect(#[from] std::io::Error),
+    /// The connection wasn't established within `CONNECT_TIMEOUT`.
+    #[error("not connected within {CONNECT_TIMEOUT:?}")]
+    ConnectTimedOut,
+    /// The connection failed, or its other end doesn't speak HTTP/1.1.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("{0}")]
-    Uri(#[from] hyper::http::Error),
-    #[error("{0}")]
-    Body(#[from] Box<dyn std::error::Error + Send + Sync>),
+    /// The request could not be built.
+    #[error("cannot build the request: {0}")]
+    Request(#[from] hyper::http::Error),
+    /// Discovery answered with another status than 200; 503 says that its queue is full.
     #[error("answered {0}")]
     Status(StatusCode),
-    #[error("not a list: {0}")]
+    /// The body of the answer exceeds the bound.
+    #[error("answer of more than {MAX_BODY_BYTES} bytes")]
+    TooLarge,
+    /// The body of the answer isn't an endpoint list.
+    #[error("answer is not an endpoint list: {0}")]
     Malformed(#[from] serde_json::Error),
+    /// No answer came within the time that the caller allows.
     #[error("no answer in time")]
-    Overdue,
+    AnswerTimedOut,
 }
 
-/// What a call asks for.
+/// The request of a call.
 #[derive(Clone, Copy, Debug)]
-pub enum Ask {
-    /// The whole list.
-    Whole,
-    /// What came after a version, once there is something or so long has passed.
-    After(u64, Duration),
+pub enum ListRequest {
+    /// The complete list.
+    Complete,
+    /// A long poll for what changed after a version.
+    ChangesAfter {
+        /// The version that the node holds.
+        version: u64,
+        /// How long discovery waits for a change before it answers without one.
+        wait: Duration,
+    },
 }
 
-impl Ask {
+impl ListRequest {
     fn path(self) -> String {
         match self {
-            Self::After(seq, wait) => {
-                format!("/v1/servers?after={seq}&wait_ms={}", wait.as_millis())
+            Self::Complete => "/v1/servers".to_owned(),
+            Self::ChangesAfter { version, wait } => {
+                format!("/v1/servers?after={version}&wait_ms={}", wait.as_millis())
             }
-            Self::Whole => "/v1/servers".to_owned(),
         }
     }
 }
 
-/// How a call ended, and its connection where that may carry another.
-pub type Called = (Result<EndpointList, CallError>, Option<Link>);
-
-type Driving = Option<Pin<Box<http1::Connection<TokioIo<TcpStream>, Empty<Bytes>>>>>;
+/// How a call ended.
+pub struct CallOutcome {
+    /// The list that it brought.
+    pub result: Result<EndpointList, DiscoveryError>,
+    /// Its connection, for the next call.
+    pub connection: Option<DiscoveryConnection>,
+}
 
-/// An open connection. It is driven by the call on it and not by a task of its own, which would have to take its turn
-/// among those of all requests before a word of discovery's is read.
-pub struct Link {
-    sender: SendRequest<Empty<Bytes>>,
-    connection: Driving,
+impl CallOutcome {
+    /// A failure that leaves no connection.
+    pub fn failed(error: DiscoveryError) -> Self {
+        Self {
+            result: Err(error),
+            connection: None,
+        }
+    }
 }
 
-/// Calls on the connection at hand if that is still open, otherwise on a new one.
-pub async fn call(address: SocketAddr, ask: Ask, mut link: Option<Link>) -> Called {
-    let called = call_on(address, ask, &mut link).await;
-    (called, link)
+type ConnectionDriver = Pin<Box<http1::Connection<TokioIo<TcpStream>, Empty<Bytes>>>>;
+
+/// An open connection to discovery. The call that uses it drives it, not a task of its own: such a task would have to wait
+/// for its turn among those of all requests before an answer is read.
+pub struct DiscoveryConnection {
+    sender: SendRequest<Empty<Bytes>>,
+    /// `None` once the connection has ended.
+    driver: Option<ConnectionDriver>,
 }
 
-async fn call_on(
+/// Calls discovery, on the given connection if that is still open, otherwise on a new one.
+pub async fn call(
     address: SocketAddr,
-    ask: Ask,
-    link: &mut Option<Link>,
-) -> Result<EndpointList, CallError> {
-    // A kept connection that discovery has closed meanwhile is no failure of the call.
-    let usable = match link {
-        Some(Link { sender, connection }) => driven(connection, sender.ready()).await.is_ok(),
-        None => false,
+    request: ListRequest,
+    connection: Option<DiscoveryConnection>,
+) -> CallOutcome {
+    let mut connection = match reusable(connection).await {
+        Some(connection) => connection,
+        None => match DiscoveryConnection::open(address).await {
+            Ok(connection) => connection,
+            Err(error) => return CallOutcome::failed(error),
+        },
     };
-    if !usable {
-        *link = None;
+    let result = connection.fetch_list(address, request).await;
+    CallOutcome {
+        result,
+        connection: Some(connection),
     }
-    let Link { sender, connection } = match link {
-        Some(link) => link,
-        None => link.insert(connect(address).await?),
-    };
-    let request = Request::get(ask.path())
-        .header(HOST, address.to_string())
-        .body(Empty::new())?;
-    let exchange = async {
-        let response = sender.send_request(request).await?;
-        if response.status() != StatusCode::OK {
-            return Err(CallError::Status(response.status()));
-        }
-        let body = Limited::new(response.into_body(), LARGEST_LIST)
-            .collect()
-            .await?
-            .to_bytes();
-        Ok(serde_json::from_slice(&body)?)
-    };
-    driven(connection, exchange).await
 }
 
-async fn connect(address: SocketAddr) -> Result<Link, CallError> {
-    let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
-    let stream = connecting.await.map_err(|_| CallError::Overdue)??;
-    stream.set_nodelay(true)?;
-    let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
-    Ok(Link {
-        sender,
-        connection: Some(Box::pin(connection)),
-    })
+/// The connection, unless discovery has closed it since its last call. That is no failure of the next one.
+async fn reusable(connection: Option<DiscoveryConnection>) -> Option<DiscoveryConnection> {
+    let mut connection = connection?;
+    let ready = drive_while(&mut connection.driver, connection.sender.ready()).await;
+    ready.is_ok().then_some(connection)
+}
+
+impl DiscoveryConnection {
+    async fn open(address: SocketAddr) -> Result<Self, DiscoveryError> {
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
+            .await
+            .map_err(|_| DiscoveryError::ConnectTimedOut)??;
+        stream.set_nodelay(true)?;
+        let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
+        Ok(Self {
+            sender,
+            driver: Some(Box::pin(connection)),
+        })
+    }
+
+    async fn fetch_list(
+        &mut self,
+        address: SocketAddr,
+        request: ListRequest,
+    ) -> Result<EndpointList, DiscoveryError> {
+        let request = Request::get(request.path())
+            .header(HOST, address.to_string())
+            .body(Empty::new())?;
+        let sender = &mut self.sender;
+        let exchange = async {
+            let response = sender.send_request(request).await?;
+            if response.status() != StatusCode::OK {
+                return Err(DiscoveryError::Status(response.status()));
+            }
+            let body = read_body(response.into_body()).await?;
+            Ok(serde_json::from_slice(&body)?)
+        };
+        drive_while(&mut self.driver, exchange).await
+    }
+}
+
+async fn read_body(mut body: Incoming) -> Result<Vec<u8>, DiscoveryError> {
+    let mut bytes = Vec::new();
+    while let Some(frame) = body.frame().await {
+        let Ok(data) = frame?.into_data() else {
+            continue;
+        };
+        if bytes.len() + data.len() > MAX_BODY_BYTES {
+            return Err(DiscoveryError::TooLarge);
+        }
+        bytes.extend_from_slice(&data);
+    }
+    Ok(bytes)
 }
 
-/// Does something that needs the connection to be driven meanwhile. How that ends shows at what is done on it.
-async fn driven<T>(connection: &mut Driving, work: impl Future<Output = T>) -> T {
+/// Completes work that needs the connection to be driven meanwhile. A failure of the connection shows in the work.
+async fn drive_while<T>(driver: &mut Option<ConnectionDriver>, work: impl Future<Output = T>) -> T {
     let mut work = pin!(work);
     poll_fn(|context| {
         for _ in 0..POLL_ROUNDS {
-            let ended = connection
+            let ended = driver
                 .as_mut()
-                .is_some_and(|driving| driving.as_mut().poll(context).is_ready());
+                .is_some_and(|driver| driver.as_mut().poll(context).is_ready());
             if ended {
-                *connection = None;
+                *driver = None;
             }
             if let Poll::Ready(done) = work.as_mut().poll(context) {
                 return Poll::Ready(done);
--- a/crates/node/src/discovery/in_flight.rs
+++ b/crates/node/src/discovery/in_flight.rs
@@ -1,7 +1,7 @@
 //! The calls to discovery that are out. None is dropped while an answer may be on its way: discovery counts what it has
 //! written as known to the node, whether or not the node still waits for it.
 
-use super::call::Called;
+use super::call::CallOutcome;
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -12,7 +12,7 @@
 const MOST_CALLS: usize = 8;
 
 /// A call that is out.
-pub type Call = Pin<Box<dyn Future<Output = Called>>>;
+pub type Call = Pin<Box<dyn Future<Output = CallOutcome>>>;
 
 /// Names a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
 pub struct Answered {
     pub id: CallId,
     pub source: Source,
-    pub called: Called,
+    pub outcome: CallOutcome,
 }
 
 /// All calls that are out, the oldest first.
@@ -93,9 +93,13 @@
 
     fn poll_next(&mut self, context: &mut Context<'_>) -> Poll<Answered> {
         for place in 0..self.calls.len() {
-            if let Poll::Ready(called) = self.calls[place].call.as_mut().poll(context) {
+            if let Poll::Ready(outcome) = self.calls[place].call.as_mut().poll(context) {
                 let Open { id, source, .. } = self.calls.remove(place);
-                return Poll::Ready(Answered { id, source, called });
+                return Poll::Ready(Answered {
+                    id,
+                    source,
+                    outcome,
+                });
             }
         }
         self.drop_expired();
--- a/crates/node/src/discovery/watching.rs
+++ b/crates/node/src/discovery/watching.rs
@@ -1,6 +1,6 @@
 //! Watches on the list: opened, verified after failures, renewed, and what stands beside them.
 
-use super::call::{Ask, CallError, Called, Link};
+use super::call::{CallOutcome, DiscoveryConnection, DiscoveryError, ListRequest};
 use super::in_flight::CallId;
 use super::timing::*;
 use super::watches::Watches;
@@ -12,63 +12,89 @@
 
 /// How a call that has nothing to wait for but its turn ended, or what a watch brought meanwhile.
 enum Prompt {
-    Answered(Called),
-    Watch(Called),
-    Failed(CallError),
+    Answered(CallOutcome),
+    Watch(CallOutcome),
+    Failed(DiscoveryError),
 }
 
 /// What became of a call beside the open watches.
 enum Beside {
     /// Discovery has said something, or no watch is left: the next watch is to be opened.
-    Called(Called),
+    Called(CallOutcome),
     /// The watches stand, verified or renewed.
     Stands,
     /// It failed, and the watches stay as they were.
-    Failed(CallError),
+    Failed(DiscoveryError),
 }
 
 impl Client {
     /// Discovery's next word: the whole list where none is held, or what a watch brings.
-    pub(super) async fn ask(&mut self, address: SocketAddr, link: Option<Link>) -> Called {
+    pub(super) async fn ask(
+        &mut self,
+        address: SocketAddr,
+        connection: Option<DiscoveryConnection>,
+    ) -> CallOutcome {
         match self.version {
-            Some(version) => self.watch(address, version, link).await,
-            None => self.whole_list(address, link).await,
+            Some(version) => self.watch(address, version, connection).await,
+            None => self.whole_list(address, connection).await,
         }
     }
 
-    async fn whole_list(&mut self, address: SocketAddr, link: Option<Link>) -> Called {
+    async fn whole_list(
+        &mut self,
+        address: SocketAddr,
+        connection: Option<DiscoveryConnection>,
+    ) -> CallOutcome {
         let asked = Instant::now();
         let hedge = self.failed_late.then_some(LATE_FAILURE_HEDGE_DELAY);
         let called = match self
-            .prompt(address, Ask::Whole, link, hedge, &mut Watches::default())
+            .prompt(
+                address,
+                ListRequest::Complete,
+                connection,
+                hedge,
+                &mut Watches::default(),
+            )
             .await
         {
             Prompt::Answered(called) | Prompt::Watch(called) => called,
-            Prompt::Failed(error) => (Err(error), None),
+            Prompt::Failed(error) => CallOutcome::failed(error),
         };
-        self.failed_late = called.0.is_err() && asked.elapsed() >= LATE_FAILURE_THRESHOLD;
+        self.failed_late = called.result.is_err() && asked.elapsed() >= LATE_FAILURE_THRESHOLD;
         called
     }
 
     /// What a watch brings, or one of those that renew it.
-    async fn watch(&mut self, address: SocketAddr, version: u64, link: Option<Link>) -> Called {
+    async fn watch(
+        &mut self,
+        address: SocketAddr,
+        version: u64,
+        connection: Option<DiscoveryConnection>,
+    ) -> CallOutcome {
         let mut opened = Instant::now();
         let mut unverified = self.unsure;
         let mut next_call = opened + self.first_call_beside();
-        let mut watches = Watches::new(self.start(address, Ask::After(version, WATCH_WAIT), link));
+        let mut watches = Watches::new(self.start(
+            address,
+            ListRequest::ChangesAfter {
+                version,
+                wait: WATCH_WAIT,
+            },
+            connection,
+        ));
         loop {
             let over = opened + WATCH_WAIT + WATCH_ANSWER_GRACE;
             if let Ok(called) = timeout_at(next_call.min(over), self.answer_of(&mut watches)).await
             {
                 let waited = opened.elapsed();
                 self.failed_late = unverified
-                    && called.0.is_err()
+                    && called.result.is_err()
                     && (LATE_FAILURE_THRESHOLD..POLL_TIMEOUT).contains(&waited);
                 return called;
             }
             if over <= next_call {
                 watches.supersede(&mut self.in_flight, Duration::ZERO);
-                return (Err(CallError::Overdue), None);
+                return CallOutcome::failed(DiscoveryError::AnswerTimedOut);
             }
             let asked = Instant::now();
             let beside = match unverified {
@@ -88,7 +114,7 @@
                     self.failed_late = true;
                     let left = over.saturating_duration_since(Instant::now());
                     watches.supersede(&mut self.in_flight, left);
-                    return (Err(error), None);
+                    return CallOutcome::failed(error);
                 }
                 Beside::Failed(error) => {
                     self.log.rate_limited(
@@ -103,11 +129,11 @@
     }
 
     /// What the watches bring: the answer of either, or the failure of the newest.
-    async fn answer_of(&mut self, watches: &mut Watches) -> Called {
+    async fn answer_of(&mut self, watches: &mut Watches) -> CallOutcome {
         loop {
             let (ended, called) = self.answer_to(&watches.open().collect::<Vec<_>>()).await;
             watches.remove(ended);
-            if called.0.is_ok() || watches.is_broken() {
+            if called.result.is_ok() || watches.is_broken() {
                 watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
                 return called;
             }
@@ -116,12 +142,23 @@
 
     /// Makes sure of a watch that was opened after a failed call.
     async fn verify(&mut self, address: SocketAddr, version: u64, watches: &mut Watches) -> Beside {
-        let ask = Ask::After(version, CATCH_UP_WAIT);
+        let request = ListRequest::ChangesAfter {
+            version,
+            wait: CATCH_UP_WAIT,
+        };
         match self
-            .prompt(address, ask, None, Some(VERIFICATION_HEDGE_DELAY), watches)
+            .prompt(
+                address,
+                request,
+                None,
+                Some(VERIFICATION_HEDGE_DELAY),
+                watches,
+            )
             .await
         {
-            Prompt::Answered((Ok(list), _)) if list.version == version && !watches.is_broken() => {
+            Prompt::Answered(CallOutcome {
+                result: Ok(list), ..
+            }) if list.version == version && !watches.is_broken() => {
                 self.unsure = false;
                 self.failed_late = false;
                 self.answered = Some(Instant::now());
@@ -137,12 +174,15 @@
         if !confirm && !self.unsure {
             return self.renew_by_watch(address, version, watches).await;
         }
-        let ask = if confirm {
-            Ask::Whole
+        let request = if confirm {
+            ListRequest::Complete
         } else {
-            Ask::After(version, CATCH_UP_WAIT)
+            ListRequest::ChangesAfter {
+                version,
+                wait: CATCH_UP_WAIT,
+            }
         };
-        let prompt = self.prompt(address, ask, None, None, watches).await;
+        let prompt = self.prompt(address, request, None, None, watches).await;
         if confirm && matches!(prompt, Prompt::Answered(_)) {
             self.confirm_at = None;
         }
@@ -157,7 +197,9 @@
                 Beside::Called(called)
             }
             Prompt::Watch(called) => Beside::Called(called),
-            Prompt::Failed(error) if watches.is_broken() => Beside::Called((Err(error), None)),
+            Prompt::Failed(error) if watches.is_broken() => {
+                Beside::Called(CallOutcome::failed(error))
+            }
             Prompt::Failed(error) => Beside::Failed(error),
         }
     }
@@ -168,7 +210,14 @@
         version: u64,
         watches: &mut Watches,
     ) -> Beside {
-        let fresh = self.start(address, Ask::After(version, WATCH_WAIT), None);
+        let fresh = self.start(
+            address,
+            ListRequest::ChangesAfter {
+                version,
+                wait: WATCH_WAIT,
+            },
+            None,
+        );
         let until = Instant::now() + RENEWAL_OVERLAP;
         loop {
             let calls: Vec<_> = watches.open().chain([fresh]).collect();
@@ -176,8 +225,9 @@
                 watches.renew(fresh, &mut self.in_flight);
                 return Beside::Stands;
             };
-            match called {
-                (Ok(list), link) => {
+            let CallOutcome { result, connection } = called;
+            match result {
+                Ok(list) => {
                     if ended == fresh && list.version > version {
                         let news = list.version;
                         let text = format!(
@@ -190,15 +240,23 @@
                     if ended != fresh {
                         self.in_flight.supersede(fresh, SUPERSEDED_READ_TIME);
                     }
-                    return Beside::Called((Ok(list), link));
+                    return Beside::Called(CallOutcome {
+                        result: Ok(list),
+                        connection,
+                    });
                 }
                 // Those that are open are as good as they were.
-                (Err(error), _) if ended == fresh && !watches.is_broken() => {
+                Err(error) if ended == fresh && !watches.is_broken() => {
                     return Beside::Failed(error)
                 }
-                (Err(error), link) if ended == fresh => return Beside::Called((Err(error), link)),
+                Err(error) if ended == fresh => {
+                    return Beside::Called(CallOutcome {
+                        result: Err(error),
+                        connection,
+                    })
+                }
                 // What is left of a watch that broke just now is the new one.
-                (Err(_), _) => watches.remove(ended),
+                Err(_) => watches.remove(ended),
             }
         }
     }
@@ -208,12 +266,12 @@
     async fn prompt(
         &mut self,
         address: SocketAddr,
-        ask: Ask,
-        link: Option<Link>,
+        request: ListRequest,
+        connection: Option<DiscoveryConnection>,
         hedge: Option<Duration>,
         watches: &mut Watches,
     ) -> Prompt {
-        let mut calls = vec![self.start(address, ask, link)];
+        let mut calls = vec![self.start(address, request, connection)];
         let mut until = Instant::now() + hedge.unwrap_or(POLL_TIMEOUT);
         let mut hedged = hedge.is_none();
         loop {
@@ -221,26 +279,33 @@
             let Ok((ended, called)) = timeout_at(until, self.answer_to(&all)).await else {
                 if std::mem::replace(&mut hedged, true) {
                     self.supersede(&calls, LATE_ANSWER_READ_TIME);
-                    return Prompt::Failed(CallError::Overdue);
+                    return Prompt::Failed(DiscoveryError::AnswerTimedOut);
                 }
-                calls.push(self.start(address, ask, None));
+                calls.push(self.start(address, request, None));
                 until = Instant::now() + POLL_TIMEOUT;
                 continue;
             };
             let by_watch = watches.contains(ended);
             watches.remove(ended);
             calls.retain(|call| *call != ended);
-            match called {
-                (Ok(list), link) => {
+            let CallOutcome { result, connection } = called;
+            match result {
+                Ok(list) => {
                     self.supersede(&calls, SUPERSEDED_READ_TIME);
                     if by_watch {
                         watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
-                        return Prompt::Watch((Ok(list), link));
+                        return Prompt::Watch(CallOutcome {
+                            result: Ok(list),
+                            connection,
+                        });
                     }
-                    return Prompt::Answered((Ok(list), link));
+                    return Prompt::Answered(CallOutcome {
+                        result: Ok(list),
+                        connection,
+                    });
                 }
-                (Err(error), _) if calls.is_empty() => return Prompt::Failed(error),
-                (Err(_), _) => {}
+                Err(error) if calls.is_empty() => return Prompt::Failed(error),
+                Err(_) => {}
             }
         }
     }
