--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -5,7 +5,7 @@
 
 mod generated_requests;
 
-use crate::discovery::Discovery;
+use crate::discovery::{self, DiscoveryOptions};
 use crate::driver::DriverEvent;
 use crate::policy_runner::{endpoints, ActionExecutor, PolicyRunner};
 use crate::timer_queue::{sleep_until_some, TimerQueue};
@@ -61,10 +61,10 @@
     let (events, received_events) = mpsc::unbounded_channel();
     let poll_requested = Rc::new(Notify::new());
     let mut random = fastrand::Rng::with_seed(options.seed);
-    let client = discovery_client(&options, random.fork(), events);
+    let discovery = discovery_options(&options, random.fork(), events);
     // Dropped with this future, the set ends its task.
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(client.run(poll_requested.clone()));
+    tasks.spawn_local(discovery::run(discovery, poll_requested.clone()));
     let driver = ControlDriver {
         requests: RequestGenerator::new(&options.settings, options.request_rate, random),
         policy: PolicyRunner::new(Balancer::new(options.settings, options.seed)),
@@ -77,16 +77,16 @@
     driver.run(received_events).await;
 }
 
-/// The client of discovery as a whole node has it, without a list.
-fn discovery_client(
+/// The client of discovery of a node that holds no list.
+fn discovery_options(
     options: &ControlOptions,
     random: fastrand::Rng,
     events: UnboundedSender<DriverEvent>,
-) -> Discovery {
+) -> DiscoveryOptions {
     let settings = &options.settings;
-    Discovery {
+    DiscoveryOptions {
         address: options.discovery.clone(),
-        seq: None,
+        version: None,
         pushed: !settings.polls_discovery,
         drain_grace: settings.drain_grace,
         max_poll_interval: settings.max_poll_interval,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -16,7 +16,7 @@
 mod upstream;
 
 use connections::{ConnectionManager, MAX_READ_AHEAD_BYTES};
-use discovery::Discovery;
+use discovery::DiscoveryOptions;
 use driver::{Driver, DriverEvent, DriverOptions};
 use multiget::MultiGet;
 use server::{
@@ -146,12 +146,12 @@
     // Where lists are pushed, what the agent has counts as told from a process's first moment: it is asked for at
     // once, and the node is ready when it has that. Elsewhere a whole list has a price, and the node holds its own.
     let pushed = !settings.polls_discovery;
-    let seq = (!known.endpoints.is_empty() && !pushed).then_some(known.version);
+    let version = (!known.endpoints.is_empty() && !pushed).then_some(known.version);
     let random = fastrand::Rng::with_seed(seed);
     let (addresses, address) = watch::channel(discovery);
-    let discovery = Discovery {
+    let discovery = DiscoveryOptions {
         address,
-        seq,
+        version,
         pushed,
         drain_grace: settings.drain_grace,
         max_poll_interval: settings.max_poll_interval,
@@ -167,7 +167,7 @@
     let balancer = Balancer::new(settings, seed);
     let (told, to_driver) = mpsc::unbounded_channel();
     let heeding = heed_departures(lists, told, upstream.clone());
-    let following = discovery.run(poll_requested.clone());
+    let following = discovery::run(discovery, poll_requested.clone());
     let driver = Driver::new(DriverOptions {
         balancer,
         upstream: upstream.clone(),
