--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -3,14 +3,16 @@
 mod call;
 mod departures;
 mod in_flight;
+mod notified;
 mod timing;
 mod watches;
 mod watching;
 
 use crate::driver::DriverEvent;
-use call::{call, Ask, CallError, Called, Link};
-use departures::{Departures, REMEMBERED};
+use call::{call, CallOutcome, DiscoveryConnection, DiscoveryError, ListRequest};
+use departures::{Departures, ANNOUNCEMENT_LIFETIME};
 use in_flight::{Answered, Call, CallId, InFlight, Source};
+use notified::NOTIFIED_AFTER_ADDRESS_CHANGE;
 use slatelink_config::EndpointList;
 use slatelink_policy::Availability;
 use slatelink_telemetry::Log;
@@ -25,11 +27,11 @@
 use tokio::time::{sleep, Instant};
 
 /// How the client of discovery begins.
-pub struct Discovery {
+pub struct DiscoveryOptions {
     /// Where it answers. A new address ends what was going on at the old one, but for reading what that still says.
     pub address: watch::Receiver<SocketAddr>,
     /// Version of the list held; `None` where none is.
-    pub seq: Option<u64>,
+    pub version: Option<u64>,
     /// Whether changes come unprompted: a watch is open all the time then, and the module says nothing of it.
     pub pushed: bool,
     /// Nothing is sent to a server later than this after its departure was told.
@@ -41,29 +43,27 @@
     pub log: Log,
 }
 
-impl Discovery {
-    /// Watches whenever it is told to, until a call fails: then the module is told and says when to try again.
-    /// A new address starts anew at once, from the whole list: versions of the old one mean nothing there, and
-    /// the node serves from the list it holds until that has come.
-    pub async fn run(self, follow: Rc<Notify>) {
-        let mut address = self.address.clone();
-        let mut client = Client::new(self);
-        let mut moved = None;
-        loop {
-            let at = *address.borrow_and_update();
-            tokio::select! {
-                () = client.watch_at(at, &follow, moved) => return,
-                changed = address.changed() => if changed.is_err() { return },
-            }
-            client.leave_address();
-            moved = Some(Instant::now());
+/// Watches whenever it is told to, until a call fails: then the module is told and says when to try again.
+/// A new address starts anew at once, from the whole list: versions of the old one mean nothing there, and
+/// the node serves from the list it holds until that has come.
+pub async fn run(options: DiscoveryOptions, poll_requested: Rc<Notify>) {
+    let mut address = options.address.clone();
+    let mut client = Client::new(options);
+    let mut moved = None;
+    loop {
+        let at = *address.borrow_and_update();
+        tokio::select! {
+            () = client.watch_at(at, &poll_requested, moved) => return,
+            changed = address.changed() => if changed.is_err() { return },
         }
+        client.leave_address();
+        moved = Some(Instant::now());
     }
 }
 
 /// The client at work.
 struct Client {
-    seq: Option<u64>,
+    version: Option<u64>,
     pushed: bool,
     drain_grace: Duration,
     max_poll_interval: Duration,
@@ -84,9 +84,9 @@
 }
 
 impl Client {
-    fn new(begin: Discovery) -> Self {
-        let Discovery {
-            seq,
+    fn new(options: DiscoveryOptions) -> Self {
+        let DiscoveryOptions {
+            version,
             pushed,
             drain_grace,
             max_poll_interval,
@@ -94,9 +94,9 @@
             events,
             log,
             ..
-        } = begin;
+        } = options;
         Self {
-            seq,
+            version,
             pushed,
             drain_grace,
             max_poll_interval,
@@ -115,31 +115,39 @@
 
     /// What the old address still writes counts as told.
     fn leave_address(&mut self) {
-        self.in_flight.supersede_all(LATE_ANSWER);
+        self.in_flight.supersede_all(LATE_ANSWER_READ_TIME);
         self.source = self.source.next();
-        self.seq = None;
+        self.version = None;
     }
 
     /// Watches at one address, until the driver has gone. Where it moved there, the module's word to watch holds.
-    async fn watch_at(&mut self, address: SocketAddr, follow: &Notify, moved: Option<Instant>) {
+    async fn watch_at(
+        &mut self,
+        address: SocketAddr,
+        poll_requested: &Notify,
+        moved: Option<Instant>,
+    ) {
         let mut at_once = moved.is_some();
         loop {
             if !self.pushed && !std::mem::take(&mut at_once) {
-                self.reading(follow.notified()).await;
+                self.reading(poll_requested.notified()).await;
             }
-            let mut link = None;
+            let mut connection = None;
             loop {
                 let asked = Instant::now();
-                let (called, kept) = self.ask(address, link.take()).await;
-                link = kept;
-                let unsure = std::mem::replace(&mut self.unsure, called.is_err());
-                match called {
+                let outcome = self.ask(address, connection.take()).await;
+                connection = outcome.connection;
+                let unsure = std::mem::replace(&mut self.unsure, outcome.result.is_err());
+                match outcome.result {
                     Ok(list) => {
                         self.answered = Some(Instant::now());
-                        let early = self.seq == Some(list.version) && asked.elapsed() < EARLY;
+                        let early = self.version == Some(list.version)
+                            && asked.elapsed() < EARLY_ANSWER_THRESHOLD;
                         match self.take(list) {
-                            Taken::Older => self.reading(sleep(PACE)).await,
-                            Taken::Newest if early && !unsure => self.reading(sleep(PACE)).await,
+                            Taken::Older => self.reading(sleep(EARLY_ANSWER_PAUSE)).await,
+                            Taken::Newest if early && !unsure => {
+                                self.reading(sleep(EARLY_ANSWER_PAUSE)).await
+                            }
                             Taken::Newest => {}
                             Taken::NobodyListens => return,
                         }
@@ -147,8 +155,8 @@
                     Err(error) => {
                         self.log
                             .rate_limited("discovery", &format!("discovery: {error}"));
-                        let new_there =
-                            self.seq.is_none() && moved.is_some_and(|at| at.elapsed() < MOVED);
+                        let new_there = self.version.is_none()
+                            && moved.is_some_and(|at| at.elapsed() < NOTIFIED_AFTER_ADDRESS_CHANGE);
                         at_once = new_there || self.failed_late;
                         // The module's word is waited for but where it has no say.
                         if (self.pushed || !at_once)
@@ -166,32 +174,47 @@
     }
 
     /// How long the next call waits here, beside what the module says.
-    fn pause_after(&mut self, error: &CallError, unsure: bool, new_there: bool) -> Duration {
+    fn pause_after(&mut self, error: &DiscoveryError, unsure: bool, new_there: bool) -> Duration {
         let pause = match error {
             _ if self.pushed && !unsure => Duration::ZERO,
-            _ if self.pushed => self.drain_grace.mul_f64(PUSHED_AGAIN_PART),
-            CallError::Overdue => Duration::ZERO,
-            _ if new_there => MOVED_AGAIN,
-            _ if self.failed_late => LATE_PAUSE,
-            CallError::Status(_) if self.answered.is_some_and(|at| at.elapsed() < RECENT) => {
-                return self.spread(RECENT_AGAIN, RECENT_AGAIN_SPREAD);
+            _ if self.pushed => self
+                .drain_grace
+                .mul_f64(PUSHED_BACKOFF_DRAIN_GRACE_FRACTION),
+            DiscoveryError::ConnectTimedOut | DiscoveryError::AnswerTimedOut => Duration::ZERO,
+            _ if new_there => ADDRESS_CHANGE_BACKOFF,
+            _ if self.failed_late => LATE_FAILURE_BACKOFF,
+            DiscoveryError::Status(_)
+                if self
+                    .answered
+                    .is_some_and(|at| at.elapsed() < RECENT_ANSWER_WINDOW) =>
+            {
+                return RECENT_ANSWER_BACKOFF.draw(&mut self.random);
             }
             _ => Duration::ZERO,
         };
-        self.spread(pause, 0.5)
+        let backoff = Jittered {
+            mean: pause,
+            jitter: BACKOFF_JITTER,
+        };
+        backoff.draw(&mut self.random)
     }
 
-    fn start(&mut self, address: SocketAddr, ask: Ask, link: Option<Link>) -> CallId {
-        let call: Call = Box::pin(call(address, ask, link));
+    fn start(
+        &mut self,
+        address: SocketAddr,
+        request: ListRequest,
+        connection: Option<DiscoveryConnection>,
+    ) -> CallId {
+        let call: Call = Box::pin(call(address, request, connection));
         self.in_flight.start(self.source, call)
     }
 
     /// How the first of these calls ended. What others bring meanwhile is heeded.
-    async fn answer_to(&mut self, calls: &[CallId]) -> (CallId, Called) {
+    async fn answer_to(&mut self, calls: &[CallId]) -> (CallId, CallOutcome) {
         loop {
             let answered = self.in_flight.next().await;
             if calls.contains(&answered.id) {
-                return (answered.id, answered.called);
+                return (answered.id, answered.outcome);
             }
             self.heed(answered);
         }
@@ -213,16 +236,18 @@
     fn heed(&mut self, answered: Answered) {
         let Answered {
             source,
-            called: (Ok(list), _),
+            outcome: CallOutcome {
+                result: Ok(list), ..
+            },
             ..
         } = answered
         else {
             return;
         };
         // Whether the driver is there shows at the next list.
-        if source != self.source || self.seq.is_none() {
+        if source != self.source || self.version.is_none() {
             self.tell_leaving(list, source);
-        } else if self.seq.is_some_and(|held| list.version > held) {
+        } else if self.version.is_some_and(|held| list.version > held) {
             self.take(list);
         }
     }
@@ -231,17 +256,17 @@
     fn take(&mut self, list: EndpointList) -> Taken {
         // It would bring servers back that are gone. Discovery may have lost its versions all the same: the whole list is
         // taken as it comes, and until then what this one says of servers that leave.
-        if let Some(held) = self.seq.filter(|held| list.version < *held) {
+        if let Some(held) = self.version.filter(|held| list.version < *held) {
             let text = format!(
                 "discovery: list {} is older than {held}: asking for the whole list",
                 list.version
             );
             self.log.rate_limited("discovery", &text);
-            self.seq = None;
+            self.version = None;
             self.tell_leaving(list, self.source);
             return Taken::Older;
         }
-        self.seq = Some(list.version);
+        self.version = Some(list.version);
         match self.tell(list, self.source) {
             true => Taken::Newest,
             false => Taken::NobodyListens,
@@ -262,16 +287,12 @@
         if self.departures.amend(&mut list, source, now) {
             let text = "discovery: a server that leaves stays left alone, against a list that is not newer";
             self.log.rate_limited("discovery", text);
-            self.confirm_at = Some(now + REMEMBERED);
+            self.confirm_at = Some(now + ANNOUNCEMENT_LIFETIME);
         }
         self.events
             .send(DriverEvent::EndpointListReceived(list))
             .is_ok()
     }
-
-    fn spread(&mut self, time: Duration, part: f64) -> Duration {
-        time.mul_f64(1.0 + part * (2.0 * self.random.f64() - 1.0))
-    }
 }
 
 /// What became of a list.
