--- a/crates/lab/src/scale/counts.rs
+++ b/crates/lab/src/scale/counts.rs
@@ -1,7 +1,7 @@
 //! Messages and bytes of control, as discovery's stand-in counts them.
 
 use serde::{Deserialize, Serialize};
-use slatelink_node::relay::CallerCounts;
+use slatelink_node::relay::DownstreamCounts;
 use std::ops::{Add, Sub};
 
 /// Control between discovery and a group of nodes. Bytes are those of whole HTTP messages, without TCP and IP.
@@ -60,18 +60,18 @@
 }
 
 /// What a relay counted with its callers.
-impl From<CallerCounts> for ControlCounts {
-    fn from(counts: CallerCounts) -> Self {
+impl From<DownstreamCounts> for ControlCounts {
+    fn from(counts: DownstreamCounts) -> Self {
         Self {
-            whole_calls: counts.whole_calls,
+            whole_calls: counts.snapshot_calls,
             watch_calls: counts.watch_calls,
             call_bytes: counts.call_bytes,
-            whole_answers: counts.whole_answers,
-            change_answers: counts.change_answers,
-            empty_answers: counts.empty_answers,
-            refused: counts.refused + counts.connections_refused,
+            whole_answers: counts.snapshot_answers,
+            change_answers: counts.delta_answers,
+            empty_answers: counts.unchanged_answers,
+            refused: counts.rejected_calls + counts.rejected_connections,
             answer_bytes: counts.answer_bytes,
-            entries: counts.entries,
+            entries: counts.answer_records,
             connections: counts.connections,
             resets: 0,
         }
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -2,7 +2,7 @@
 
 use crate::http::Conn;
 use crate::scale::options::Options;
-use slatelink_node::relay::{Status, STATUS_PATH};
+use slatelink_node::relay::{RelayStatus, STATUS_PATH};
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
         }
     }
 
-    async fn ask(&mut self) -> Result<Status, RelayProcessError> {
+    async fn ask(&mut self) -> Result<RelayStatus, RelayProcessError> {
         let failed = |error: String| RelayProcessError::NoStatus(self.address, error);
         match timeout(ANSWER, exchange(self.address, &mut self.conn)).await {
             Ok(status) => status.map_err(|error| failed(error.to_string())),
@@ -71,7 +71,7 @@
 async fn exchange(
     address: SocketAddr,
     kept: &mut Option<Conn>,
-) -> Result<Status, Box<dyn std::error::Error>> {
+) -> Result<RelayStatus, Box<dyn std::error::Error>> {
     let mut conn = match kept.take() {
         Some(conn) => conn,
         None => Conn::new(TcpStream::connect(address).await?)?,
@@ -88,7 +88,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     child: Child,
-    latest: Rc<RefCell<Status>>,
+    latest: Rc<RefCell<RelayStatus>>,
     /// Its log is read, and its state asked for, as long as it lives.
     _tasks: JoinSet<()>,
 }
@@ -139,7 +139,7 @@
     }
 
     /// Its state now.
-    pub async fn status(&self) -> Result<Status, RelayProcessError> {
+    pub async fn status(&self) -> Result<RelayStatus, RelayProcessError> {
         StatusClient::new(self.address).ask().await
     }
 
@@ -168,7 +168,7 @@
 }
 
 /// A relay that is called before it has a list would refuse those calls, which are counted.
-async fn first_list(address: SocketAddr) -> Result<Status, RelayProcessError> {
+async fn first_list(address: SocketAddr) -> Result<RelayStatus, RelayProcessError> {
     let mut client = StatusClient::new(address);
     let asked = async {
         loop {
@@ -189,7 +189,7 @@
 }
 
 /// Keeps the state up to date. A relay that does not answer keeps the one that it had.
-async fn follow(address: SocketAddr, latest: Rc<RefCell<Status>>) {
+async fn follow(address: SocketAddr, latest: Rc<RefCell<RelayStatus>>) {
     let mut client = StatusClient::new(address);
     loop {
         if let Ok(status) = client.ask().await {
@@ -252,7 +252,7 @@
     pub fn are_settled(&self, version: u64, options: &Options) -> bool {
         self.tiers.iter().enumerate().all(|(tier, relays)| {
             let latest = || relays.iter().map(|relay| relay.latest.borrow());
-            let waiting: usize = latest().map(|status| status.waiting).sum();
+            let waiting: usize = latest().map(|status| status.waiting_watches).sum();
             latest().all(|status| status.version == Some(version))
                 && waiting >= options.callers_of_tier(tier)
         })
--- a/crates/lab/src/scale/sample.rs
+++ b/crates/lab/src/scale/sample.rs
@@ -28,10 +28,10 @@
         let mut sample = Self::default();
         for relay in relays {
             let status = relay.status().await?;
-            sample.callers = sample.callers + status.callers.into();
-            sample.upstream_failed += status.upstream.failed;
+            sample.callers = sample.callers + status.downstream.into();
+            sample.upstream_failed += status.upstream.failed_calls;
             // The run's own are no callers: the one that follows its state, and the one that asked now.
-            sample.open += status.open.saturating_sub(2);
+            sample.open += status.open_connections.saturating_sub(2);
             let usage = relay.pid().map(Usage::of).transpose()?;
             sample.usage = [sample.usage, usage.unwrap_or_default()].into_iter().sum();
         }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -9,9 +9,11 @@
 mod publisher;
 mod request;
 mod status;
+#[cfg(test)]
+mod tests;
 mod upstream;
 
-pub use status::{CallerCounts, Status, UpstreamCounts, STATUS_PATH};
+pub use status::{DownstreamCounts, RelayStatus, UpstreamCounts, STATUS_PATH};
 
 use callers::Callers;
 use publisher::Publisher;
--- a/crates/node/src/relay/callers.rs
+++ b/crates/node/src/relay/callers.rs
@@ -4,7 +4,7 @@
 use super::meter::{Counts, Meter, Metered};
 use super::publisher::{PublishError, Publisher};
 use super::request::{Asked, ListRequest, RequestError};
-use super::status::{Status, UpstreamCounts};
+use super::status::{RelayStatus, UpstreamCounts};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -132,7 +132,7 @@
             }
             let _ = serving.await;
         } else {
-            self.counts.add(|counts| counts.connections_refused += 1);
+            self.counts.add(|counts| counts.rejected_connections += 1);
             self.log.rate_limited(
                 "callers",
                 "relay: a connection is refused: there are as many as may be",
@@ -176,12 +176,12 @@
     async fn list(&self, request: ListRequest) -> Reply {
         self.counts.add(|counts| match request.after {
             Some(_) => counts.watch_calls += 1,
-            None => counts.whole_calls += 1,
+            None => counts.snapshot_calls += 1,
         });
         match self.publisher.answer(request).await {
             Ok(list) => self.told(list),
             Err(error) => {
-                self.counts.add(|counts| counts.refused += 1);
+                self.counts.add(|counts| counts.rejected_calls += 1);
                 let reply = plain(StatusCode::SERVICE_UNAVAILABLE, error.to_string());
                 if matches!(error, PublishError::Stops) {
                     closing(reply)
@@ -195,11 +195,11 @@
     fn told(&self, list: EncodedList) -> Reply {
         self.counts.add(|counts| {
             match (list.whole, list.entries) {
-                (true, _) => counts.whole_answers += 1,
-                (false, 0) => counts.empty_answers += 1,
-                (false, _) => counts.change_answers += 1,
+                (true, _) => counts.snapshot_answers += 1,
+                (false, 0) => counts.unchanged_answers += 1,
+                (false, _) => counts.delta_answers += 1,
             }
-            counts.entries += list.entries as u64;
+            counts.answer_records += list.entries as u64;
         });
         json(list.body)
     }
@@ -209,20 +209,20 @@
         let left = |expires: Duration| {
             u64::try_from(expires.saturating_sub(now).as_millis()).unwrap_or(u64::MAX)
         };
-        let status = self.publisher.look(|replica| Status {
+        let status = self.publisher.look(|replica| RelayStatus {
             version: replica.version().map(|version| version.0),
-            servers: replica.endpoint_count(),
+            endpoints: replica.endpoint_count(),
             epochs: replica.epochs(),
             history_bytes: replica.history_bytes(),
-            lease_left_ms: replica.expires().map(left),
-            open: self.open.get(),
-            most_open: self.most_open,
-            waiting: 0,
-            callers: self.counts.get(),
+            lease_remaining_ms: replica.expires().map(left),
+            open_connections: self.open.get(),
+            max_connections: self.most_open,
+            waiting_watches: 0,
+            downstream: self.counts.get(),
             upstream: self.upstream.get(),
         });
-        match serde_json::to_vec(&Status {
-            waiting: self.publisher.waiting(),
+        match serde_json::to_vec(&RelayStatus {
+            waiting_watches: self.publisher.waiting(),
             ..status
         }) {
             Ok(body) => json(body.into()),
--- a/crates/node/src/relay/meter.rs
+++ b/crates/node/src/relay/meter.rs
@@ -1,6 +1,6 @@
 //! Counts the bytes of a connection by what its request was for.
 
-use super::status::CallerCounts;
+use super::status::DownstreamCounts;
 use std::cell::Cell;
 use std::io;
 use std::pin::Pin;
@@ -11,16 +11,16 @@
 
 /// The counts of all callers, changed in place.
 #[derive(Debug, Default)]
-pub struct Counts(Cell<CallerCounts>);
+pub struct Counts(Cell<DownstreamCounts>);
 
 impl Counts {
     /// What was counted so far.
-    pub fn get(&self) -> CallerCounts {
+    pub fn get(&self) -> DownstreamCounts {
         self.0.get()
     }
 
     /// Counts something.
-    pub fn add(&self, with: impl FnOnce(&mut CallerCounts)) {
+    pub fn add(&self, with: impl FnOnce(&mut DownstreamCounts)) {
         let mut counts = self.0.get();
         with(&mut counts);
         self.0.set(counts);
--- a/crates/node/src/relay/status.rs
+++ b/crates/node/src/relay/status.rs
@@ -1,71 +1,91 @@
-//! What a relay tells of itself, as JSON.
+//! A relay's state and counters, as its status resource states them in JSON.
 
 use serde::{Deserialize, Serialize};
 
-/// Where the status is asked for.
+/// Path of the status resource.
 pub const STATUS_PATH: &str = "/v1/relay";
 
-/// Messages with callers since the start. Bytes are those of whole HTTP messages, without TCP and IP.
+/// Messages exchanged with downstream clients since the relay's start. Bytes are those of whole HTTP messages, without the
+/// headers of TCP and IP.
+///
+/// The scale run keeps a similar record of discovery's messages, `ControlCounts` of `slatelink-lab`. The two stay apart
+/// because their last fields differ in meaning: connections that were rejected here, and connections that were reset there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CallerCounts {
-    /// Calls for the whole list.
-    pub whole_calls: u64,
+pub struct DownstreamCounts {
+    /// Calls for a snapshot.
+    #[serde(rename = "whole_calls")]
+    pub snapshot_calls: u64,
     /// Calls for what is newer than a version.
     pub watch_calls: u64,
     /// Bytes of these calls.
     pub call_bytes: u64,
-    /// Answers with the whole list.
-    pub whole_answers: u64,
-    /// Answers with changes.
-    pub change_answers: u64,
-    /// Answers without news.
-    pub empty_answers: u64,
-    /// Calls that were answered 503: no list, an expired lease, or a version that upstream did not confirm.
-    pub refused: u64,
+    /// Answers with a snapshot.
+    #[serde(rename = "whole_answers")]
+    pub snapshot_answers: u64,
+    /// Answers with a delta that has at least one record.
+    #[serde(rename = "change_answers")]
+    pub delta_answers: u64,
+    /// Answers with an empty delta.
+    #[serde(rename = "empty_answers")]
+    pub unchanged_answers: u64,
+    /// Calls answered 503: there is no list, the lease has expired, or upstream did not confirm the client's version.
+    #[serde(rename = "refused")]
+    pub rejected_calls: u64,
     /// Bytes of all answers to calls.
     pub answer_bytes: u64,
-    /// Entries in all answers.
-    pub entries: u64,
-    /// Connections on which a list was asked for.
+    /// Endpoint records in all answers.
+    #[serde(rename = "entries")]
+    pub answer_records: u64,
+    /// Connections on which the list was asked for at least once.
     pub connections: u64,
-    /// Connections that were refused: there were as many as may be.
-    pub connections_refused: u64,
+    /// Connections rejected because the limit on open connections was reached.
+    #[serde(rename = "connections_refused")]
+    pub rejected_connections: u64,
 }
 
-/// Messages with upstream since the start.
+/// Messages exchanged with upstream since the relay's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamCounts {
     /// Calls that were made.
     pub calls: u64,
-    /// Calls that brought no list.
-    pub failed: u64,
-    /// Lists that were applied.
-    pub applied: u64,
-    /// Lists that were read and not applied.
-    pub rejected: u64,
+    /// Calls that brought no update.
+    #[serde(rename = "failed")]
+    pub failed_calls: u64,
+    /// Updates that were applied.
+    #[serde(rename = "applied")]
+    pub applied_updates: u64,
+    /// Updates that were read and not applied.
+    #[serde(rename = "rejected")]
+    pub rejected_updates: u64,
 }
 
 /// A relay's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
-    /// The version of the list that it holds.
+pub struct RelayStatus {
+    /// Version of the endpoint list held.
     pub version: Option<u64>,
-    /// Servers in it.
-    pub servers: usize,
-    /// Epochs that began: one with the first list, and one each time versions went back.
+    /// Endpoints in the list held.
+    #[serde(rename = "servers")]
+    pub endpoints: usize,
+    /// Epochs begun: one with the first list, and one each time upstream's versions went back.
     pub epochs: u64,
-    /// Bytes of the changes that are kept.
+    /// Bytes of the changes kept to answer with deltas.
     pub history_bytes: usize,
-    /// Until callers are failed, unless upstream is heard; `None` without a list, 0 where they are failed.
-    pub lease_left_ms: Option<u64>,
-    /// Connections of callers that are open.
-    pub open: usize,
-    /// The most there may be.
-    pub most_open: usize,
-    /// Callers that have the version held and wait for a newer one.
-    pub waiting: usize,
-    /// Messages with callers.
-    pub callers: CallerCounts,
-    /// Messages with upstream.
+    /// Milliseconds until the lease expires; `None` without a list, 0 once it has expired.
+    #[serde(rename = "lease_left_ms")]
+    pub lease_remaining_ms: Option<u64>,
+    /// Open connections of downstream clients.
+    #[serde(rename = "open")]
+    pub open_connections: usize,
+    /// Upper bound of `open_connections`.
+    #[serde(rename = "most_open")]
+    pub max_connections: usize,
+    /// Watches of clients that have the version held and wait for a newer one.
+    #[serde(rename = "waiting")]
+    pub waiting_watches: usize,
+    /// Messages exchanged with downstream clients.
+    #[serde(rename = "callers")]
+    pub downstream: DownstreamCounts,
+    /// Messages exchanged with upstream.
     pub upstream: UpstreamCounts,
 }
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream.rs
@@ -159,7 +159,7 @@
         for place in (0..self.addresses.len()).cycle() {
             let address = self.addresses[place];
             let Err(error) = self.follow(address).await;
-            self.count(|counts| counts.failed += 1);
+            self.count(|counts| counts.failed_calls += 1);
             self.log
                 .rate_limited("upstream", &format!("upstream {address}: {error}"));
             if self.addresses.len() > 1 {
@@ -257,7 +257,7 @@
         match self.publisher.apply(call, list, sent) {
             Ok(applied) => {
                 (self.failures, self.rejections) = (0, 0);
-                self.count(|counts| counts.applied += 1);
+                self.count(|counts| counts.applied_updates += 1);
                 if applied.new_epoch {
                     self.log.line(&format!(
                         "upstream's versions went back: list {version} begins an epoch"
@@ -278,7 +278,7 @@
             }
             Err(rejected) => {
                 self.rejections = self.rejections.saturating_add(1);
-                self.count(|counts| counts.rejected += 1);
+                self.count(|counts| counts.rejected_updates += 1);
                 self.log
                     .rate_limited("rejected", &format!("upstream: {rejected}"));
                 Taken::Rejected
