--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,16 +1,13 @@
-//! Lists and their entries in discovery's form. What an record says beside its name and health is passed on byte for byte.
+//! Updates of the endpoint list in discovery's JSON.
 
+use crate::record::EndpointRecord;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
-use serde_json::{Map, Value};
+use std::collections::HashMap;
 use std::fmt;
-use std::sync::Arc;
 use thiserror::Error;
 
-/// The health of a server that was removed.
-const REMOVED_HEALTH: &str = "gone";
-
-/// A version of the list, as upstream numbers it.
+/// A version of the endpoint list, as upstream numbers it; on the wire `seq`. It grows within an epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -23,107 +20,36 @@
     }
 }
 
-/// Why a message is no list.
+/// Why a message could not be read as an update.
 #[derive(Debug, Error)]
 pub enum MessageError {
     /// It is not JSON of the expected form.
     #[error("not a list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// An record lacks what every record has.
+    /// A record lacks a field that each record has.
     #[error("entry {index} of list {version} has no name or no health: {error}")]
     InvalidRecord {
-        /// The list's version.
+        /// Version of the update.
         version: Version,
-        /// Which record, from 0.
+        /// Index of the record in the message, from 0.
         index: usize,
-        /// What was found.
+        /// What the parser found.
         error: serde_json::Error,
     },
 }
 
-/// One server of the list. Cheap to clone.
-#[derive(Clone, Debug)]
-pub struct EndpointRecord {
-    host: Arc<str>,
-    removed: bool,
-    json: Arc<RawValue>,
-}
-
-/// What is read of an record.
-#[derive(Deserialize)]
-struct RecordFields {
-    host: String,
-    health: String,
-}
-
-impl EndpointRecord {
-    /// Reads an record; all of its text is kept.
-    pub fn parse(json: Box<RawValue>) -> serde_json::Result<Self> {
-        let RecordFields { host, health } = serde_json::from_str(json.get())?;
-        Ok(Self {
-            host: host.into(),
-            removed: health == REMOVED_HEALTH,
-            json: json.into(),
-        })
-    }
-
-    /// The server's name.
-    pub fn host(&self) -> &Arc<str> {
-        &self.host
-    }
-
-    /// Whether the server was removed.
-    pub fn is_removed(&self) -> bool {
-        self.removed
-    }
-
-    /// The record as upstream wrote it.
-    pub fn json(&self) -> &str {
-        self.json.get()
-    }
-
-    /// The same server, removed; for a whole list that no longer has it.
-    pub(crate) fn to_removed(&self) -> Self {
-        // It was read as an object before.
-        let mut fields: Map<String, Value> =
-            serde_json::from_str(self.json.get()).unwrap_or_default();
-        fields.insert("host".to_owned(), Value::from(&*self.host));
-        fields.insert("health".to_owned(), Value::from(REMOVED_HEALTH));
-        let json =
-            serde_json::value::to_raw_value(&fields).map_or_else(|_| self.json.clone(), Arc::from);
-        Self {
-            host: self.host.clone(),
-            removed: true,
-            json,
-        }
-    }
-
-    /// The bytes that keeping it takes, roughly.
-    pub(crate) fn bytes(&self) -> usize {
-        size_of::<Self>() + self.host.len() + self.json.get().len()
-    }
-}
-
-/// Two entries are equal where they say the same in the same words.
-impl PartialEq for EndpointRecord {
-    fn eq(&self, other: &Self) -> bool {
-        self.json.get() == other.json.get()
-    }
-}
-
-impl Eq for EndpointRecord {}
-
-/// A whole list, or a delta.
+/// A snapshot, or a delta to the version that the call named.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListUpdate {
-    /// Its version.
+    /// Version of the list once the update is applied.
     pub version: Version,
-    /// Whether what it lacks is gone.
+    /// Whether this is a snapshot: an endpoint that it lacks is removed. On the wire `whole`.
     pub complete: bool,
-    /// The entries, or those that changed.
+    /// The records of all endpoints in a snapshot, of those that changed in a delta.
     pub records: Vec<EndpointRecord>,
 }
 
+/// An update as it is read. Records are read one by one afterwards, so that an error can name the record.
 #[derive(Deserialize)]
 struct ReceivedUpdate {
     #[serde(rename = "seq")]
@@ -134,6 +60,7 @@
     records: Vec<Box<RawValue>>,
 }
 
+/// An update as it is written.
 #[derive(Serialize)]
 struct EncodedUpdate<'a> {
     #[serde(rename = "seq")]
@@ -145,14 +72,18 @@
 }
 
 impl ListUpdate {
-    /// Reads a message of discovery's.
+    /// Reads a message of discovery.
+    ///
+    /// # Errors
+    ///
+    /// If the message or one of its records has not the expected form.
     pub fn parse(body: &[u8]) -> Result<Self, MessageError> {
         let ReceivedUpdate {
             version,
             complete,
             records,
         } = serde_json::from_slice(body)?;
-        let record = |(index, json)| {
+        let parse_record = |(index, json)| {
             EndpointRecord::parse(json).map_err(|error| MessageError::InvalidRecord {
                 version,
                 index,
@@ -162,7 +93,7 @@
         let records = records
             .into_iter()
             .enumerate()
-            .map(record)
+            .map(parse_record)
             .collect::<Result<_, _>>()?;
         Ok(Self {
             version,
@@ -171,13 +102,32 @@
         })
     }
 
-    /// Writes it as discovery would.
+    /// Writes the update in the form in which discovery does.
+    ///
+    /// # Errors
+    ///
+    /// If the serializer fails; no value of this type is known to make it.
     pub fn encode(&self) -> serde_json::Result<Vec<u8>> {
-        let records = self.records.iter().map(|record| &*record.json).collect();
+        let records = self.records.iter().map(EndpointRecord::raw).collect();
         serde_json::to_vec(&EncodedUpdate {
             version: self.version,
             complete: self.complete,
             records,
         })
     }
+
+    /// The last record of each endpoint, in the order of the message: a later record replaces an earlier one.
+    pub(crate) fn effective_records(&self) -> impl Iterator<Item = &EndpointRecord> {
+        let last_index: HashMap<&str, usize> = self
+            .records
+            .iter()
+            .enumerate()
+            .map(|(index, record)| (&**record.name(), index))
+            .collect();
+        self.records
+            .iter()
+            .enumerate()
+            .filter(move |(index, record)| last_index.get(&**record.name()) == Some(index))
+            .map(|(_, record)| record)
+    }
 }
--- /dev/null
+++ b/crates/membership/src/replica/apply.rs
@@ -0,0 +1,125 @@
+//! Application of updates from upstream.
+
+use super::{RejectedUpdate, Replica, UnknownVersion, UpstreamCall};
+use crate::message::{ListUpdate, Version};
+use crate::record::EndpointRecord;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// The effect of an update that was applied.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ApplyOutcome {
+    /// Whether clients that wait are to be answered.
+    pub changed: bool,
+    /// Whether upstream's versions went back, so that an epoch began.
+    pub new_epoch: bool,
+    /// Number of records that a later one of the same message replaced.
+    pub duplicates: usize,
+}
+
+impl Replica {
+    /// Applies the answer to a call that was sent at `sent_at` and whose answer was read at `read_at`.
+    ///
+    /// # Errors
+    ///
+    /// If the update must not be applied; the list held and its lease stay as they are.
+    pub fn apply(
+        &mut self,
+        call: UpstreamCall,
+        update: ListUpdate,
+        sent_at: Duration,
+        read_at: Duration,
+    ) -> Result<ApplyOutcome, RejectedUpdate> {
+        if let UpstreamCall::Confirm(version) = call {
+            self.note_confirmation(version, &update, sent_at);
+        }
+        self.endpoint_bytes = self.validate(call, &update)?;
+        self.snapshot_reason = None;
+        self.upstream_is_ahead = false;
+        self.lease.renew(read_at);
+        self.unconfirmed = self.unconfirmed.filter(|version| *version > update.version);
+        Ok(if update.complete {
+            self.apply_snapshot(update, read_at)
+        } else {
+            self.apply_delta(update)
+        })
+    }
+
+    /// Notes that upstream was asked for a client's version, also if its update is then rejected: a client that needs
+    /// another confirmation asks for it again.
+    fn note_confirmation(&mut self, version: Version, update: &ListUpdate, sent_at: Duration) {
+        self.unconfirmed = None;
+        if update.version < version {
+            self.unknown = Some(UnknownVersion {
+                version,
+                asked_at: sent_at,
+            });
+        }
+    }
+
+    fn apply_snapshot(&mut self, snapshot: ListUpdate, now: Duration) -> ApplyOutcome {
+        let version = snapshot.version;
+        let record_count = snapshot.records.len();
+        // Of the records of one endpoint the last one stays.
+        let mut endpoints: BTreeMap<_, _> = snapshot
+            .records
+            .into_iter()
+            .map(|record| (record.name().clone(), record))
+            .collect();
+        let duplicates = record_count - endpoints.len();
+        endpoints.retain(|_, record| !record.is_removed());
+        let changes = self.changes_to(&endpoints);
+        let version_reused = self.version == Some(version) && !changes.is_empty();
+        let version_regressed = self.version.is_some_and(|held| version < held);
+        let new_epoch = version_reused || version_regressed;
+        let changed = new_epoch || self.version != Some(version);
+        if new_epoch || self.version.is_none() {
+            self.epochs.begin(self.version, now);
+            self.history.restart(version);
+        } else {
+            self.history.record(version, changes);
+        }
+        self.endpoints = endpoints;
+        self.version = Some(version);
+        ApplyOutcome {
+            changed,
+            new_epoch,
+            duplicates,
+        }
+    }
+
+    /// The records that turn the endpoints held into these.
+    fn changes_to(&self, endpoints: &BTreeMap<Arc<str>, EndpointRecord>) -> Vec<EndpointRecord> {
+        let removed = self
+            .endpoints
+            .iter()
+            .filter(|(name, _)| !endpoints.contains_key(*name))
+            .map(|(_, record)| record.to_removed());
+        let changed = endpoints
+            .iter()
+            .filter(|(name, record)| self.endpoints.get(*name) != Some(*record))
+            .map(|(_, record)| record.clone());
+        removed.chain(changed).collect()
+    }
+
+    fn apply_delta(&mut self, delta: ListUpdate) -> ApplyOutcome {
+        let changes: Vec<_> = delta.effective_records().cloned().collect();
+        let duplicates = delta.records.len() - changes.len();
+        let changed = self.version != Some(delta.version) || !changes.is_empty();
+        for record in &changes {
+            if record.is_removed() {
+                self.endpoints.remove(record.name());
+            } else {
+                self.endpoints.insert(record.name().clone(), record.clone());
+            }
+        }
+        self.history.record(delta.version, changes);
+        self.version = Some(delta.version);
+        ApplyOutcome {
+            changed,
+            new_epoch: false,
+            duplicates,
+        }
+    }
+}
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -32,7 +32,7 @@
     let word = |entry: &EndpointRecord| {
         let json: serde_json::Value = serde_json::from_str(entry.json()).unwrap();
         (
-            entry.host().to_string(),
+            entry.name().to_string(),
             json["health"].as_str().unwrap().to_owned(),
         )
     };
--- a/crates/membership/tests/replica.rs
+++ b/crates/membership/tests/replica.rs
@@ -179,7 +179,7 @@
         )
         .unwrap();
     let end = ms(100) + LEASE;
-    assert_eq!(replica.expires(), Some(end));
+    assert_eq!(replica.lease_expires_at(), Some(end));
     assert_eq!(ask(&mut replica, None, end), Ok(Answer::Snapshot));
     let late = end + ms(1);
     for after in [None, Some(1), Some(3), Some(9)] {
@@ -305,7 +305,7 @@
         };
         assert_eq!(doubted, Err(shrunk));
         assert_eq!(
-            (replica.endpoint_count(), replica.expires()),
+            (replica.endpoint_count(), replica.lease_expires_at()),
             (4, Some(LEASE)),
             "and it renews no lease"
         );
@@ -360,7 +360,7 @@
     );
     assert_eq!(replica.version(), Some(Version(version)));
     assert_eq!(
-        replica.expires(),
+        replica.lease_expires_at(),
         Some(ms(version - 1) + LEASE),
         "it renews no lease"
     );
--- a/crates/node/src/relay/callers.rs
+++ b/crates/node/src/relay/callers.rs
@@ -214,7 +214,7 @@
             endpoints: replica.endpoint_count(),
             epochs: replica.epochs(),
             history_bytes: replica.history_bytes(),
-            lease_remaining_ms: replica.expires().map(left),
+            lease_remaining_ms: replica.lease_expires_at().map(left),
             open_connections: self.open.get(),
             max_connections: self.most_open,
             waiting_watches: 0,
--- a/crates/node/src/relay/publisher.rs
+++ b/crates/node/src/relay/publisher.rs
@@ -190,7 +190,7 @@
     pub async fn watch_lease(self: Rc<Self>, log: Log) {
         let mut revision = self.revision.subscribe();
         loop {
-            let expires = self.replica.borrow().expires();
+            let expires = self.replica.borrow().lease_expires_at();
             let Some(expires) = expires else {
                 if revision.changed().await.is_err() {
                     return;
@@ -203,7 +203,7 @@
             }
             log.line("relay: nothing was heard from upstream for the lease: callers are failed");
             self.wake_callers();
-            while self.replica.borrow().expires() == Some(expires) {
+            while self.replica.borrow().lease_expires_at() == Some(expires) {
                 sleep(LEASE_POLL).await;
             }
             log.line("relay: upstream is heard again: callers are answered");
