--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Lists to test with.
+//! Replicas and messages to test with.
 #![allow(dead_code)]
 
 use slatelink_membership::{
@@ -6,53 +6,56 @@
 };
 use std::time::Duration;
 
+/// Duration of the lease of [`replica_holding`].
 pub const LEASE: Duration = Duration::from_secs(10);
 
+/// Milliseconds since the origin of time.
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// A message as discovery writes it, of these servers and their health.
-pub fn list(version: u64, complete: bool, endpoints: &[(&str, &str)]) -> ListUpdate {
-    let hosts: Vec<_> = endpoints
+/// A message as discovery writes it, of these endpoints by name and health.
+pub fn update(version: u64, complete: bool, endpoints: &[(&str, &str)]) -> ListUpdate {
+    let records: Vec<_> = endpoints
         .iter()
-        .map(|(host, health)| {
-            format!(r#"{{"host":"{host}","health":"{health}","new_field":[1, 2]}}"#)
+        .map(|(name, health)| {
+            format!(r#"{{"host":"{name}","health":"{health}","new_field":[1, 2]}}"#)
         })
         .collect();
     let text = format!(
         r#"{{"seq":{version},"whole":{complete},"hosts":[{}]}}"#,
-        hosts.join(",")
+        records.join(",")
     );
     ListUpdate::parse(text.as_bytes()).unwrap()
 }
 
-/// Name and health of each entry, in their order.
-pub fn words(list: &ListUpdate) -> Vec<(String, String)> {
-    let word = |entry: &EndpointRecord| {
-        let json: serde_json::Value = serde_json::from_str(entry.json()).unwrap();
+/// Name and health of each record, in the order of the message.
+pub fn name_and_health(update: &ListUpdate) -> Vec<(String, String)> {
+    let parts = |record: &EndpointRecord| {
+        let json: serde_json::Value = serde_json::from_str(record.json()).unwrap();
         (
-            entry.name().to_string(),
+            record.name().to_string(),
             json["health"].as_str().unwrap().to_owned(),
         )
     };
-    list.records.iter().map(word).collect()
+    update.records.iter().map(parts).collect()
 }
 
-pub fn pairs(endpoints: &[(&str, &str)]) -> Vec<(String, String)> {
+/// The same pairs as owned strings, to compare with [`name_and_health`].
+pub fn owned_pairs(endpoints: &[(&str, &str)]) -> Vec<(String, String)> {
     endpoints
         .iter()
-        .map(|(host, health)| (host.to_string(), health.to_string()))
+        .map(|(name, health)| (name.to_string(), health.to_string()))
         .collect()
 }
 
-/// One that has this whole list, heard at the origin of time.
-pub fn holding(version: u64, endpoints: &[(&str, &str)]) -> Replica {
+/// A replica that applied this snapshot at the origin of time.
+pub fn replica_holding(version: u64, endpoints: &[(&str, &str)]) -> Replica {
     let mut replica = Replica::new(LEASE);
     replica
         .apply(
             UpstreamCall::Snapshot,
-            list(version, true, endpoints),
+            update(version, true, endpoints),
             ms(0),
             ms(0),
         )
@@ -60,8 +63,8 @@
     replica
 }
 
-/// Asks at this time, with no wait left.
-pub fn ask(
+/// The answer at this time to a client that does not wait.
+pub fn answer_now(
     replica: &mut Replica,
     after: Option<u64>,
     now: Duration,
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -1,8 +1,8 @@
-//! Whatever upstream does, callers end with upstream's list.
+//! Property tests: whatever upstream does, clients end with upstream's list.
 
 mod common;
 
-use common::{list, ms, LEASE};
+use common::{ms, update, LEASE};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use slatelink_membership::{Answer, ListQuery, ListUpdate, Replica, UpstreamCall, Version};
@@ -11,54 +11,55 @@
 
 const SEEDS: std::ops::Range<u8> = 0..4;
 const CASES: u32 = 150;
-/// A step takes a second: a case stays within the time in which callers of an earlier epoch may come.
+/// A step takes a second: a case stays within the time in which clients may name versions of an earlier epoch.
 const STEPS: usize = 80;
 const STEP: Duration = Duration::from_secs(1);
-const HOSTS: u8 = 6;
-const CALLERS: u8 = 3;
+/// Endpoints that a case changes.
+const ENDPOINTS: u8 = 6;
+const CLIENTS: u8 = 3;
 /// High enough for all restarts to go back.
 const FIRST_VERSION: u64 = 10_000;
 
-/// A server's name and health; `gone` is not among them.
-type Servers = BTreeMap<String, String>;
+/// Health by an endpoint's name; `gone` does not occur.
+type HealthByName = BTreeMap<String, String>;
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// A server becomes ready, draining or gone.
+    /// An endpoint becomes ready, draining or removed.
     Change(u8, u8),
-    /// Upstream starts anew, at a lower version and with fewer servers.
+    /// Upstream restarts at a lower version and with fewer endpoints.
     Restart(u8),
     /// A replica makes its next call; upstream may have forgotten its changes.
     Call { replica: u8, forgets: bool },
-    /// A caller asks a replica, and the answer reaches it or not.
-    Ask {
-        caller: u8,
+    /// A client calls a replica, which may not answer yet.
+    Query {
+        client: u8,
         replica: u8,
-        complete: bool,
+        wants_snapshot: bool,
         wait_expired: bool,
     },
 }
 
 fn step(replicas: u8, restarts: bool) -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0..HOSTS, 0..3u8).prop_map(|(host, health)| Step::Change(host, health)),
+        4 => (0..ENDPOINTS, 0..3u8).prop_map(|(host, health)| Step::Change(host, health)),
         u32::from(restarts) => (0..20u8).prop_map(Step::Restart),
         5 => (0..replicas, prop::bool::weighted(0.2))
             .prop_map(|(replica, forgets)| Step::Call { replica, forgets }),
-        5 => (0..CALLERS, 0..replicas, prop::bool::weighted(0.1), any::<bool>()).prop_map(
-            |(caller, replica, complete, wait_expired)| Step::Ask { caller, replica, complete, wait_expired }
+        5 => (0..CLIENTS, 0..replicas, prop::bool::weighted(0.1), any::<bool>()).prop_map(
+            |(client, replica, wants_snapshot, wait_expired)| Step::Query { client, replica, wants_snapshot, wait_expired }
         ),
     ]
 }
 
-/// Discovery: each version's list since its last start.
+/// Discovery: the list of each version since its last restart.
 struct Upstream {
-    lists: BTreeMap<u64, Servers>,
+    lists: BTreeMap<u64, HealthByName>,
 }
 
 impl Upstream {
     fn new() -> Self {
-        let endpoints = (0..HOSTS)
+        let endpoints = (0..ENDPOINTS)
             .map(|host| (format!("s{host}"), "ready".to_owned()))
             .collect();
         Self {
@@ -70,7 +71,7 @@
         *self.lists.last_key_value().unwrap().0
     }
 
-    fn endpoints(&self) -> &Servers {
+    fn endpoints(&self) -> &HealthByName {
         self.lists.last_key_value().unwrap().1
     }
 
@@ -98,7 +99,7 @@
             .iter()
             .map(|(host, health)| (&**host, &**health))
             .collect();
-        list(self.version(), true, &endpoints)
+        update(self.version(), true, &endpoints)
     }
 
     fn answer(&self, call: UpstreamCall, forgets: bool) -> ListUpdate {
@@ -108,7 +109,7 @@
         if forgets || !self.lists.contains_key(&after.0) {
             return self.snapshot();
         }
-        // All that was touched since, also where it is again as it was.
+        // All that was changed since, also what has its earlier state again.
         let mut changes = BTreeMap::new();
         let mut before = &self.lists[&after.0];
         for endpoints in self
@@ -124,28 +125,28 @@
         }
         let health = |host: &str| self.endpoints().get(host).map_or("gone", |health| health);
         let changes: Vec<_> = changes.keys().map(|host| (*host, health(host))).collect();
-        list(self.version(), false, &changes)
+        update(self.version(), false, &changes)
     }
 }
 
 #[derive(Clone, Debug, Default)]
-struct Caller {
+struct Client {
     version: Option<u64>,
-    endpoints: Servers,
+    endpoints: HealthByName,
 }
 
-impl Caller {
-    fn take(&mut self, list: &ListUpdate) {
-        if list.complete {
+impl Client {
+    fn apply(&mut self, update: &ListUpdate) {
+        if update.complete {
             self.endpoints.clear();
         }
-        for (host, health) in common::words(list) {
+        for (host, health) in common::name_and_health(update) {
             match health.as_str() {
                 "gone" => self.endpoints.remove(&host),
                 _ => self.endpoints.insert(host, health),
             };
         }
-        self.version = Some(list.version.0);
+        self.version = Some(update.version.0);
     }
 }
 
@@ -153,7 +154,7 @@
 struct World {
     upstream: Upstream,
     replicas: Vec<Replica>,
-    callers: Vec<Caller>,
+    clients: Vec<Client>,
     now: Duration,
 }
 
@@ -162,12 +163,12 @@
         Self {
             upstream: Upstream::new(),
             replicas: (0..replicas).map(|_| Replica::new(LEASE * 100)).collect(),
-            callers: vec![Caller::default(); usize::from(CALLERS)],
+            clients: vec![Client::default(); usize::from(CLIENTS)],
             now: Duration::ZERO,
         }
     }
 
-    /// Asks a replica without waiting.
+    /// What a replica answers a client now.
     fn ask(
         &mut self,
         replica: usize,
@@ -181,7 +182,7 @@
         };
         let reply = self.replicas[replica].answer(query, self.now).ok()?;
         if reply == Answer::Confirm {
-            // It calls upstream at once, and asks for what it lacks.
+            // It calls upstream at once, and fetches what it lacks.
             (0..2).for_each(|_| self.call(replica, false));
             let reply = self.replicas[replica].answer(query, self.now).ok()?;
             return self.replicas[replica].message(reply);
@@ -200,19 +201,19 @@
         };
         let Some(answer) = answer else { return };
         let now = self.now;
-        // What is rejected has another call made.
+        // A rejected update has another call made.
         let _ = self.replicas[replica].apply(call, answer, now, now);
     }
 
-    /// Where upstream numbers its lists anew up to a version that a replica holds of before, before that has called once,
-    /// nothing in the protocol could show it.
-    fn would_reach_what_is_held(&self) -> bool {
+    /// Whether upstream's next version is held by a replica from before a restart. If that had not called since, nothing
+    /// in the protocol could show the difference.
+    fn would_reuse_held_version(&self) -> bool {
         self.replicas
             .iter()
             .any(|replica| replica.version() == Some(Version(self.upstream.version() + 1)))
     }
 
-    /// Below all that is held: by the same number it could not be told.
+    /// Restarts upstream below all versions held: one that was reused could not be told apart.
     fn restart(&mut self, steps_back: u8) {
         let held = self
             .replicas
@@ -227,20 +228,20 @@
     fn play(&mut self, step: &Step) {
         self.now += STEP;
         match *step {
-            Step::Change(..) if self.would_reach_what_is_held() => {}
+            Step::Change(..) if self.would_reuse_held_version() => {}
             Step::Change(host, health) => self.upstream.change(host, health),
             Step::Restart(steps_back) => self.restart(steps_back),
             Step::Call { replica, forgets } => self.call(usize::from(replica), forgets),
-            Step::Ask {
-                caller,
+            Step::Query {
+                client,
                 replica,
-                complete,
+                wants_snapshot,
                 wait_expired,
             } => {
-                let (caller, replica) = (usize::from(caller), usize::from(replica));
-                let after = self.callers[caller].version.filter(|_| !complete);
+                let (client, replica) = (usize::from(client), usize::from(replica));
+                let after = self.clients[client].version.filter(|_| !wants_snapshot);
                 if let Some(list) = self.ask(replica, after, wait_expired) {
-                    self.callers[caller].take(&list);
+                    self.clients[client].apply(&list);
                 }
             }
         }
@@ -263,24 +264,24 @@
     }
 }
 
-// Guards against any order of lists, deltas and restarts that leaves a caller with something else than upstream's list.
+// Guards against any order of snapshots, deltas and restarts that leaves a client with another list than upstream's.
 #[test]
-fn a_caller_that_follows_ends_with_exactly_the_list_of_upstream() {
+fn a_client_ends_with_exactly_the_list_of_upstream() {
     check(1, true, |steps| {
         let mut world = World::new(1);
         for step in steps {
             world.play(step);
         }
-        // A list that shrank is believed the second time; a delta that went back has the whole list asked for.
+        // A smaller snapshot is applied the second time; a regressed delta has a snapshot fetched.
         (0..4).for_each(|_| world.call(0, false));
-        for caller in 0..usize::from(CALLERS) {
-            let after = world.callers[caller].version;
+        for client in 0..usize::from(CLIENTS) {
+            let after = world.clients[client].version;
             let list = world.ask(0, after, true);
             prop_assert!(list.is_some(), "it is answered");
-            world.callers[caller].take(&list.unwrap());
-            prop_assert_eq!(&world.callers[caller].endpoints, world.upstream.endpoints());
+            world.clients[client].apply(&list.unwrap());
+            prop_assert_eq!(&world.clients[client].endpoints, world.upstream.endpoints());
             prop_assert_eq!(
-                world.callers[caller].version,
+                world.clients[client].version,
                 Some(world.upstream.version())
             );
         }
@@ -290,23 +291,23 @@
 
 // The same through a second tier, whose upstream is a relay.
 #[test]
-fn a_caller_of_a_second_tier_ends_with_exactly_the_list_of_upstream() {
+fn a_client_of_a_second_tier_ends_with_exactly_the_list_of_upstream() {
     const SITE: u8 = 2;
     check(3, true, |steps| {
         let mut world = World::new(3);
         for step in steps {
             match step.clone() {
-                // Nobody moves: relays that have noticed a restart and others are not told apart by a caller.
-                Step::Ask {
-                    caller,
-                    complete,
+                // No client changes its relay: it cannot tell a relay that noticed a restart from one that did not.
+                Step::Query {
+                    client,
+                    wants_snapshot,
                     wait_expired,
                     ..
                 } => {
-                    world.play(&Step::Ask {
-                        caller,
+                    world.play(&Step::Query {
+                        client,
                         replica: SITE,
-                        complete,
+                        wants_snapshot,
                         wait_expired,
                     });
                 }
@@ -316,38 +317,44 @@
         for replica in [0, usize::from(SITE)] {
             (0..4).for_each(|_| world.call(replica, false));
         }
-        for caller in 0..usize::from(CALLERS) {
-            let after = world.callers[caller].version;
+        for client in 0..usize::from(CLIENTS) {
+            let after = world.clients[client].version;
             let list = world.ask(usize::from(SITE), after, true);
             prop_assert!(list.is_some(), "it is answered");
-            world.callers[caller].take(&list.unwrap());
-            prop_assert_eq!(&world.callers[caller].endpoints, world.upstream.endpoints());
+            world.clients[client].apply(&list.unwrap());
+            prop_assert_eq!(&world.clients[client].endpoints, world.upstream.endpoints());
         }
         Ok(())
     });
 }
 
-// Guards against a server that left and comes back by a relay that is behind: no caller goes back to an older version, and
+// Guards against a removed endpoint that comes back by a relay which is behind: no client goes back to an older version, and
 // what it has is always upstream's list of that version.
 #[test]
-fn a_caller_that_moves_between_relays_never_takes_an_older_state() {
+fn a_client_that_changes_its_relay_never_applies_an_older_list() {
     check(3, false, |steps| {
         let mut world = World::new(3);
         for step in steps {
-            // A caller that asks for the whole list has given up what it had.
-            if matches!(step, Step::Ask { complete: true, .. }) {
+            // A client that asks for a snapshot has given up what it had.
+            if matches!(
+                step,
+                Step::Query {
+                    wants_snapshot: true,
+                    ..
+                }
+            ) {
                 continue;
             }
-            let before: Vec<_> = world.callers.iter().map(|caller| caller.version).collect();
+            let before: Vec<_> = world.clients.iter().map(|client| client.version).collect();
             world.play(step);
-            for (caller, before) in world.callers.iter().zip(before) {
+            for (client, before) in world.clients.iter().zip(before) {
                 prop_assert!(
-                    caller.version >= before,
+                    client.version >= before,
                     "{:?} after {before:?}",
-                    caller.version
+                    client.version
                 );
-                if let Some(version) = caller.version {
-                    prop_assert_eq!(&caller.endpoints, &world.upstream.lists[&version]);
+                if let Some(version) = client.version {
+                    prop_assert_eq!(&client.endpoints, &world.upstream.lists[&version]);
                 }
             }
         }
@@ -355,14 +362,14 @@
     });
 }
 
-// Guards against a time at which the properties hold only because nothing is ever answered.
+// Guards against properties that hold only because nothing is ever answered.
 #[test]
-fn the_properties_see_answers_of_each_kind() {
+fn the_properties_cover_answers_of_each_kind() {
     let mut world = World::new(3);
-    let ask = |caller, replica| Step::Ask {
-        caller,
+    let ask = |client, replica| Step::Query {
+        client,
         replica,
-        complete: false,
+        wants_snapshot: false,
         wait_expired: true,
     };
     let call = |replica| Step::Call {
@@ -381,11 +388,11 @@
     ] {
         world.play(&step);
     }
-    let versions: Vec<_> = world.callers.iter().map(|caller| caller.version).collect();
+    let versions: Vec<_> = world.clients.iter().map(|client| client.version).collect();
     assert_eq!(
         versions,
         [Some(FIRST_VERSION + 1), Some(FIRST_VERSION + 1), None]
     );
-    assert_eq!(world.callers[0].endpoints, *world.upstream.endpoints());
+    assert_eq!(world.clients[0].endpoints, *world.upstream.endpoints());
     assert_eq!(world.now, ms(8_000));
 }
