--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,15 +1,17 @@
 //! The `slatelink` command: arguments, exit codes and printing.
 
+mod exit;
 mod lab;
 mod multiget;
+mod node_arguments;
 mod relay;
 mod scale;
 mod up;
 
+use crate::exit::{success_if, CommandResult, UNUSABLE};
 use clap::{Parser, Subcommand, ValueEnum};
 use slatelink_config::{operators, platform};
-use slatelink_telemetry::audit::{self, Verdict};
-use slatelink_telemetry::Format;
+use slatelink_telemetry::audit::{self, Verification};
 use std::error::Error;
 use std::fs::File;
 use std::io::{self, BufReader, Write};
@@ -44,7 +46,7 @@
     Json,
 }
 
-impl From<LogFormat> for Format {
+impl From<LogFormat> for slatelink_telemetry::LogFormat {
     fn from(format: LogFormat) -> Self {
         match format {
             LogFormat::Text => Self::Text,
@@ -100,26 +102,25 @@
     }
 }
 
-fn verify(path: PathBuf) -> Result<ExitCode, Box<dyn Error>> {
-    let verdict = File::open(&path).and_then(|file| audit::verify(BufReader::new(file)));
-    match verdict {
-        Ok(verdict) => {
-            writeln!(io::stdout(), "{verdict}")?;
-            Ok(if matches!(verdict, Verdict::Ok(_)) {
-                ExitCode::SUCCESS
-            } else {
-                ExitCode::FAILURE
-            })
+fn verify(path: PathBuf) -> CommandResult {
+    let verification = File::open(&path).and_then(|file| audit::verify(BufReader::new(file)));
+    match verification {
+        Ok(verification) => {
+            writeln!(io::stdout(), "{verification}")?;
+            Ok(success_if(matches!(
+                verification,
+                Verification::Intact { .. }
+            )))
         }
         // Not what a broken trail ends with.
         Err(error) => {
             eprintln!("slatelink: cannot read {}: {error}", path.display());
-            Ok(ExitCode::from(2))
+            Ok(ExitCode::from(UNUSABLE))
         }
     }
 }
 
-fn start(features: Option<PathBuf>, format: LogFormat) -> Result<ExitCode, Box<dyn Error>> {
+fn start(features: Option<PathBuf>, format: LogFormat) -> CommandResult {
     let features = features
         .map(operators::load)
         .transpose()?
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -14,17 +14,19 @@
 mod server;
 mod upstream;
 
-use connections::{ConnectionManager, MAX_READ_AHEAD};
+use connections::{ConnectionManager, MAX_READ_AHEAD_BYTES};
 use discovery::Discovery;
 use driver::{Driver, DriverEvent};
 use multiget::MultiGet;
-use server::{serve, Connection, DescriptorSource, ServerContext, ShutdownStage, LARGEST_HEAD};
+use server::{
+    serve, ClientConnection, DescriptorSource, ServerContext, ShutdownStage, MAX_HEAD_BYTES,
+};
 use slatelink_admission::{Budget, ConnectionKind, ConnectionLimits, Quota};
 use slatelink_config::operators;
 use slatelink_config::platform::{self, Config, ConfigError};
 use slatelink_policy::{Balancer, Name};
 use slatelink_telemetry::audit::StopSignal;
-use slatelink_telemetry::{Format, Observer, Observers};
+use slatelink_telemetry::{LogFormat, Observer, Telemetry};
 use std::error::Error;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -35,7 +37,7 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep};
-use upstream::{own_fault, Upstream};
+use upstream::{is_local_resource_error, Upstream};
 
 /// New connections keep coming for 0.4 s after SIGTERM: until the front has noticed, the node serves them.
 const LEAVING: Duration = Duration::from_millis(500);
@@ -44,7 +46,7 @@
 
 /// Bytes of a connection in use: hyper's read buffer, parser and task as measured, a head of the longest, and what is read
 /// ahead of it.
-const ACTIVE_CONNECTION_BYTES: usize = (16 << 10) + LARGEST_HEAD + MAX_READ_AHEAD;
+const ACTIVE_CONNECTION_BYTES: usize = (16 << 10) + MAX_HEAD_BYTES + MAX_READ_AHEAD_BYTES;
 /// Of one that holds nothing but its socket.
 const PARKED_CONNECTION_BYTES: usize = 1 << 10;
 /// Of one to a cache server: a read buffer and what is around it.
@@ -62,7 +64,7 @@
 pub async fn run(
     config: Config,
     wanted: operators::Settings,
-    format: Format,
+    format: LogFormat,
 ) -> Result<ExitCode, Box<dyn Error>> {
     // Before anything else: a signal without a handler ends the process.
     let mut terminate = signal(SignalKind::terminate())?;
@@ -72,17 +74,17 @@
         listen,
         discovery,
         seed,
-        sockets,
-        memory,
-        known,
+        descriptor_limit: sockets,
+        memory_bytes: memory,
+        known_endpoints: known,
         settings,
         path,
-        text,
+        contents: text,
     } = config;
     let listener = TcpListener::bind(listen)
         .await
         .map_err(|error| format!("cannot listen on {listen}: {error}"))?;
-    let side = match wanted.side_port() {
+    let side = match wanted.multiget_port() {
         Some(port) => {
             let beside = SocketAddr::new(listen.ip(), port);
             let bound = TcpListener::bind(beside).await;
@@ -96,18 +98,19 @@
         .map(|class| class.name.clone())
         .collect();
     let beside = side.as_ref().map_or(0, |_| MultiGet::DESCRIPTORS);
-    let places = sockets.saturating_sub(SPARE_SOCKETS + Observers::descriptors(&wanted) + beside);
+    let places =
+        sockets.saturating_sub(SPARE_SOCKETS + Telemetry::descriptor_count(&wanted) + beside);
     let budget = shares(&wanted, places, sockets, memory)?;
-    let connection_limits = connection_limits(&wanted.front, &classes, &budget, sockets)?;
-    let observers = Observers::start(&wanted, &classes, format)?;
-    let log = observers.log.clone();
-    let stops = observers.stops()?;
+    let connection_limits = connection_limits(&wanted.admission, &classes, &budget, sockets)?;
+    let telemetry = Telemetry::start(&wanted, &classes, format)?;
+    let log = telemetry.log.clone();
+    let stops = telemetry.termination_signals()?;
     log.line(&format!(
         "node {name} listens on {}",
         listener.local_addr()?
     ));
-    observers.started(&name);
-    observers.loaded(&path, &text);
+    telemetry.node_started(&name);
+    telemetry.config_loaded(&path, &text);
     drop(text);
 
     // Unbounded, and bounded all the same by the connections: each has one request, or one attempt, in it.
@@ -128,8 +131,8 @@
         keepalive,
     ));
     let room = DescriptorSource {
-        table: table.clone(),
-        servers: upstream.clone(),
+        connections: table.clone(),
+        upstream: upstream.clone(),
     };
     let front = Rc::new(ServerContext::new(
         &settings,
@@ -142,7 +145,7 @@
     // Where lists are pushed, what the agent has counts as told from a process's first moment: it is asked for at
     // once, and the node is ready when it has that. Elsewhere a whole list has a price, and the node holds its own.
     let pushed = !settings.polls_discovery;
-    let seq = (!known.hosts.is_empty() && !pushed).then_some(known.version);
+    let seq = (!known.endpoints.is_empty() && !pushed).then_some(known.version);
     let random = fastrand::Rng::with_seed(seed);
     let (addresses, address) = watch::channel(discovery);
     let discovery = Discovery {
@@ -158,8 +161,8 @@
 
     spawn_local(upstream.clone().sweep());
     spawn_local(table.clone().sweep());
-    spawn_local(report_connections(table, observers.clone()));
-    spawn_local(reload(hangup, addresses, observers.clone()));
+    spawn_local(report_connections(table, telemetry.clone()));
+    spawn_local(reload(hangup, addresses, telemetry.clone()));
     let balancer = Balancer::new(settings, seed);
     let (told, to_driver) = mpsc::unbounded_channel();
     let heeding = heed_departures(lists, told, upstream.clone());
@@ -171,7 +174,7 @@
         ready,
         pushed,
         events,
-        observers.clone(),
+        telemetry.clone(),
     );
     spawn_local(driver.run(known, to_driver, inputs));
     let beside = match side {
@@ -179,22 +182,26 @@
             log.line(&format!("multi-get listens on {}", listener.local_addr()?));
             // One address may well be all that asks there, and a call is no request of a class.
             let connection_limits = ConnectionLimits {
-                crowded_at: usize::MAX,
+                keep_alive_limit: usize::MAX,
                 per_address: None,
                 per_class: Vec::new(),
                 ..connection_limits
             };
             let room = DescriptorSource {
-                table: ConnectionManager::new(budget, ConnectionKind::SidePort, connection_limits),
-                servers: upstream,
+                connections: ConnectionManager::new(
+                    budget,
+                    ConnectionKind::SidePort,
+                    connection_limits,
+                ),
+                upstream,
             };
             let multiget = MultiGet::new(front.clone(), wanted.multiget.unwrap_or_default(), room);
             Some(spawn_local(multiget.serve(listener)))
         }
         None => None,
     };
-    let (room, stage) = (front.room.clone(), front.stage.clone());
-    let connection = move |place| Connection::new(place, front.clone());
+    let (room, stage) = (front.descriptors.clone(), front.stage.clone());
+    let connection = move |place| ClientConnection::new(place, front.clone());
     let serving = spawn_local(serve(listener, room, stage, log.clone(), connection));
 
     let drained = async {
@@ -226,7 +233,7 @@
         drained = drained => drained.map(|()| StopSignal::TERMINATE)?,
         stop = at_once => stop,
     };
-    observers.stop(by).await;
+    telemetry.shut_down(by).await;
     // As a shell tells of a process that a signal has ended.
     Ok(if by == StopSignal::TERMINATE {
         ExitCode::SUCCESS
@@ -244,7 +251,7 @@
 ) {
     while let Some(input) = lists.recv().await {
         if let DriverEvent::EndpointListReceived(list) = &input {
-            upstream.heed_departures(list);
+            upstream.mark_unready(list);
         }
         if told.send(input).is_err() {
             return;
@@ -259,7 +266,7 @@
     sockets: usize,
     memory: Option<u64>,
 ) -> Result<Budget, String> {
-    let beside = wanted.side_port().map_or(0, |_| MultiGet::CONNECTIONS);
+    let beside = wanted.multiget_port().map_or(0, |_| MultiGet::CONNECTIONS);
     // Of three quarters: the rest is for how memory is cut up. A third of it is the servers' connections'.
     let bytes = memory.map_or(usize::MAX, |memory| {
         usize::try_from((memory / 4 * 3).saturating_sub(PROGRAM))
@@ -268,7 +275,7 @@
     });
     let most = places.min(bytes / 3 / SERVERS);
     let servers = Quota {
-        reserved: wanted.front.servers_floor(places).min(most),
+        reserved: wanted.admission.upstream_reservation(places).min(most),
         limit: most,
     };
     let left = places.saturating_sub(servers.reserved + beside);
@@ -282,7 +289,8 @@
     };
     let budget = Budget::new(places, [clients, servers, beside], bytes / 3 * 2);
     let usable = |budget: &Budget| {
-        budget.most(ConnectionKind::Client) > 0 && budget.most(ConnectionKind::Upstream) > 0
+        budget.max_descriptors(ConnectionKind::Client) > 0
+            && budget.max_descriptors(ConnectionKind::Upstream) > 0
     };
     budget.filter(usable).ok_or_else(|| {
         let (servers, beside) = (servers.reserved, beside.reserved);
@@ -295,13 +303,13 @@
 
 /// The limits of the table of clients' connections.
 fn connection_limits(
-    wanted: &operators::Front,
+    wanted: &operators::AdmissionSettings,
     classes: &[Name],
     budget: &Budget,
     sockets: usize,
 ) -> Result<ConnectionLimits, String> {
     if let Some(name) = wanted
-        .per_class
+        .percent_per_class
         .keys()
         .find(|name| !classes.iter().any(|class| class.as_str() == *name))
     {
@@ -312,30 +320,30 @@
         ));
     }
     let usable = budget
-        .most(ConnectionKind::Client)
-        .min(wanted.clients_part(sockets));
+        .max_descriptors(ConnectionKind::Client)
+        .min(wanted.client_limit(sockets));
     let share = |class: &Name| {
         wanted
-            .per_class
+            .percent_per_class
             .get(class.as_str())
-            .map(|part| (usable * part.0 / 100).max(1))
+            .map(|part| (usable * part.get() / 100).max(1))
     };
     Ok(ConnectionLimits {
-        crowded_at: (usable - usable / FREE_PART).max(1),
-        idle_timeout: wanted.idle(),
-        per_address: wanted.per_address(),
+        keep_alive_limit: (usable - usable / FREE_PART).max(1),
+        idle_timeout: wanted.idle_timeout(),
+        per_address: wanted.connections_per_address(),
         per_class: classes.iter().map(share).collect(),
         active_bytes: ACTIVE_CONNECTION_BYTES,
         parked_bytes: PARKED_CONNECTION_BYTES,
     })
 }
 
-/// Reports the counts of the table to the observers, for as long as the node runs.
-async fn report_connections(table: Rc<ConnectionManager>, observers: Rc<Observers>) {
+/// Reports the counts of the table to the telemetry, for as long as the node runs.
+async fn report_connections(table: Rc<ConnectionManager>, telemetry: Rc<Telemetry>) {
     let mut turns = interval(REPORT_INTERVAL);
     loop {
         turns.tick().await;
-        observers.connections_sampled(&table.stats());
+        telemetry.connections_sampled(&table.stats());
     }
 }
 
@@ -344,15 +352,15 @@
 async fn reload(
     mut hangup: Signal,
     discovery: watch::Sender<SocketAddr>,
-    observers: Rc<Observers>,
+    telemetry: Rc<Telemetry>,
 ) {
-    let log = &observers.log;
+    let log = &telemetry.log;
     while hangup.recv().await.is_some() {
         loop {
             let variable = |name: &str| {
                 std::env::var(name)
                     .ok()
-                    .filter(|_| name != platform::DISCOVERY)
+                    .filter(|_| name != platform::DISCOVERY_VARIABLE)
             };
             match platform::load(variable) {
                 Ok(new) => {
@@ -360,7 +368,7 @@
                         "configuration read again: discovery at {}",
                         new.discovery
                     ));
-                    observers.loaded(&new.path, &new.text);
+                    telemetry.config_loaded(&new.path, &new.contents);
                     // One that stays is not asked again: its watch is as good as it was.
                     discovery.send_if_modified(|held| {
                         std::mem::replace(held, new.discovery) != new.discovery
@@ -370,7 +378,8 @@
                 Err(error) => {
                     log.rate_limited("reload", &format!("configuration not taken: {error}"));
                     // The platform says it once, and the old discovery ends soon.
-                    if !matches!(&error, ConfigError::Unreadable(_, why) if own_fault(why)) {
+                    if !matches!(&error, ConfigError::Unreadable { error: why, .. } if is_local_resource_error(why))
+                    {
                         break;
                     }
                     sleep(RELOAD_AGAIN).await;
