--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -3,20 +3,20 @@
 //! Upstream it is one caller that watches; downstream it answers as discovery does, so that a node needs no change and relays
 //! can stand in tiers. What is answered is decided by `slatelink-membership`; here are the sockets, tasks and signals.
 
-mod answers;
-mod callers;
-mod meter;
+mod byte_counter;
+mod downstream;
+mod encoded_answers;
 mod publisher;
 mod request;
 mod status;
 #[cfg(test)]
 mod tests;
-mod upstream;
+mod upstream_client;
 
 pub use status::{DownstreamCounts, RelayStatus, UpstreamCounts, STATUS_PATH};
 
-use callers::Callers;
-use publisher::Publisher;
+use downstream::DownstreamServer;
+use publisher::ReplicaPublisher;
 use rustix::process::{getrlimit, Resource};
 use slatelink_config::operators;
 use slatelink_config::relay::RelaySettings;
@@ -29,12 +29,12 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::spawn_local;
 use tokio::time::interval;
-use upstream::Upstream;
+use upstream_client::UpstreamClient;
 
 /// Descriptors left for the runtime, the listener, upstream, refusals and the standard streams.
-const SPARE_DESCRIPTORS: usize = 24 + callers::MOST_REFUSALS;
+const RESERVED_DESCRIPTORS: usize = 24 + downstream::MAX_REJECTING_CONNECTIONS;
 /// The log is asked for what it left out so often.
-const LOG_TURN: Duration = Duration::from_secs(1);
+const LOG_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a relay cannot run.
 #[derive(Debug, Error)]
@@ -43,11 +43,11 @@
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     /// The limit of the process is too low.
-    #[error("a limit of {limit} descriptors leaves no room for {callers} callers beside {SPARE_DESCRIPTORS} others")]
+    #[error("a limit of {limit} descriptors leaves no room for {callers} callers beside {RESERVED_DESCRIPTORS} others")]
     Descriptors {
         /// The limit.
         limit: usize,
-        /// Callers that are wanted.
+        /// Connections that are wanted.
         callers: usize,
     },
     /// The log.
@@ -65,24 +65,24 @@
         signal(SignalKind::terminate())?,
         signal(SignalKind::interrupt())?,
     );
-    let most_callers = most_callers(settings.callers)?;
+    let max_connections = max_connections(settings.callers)?;
     let listener = TcpListener::bind(settings.listen).await;
     let listener = listener.map_err(|error| RelayError::Listen(settings.listen, error))?;
     let telemetry = Telemetry::start(&operators::Settings::default(), &[], format)?;
     let log = telemetry.log.clone();
     log.line(&format!("relay listens on {}", listener.local_addr()?));
 
-    let publisher = Rc::new(Publisher::new(settings.lease()));
+    let publisher = Rc::new(ReplicaPublisher::new(settings.lease()));
     let counts = Rc::default();
-    let upstream = Upstream::new(
+    let upstream = UpstreamClient::new(
         &settings,
         publisher.clone(),
         Rc::clone(&counts),
         log.clone(),
     );
-    let callers = Rc::new(Callers::new(
+    let callers = Rc::new(DownstreamServer::new(
         publisher.clone(),
-        most_callers,
+        max_connections,
         counts,
         log.clone(),
     ));
@@ -101,7 +101,7 @@
 }
 
 async fn turn_log(log: slatelink_telemetry::Log) {
-    let mut turns = interval(LOG_TURN);
+    let mut turns = interval(LOG_REPORT_INTERVAL);
     loop {
         turns.tick().await;
         log.report_suppressed();
@@ -109,12 +109,12 @@
 }
 
 /// Connections of callers that the limit on descriptors allows, or those that are wanted if it does.
-fn most_callers(wanted: Option<usize>) -> Result<usize, RelayError> {
+fn max_connections(wanted: Option<usize>) -> Result<usize, RelayError> {
     let limit = getrlimit(Resource::Nofile).current;
     let limit = limit.map_or(usize::MAX, |limit| {
         usize::try_from(limit).unwrap_or(usize::MAX)
     });
-    let allowed = limit.saturating_sub(SPARE_DESCRIPTORS);
+    let allowed = limit.saturating_sub(RESERVED_DESCRIPTORS);
     let callers = wanted.unwrap_or(allowed.max(1));
     if callers > allowed {
         return Err(RelayError::Descriptors { limit, callers });
--- a/crates/node/src/relay/meter.rs
+++ b/crates/node/src/relay/byte_counter.rs
@@ -11,9 +11,9 @@
 
 /// The counts of all callers, changed in place.
 #[derive(Debug, Default)]
-pub struct Counts(Cell<DownstreamCounts>);
+pub struct DownstreamCounters(Cell<DownstreamCounts>);
 
-impl Counts {
+impl DownstreamCounters {
     /// What was counted so far.
     pub fn get(&self) -> DownstreamCounts {
         self.0.get()
@@ -29,8 +29,8 @@
 
 /// The bytes of one connection.
 #[derive(Debug)]
-pub struct Meter {
-    counts: Rc<Counts>,
+pub struct ConnectionByteCounter {
+    counts: Rc<DownstreamCounters>,
     /// Bytes that were read and belong to no request yet.
     unclaimed: Cell<u64>,
     /// Whether what is written now answers a call for the list.
@@ -39,8 +39,8 @@
     is_caller: Cell<bool>,
 }
 
-impl Meter {
-    pub fn new(counts: Rc<Counts>) -> Self {
+impl ConnectionByteCounter {
+    pub fn new(counts: Rc<DownstreamCounters>) -> Self {
         Self {
             counts,
             unclaimed: Cell::new(0),
@@ -75,18 +75,21 @@
 }
 
 /// A connection whose bytes are counted.
-pub struct Metered {
+pub struct CountingStream {
     stream: TcpStream,
-    meter: Rc<Meter>,
+    byte_counter: Rc<ConnectionByteCounter>,
 }
 
-impl Metered {
-    pub fn new(stream: TcpStream, meter: Rc<Meter>) -> Self {
-        Self { stream, meter }
+impl CountingStream {
+    pub fn new(stream: TcpStream, byte_counter: Rc<ConnectionByteCounter>) -> Self {
+        Self {
+            stream,
+            byte_counter,
+        }
     }
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -94,19 +97,19 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        self.meter.read(buffer.filled().len() - before);
+        self.byte_counter.read(buffer.filled().len() - before);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write(context, bytes))?;
-        self.meter.written(written);
+        self.byte_counter.written(written);
         Poll::Ready(Ok(written))
     }
 
@@ -116,7 +119,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(context, parts))?;
-        self.meter.written(written);
+        self.byte_counter.written(written);
         Poll::Ready(Ok(written))
     }
 
--- a/crates/node/src/relay/callers.rs
+++ b/crates/node/src/relay/downstream.rs
@@ -1,9 +1,9 @@
 //! The callers' side: connections within a bound, requests and their answers.
 
-use super::answers::EncodedList;
-use super::meter::{Counts, Meter, Metered};
-use super::publisher::{PublishError, Publisher};
-use super::request::{Asked, ListRequest, RequestError};
+use super::byte_counter::{ConnectionByteCounter, CountingStream, DownstreamCounters};
+use super::encoded_answers::EncodedUpdate;
+use super::publisher::{PublishError, ReplicaPublisher};
+use super::request::{ListRequest, RelayRequest, RequestError};
 use super::status::{RelayStatus, UpstreamCounts};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -24,37 +24,37 @@
 use tokio::time::{sleep, timeout};
 
 /// A connection on which no request comes for so long is closed.
-const IDLE: Duration = Duration::from_secs(90);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
 /// A head of a request is this long at most.
-const LARGEST_HEAD: usize = 16 << 10;
+const MAX_REQUEST_HEAD_BYTES: usize = 16 << 10;
 /// After a failed accept the next one waits: tried at once, it would fail and spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(10);
 /// Connections past the bound that are answered 503 at once; further ones are closed without a word.
-pub const MOST_REFUSALS: usize = 32;
+pub const MAX_REJECTING_CONNECTIONS: usize = 32;
 /// A connection past the bound is open for so long at most.
-const REFUSAL: Duration = Duration::from_secs(1);
+const REJECTION_TIMEOUT: Duration = Duration::from_secs(1);
 /// At the end of the relay, callers have so long to read their answers.
-const ENDING: Duration = Duration::from_secs(1);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 /// Whether all have is looked at so often.
-const ENDING_POLL: Duration = Duration::from_millis(5);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 type Reply = Response<Full<Bytes>>;
 
 /// All connections of callers.
-pub struct Callers {
-    publisher: Rc<Publisher>,
+pub struct DownstreamServer {
+    publisher: Rc<ReplicaPublisher>,
     log: Log,
-    most_open: usize,
+    max_connections: usize,
     open: Cell<usize>,
     refusing: Cell<usize>,
-    counts: Rc<Counts>,
+    counts: Rc<DownstreamCounters>,
     upstream: Rc<Cell<UpstreamCounts>>,
 }
 
 /// A place among connections, given back when dropped.
-struct Place<'a>(&'a Cell<usize>);
+struct ConnectionPermit<'a>(&'a Cell<usize>);
 
-impl<'a> Place<'a> {
+impl<'a> ConnectionPermit<'a> {
     fn take(taken: &'a Cell<usize>, most: usize) -> Option<Self> {
         (taken.get() < most).then(|| {
             taken.set(taken.get() + 1);
@@ -63,16 +63,16 @@
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for ConnectionPermit<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-impl Callers {
+impl DownstreamServer {
     pub fn new(
-        publisher: Rc<Publisher>,
-        most_open: usize,
+        publisher: Rc<ReplicaPublisher>,
+        max_connections: usize,
         upstream: Rc<Cell<UpstreamCounts>>,
         log: Log,
     ) -> Self {
@@ -80,7 +80,7 @@
         Self {
             publisher,
             log,
-            most_open,
+            max_connections,
             open,
             refusing,
             counts: Rc::default(),
@@ -95,7 +95,7 @@
                 Ok((stream, _)) => drop(spawn_local(self.clone().connection(stream))),
                 Err(error) => {
                     self.log.rate_limited("accept", &format!("accept: {error}"));
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_ERROR_PAUSE).await;
                 }
             }
         }
@@ -106,11 +106,11 @@
         self.publisher.stop();
         let all_gone = async {
             while self.open.get() > 0 {
-                sleep(ENDING_POLL).await;
+                sleep(SHUTDOWN_POLL_INTERVAL).await;
             }
         };
         // Whoever does not read by then is cut off by the end of the process.
-        let _ = timeout(ENDING, all_gone).await;
+        let _ = timeout(SHUTDOWN_TIMEOUT, all_gone).await;
     }
 
     async fn connection(self: Rc<Self>, stream: TcpStream) {
@@ -118,11 +118,11 @@
         if stream.set_nodelay(true).is_err() {
             return;
         }
-        let meter = Rc::new(Meter::new(self.counts.clone()));
-        let io = TokioIo::new(Metered::new(stream, meter.clone()));
-        if let Some(_place) = Place::take(&self.open, self.most_open) {
+        let byte_counter = Rc::new(ConnectionByteCounter::new(self.counts.clone()));
+        let io = TokioIo::new(CountingStream::new(stream, byte_counter.clone()));
+        if let Some(_place) = ConnectionPermit::take(&self.open, self.max_connections) {
             let service = service_fn(async |request| {
-                Ok::<_, Infallible>(self.respond(&meter, request).await)
+                Ok::<_, Infallible>(self.respond(&byte_counter, request).await)
             });
             let mut serving = pin!(http().serve_connection(io, service));
             tokio::select! {
@@ -137,30 +137,35 @@
                 "callers",
                 "relay: a connection is refused: there are as many as may be",
             );
-            let Some(_place) = Place::take(&self.refusing, MOST_REFUSALS) else {
+            let Some(_place) = ConnectionPermit::take(&self.refusing, MAX_REJECTING_CONNECTIONS)
+            else {
                 return;
             };
             let service = service_fn(async |_: Request<Incoming>| {
                 let text = format!(
                     "there are {} connections already: ask another source",
-                    self.most_open
+                    self.max_connections
                 );
                 Ok::<_, Infallible>(closing(plain(StatusCode::SERVICE_UNAVAILABLE, text)))
             });
-            let _ = timeout(REFUSAL, http().serve_connection(io, service)).await;
+            let _ = timeout(REJECTION_TIMEOUT, http().serve_connection(io, service)).await;
         }
     }
 
-    async fn respond(&self, meter: &Meter, request: Request<Incoming>) -> Reply {
-        let asked = Asked::parse(request.method(), request.uri());
-        meter.request(matches!(asked, Ok(Asked::List(_))));
+    async fn respond(
+        &self,
+        byte_counter: &ConnectionByteCounter,
+        request: Request<Incoming>,
+    ) -> Reply {
+        let asked = RelayRequest::parse(request.method(), request.uri());
+        byte_counter.request(matches!(asked, Ok(RelayRequest::List(_))));
         match asked {
-            Ok(Asked::List(list)) => self.list(list).await,
-            Ok(Asked::Health) => match self.publisher.unavailable() {
+            Ok(RelayRequest::List(list)) => self.list(list).await,
+            Ok(RelayRequest::Health) => match self.publisher.unavailable() {
                 None => plain(StatusCode::OK, "ready".to_owned()),
                 Some(why) => plain(StatusCode::SERVICE_UNAVAILABLE, why.to_string()),
             },
-            Ok(Asked::Status) => self.status(),
+            Ok(RelayRequest::Status) => self.status(),
             Err(error) => {
                 let status = match error {
                     RequestError::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
@@ -183,7 +188,7 @@
             Err(error) => {
                 self.counts.add(|counts| counts.rejected_calls += 1);
                 let reply = plain(StatusCode::SERVICE_UNAVAILABLE, error.to_string());
-                if matches!(error, PublishError::Stops) {
+                if matches!(error, PublishError::ShuttingDown) {
                     closing(reply)
                 } else {
                     reply
@@ -192,7 +197,7 @@
         }
     }
 
-    fn told(&self, list: EncodedList) -> Reply {
+    fn told(&self, list: EncodedUpdate) -> Reply {
         self.counts.add(|counts| {
             match (list.whole, list.entries) {
                 (true, _) => counts.snapshot_answers += 1,
@@ -209,14 +214,14 @@
         let left = |expires: Duration| {
             u64::try_from(expires.saturating_sub(now).as_millis()).unwrap_or(u64::MAX)
         };
-        let status = self.publisher.look(|replica| RelayStatus {
+        let status = self.publisher.with_replica(|replica| RelayStatus {
             version: replica.version().map(|version| version.0),
             endpoints: replica.endpoint_count(),
             epochs: replica.epochs(),
             history_bytes: replica.history_bytes(),
             lease_remaining_ms: replica.lease_expires_at().map(left),
             open_connections: self.open.get(),
-            max_connections: self.most_open,
+            max_connections: self.max_connections,
             waiting_watches: 0,
             downstream: self.counts.get(),
             upstream: self.upstream.get(),
@@ -234,8 +239,10 @@
 fn http() -> http1::Builder {
     let mut http = http1::Builder::new();
     // Without a date, an answer is the same for all callers.
-    http.auto_date_header(false).max_buf_size(LARGEST_HEAD);
-    http.timer(TokioTimer::new()).header_read_timeout(IDLE);
+    http.auto_date_header(false)
+        .max_buf_size(MAX_REQUEST_HEAD_BYTES);
+    http.timer(TokioTimer::new())
+        .header_read_timeout(IDLE_TIMEOUT);
     http
 }
 
--- a/crates/node/src/relay/answers.rs
+++ b/crates/node/src/relay/encoded_answers.rs
@@ -4,19 +4,19 @@
 use slatelink_membership::{Answer, ListUpdate};
 use std::collections::HashMap;
 
-/// Different answers that are kept for one version. Callers that are behind by different versions each have their own; past
+/// Different answers that are kept for one version. Clients that are behind by different versions each have their own; past
 /// this, an answer is encoded for its caller alone.
-const MOST_KEPT: usize = 64;
+const MAX_ENCODED_ANSWERS: usize = 64;
 
 /// An answer's body, and what is in it.
 #[derive(Clone, Debug)]
-pub struct EncodedList {
+pub struct EncodedUpdate {
     pub body: Bytes,
     pub whole: bool,
     pub entries: usize,
 }
 
-impl EncodedList {
+impl EncodedUpdate {
     fn new(list: &ListUpdate) -> serde_json::Result<Self> {
         Ok(Self {
             body: list.encode()?.into(),
@@ -28,9 +28,9 @@
 
 /// The answers of the version held.
 #[derive(Debug, Default)]
-pub struct Answers(HashMap<Answer, EncodedList>);
+pub struct EncodedAnswers(HashMap<Answer, EncodedUpdate>);
 
-impl Answers {
+impl EncodedAnswers {
     /// There is another list: none of the answers holds any more.
     pub fn clear(&mut self) {
         self.0.clear();
@@ -41,12 +41,12 @@
         &mut self,
         reply: Answer,
         list: impl FnOnce() -> Option<ListUpdate>,
-    ) -> Option<serde_json::Result<EncodedList>> {
+    ) -> Option<serde_json::Result<EncodedUpdate>> {
         if let Some(kept) = self.0.get(&reply) {
             return Some(Ok(kept.clone()));
         }
-        let encoded = EncodedList::new(&list()?);
-        if let (Ok(encoded), true) = (&encoded, self.0.len() < MOST_KEPT) {
+        let encoded = EncodedUpdate::new(&list()?);
+        if let (Ok(encoded), true) = (&encoded, self.0.len() < MAX_ENCODED_ANSWERS) {
             self.0.insert(reply, encoded.clone());
         }
         Some(encoded)
--- a/crates/node/src/relay/publisher.rs
+++ b/crates/node/src/relay/publisher.rs
@@ -1,6 +1,6 @@
 //! The list between upstream and callers: one writer, and callers that wait for its news.
 
-use super::answers::{Answers, EncodedList};
+use super::encoded_answers::{EncodedAnswers, EncodedUpdate};
 use super::request::ListRequest;
 use slatelink_membership::{
     Answer, ApplyOutcome, ListQuery, ListUpdate, RejectedUpdate, Replica, Unavailable,
@@ -16,12 +16,12 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// A caller with a version that this relay has not waits for upstream's word on it for so long.
-const CONFIRM_PATIENCE: Duration = Duration::from_secs(2);
+const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(2);
 /// The lease is looked at again this long after its end: it runs out after that moment, not at it.
-const LEASE_SLACK: Duration = Duration::from_millis(1);
+const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(1);
 
 /// Once it has run out, it is looked at so often for whether upstream was heard.
-const LEASE_POLL: Duration = Duration::from_millis(50);
+const EXPIRED_LEASE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why a caller gets no list.
 #[derive(Debug, Error)]
@@ -39,34 +39,34 @@
     Encode(#[from] serde_json::Error),
     /// The relay is about to stop.
     #[error("the relay stops")]
-    Stops,
+    ShuttingDown,
 }
 
 /// The list, and who waits for it.
-pub struct Publisher {
+pub struct ReplicaPublisher {
     replica: RefCell<Replica>,
-    answers: RefCell<Answers>,
+    encoded_answers: RefCell<EncodedAnswers>,
     origin: Instant,
     /// Raised when callers that wait have to be looked at again.
     revision: watch::Sender<u64>,
     /// A caller wants upstream's word on a version.
     confirm: Notify,
-    /// Callers that wait, by the version that they have.
+    /// Clients that wait, by the version that they have.
     waiting: RefCell<BTreeMap<Version, usize>>,
     stops: watch::Sender<bool>,
 }
 
 /// Counts a caller for as long as it waits.
-struct Waiting<'a>(&'a Publisher, Version);
+struct WatchGuard<'a>(&'a ReplicaPublisher, Version);
 
-impl<'a> Waiting<'a> {
-    fn begin(publisher: &'a Publisher, version: Version) -> Self {
+impl<'a> WatchGuard<'a> {
+    fn begin(publisher: &'a ReplicaPublisher, version: Version) -> Self {
         *publisher.waiting.borrow_mut().entry(version).or_default() += 1;
         Self(publisher, version)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WatchGuard<'_> {
     fn drop(&mut self) {
         let mut waiting = self.0.waiting.borrow_mut();
         if let Some(count) = waiting.get_mut(&self.1) {
@@ -78,11 +78,11 @@
     }
 }
 
-impl Publisher {
+impl ReplicaPublisher {
     pub fn new(lease: Duration) -> Self {
         Self {
             replica: RefCell::new(Replica::new(lease)),
-            answers: RefCell::default(),
+            encoded_answers: RefCell::default(),
             origin: Instant::now(),
             revision: watch::Sender::new(0),
             confirm: Notify::new(),
@@ -124,7 +124,7 @@
             .apply(call, list, sent, self.now());
         let news = applied.as_ref().is_ok_and(|applied| applied.changed);
         if news {
-            self.answers.borrow_mut().clear();
+            self.encoded_answers.borrow_mut().clear();
         }
         if news || !matches!(call, UpstreamCall::Watch(_)) {
             self.wake_callers();
@@ -144,12 +144,12 @@
     }
 
     /// Answers a caller, once there is something to answer.
-    pub async fn answer(&self, request: ListRequest) -> Result<EncodedList, PublishError> {
+    pub async fn answer(&self, request: ListRequest) -> Result<EncodedUpdate, PublishError> {
         let (received_at, ends) = (self.now(), Instant::now() + request.wait);
         let (mut revision, mut stops) = (self.revision.subscribe(), self.stops.subscribe());
         loop {
             if *stops.borrow_and_update() {
-                return Err(PublishError::Stops);
+                return Err(PublishError::ShuttingDown);
             }
             let wait_expired = Instant::now() >= ends;
             let query = ListQuery {
@@ -159,13 +159,13 @@
             };
             let reply = self.replica.borrow_mut().answer(query, self.now())?;
             let (until, _waiting) = match (reply, request.after) {
-                (Answer::Wait, Some(version)) => (ends, Some(Waiting::begin(self, version))),
+                (Answer::Wait, Some(version)) => (ends, Some(WatchGuard::begin(self, version))),
                 (Answer::Confirm, Some(version)) => {
-                    if self.now() >= received_at + CONFIRM_PATIENCE {
+                    if self.now() >= received_at + CONFIRMATION_TIMEOUT {
                         return Err(PublishError::Unconfirmed(version));
                     }
                     self.confirm.notify_one();
-                    (self.origin + received_at + CONFIRM_PATIENCE, None)
+                    (self.origin + received_at + CONFIRMATION_TIMEOUT, None)
                 }
                 _ => return self.encoded(reply),
             };
@@ -177,10 +177,10 @@
         }
     }
 
-    fn encoded(&self, reply: Answer) -> Result<EncodedList, PublishError> {
+    fn encoded(&self, reply: Answer) -> Result<EncodedUpdate, PublishError> {
         let replica = self.replica.borrow();
         let encoded = self
-            .answers
+            .encoded_answers
             .borrow_mut()
             .encoded(reply, || replica.message(reply));
         Ok(encoded.ok_or(Unavailable::NoList)??)
@@ -198,13 +198,13 @@
                 continue;
             };
             if self.now() <= expires {
-                sleep_until(self.origin + expires + LEASE_SLACK).await;
+                sleep_until(self.origin + expires + LEASE_EXPIRY_MARGIN).await;
                 continue;
             }
             log.line("relay: nothing was heard from upstream for the lease: callers are failed");
             self.wake_callers();
             while self.replica.borrow().lease_expires_at() == Some(expires) {
-                sleep(LEASE_POLL).await;
+                sleep(EXPIRED_LEASE_POLL_INTERVAL).await;
             }
             log.line("relay: upstream is heard again: callers are answered");
         }
@@ -221,11 +221,11 @@
     }
 
     /// Looks at the replica.
-    pub fn look<T>(&self, at: impl FnOnce(&Replica) -> T) -> T {
+    pub fn with_replica<T>(&self, at: impl FnOnce(&Replica) -> T) -> T {
         at(&self.replica.borrow())
     }
 
-    /// Callers that have the version held and wait for a newer one.
+    /// Clients that have the version held and wait for a newer one.
     pub fn waiting(&self) -> usize {
         let version = self.replica.borrow().version();
         version
--- a/crates/node/src/relay/request.rs
+++ b/crates/node/src/relay/request.rs
@@ -6,7 +6,7 @@
 use thiserror::Error;
 
 /// The longest wait that a watch may ask for.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 /// Where lists are asked for.
 const LIST_PATH: &str = "/v1/servers";
 /// Where it shows whether the relay can answer.
@@ -14,7 +14,7 @@
 
 /// What a caller asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum RelayRequest {
     /// The list, or what is newer than a version.
     List(ListRequest),
     /// Whether the relay can answer.
@@ -50,11 +50,11 @@
         value: String,
     },
     /// A wait that is too long.
-    #[error("wait_ms is {0}: at most {longest} is possible", longest = LONGEST_WAIT.as_millis())]
+    #[error("wait_ms is {0}: at most {longest} is possible", longest = MAX_WATCH_WAIT.as_millis())]
     Wait(u64),
 }
 
-impl Asked {
+impl RelayRequest {
     /// Reads a request.
     pub fn parse(method: &Method, target: &Uri) -> Result<Self, RequestError> {
         if method != Method::GET {
@@ -73,7 +73,7 @@
     fn parse(query: &str) -> Result<Self, RequestError> {
         let after = number(query, "after")?.map(Version);
         let wait = number(query, "wait_ms")?.unwrap_or(0);
-        if Duration::from_millis(wait) > LONGEST_WAIT {
+        if Duration::from_millis(wait) > MAX_WATCH_WAIT {
             return Err(RequestError::Wait(wait));
         }
         Ok(Self {
--- a/crates/node/src/relay/upstream.rs
+++ b/crates/node/src/relay/upstream_client.rs
@@ -3,7 +3,7 @@
 //! The node's own client of discovery does not fit: it hands on what a node needs of an entry and not its text, and its
 //! renewals go by the node's rules and not by a lease.
 
-use super::publisher::Publisher;
+use super::publisher::ReplicaPublisher;
 use super::status::UpstreamCounts;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -24,23 +24,23 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 /// The longest wait that a watch may ask for.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 /// A watch waits for this part of the lease, and has as much again to be answered: the rest is for another source.
-const WAIT_PART: u32 = 3;
+const WATCHES_PER_LEASE: u32 = 3;
 /// An answer that has nothing to wait for comes within this: a call may stand in discovery's queue for 2 s.
-const PATIENCE: std::ops::RangeInclusive<Duration> =
+const RESPONSE_TIMEOUT_BOUNDS: std::ops::RangeInclusive<Duration> =
     Duration::from_millis(250)..=Duration::from_secs(3);
 /// A connection that has not come up after this is given up.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A longer answer is no list.
-const LARGEST_LIST: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 /// The pause after all sources have failed, give or take half of it; it doubles each time up to the longest.
-const BACKOFF: Duration = Duration::from_millis(100);
-const LONGEST_BACKOFF: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// After an answer without use the next call waits: made at once, calls would spin.
-const PACE: Duration = Duration::from_millis(50);
+const UNPRODUCTIVE_CALL_PAUSE: Duration = Duration::from_millis(50);
 /// Upstream is asked so often, at most, for versions that callers have and this relay has not.
-const CONFIRM_PACE: Duration = Duration::from_secs(1);
+const MIN_CONFIRM_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a call brought no list.
 #[derive(Debug, Error)]
@@ -62,12 +62,12 @@
 }
 
 /// An open connection; it is closed when dropped.
-struct Link {
+struct UpstreamConnection {
     sender: SendRequest<Empty<Bytes>>,
     _driving: JoinSet<hyper::Result<()>>,
 }
 
-impl Link {
+impl UpstreamConnection {
     async fn connect(address: SocketAddr) -> Result<Self, CallError> {
         let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
         let stream = connecting.await.map_err(|_| CallError::Overdue)??;
@@ -89,7 +89,7 @@
         if response.status() != StatusCode::OK {
             return Err(CallError::Status(response.status()));
         }
-        let body = Limited::new(response.into_body(), LARGEST_LIST)
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await?
             .to_bytes();
@@ -98,13 +98,13 @@
 }
 
 /// The client at work.
-pub struct Upstream {
+pub struct UpstreamClient {
     addresses: Vec<SocketAddr>,
     /// How long a watch waits.
     wait: Duration,
     /// How long beyond its wait a call may take.
-    patience: Duration,
-    publisher: Rc<Publisher>,
+    response_timeout: Duration,
+    publisher: Rc<ReplicaPublisher>,
     counts: Rc<Cell<UpstreamCounts>>,
     random: fastrand::Rng,
     log: Log,
@@ -116,34 +116,37 @@
 }
 
 /// What became of a call.
-enum Called {
+enum CallOutcome {
     Answered(ListUpdate),
     /// A caller wants upstream's word on a version: the watch is given up for that.
-    GivenUp,
+    Abandoned,
 }
 
 /// What became of a list.
-enum Taken {
-    /// Callers have news by it.
-    News,
+enum UpdateOutcome {
+    /// Clients have news by it.
+    Changed,
     /// It says what was known.
-    NoNews,
+    Unchanged,
     /// It was not applied.
     Rejected,
 }
 
-impl Upstream {
+impl UpstreamClient {
     pub fn new(
         settings: &RelaySettings,
-        publisher: Rc<Publisher>,
+        publisher: Rc<ReplicaPublisher>,
         counts: Rc<Cell<UpstreamCounts>>,
         log: Log,
     ) -> Self {
-        let part = settings.lease() / WAIT_PART;
+        let part = settings.lease() / WATCHES_PER_LEASE;
         Self {
             addresses: settings.upstream.clone(),
-            wait: part.min(LONGEST_WAIT),
-            patience: part.clamp(*PATIENCE.start(), *PATIENCE.end()),
+            wait: part.min(MAX_WATCH_WAIT),
+            response_timeout: part.clamp(
+                *RESPONSE_TIMEOUT_BOUNDS.start(),
+                *RESPONSE_TIMEOUT_BOUNDS.end(),
+            ),
             publisher,
             counts,
             random: fastrand::Rng::new(),
@@ -175,9 +178,9 @@
 
     /// The pause after so many rounds in which all sources failed.
     fn backoff(&mut self, rounds: u32) -> Duration {
-        let pause = BACKOFF
+        let pause = INITIAL_BACKOFF
             .saturating_mul(1 << (rounds - 1).min(16))
-            .min(LONGEST_BACKOFF);
+            .min(MAX_BACKOFF);
         pause.mul_f64(0.5 + self.random.f64())
     }
 
@@ -188,21 +191,21 @@
     }
 
     async fn follow(&mut self, address: SocketAddr) -> Result<std::convert::Infallible, CallError> {
-        let mut link = Link::connect(address).await?;
+        let mut link = UpstreamConnection::connect(address).await?;
         loop {
             let may_confirm = self
                 .confirmed
-                .is_none_or(|last| last.elapsed() >= CONFIRM_PACE);
+                .is_none_or(|last| last.elapsed() >= MIN_CONFIRM_INTERVAL);
             let call = self.publisher.next_call(may_confirm);
             let (begun, sent) = (Instant::now(), self.publisher.now());
             match self.call(&mut link, address, call).await? {
                 // What is on its way on the old connection would come before the answer on it.
-                Called::GivenUp => link = Link::connect(address).await?,
-                Called::Answered(list) => match self.take(call, list, sent) {
-                    Taken::News => {}
-                    Taken::NoNews if begun.elapsed() >= PACE => {}
-                    Taken::NoNews => sleep(PACE).await,
-                    Taken::Rejected => sleep(self.pace_after_rejection()).await,
+                CallOutcome::Abandoned => link = UpstreamConnection::connect(address).await?,
+                CallOutcome::Answered(list) => match self.take(call, list, sent) {
+                    UpdateOutcome::Changed => {}
+                    UpdateOutcome::Unchanged if begun.elapsed() >= UNPRODUCTIVE_CALL_PAUSE => {}
+                    UpdateOutcome::Unchanged => sleep(UNPRODUCTIVE_CALL_PAUSE).await,
+                    UpdateOutcome::Rejected => sleep(self.pace_after_rejection()).await,
                 },
             }
         }
@@ -210,30 +213,30 @@
 
     async fn call(
         &mut self,
-        link: &mut Link,
+        link: &mut UpstreamConnection,
         address: SocketAddr,
         call: UpstreamCall,
-    ) -> Result<Called, CallError> {
+    ) -> Result<CallOutcome, CallError> {
         self.count(|counts| counts.calls += 1);
-        let (path, patience) = match call {
-            UpstreamCall::Snapshot => ("/v1/servers".to_owned(), self.patience),
+        let (path, response_timeout) = match call {
+            UpstreamCall::Snapshot => ("/v1/servers".to_owned(), self.response_timeout),
             UpstreamCall::Watch(held) => (
                 format!("/v1/servers?after={held}&wait_ms={}", self.wait.as_millis()),
-                self.wait + self.patience,
+                self.wait + self.response_timeout,
             ),
             UpstreamCall::Confirm(wanted) => {
                 self.confirmed = Some(Instant::now());
                 (
                     format!("/v1/servers?after={wanted}&wait_ms=0"),
-                    self.patience,
+                    self.response_timeout,
                 )
             }
         };
-        let answer = timeout(patience, link.exchange(address, &path));
+        let answer = timeout(response_timeout, link.exchange(address, &path));
         tokio::select! {
             biased;
-            answer = answer => answer.map_err(|_| CallError::Overdue)?.map(Called::Answered),
-            () = self.confirm_due(), if matches!(call, UpstreamCall::Watch(_)) => Ok(Called::GivenUp),
+            answer = answer => answer.map_err(|_| CallError::Overdue)?.map(CallOutcome::Answered),
+            () = self.confirm_due(), if matches!(call, UpstreamCall::Watch(_)) => Ok(CallOutcome::Abandoned),
         }
     }
 
@@ -241,18 +244,19 @@
     async fn confirm_due(&self) {
         self.publisher.confirm_wanted().await;
         if let Some(last) = self.confirmed {
-            sleep_until(last + CONFIRM_PACE).await;
+            sleep_until(last + MIN_CONFIRM_INTERVAL).await;
         }
     }
 
     /// The first call after a rejection asks for what was missing; one that goes on being rejected asks ever less often.
     fn pace_after_rejection(&self) -> Duration {
-        PACE.saturating_mul(1 << (self.rejections.saturating_sub(1)).min(16))
-            .min(LONGEST_BACKOFF)
+        UNPRODUCTIVE_CALL_PAUSE
+            .saturating_mul(1 << (self.rejections.saturating_sub(1)).min(16))
+            .min(MAX_BACKOFF)
     }
 
     /// Hands a list on.
-    fn take(&mut self, call: UpstreamCall, list: ListUpdate, sent: Duration) -> Taken {
+    fn take(&mut self, call: UpstreamCall, list: ListUpdate, sent: Duration) -> UpdateOutcome {
         let version = list.version;
         match self.publisher.apply(call, list, sent) {
             Ok(applied) => {
@@ -271,9 +275,9 @@
                     self.log.rate_limited("duplicates", &text);
                 }
                 if applied.changed {
-                    Taken::News
+                    UpdateOutcome::Changed
                 } else {
-                    Taken::NoNews
+                    UpdateOutcome::Unchanged
                 }
             }
             Err(rejected) => {
@@ -281,7 +285,7 @@
                 self.count(|counts| counts.rejected_updates += 1);
                 self.log
                     .rate_limited("rejected", &format!("upstream: {rejected}"));
-                Taken::Rejected
+                UpdateOutcome::Rejected
             }
         }
     }
