--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -9,6 +9,7 @@
 mod decisions;
 mod discovery;
 mod driver;
+mod list_client;
 mod multiget;
 pub mod relay;
 mod server;
--- a/crates/node/src/relay/byte_counter.rs
+++ b/crates/node/src/relay/byte_counter.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of a connection by what its request was for.
+//! Counters of the messages with clients, and of the bytes of a connection.
 
 use super::status::DownstreamCounts;
 use std::cell::Cell;
@@ -9,78 +9,81 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// The counts of all callers, changed in place.
+/// Messages exchanged with all clients, counted in place.
 #[derive(Debug, Default)]
 pub struct DownstreamCounters(Cell<DownstreamCounts>);
 
 impl DownstreamCounters {
-    /// What was counted so far.
+    /// The counts so far.
     pub fn get(&self) -> DownstreamCounts {
         self.0.get()
     }
 
-    /// Counts something.
-    pub fn add(&self, with: impl FnOnce(&mut DownstreamCounts)) {
+    /// Changes the counts.
+    pub fn add(&self, change: impl FnOnce(&mut DownstreamCounts)) {
         let mut counts = self.0.get();
-        with(&mut counts);
+        change(&mut counts);
         self.0.set(counts);
     }
 }
 
-/// The bytes of one connection.
+/// Attributes the bytes of one connection to its calls for the list. Those of other requests are not counted.
 #[derive(Debug)]
 pub struct ConnectionByteCounter {
-    counts: Rc<DownstreamCounters>,
-    /// Bytes that were read and belong to no request yet.
-    unclaimed: Cell<u64>,
-    /// Whether what is written now answers a call for the list.
-    counted: Cell<bool>,
-    /// Whether a list was asked for.
-    is_caller: Cell<bool>,
+    counters: Rc<DownstreamCounters>,
+    /// Bytes that were read and not attributed to a request yet.
+    unattributed: Cell<u64>,
+    /// Whether bytes that are written now answer a call for the list.
+    answers_list_call: Cell<bool>,
+    /// Whether the connection has had a call for the list.
+    has_list_call: Cell<bool>,
 }
 
 impl ConnectionByteCounter {
-    pub fn new(counts: Rc<DownstreamCounters>) -> Self {
+    /// Creates the counter of a new connection.
+    pub fn new(counters: Rc<DownstreamCounters>) -> Self {
         Self {
-            counts,
-            unclaimed: Cell::new(0),
-            counted: Cell::new(false),
-            is_caller: Cell::new(false),
+            counters,
+            unattributed: Cell::new(0),
+            answers_list_call: Cell::new(false),
+            has_list_call: Cell::new(false),
         }
     }
 
-    /// A request was read; `counted` if it is one for the list.
-    pub fn request(&self, counted: bool) {
-        let bytes = self.unclaimed.take();
-        self.counted.set(counted);
-        if counted {
-            let is_first = !self.is_caller.replace(true);
-            self.counts.add(|counts| {
+    /// Notes that a request was read; the bytes read until now are its own.
+    pub fn begin_request(&self, is_list_call: bool) {
+        let bytes = self.unattributed.take();
+        self.answers_list_call.set(is_list_call);
+        if is_list_call {
+            let is_first = !self.has_list_call.replace(true);
+            self.counters.add(|counts| {
                 counts.call_bytes += bytes;
                 counts.connections += u64::from(is_first);
             });
         }
     }
 
-    fn read(&self, bytes: usize) {
-        self.unclaimed.set(self.unclaimed.get() + bytes as u64);
+    fn add_read(&self, bytes: usize) {
+        self.unattributed
+            .set(self.unattributed.get() + bytes as u64);
     }
 
-    fn written(&self, bytes: usize) {
-        if self.counted.get() {
-            self.counts
+    fn add_written(&self, bytes: usize) {
+        if self.answers_list_call.get() {
+            self.counters
                 .add(|counts| counts.answer_bytes += bytes as u64);
         }
     }
 }
 
-/// A connection whose bytes are counted.
+/// A stream that reports the bytes read from it and written to it.
 pub struct CountingStream {
     stream: TcpStream,
     byte_counter: Rc<ConnectionByteCounter>,
 }
 
 impl CountingStream {
+    /// Wraps a connection's stream.
     pub fn new(stream: TcpStream, byte_counter: Rc<ConnectionByteCounter>) -> Self {
         Self {
             stream,
@@ -97,7 +100,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        self.byte_counter.read(buffer.filled().len() - before);
+        self.byte_counter.add_read(buffer.filled().len() - before);
         Poll::Ready(Ok(()))
     }
 }
@@ -109,7 +112,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write(context, bytes))?;
-        self.byte_counter.written(written);
+        self.byte_counter.add_written(written);
         Poll::Ready(Ok(written))
     }
 
@@ -119,7 +122,7 @@
         parts: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(context, parts))?;
-        self.byte_counter.written(written);
+        self.byte_counter.add_written(written);
         Poll::Ready(Ok(written))
     }
 
--- a/crates/node/src/relay/encoded_answers.rs
+++ b/crates/node/src/relay/encoded_answers.rs
@@ -1,53 +1,56 @@
-//! Answers as they are written, each encoded once for all callers that get the same.
+//! Encoded answers, each shared by all clients that get the same one.
 
 use bytes::Bytes;
 use slatelink_membership::{Answer, ListUpdate};
 use std::collections::HashMap;
 
-/// Different answers that are kept for one version. Clients that are behind by different versions each have their own; past
-/// this, an answer is encoded for its caller alone.
-const MAX_ENCODED_ANSWERS: usize = 64;
+/// Upper bound of the answers cached for one version. Clients that are behind by different versions each get another
+/// delta; past the bound, an answer is encoded for its client alone.
+const MAX_CACHED_ANSWERS: usize = 64;
 
-/// An answer's body, and what is in it.
+/// An update as it is sent to clients.
 #[derive(Clone, Debug)]
 pub struct EncodedUpdate {
+    /// The JSON.
     pub body: Bytes,
-    pub whole: bool,
-    pub entries: usize,
+    /// Whether it is a snapshot.
+    pub complete: bool,
+    /// Number of endpoint records in it.
+    pub record_count: usize,
 }
 
 impl EncodedUpdate {
-    fn new(list: &ListUpdate) -> serde_json::Result<Self> {
+    fn new(update: &ListUpdate) -> serde_json::Result<Self> {
         Ok(Self {
-            body: list.encode()?.into(),
-            whole: list.complete,
-            entries: list.records.len(),
+            body: update.encode()?.into(),
+            complete: update.complete,
+            record_count: update.records.len(),
         })
     }
 }
 
-/// The answers of the version held.
+/// The cached answers of the version held.
 #[derive(Debug, Default)]
 pub struct EncodedAnswers(HashMap<Answer, EncodedUpdate>);
 
 impl EncodedAnswers {
-    /// There is another list: none of the answers holds any more.
+    /// Drops all answers, because another list is held.
     pub fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// The answer for this reply, encoded anew where it is not kept.
-    pub fn encoded(
+    /// The answer from the cache, or encoded from `update`; `None` if that is.
+    pub fn get_or_encode(
         &mut self,
-        reply: Answer,
-        list: impl FnOnce() -> Option<ListUpdate>,
+        answer: Answer,
+        update: impl FnOnce() -> Option<ListUpdate>,
     ) -> Option<serde_json::Result<EncodedUpdate>> {
-        if let Some(kept) = self.0.get(&reply) {
-            return Some(Ok(kept.clone()));
+        if let Some(cached) = self.0.get(&answer) {
+            return Some(Ok(cached.clone()));
         }
-        let encoded = EncodedUpdate::new(&list()?);
-        if let (Ok(encoded), true) = (&encoded, self.0.len() < MAX_ENCODED_ANSWERS) {
-            self.0.insert(reply, encoded.clone());
+        let encoded = EncodedUpdate::new(&update()?);
+        if let (Ok(encoded), true) = (&encoded, self.0.len() < MAX_CACHED_ANSWERS) {
+            self.0.insert(answer, encoded.clone());
         }
         Some(encoded)
     }
--- a/crates/node/src/relay/publisher.rs
+++ b/crates/node/src/relay/publisher.rs
@@ -1,102 +1,80 @@
-//! The list between upstream and callers: one writer, and callers that wait for its news.
+//! The published replica: the upstream client is its only writer, and clients wait for its changes.
 
 use super::encoded_answers::{EncodedAnswers, EncodedUpdate};
 use super::request::ListRequest;
+use super::waiting_watches::WaitingWatches;
 use slatelink_membership::{
     Answer, ApplyOutcome, ListQuery, ListUpdate, RejectedUpdate, Replica, Unavailable,
     UpstreamCall, Version,
 };
 use slatelink_telemetry::Log;
 use std::cell::RefCell;
-use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use thiserror::Error;
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// A caller with a version that this relay has not waits for upstream's word on it for so long.
+/// How long a client whose version this relay has not waits for upstream to confirm it.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(2);
-/// The lease is looked at again this long after its end: it runs out after that moment, not at it.
+/// How long after its last moment the lease is checked: it expires after that moment, not at it.
 const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(1);
-
-/// Once it has run out, it is looked at so often for whether upstream was heard.
+/// How often an expired lease is checked for its renewal.
 const EXPIRED_LEASE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a caller gets no list.
+/// Why a client gets no list.
 #[derive(Debug, Error)]
 pub enum PublishError {
-    /// There is no list, or it is too old.
+    /// There is no list, or its lease has expired.
     #[error(transparent)]
     Unavailable(#[from] Unavailable),
-    /// Upstream has not said whether the caller's version is known.
+    /// Upstream has not confirmed the client's version in time.
     #[error(
         "the caller has version {0}, which is not known here, and upstream has not answered for it"
     )]
     Unconfirmed(Version),
-    /// The list cannot be written.
+    /// The list cannot be encoded.
     #[error("the list cannot be encoded: {0}")]
     Encode(#[from] serde_json::Error),
-    /// The relay is about to stop.
+    /// The relay shuts down.
     #[error("the relay stops")]
     ShuttingDown,
 }
 
-/// The list, and who waits for it.
+/// A replica, with the clients that wait for it to change.
 pub struct ReplicaPublisher {
     replica: RefCell<Replica>,
     encoded_answers: RefCell<EncodedAnswers>,
+    /// The origin of the replica's time.
     origin: Instant,
-    /// Raised when callers that wait have to be looked at again.
+    /// Raised when the answers of clients that wait have to be decided again.
     revision: watch::Sender<u64>,
-    /// A caller wants upstream's word on a version.
-    confirm: Notify,
-    /// Clients that wait, by the version that they have.
-    waiting: RefCell<BTreeMap<Version, usize>>,
-    stops: watch::Sender<bool>,
-}
-
-/// Counts a caller for as long as it waits.
-struct WatchGuard<'a>(&'a ReplicaPublisher, Version);
-
-impl<'a> WatchGuard<'a> {
-    fn begin(publisher: &'a ReplicaPublisher, version: Version) -> Self {
-        *publisher.waiting.borrow_mut().entry(version).or_default() += 1;
-        Self(publisher, version)
-    }
-}
-
-impl Drop for WatchGuard<'_> {
-    fn drop(&mut self) {
-        let mut waiting = self.0.waiting.borrow_mut();
-        if let Some(count) = waiting.get_mut(&self.1) {
-            *count -= 1;
-            if *count == 0 {
-                waiting.remove(&self.1);
-            }
-        }
-    }
+    /// Notified when a client waits for upstream to confirm its version.
+    confirmation_requested: Notify,
+    waiting: WaitingWatches,
+    shutting_down: watch::Sender<bool>,
 }
 
 impl ReplicaPublisher {
+    /// Creates the publisher of a replica without a list.
     pub fn new(lease: Duration) -> Self {
         Self {
             replica: RefCell::new(Replica::new(lease)),
             encoded_answers: RefCell::default(),
             origin: Instant::now(),
             revision: watch::Sender::new(0),
-            confirm: Notify::new(),
-            waiting: RefCell::default(),
-            stops: watch::Sender::new(false),
+            confirmation_requested: Notify::new(),
+            waiting: WaitingWatches::default(),
+            shutting_down: watch::Sender::new(false),
         }
     }
 
-    /// Time as the replica counts it.
+    /// The present time, as the replica counts it.
     pub fn now(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// The call that upstream is to have next; one for a caller's version only if that `may_confirm`.
+    /// The next call to make upstream. It confirms a client's version only if `may_confirm`.
     pub fn next_call(&self, may_confirm: bool) -> UpstreamCall {
         let replica = self.replica.borrow();
         if may_confirm {
@@ -106,111 +84,140 @@
         }
     }
 
-    /// Calls go to another upstream now.
+    /// Notes that calls go to another upstream from now on.
     pub fn upstream_changed(&self) {
         self.replica.borrow_mut().upstream_changed();
     }
 
-    /// Takes in upstream's answer, and wakes all callers that wait if it has news for them.
+    /// Applies the answer to a call that was sent at `sent_at`, and wakes the clients that it may concern.
+    ///
+    /// # Errors
+    ///
+    /// If the replica rejects the update.
     pub fn apply(
         &self,
         call: UpstreamCall,
-        list: ListUpdate,
-        sent: Duration,
+        update: ListUpdate,
+        sent_at: Duration,
     ) -> Result<ApplyOutcome, RejectedUpdate> {
-        let applied = self
+        let read_at = self.now();
+        let result = self
             .replica
             .borrow_mut()
-            .apply(call, list, sent, self.now());
-        let news = applied.as_ref().is_ok_and(|applied| applied.changed);
-        if news {
+            .apply(call, update, sent_at, read_at);
+        let changed = result.as_ref().is_ok_and(|outcome| outcome.changed);
+        if changed {
             self.encoded_answers.borrow_mut().clear();
         }
-        if news || !matches!(call, UpstreamCall::Watch(_)) {
-            self.wake_callers();
+        let may_end_confirmations = !matches!(call, UpstreamCall::Watch(_));
+        if changed || may_end_confirmations {
+            self.wake_clients();
         }
-        applied
+        result
     }
 
-    fn wake_callers(&self) {
+    fn wake_clients(&self) {
         self.revision.send_modify(|revision| *revision += 1);
     }
 
-    /// Until a caller wants upstream's word on a version.
-    pub async fn confirm_wanted(&self) {
+    /// Waits until a client's version is to be confirmed by upstream.
+    pub async fn confirmation_wanted(&self) {
         while !matches!(self.next_call(true), UpstreamCall::Confirm(_)) {
-            self.confirm.notified().await;
+            self.confirmation_requested.notified().await;
         }
     }
 
-    /// Answers a caller, once there is something to answer.
+    /// Answers a client as soon as there is an answer: at the end of its wait at the latest.
+    ///
+    /// # Errors
+    ///
+    /// If the client has to be answered with an error.
     pub async fn answer(&self, request: ListRequest) -> Result<EncodedUpdate, PublishError> {
-        let (received_at, ends) = (self.now(), Instant::now() + request.wait);
-        let (mut revision, mut stops) = (self.revision.subscribe(), self.stops.subscribe());
+        let received_at = self.now();
+        let wait_ends_at = Instant::now() + request.wait;
+        let mut revision = self.revision.subscribe();
+        let mut shutting_down = self.shutting_down.subscribe();
         loop {
-            if *stops.borrow_and_update() {
+            if *shutting_down.borrow_and_update() {
                 return Err(PublishError::ShuttingDown);
             }
-            let wait_expired = Instant::now() >= ends;
             let query = ListQuery {
                 after: request.after,
                 received_at,
-                wait_expired,
+                wait_expired: Instant::now() >= wait_ends_at,
             };
-            let reply = self.replica.borrow_mut().answer(query, self.now())?;
-            let (until, _waiting) = match (reply, request.after) {
-                (Answer::Wait, Some(version)) => (ends, Some(WatchGuard::begin(self, version))),
+            let answer = self.replica.borrow_mut().answer(query, self.now())?;
+            let (wake_at, _waiting) = match (answer, request.after) {
+                (Answer::Wait, Some(version)) => {
+                    (wait_ends_at, Some(self.waiting.register(version)))
+                }
                 (Answer::Confirm, Some(version)) => {
-                    if self.now() >= received_at + CONFIRMATION_TIMEOUT {
-                        return Err(PublishError::Unconfirmed(version));
-                    }
-                    self.confirm.notify_one();
-                    (self.origin + received_at + CONFIRMATION_TIMEOUT, None)
+                    (self.request_confirmation(version, received_at)?, None)
                 }
-                _ => return self.encoded(reply),
+                _ => return self.encode(answer),
             };
             tokio::select! {
                 _ = revision.changed() => {}
-                _ = stops.changed() => {}
-                () = sleep_until(until) => {}
+                _ = shutting_down.changed() => {}
+                () = sleep_until(wake_at) => {}
             }
         }
     }
 
-    fn encoded(&self, reply: Answer) -> Result<EncodedUpdate, PublishError> {
+    /// Has upstream asked for a client's version, and returns when the client stops waiting for that.
+    fn request_confirmation(
+        &self,
+        version: Version,
+        received_at: Duration,
+    ) -> Result<Instant, PublishError> {
+        let deadline = received_at + CONFIRMATION_TIMEOUT;
+        if self.now() >= deadline {
+            return Err(PublishError::Unconfirmed(version));
+        }
+        self.confirmation_requested.notify_one();
+        Ok(self.origin + deadline)
+    }
+
+    fn encode(&self, answer: Answer) -> Result<EncodedUpdate, PublishError> {
         let replica = self.replica.borrow();
         let encoded = self
             .encoded_answers
             .borrow_mut()
-            .encoded(reply, || replica.message(reply));
+            .get_or_encode(answer, || replica.message(answer));
         Ok(encoded.ok_or(Unavailable::NoList)??)
     }
 
-    /// Fails callers that wait at the moment the lease runs out.
-    pub async fn watch_lease(self: Rc<Self>, log: Log) {
+    /// Wakes the clients that wait when the lease expires, so that they get an error at that moment. It never ends while
+    /// the publisher lives.
+    pub async fn monitor_lease(self: Rc<Self>, log: Log) {
         let mut revision = self.revision.subscribe();
         loop {
-            let expires = self.replica.borrow().lease_expires_at();
-            let Some(expires) = expires else {
+            let Some(expires_at) = self.lease_expires_at() else {
                 if revision.changed().await.is_err() {
                     return;
                 }
                 continue;
             };
-            if self.now() <= expires {
-                sleep_until(self.origin + expires + LEASE_EXPIRY_MARGIN).await;
+            if self.now() <= expires_at {
+                sleep_until(self.origin + expires_at + LEASE_EXPIRY_MARGIN).await;
                 continue;
             }
-            log.line("relay: nothing was heard from upstream for the lease: callers are failed");
-            self.wake_callers();
-            while self.replica.borrow().lease_expires_at() == Some(expires) {
+            log.line(
+                "relay: the lease expired without an update from upstream: clients get errors",
+            );
+            self.wake_clients();
+            while self.lease_expires_at() == Some(expires_at) {
                 sleep(EXPIRED_LEASE_POLL_INTERVAL).await;
             }
-            log.line("relay: upstream is heard again: callers are answered");
+            log.line("relay: the lease is renewed: clients are answered again");
         }
     }
 
-    /// Why callers are failed now, if they are.
+    fn lease_expires_at(&self) -> Option<Duration> {
+        self.replica.borrow().lease_expires_at()
+    }
+
+    /// Why clients get errors now; `None` if they get the list.
     pub fn unavailable(&self) -> Option<Unavailable> {
         let query = ListQuery {
             after: None,
@@ -220,28 +227,26 @@
         self.replica.borrow_mut().answer(query, self.now()).err()
     }
 
-    /// Looks at the replica.
-    pub fn with_replica<T>(&self, at: impl FnOnce(&Replica) -> T) -> T {
-        at(&self.replica.borrow())
+    /// Reads the replica.
+    pub fn with_replica<T>(&self, read: impl FnOnce(&Replica) -> T) -> T {
+        read(&self.replica.borrow())
     }
 
-    /// Clients that have the version held and wait for a newer one.
-    pub fn waiting(&self) -> usize {
-        let version = self.replica.borrow().version();
-        version
-            .and_then(|version| self.waiting.borrow().get(&version).copied())
-            .unwrap_or(0)
+    /// Watches of clients that have the version held and wait for a newer one.
+    pub fn waiting_watches(&self) -> usize {
+        let held = self.replica.borrow().version();
+        held.map_or(0, |version| self.waiting.count(version))
     }
 
-    /// Fails all callers from now on.
-    pub fn stop(&self) {
-        self.stops.send_replace(true);
+    /// Answers all clients with an error from now on.
+    pub fn shut_down(&self) {
+        self.shutting_down.send_replace(true);
     }
 
-    /// Until callers are failed because the relay stops.
-    pub async fn stopped(&self) {
-        let mut stops = self.stops.subscribe();
-        // The sender is this one's own.
-        let _ = stops.wait_for(|stops| *stops).await;
+    /// Waits until [`shut_down`](Self::shut_down) is called.
+    pub async fn shutting_down(&self) {
+        let mut shutting_down = self.shutting_down.subscribe();
+        // It fails only if the sender is dropped, which this publisher owns.
+        let _ = shutting_down.wait_for(|shutting_down| *shutting_down).await;
     }
 }
--- a/crates/node/src/relay/request.rs
+++ b/crates/node/src/relay/request.rs
@@ -1,61 +1,63 @@
-//! A caller's request, read from its method and target.
+//! A client's request, read from its method and target.
 
+use super::{MAX_WATCH_WAIT, STATUS_PATH};
+use crate::list_client::LIST_PATH;
 use hyper::{Method, Uri};
 use slatelink_membership::Version;
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest wait that a watch may ask for.
-const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
-/// Where lists are asked for.
-const LIST_PATH: &str = "/v1/servers";
-/// Where it shows whether the relay can answer.
+/// Path of the health check.
 const HEALTH_PATH: &str = "/healthz";
 
-/// What a caller asks for.
+/// What a client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayRequest {
-    /// The list, or what is newer than a version.
+    /// The endpoint list, or what is newer than a version.
     List(ListRequest),
-    /// Whether the relay can answer.
+    /// Whether the relay can serve the list.
     Health,
-    /// What the relay counted.
+    /// The relay's state and counters.
     Status,
 }
 
-/// A call for the list.
+/// A call for the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListRequest {
-    /// The version that the caller has.
+    /// The version that the client has; `None` if it asks for a snapshot.
     pub after: Option<Version>,
-    /// How long it waits for something newer.
+    /// How long it waits for something newer, at most [`MAX_WATCH_WAIT`].
     pub wait: Duration,
 }
 
-/// Why a request cannot be answered.
+/// Why a request is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// Only reading is possible.
+    /// Another method than GET.
     #[error("the method is {0}: GET is expected")]
     Method(String),
-    /// Another path.
+    /// A path without a resource.
     #[error("there is nothing at {0}: lists are at {LIST_PATH}")]
     Path(String),
-    /// A parameter that is no number.
+    /// A parameter that is not a number.
     #[error("{name} is {value:?}: a whole number is expected")]
     Number {
-        /// Which parameter.
+        /// Name of the parameter.
         name: &'static str,
-        /// What was read.
+        /// Its value.
         value: String,
     },
-    /// A wait that is too long.
+    /// A wait that is too long, in milliseconds.
     #[error("wait_ms is {0}: at most {longest} is possible", longest = MAX_WATCH_WAIT.as_millis())]
     Wait(u64),
 }
 
 impl RelayRequest {
-    /// Reads a request.
+    /// Reads a request from its method and target.
+    ///
+    /// # Errors
+    ///
+    /// If there is no such resource, or its parameters are invalid.
     pub fn parse(method: &Method, target: &Uri) -> Result<Self, RequestError> {
         if method != Method::GET {
             return Err(RequestError::Method(method.to_string()));
@@ -63,7 +65,7 @@
         match target.path() {
             LIST_PATH => ListRequest::parse(target.query().unwrap_or_default()).map(Self::List),
             HEALTH_PATH => Ok(Self::Health),
-            super::STATUS_PATH => Ok(Self::Status),
+            STATUS_PATH => Ok(Self::Status),
             other => Err(RequestError::Path(other.to_owned())),
         }
     }
@@ -71,20 +73,18 @@
 
 impl ListRequest {
     fn parse(query: &str) -> Result<Self, RequestError> {
-        let after = number(query, "after")?.map(Version);
-        let wait = number(query, "wait_ms")?.unwrap_or(0);
-        if Duration::from_millis(wait) > MAX_WATCH_WAIT {
-            return Err(RequestError::Wait(wait));
+        let after = number_parameter(query, "after")?.map(Version);
+        let wait_ms = number_parameter(query, "wait_ms")?.unwrap_or(0);
+        let wait = Duration::from_millis(wait_ms);
+        if wait > MAX_WATCH_WAIT {
+            return Err(RequestError::Wait(wait_ms));
         }
-        Ok(Self {
-            after,
-            wait: Duration::from_millis(wait),
-        })
+        Ok(Self { after, wait })
     }
 }
 
-/// A parameter's value; `None` where it is not there.
-fn number(query: &str, name: &'static str) -> Result<Option<u64>, RequestError> {
+/// Value of a parameter of the query; `None` if the query has none of this name.
+fn number_parameter(query: &str, name: &'static str) -> Result<Option<u64>, RequestError> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let Some((_, value)) = pairs.find(|pair| pair.0 == name) else {
         return Ok(None);
