--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod control;
 mod discovery;
 mod driver;
+mod list_client;
 mod multiget;
 mod policy_runner;
 pub mod relay;
