--- a/crates/node/src/discovery/in_flight.rs
+++ b/crates/node/src/discovery/in_flight.rs
@@ -1,5 +1,7 @@
-//! The calls to discovery that are out. None is dropped while an answer may be on its way: discovery counts what it has
-//! written as known to the node, whether or not the node still waits for it.
+//! The calls to discovery in flight.
+//!
+//! A call that another has superseded is kept for a while, because the node is notified of an answer once it is written
+//! (see `notified`), whether or not the node still waits for it.
 
 use super::call::CallOutcome;
 use std::future::{poll_fn, Future};
@@ -8,108 +10,115 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// More calls than this are never out: of those that another has taken the place of, the oldest is dropped.
-const MOST_CALLS: usize = 8;
+/// Bound on the calls in flight. Beyond it the oldest superseded one is dropped.
+const MAX_CALLS: usize = 8;
 
-/// A call that is out.
-pub type Call = Pin<Box<dyn Future<Output = CallOutcome>>>;
+/// The future that makes a call.
+pub type CallFuture = Pin<Box<dyn Future<Output = CallOutcome>>>;
 
-/// Names a call.
+/// Identifies a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallId(u64);
 
-/// Counts the addresses that discovery has had: versions of one mean nothing at another.
+/// Counts the addresses that discovery has had. Versions of lists compare within one generation only.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Source(u32);
+pub struct AddressGeneration(u32);
 
-impl Source {
-    /// The address after this one.
+impl AddressGeneration {
+    /// The generation of the address that follows.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-struct Open {
+struct CallInFlight {
     id: CallId,
-    source: Source,
-    call: Call,
-    /// Where another has taken its place: until when its answer is still read.
-    superseded: Option<Instant>,
+    generation: AddressGeneration,
+    future: CallFuture,
+    /// Until when a superseded call's answer is read; `None` for a call that isn't superseded.
+    read_until: Option<Instant>,
 }
 
 /// A call that has ended.
-pub struct Answered {
+pub struct CompletedCall {
+    /// Which one it was.
     pub id: CallId,
-    pub source: Source,
+    /// The address that it was made to.
+    pub generation: AddressGeneration,
+    /// How it ended.
     pub outcome: CallOutcome,
 }
 
-/// All calls that are out, the oldest first.
+/// All calls in flight, the oldest first.
 #[derive(Default)]
-pub struct InFlight {
-    calls: Vec<Open>,
+pub struct CallsInFlight {
+    calls: Vec<CallInFlight>,
     started: u64,
 }
 
-impl InFlight {
-    /// Takes in a call.
-    pub fn start(&mut self, source: Source, call: Call) -> CallId {
+impl CallsInFlight {
+    /// Adds a call. It makes progress while `next_completed` is awaited.
+    pub fn start(&mut self, generation: AddressGeneration, future: CallFuture) -> CallId {
         self.drop_expired();
-        if self.calls.len() >= MOST_CALLS {
-            let oldest = self.calls.iter().position(|open| open.superseded.is_some());
+        if self.calls.len() >= MAX_CALLS {
+            let oldest = self.calls.iter().position(|call| call.read_until.is_some());
             self.calls.remove(oldest.unwrap_or(0));
         }
         self.started += 1;
         let id = CallId(self.started);
-        self.calls.push(Open {
+        self.calls.push(CallInFlight {
             id,
-            source,
-            call,
-            superseded: None,
+            generation,
+            future,
+            read_until: None,
         });
         id
     }
 
-    /// Another call takes this one's place: its answer is read for so long.
-    pub fn supersede(&mut self, id: CallId, read_for: Duration) {
-        let call = self.calls.iter_mut().find(|open| open.id == id);
-        if let Some(open) = call {
-            open.superseded = Some(Instant::now() + read_for);
+    /// Marks calls as superseded: their answers are read for `read_for` from now.
+    pub fn supersede(&mut self, ids: impl IntoIterator<Item = CallId>, read_for: Duration) {
+        let until = Instant::now() + read_for;
+        for id in ids {
+            let call = self.calls.iter_mut().find(|call| call.id == id);
+            if let Some(call) = call {
+                call.read_until = Some(until);
+            }
         }
     }
 
-    /// The same for all calls.
+    /// Marks all calls as superseded that aren't yet.
     pub fn supersede_all(&mut self, read_for: Duration) {
         let until = Instant::now() + read_for;
-        for open in &mut self.calls {
-            open.superseded.get_or_insert(until);
+        for call in &mut self.calls {
+            call.read_until.get_or_insert(until);
         }
     }
 
-    /// The next call that ends; none does where none is out.
-    pub async fn next(&mut self) -> Answered {
-        poll_fn(|context| self.poll_next(context)).await
+    /// Waits for the next call that ends, for ever where none is in flight. Cancel-safe: no outcome is lost when this
+    /// future is dropped.
+    pub async fn next_completed(&mut self) -> CompletedCall {
+        poll_fn(|context| self.poll_next_completed(context)).await
     }
 
-    fn poll_next(&mut self, context: &mut Context<'_>) -> Poll<Answered> {
-        for place in 0..self.calls.len() {
-            if let Poll::Ready(outcome) = self.calls[place].call.as_mut().poll(context) {
-                let Open { id, source, .. } = self.calls.remove(place);
-                return Poll::Ready(Answered {
+    fn poll_next_completed(&mut self, context: &mut Context<'_>) -> Poll<CompletedCall> {
+        for index in 0..self.calls.len() {
+            if let Poll::Ready(outcome) = self.calls[index].future.as_mut().poll(context) {
+                let CallInFlight { id, generation, .. } = self.calls.remove(index);
+                return Poll::Ready(CompletedCall {
                     id,
-                    source,
+                    generation,
                     outcome,
                 });
             }
         }
+        // Only after the polls above, which have read what had arrived in time.
         self.drop_expired();
         Poll::Pending
     }
 
-    /// Only after these have been polled: what has come meanwhile is read.
     fn drop_expired(&mut self) {
         let now = Instant::now();
         self.calls
-            .retain(|open| open.superseded.is_none_or(|until| now < until));
+            .retain(|call| call.read_until.is_none_or(|until| now < until));
     }
 }
--- a/crates/node/src/discovery/leaving_tests.rs
+++ b/crates/node/src/discovery/leaving_tests.rs
@@ -2,7 +2,9 @@
 
 use super::notified::*;
 use super::tests::{client_at, list, play, wait_of};
+use super::timing::*;
 use super::*;
+use slatelink_policy::Availability;
 use slatelink_policy::Settings;
 use socket2::SockRef;
 use std::cell::Cell;
@@ -11,7 +13,9 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
+use tokio::sync::watch;
 use tokio::task::spawn_local;
+use tokio::time::sleep;
 use tokio::time::{sleep_until, timeout_at};
 
 /// Within so long of the word the driver must have it: the rule leaves 0.25 s, and the way to a server is part of that.
--- /dev/null
+++ b/crates/node/src/discovery/renewal.rs
@@ -0,0 +1,178 @@
+//! Checks of open watches: verification after a failed call, and renewal.
+
+use super::call::{CallOutcome, DiscoveryError, ListRequest};
+use super::client::DiscoveryClient;
+use super::in_flight::CompletedCall;
+use super::poll::{Poll, PollOutcome};
+use super::timing::*;
+use super::watches::Watches;
+use std::net::SocketAddr;
+use std::ops::Range;
+use std::time::Duration;
+use tokio::time::{timeout_at, Instant};
+
+/// What became of the open watches by a check.
+pub(super) enum CheckOutcome {
+    /// They are superseded by an answer, or have failed: a new watch has to be opened.
+    WatchesEnded(CallOutcome),
+    /// They stand, verified or renewed.
+    WatchesStand,
+    /// The check failed, and the watches stay as they were.
+    Failed(DiscoveryError),
+}
+
+impl DiscoveryClient {
+    /// Finds out by a poll whether a watch that was opened after a failed call has missed a change.
+    pub(super) async fn verify_watch(
+        &mut self,
+        address: SocketAddr,
+        version: u64,
+        watches: &mut Watches,
+    ) -> CheckOutcome {
+        let poll = Poll {
+            address,
+            request: ListRequest::ChangesAfter {
+                version,
+                wait: CATCH_UP_WAIT,
+            },
+            connection: None,
+            hedge_delay: Some(VERIFICATION_HEDGE_DELAY),
+        };
+        match self.poll(poll, watches).await {
+            PollOutcome::Answered(CallOutcome {
+                result: Ok(list), ..
+            }) if list.version == version && !watches.newest_failed() => {
+                self.failing = false;
+                self.failed_late = false;
+                self.last_answer = Some(Instant::now());
+                CheckOutcome::WatchesStand
+            }
+            outcome => self.check_outcome(outcome, watches),
+        }
+    }
+
+    /// Renews the newest watch. After a failed renewal, or where the complete list is due, a poll stands in for that: its
+    /// answer shows what the watch has missed, and a new one is opened.
+    pub(super) async fn renew_watch(
+        &mut self,
+        address: SocketAddr,
+        version: u64,
+        watches: &mut Watches,
+    ) -> CheckOutcome {
+        let needs_complete_list = self
+            .complete_list_due
+            .is_some_and(|due| Instant::now() >= due);
+        if !needs_complete_list && !self.failing {
+            return self.open_renewal(address, version, watches).await;
+        }
+        let request = if needs_complete_list {
+            ListRequest::Complete
+        } else {
+            ListRequest::ChangesAfter {
+                version,
+                wait: CATCH_UP_WAIT,
+            }
+        };
+        let poll = Poll {
+            address,
+            request,
+            connection: None,
+            hedge_delay: None,
+        };
+        let outcome = self.poll(poll, watches).await;
+        if needs_complete_list && matches!(outcome, PollOutcome::Answered(_)) {
+            self.complete_list_due = None;
+        }
+        self.check_outcome(outcome, watches)
+    }
+
+    /// What follows for the watches from a poll beside them: an answer supersedes them, and a failure is theirs where the
+    /// newest one has failed, too.
+    fn check_outcome(&mut self, outcome: PollOutcome, watches: &mut Watches) -> CheckOutcome {
+        match outcome {
+            PollOutcome::Answered(outcome) => {
+                watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
+                CheckOutcome::WatchesEnded(outcome)
+            }
+            PollOutcome::WatchAnswered(outcome) => CheckOutcome::WatchesEnded(outcome),
+            PollOutcome::Failed(error) if watches.newest_failed() => {
+                CheckOutcome::WatchesEnded(CallOutcome::failed(error))
+            }
+            PollOutcome::Failed(error) => CheckOutcome::Failed(error),
+        }
+    }
+
+    /// Opens a watch beside the open ones. It takes the newest one's place unless a call is answered, or it fails, within
+    /// `RENEWAL_OVERLAP`.
+    async fn open_renewal(
+        &mut self,
+        address: SocketAddr,
+        version: u64,
+        watches: &mut Watches,
+    ) -> CheckOutcome {
+        let request = ListRequest::ChangesAfter {
+            version,
+            wait: WATCH_WAIT,
+        };
+        let renewal = self.start(address, request, None);
+        let deadline = Instant::now() + RENEWAL_OVERLAP;
+        loop {
+            let awaited: Vec<_> = watches.open().chain([renewal]).collect();
+            let completed = timeout_at(deadline, self.first_completed(&awaited)).await;
+            let Ok(CompletedCall { id, outcome, .. }) = completed else {
+                watches.renew(renewal, &mut self.in_flight);
+                return CheckOutcome::WatchesStand;
+            };
+            match outcome.result {
+                Ok(_) => {
+                    watches.remove(id);
+                    watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
+                    if id == renewal {
+                        self.log_missed_change(&outcome, version);
+                    } else {
+                        self.in_flight.supersede([renewal], SUPERSEDED_READ_TIME);
+                    }
+                    return CheckOutcome::WatchesEnded(outcome);
+                }
+                // The renewal may still take the place of a watch that has failed.
+                Err(_) if id != renewal => watches.remove(id),
+                Err(_) if watches.newest_failed() => return CheckOutcome::WatchesEnded(outcome),
+                Err(error) => return CheckOutcome::Failed(error),
+            }
+        }
+    }
+
+    fn log_missed_change(&self, renewal: &CallOutcome, version: u64) {
+        let Ok(list) = &renewal.result else {
+            return;
+        };
+        if list.version > version {
+            let text = format!(
+                "discovery: list {} came by a renewal, not by the watch before it",
+                list.version
+            );
+            self.log.rate_limited("discovery", &text);
+        }
+    }
+
+    /// Time from the opening of a watch to its first check.
+    pub(super) fn first_check_delay(&mut self) -> Duration {
+        match self.failing {
+            true if self.failed_late => LATE_FAILURE_HEDGE_DELAY,
+            true => WATCH_VERIFICATION_DELAY.draw(&mut self.random),
+            false => self.renewal_delay(),
+        }
+    }
+
+    /// Time from the opening of a watch to its renewal.
+    pub(super) fn renewal_delay(&mut self) -> Duration {
+        if self.last_answer.is_some() || self.pushed {
+            return WATCH_RENEWAL_INTERVAL.draw(&mut self.random);
+        }
+        let Range { start, end } = FIRST_RENEWAL_FRACTION;
+        let fraction = start + (end - start) * self.random.f64();
+        self.max_poll_interval
+            .mul_f64(fraction)
+            .min(WATCH_RENEWAL_INTERVAL.mean)
+    }
+}
--- /dev/null
+++ b/crates/node/src/discovery/stale_lists.rs
@@ -0,0 +1,155 @@
+//! Keeps stale lists from bringing back an endpoint that was announced as draining or removed.
+//!
+//! Lists reach a node on several connections: a watch and its renewal, the old discovery and the new one after a change of
+//! address. One that was made earlier may arrive later, and a discovery that has lost its state may begin with old
+//! versions again. Time comes in as an argument.
+
+use super::in_flight::AddressGeneration;
+use slatelink_config::{EndpointList, EndpointRecord};
+use slatelink_policy::Availability;
+use std::collections::{HashMap, HashSet};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// How long an announcement outweighs lists that aren't known to be newer. By then an older list that was on its way has
+/// arrived, and a discovery that had lost its state has it again.
+pub const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_secs(30);
+
+/// Of an endpoint that is draining or removed.
+struct Announcement {
+    generation: AddressGeneration,
+    version: u64,
+    /// Start of the endpoint's process, in milliseconds of Unix time.
+    started_ms: Option<u64>,
+    announced_at: Instant,
+}
+
+/// The newest list so far.
+struct NewestList {
+    generation: AddressGeneration,
+    version: u64,
+    received_at: Instant,
+}
+
+/// Recent announcements, and what the newest list contained. Bounded by the endpoints that the lists of the last
+/// `ANNOUNCEMENT_LIFETIME` and the last complete list name.
+#[derive(Default)]
+pub struct StaleListFilter {
+    /// By the endpoint's id.
+    announcements: HashMap<String, Announcement>,
+    newest: Option<NewestList>,
+    /// Ids of the listed endpoints, once there was a complete list. What that lacks is removed.
+    listed: Option<HashSet<String>>,
+}
+
+impl StaleListFilter {
+    /// Records the announcements of a list, and marks as draining the endpoints that it calls ready by older knowledge.
+    /// Returns whether there were any of these.
+    pub fn apply(
+        &mut self,
+        list: &mut EndpointList,
+        generation: AddressGeneration,
+        now: Instant,
+    ) -> bool {
+        self.announcements
+            .retain(|_, announcement| now - announcement.announced_at < ANNOUNCEMENT_LIFETIME);
+        let newest = self.update_newest(list, generation, now);
+        let version = list.version;
+        let mut marked_any = false;
+        for endpoint in &mut list.hosts {
+            if endpoint.availability() != Availability::Ready {
+                let announcement = Announcement {
+                    generation,
+                    version,
+                    started_ms: endpoint.started_ms(),
+                    announced_at: now,
+                };
+                self.record(endpoint.id(), announcement);
+            } else if self.is_outweighed(endpoint, generation, version, newest) {
+                endpoint.set_draining();
+                marked_any = true;
+            } else {
+                self.announcements.remove(endpoint.id());
+            }
+        }
+        marked_any
+    }
+
+    /// Whether what is known of an endpoint outweighs a list that calls it ready. `newest` says that no list before was
+    /// newer.
+    fn is_outweighed(
+        &self,
+        endpoint: &EndpointRecord,
+        generation: AddressGeneration,
+        version: u64,
+        newest: bool,
+    ) -> bool {
+        let Some(announcement) = self.announcements.get(endpoint.id()) else {
+            let unlisted = self
+                .listed
+                .as_ref()
+                .is_some_and(|listed| !listed.contains(endpoint.id()));
+            return unlisted && !newest;
+        };
+        let newer = generation == announcement.generation && version > announcement.version;
+        let restarted = endpoint.started_ms() > announcement.started_ms;
+        !newer && !restarted
+    }
+
+    /// Takes in which endpoints a list contains, unless a recent one of the same generation is as new. Returns whether it
+    /// did.
+    fn update_newest(
+        &mut self,
+        list: &EndpointList,
+        generation: AddressGeneration,
+        now: Instant,
+    ) -> bool {
+        let is_outdated = self.newest.as_ref().is_some_and(|newest| {
+            let recent = now - newest.received_at < ANNOUNCEMENT_LIFETIME;
+            recent && newest.generation == generation && newest.version >= list.version
+        });
+        if is_outdated {
+            return false;
+        }
+        self.newest = Some(NewestList {
+            generation,
+            version: list.version,
+            received_at: now,
+        });
+        self.update_listed(list);
+        true
+    }
+
+    fn update_listed(&mut self, list: &EndpointList) {
+        if list.complete {
+            let ids = list.hosts.iter().map(|endpoint| endpoint.id().to_owned());
+            self.listed = Some(ids.collect());
+            return;
+        }
+        let Some(listed) = &mut self.listed else {
+            return;
+        };
+        for endpoint in &list.hosts {
+            if endpoint.availability() == Availability::Removed {
+                listed.remove(endpoint.id());
+            } else {
+                listed.insert(endpoint.id().to_owned());
+            }
+        }
+    }
+
+    fn record(&mut self, id: &str, announcement: Announcement) {
+        match self.announcements.get_mut(id) {
+            // An older list that repeats the announcement doesn't make it any older.
+            Some(known) if known.generation == announcement.generation => {
+                known.version = known.version.max(announcement.version);
+                known.started_ms = known.started_ms.max(announcement.started_ms);
+                known.announced_at = announcement.announced_at;
+            }
+            Some(known) => *known = announcement,
+            None => {
+                self.announcements.insert(id.to_owned(), announcement);
+            }
+        }
+    }
+}
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -1,5 +1,6 @@
 use super::call::CONNECT_TIMEOUT;
 use super::notified::*;
+use super::timing::*;
 use super::*;
 use slatelink_policy::Settings;
 use slatelink_telemetry::{Format, Observers};
@@ -7,7 +8,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
+use tokio::sync::watch;
 use tokio::task::{spawn_local, yield_now, LocalSet};
+use tokio::time::sleep;
 
 /// The module's longest pause after it was told of a failure.
 pub(super) const POLICY_BACKOFF_LIMIT: Duration = Duration::from_millis(840);
--- a/crates/node/src/discovery/watches.rs
+++ b/crates/node/src/discovery/watches.rs
@@ -1,19 +1,20 @@
-//! The watches that a node has open at discovery: the newest, and the one that it renewed.
+//! The watches that a node has open at discovery: the newest one, and the one that it renewed.
 
-use super::in_flight::{CallId, InFlight};
+use super::in_flight::{CallId, CallsInFlight};
 use super::timing::SUPERSEDED_READ_TIME;
 use std::time::Duration;
 
-/// The open watches: two at most, beside those that are only read to their end.
+/// The open watches, two at most. Superseded calls aren't among them.
 #[derive(Default)]
 pub struct Watches {
     newest: Option<CallId>,
-    /// The watch that the newest one renewed. It is not closed with that: a closed call counts as given up, and whether the
-    /// newest one speaks shows only at its first word.
+    /// The watch that the newest one renewed. It stays open until the next renewal: closing it would count as a failed
+    /// call, and the newest one may have been lost without a sign.
     previous: Option<CallId>,
 }
 
 impl Watches {
+    /// With one open watch.
     pub fn new(newest: CallId) -> Self {
         Self {
             newest: Some(newest),
@@ -21,39 +22,40 @@
         }
     }
 
-    /// The calls, the older first.
+    /// The open watches, the older one first.
     pub fn open(&self) -> impl Iterator<Item = CallId> {
         self.previous.into_iter().chain(self.newest)
     }
 
+    /// Whether a call is one of the open watches.
     pub fn contains(&self, call: CallId) -> bool {
         self.open().any(|watch| watch == call)
     }
 
-    /// Whether the watch that changes are expected on is gone.
-    pub fn is_broken(&self) -> bool {
+    /// Whether the newest watch has failed, or there was none.
+    pub fn newest_failed(&self) -> bool {
         self.newest.is_none()
     }
 
-    /// A new watch takes the newest one's place, and the newest one that of the watch before it.
-    pub fn renew(&mut self, fresh: CallId, in_flight: &mut InFlight) {
-        if let Some(newest) = self.newest.replace(fresh) {
+    /// Makes `renewal` the newest watch and the newest one the previous one. A watch that was the previous one before is
+    /// superseded.
+    pub fn renew(&mut self, renewal: CallId, in_flight: &mut CallsInFlight) {
+        if let Some(newest) = self.newest.replace(renewal) {
             if let Some(oldest) = self.previous.replace(newest) {
-                in_flight.supersede(oldest, SUPERSEDED_READ_TIME);
+                in_flight.supersede([oldest], SUPERSEDED_READ_TIME);
             }
         }
     }
 
-    /// One has ended.
+    /// Removes a watch that has ended.
     pub fn remove(&mut self, ended: CallId) {
         self.newest = self.newest.filter(|watch| *watch != ended);
         self.previous = self.previous.filter(|watch| *watch != ended);
     }
 
-    /// Another call takes the place of all: their answers are read for so long.
-    pub fn supersede(&mut self, in_flight: &mut InFlight, read_for: Duration) {
-        self.open()
-            .for_each(|watch| in_flight.supersede(watch, read_for));
+    /// Marks all as superseded; their answers are read for `read_for`.
+    pub fn supersede(&mut self, in_flight: &mut CallsInFlight, read_for: Duration) {
+        in_flight.supersede(self.open(), read_for);
         *self = Self::default();
     }
 }
