--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -184,9 +184,9 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, .. } => {
+            Action::Send { id, endpoint, .. } => {
                 self.sent += 1;
-                self.decisions.push(served(id, server));
+                self.decisions.push(served(id, endpoint));
             }
             Action::Wake { after } => {
                 self.wakes.insert(Instant::now() + after);
@@ -206,7 +206,7 @@
     Event::AttemptEnded(Outcome {
         id,
         attempt: 0,
-        server,
+        endpoint: server,
         status: Status::Ok,
         cache_result: None,
         latency: SERVICE_TIME,
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -316,7 +316,7 @@
         self.decisions.push(Event::AttemptEnded(Outcome {
             id,
             attempt,
-            server,
+            endpoint: server,
             status,
             cache_result,
             latency: took,
@@ -374,7 +374,7 @@
         match action {
             Action::Send {
                 id,
-                server,
+                endpoint: server,
                 timeout,
                 begin_within,
             } => {
@@ -387,7 +387,7 @@
             Action::Wake { after } => {
                 self.timers.insert((Instant::now() + after, Timer::Wake));
             }
-            Action::CloseIdleConnections { server } => self.upstream.close_idle(&server),
+            Action::CloseIdleConnections { endpoint } => self.upstream.close_idle(&endpoint),
             Action::PollDiscovery => self.follow.notify_one(),
             Action::BreakerOpened(scope) => self.observer.breaker_opened(&scope),
         }
--- a/crates/policy/examples/decision_cost.rs
+++ b/crates/policy/examples/decision_cost.rs
@@ -211,7 +211,7 @@
         };
         balancer.handle(now, Event::Request(request), &mut actions);
         let sent = actions.drain(..).find_map(|action| match action {
-            Action::Send { server, .. } => Some(server),
+            Action::Send { endpoint, .. } => Some(endpoint),
             _ => None,
         });
         if let Some(server) = sent {
@@ -378,7 +378,7 @@
     Outcome {
         id,
         attempt: 0,
-        server,
+        endpoint: server,
         status: Status::Ok,
         cache_result: None,
         latency: ANSWER_TIME,
--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -343,8 +343,8 @@
     pub id: RequestId,
     /// Number of the attempt, from 0 in the order of sending.
     pub attempt: u32,
-    /// The server.
-    pub server: EndpointId,
+    /// The endpoint it was sent to.
+    pub endpoint: EndpointId,
     /// How it ended.
     pub status: Status,
     /// Where the answer came from.
@@ -418,7 +418,7 @@
         /// The request.
         id: RequestId,
         /// Where to.
-        server: EndpointId,
+        endpoint: EndpointId,
         /// Time-out of the attempt; the client's own end of patience cuts it short.
         timeout: Duration,
         /// A repeat's window may close while its connection is still being made: nothing of it may be written once this
@@ -445,7 +445,7 @@
     /// Close the idle connections to a server.
     CloseIdleConnections {
         /// Which.
-        server: EndpointId,
+        endpoint: EndpointId,
     },
     /// Ask discovery to push changes.
     PollDiscovery,
--- a/crates/policy/src/balance.rs
+++ b/crates/policy/src/balance.rs
@@ -737,7 +737,7 @@
         // would be missed elsewhere.
         let place = self
             .servers
-            .binary_search_by(|server| server.entry.id.cmp(&outcome.server))
+            .binary_search_by(|server| server.entry.id.cmp(&outcome.endpoint))
             .ok();
         let place = place.filter(|i| self.servers[*i].life == attempt.life);
         let lately = place.is_some_and(|i| self.unqueued(&self.servers[i], now));
@@ -858,7 +858,7 @@
             // Each of many nodes meets a server now and then: left open, their connections fill its table.
             if server.in_flight == 0 && server.gap > KEPT_OPEN / self.settings.nodes.max(1) {
                 actions.push(Action::CloseIdleConnections {
-                    server: server.entry.id.clone(),
+                    endpoint: server.entry.id.clone(),
                 });
             }
             // Other failures may be the origin's or the whole server's.
@@ -874,7 +874,7 @@
                     now,
                 );
                 actions.push(Action::BreakerOpened(BreakerScope::EndpointClass {
-                    endpoint: outcome.server.clone(),
+                    endpoint: outcome.endpoint.clone(),
                     class,
                 }));
             }
@@ -893,7 +893,7 @@
                     now,
                 );
                 actions.push(Action::BreakerOpened(BreakerScope::Endpoint(
-                    outcome.server.clone(),
+                    outcome.endpoint.clone(),
                 )));
             }
         }
@@ -994,7 +994,7 @@
         let (id, server) = (held.request.id.clone(), server.entry.id.clone());
         actions.push(Action::Send {
             id,
-            server,
+            endpoint: server,
             timeout,
             begin_within,
         });
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -97,7 +97,7 @@
         match action {
             Action::Send {
                 id,
-                server,
+                endpoint: server,
                 timeout,
                 begin_within,
             } => {
@@ -260,7 +260,7 @@
         self.feed(Event::AttemptEnded(Outcome {
             id: id.clone(),
             attempt,
-            server,
+            endpoint: server,
             status,
             cache_result,
             latency,
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -198,7 +198,7 @@
             match action {
                 Action::Send {
                     id,
-                    server,
+                    endpoint: server,
                     timeout,
                     ..
                 } => {
@@ -285,7 +285,7 @@
         self.feed(Event::AttemptEnded(Outcome {
             id,
             attempt,
-            server,
+            endpoint: server,
             status,
             cache_result,
             latency,
@@ -371,7 +371,7 @@
                     let stray = Outcome {
                         id,
                         attempt,
-                        server,
+                        endpoint: server,
                         status,
                         cache_result,
                         latency,
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -350,7 +350,7 @@
     let stray = Outcome {
         id: id.clone(),
         attempt: 9,
-        server,
+        endpoint: server,
         status,
         cache_result,
         latency,
@@ -373,7 +373,7 @@
     let again = Outcome {
         id: id.clone(),
         attempt,
-        server,
+        endpoint: server,
         status: Status::Failed,
         cache_result,
         latency,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -213,7 +213,7 @@
                 Event::AttemptEnded(Outcome {
                     id: fields.request_id()?,
                     attempt: fields.need("hop")?,
-                    server: self.server(&fields)?,
+                    endpoint: self.server(&fields)?,
                     status,
                     cache_result: match fields.optional::<i64>("info")? {
                         Some(1) => Some(CacheResult::Hit),
@@ -417,7 +417,7 @@
     let written = match action {
         Action::Send {
             id,
-            server,
+            endpoint: server,
             timeout,
             begin_within: _,
         } => {
@@ -443,7 +443,9 @@
                 after.as_micros()
             )
         }
-        Action::CloseIdleConnections { server } => writeln!(out, "close who={who} server={server}"),
+        Action::CloseIdleConnections { endpoint: server } => {
+            writeln!(out, "close who={who} server={server}")
+        }
         Action::PollDiscovery => writeln!(out, "follow who={who} on=1"),
         Action::BreakerOpened(scope) => writeln!(
             out,
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -209,7 +209,7 @@
         (
             Action::Send {
                 id: id.clone(),
-                server: server.clone(),
+                endpoint: server.clone(),
                 timeout: time,
                 begin_within: Duration::ZERO,
             },
@@ -218,7 +218,7 @@
         (
             Action::Send {
                 id: id.clone(),
-                server: server.clone(),
+                endpoint: server.clone(),
                 timeout: Duration::ZERO,
                 begin_within: Duration::ZERO,
             },
@@ -237,7 +237,7 @@
             "wake_at who=3 nonce=w sleep_for_us=250\n",
         ),
         (
-            Action::CloseIdleConnections { server },
+            Action::CloseIdleConnections { endpoint: server },
             "close who=3 server=s:1\n",
         ),
         (Action::PollDiscovery, "follow who=3 on=1\n"),
