--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -186,9 +186,9 @@
 
     fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, .. } => {
+            Action::Send { id, endpoint, .. } => {
                 self.attempts += 1;
-                self.policy.enqueue(served(id, server));
+                self.policy.enqueue(served(id, endpoint));
             }
             Action::Wake { after } => self.wake_timers.schedule(Instant::now() + after, ()),
             Action::PollDiscovery => self.poll_requested.notify_one(),
@@ -206,7 +206,7 @@
     Event::AttemptEnded(Outcome {
         id,
         attempt: 0,
-        server: endpoint,
+        endpoint,
         status: Status::Ok,
         cache_result: None,
         latency: REPORTED_LATENCY,
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -206,7 +206,7 @@
         self.policy.enqueue(Event::AttemptEnded(Outcome {
             id,
             attempt,
-            server: ended.endpoint,
+            endpoint: ended.endpoint,
             status: result.status,
             cache_result: result.cache_result,
             latency: ended.latency,
@@ -320,10 +320,10 @@
         match action {
             Action::Send {
                 id,
-                server,
+                endpoint,
                 timeout,
                 begin_within,
-            } => self.start_attempt(id, server, timeout, begin_within),
+            } => self.start_attempt(id, endpoint, timeout, begin_within),
             Action::Shed { id, retry_after } => {
                 self.respond(&id, FinalResponse::Shed { retry_after });
             }
@@ -332,7 +332,7 @@
                 let at = Instant::now() + after;
                 self.timers.schedule(at, Timer::PolicyWake);
             }
-            Action::CloseIdleConnections { server } => self.upstream.close_idle(&server),
+            Action::CloseIdleConnections { endpoint } => self.upstream.close_idle(&endpoint),
             Action::PollDiscovery => self.poll_requested.notify_one(),
             Action::BreakerOpened(scope) => self.observer.breaker_opened(&scope),
         }
