--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,17 +6,19 @@
 
 mod connections;
 pub mod control;
-mod decisions;
 mod discovery;
 mod driver;
+mod list_client;
 mod multiget;
+mod policy_runner;
 pub mod relay;
 mod server;
+mod timer_queue;
 mod upstream;
 
 use connections::{ConnectionManager, MAX_READ_AHEAD_BYTES};
-use discovery::Discovery;
-use driver::{Driver, DriverEvent};
+use discovery::DiscoveryOptions;
+use driver::{Driver, DriverEvent, DriverOptions};
 use multiget::MultiGet;
 use server::{
     serve, ClientConnection, DescriptorSource, ServerContext, ShutdownStage, MAX_HEAD_BYTES,
@@ -117,7 +119,7 @@
     let (events, inputs) = mpsc::unbounded_channel();
     let (heard, lists) = mpsc::unbounded_channel();
     let (stages, stage) = watch::channel(ShutdownStage::Serving);
-    let (follow, ready) = (Rc::new(Notify::new()), Rc::default());
+    let (poll_requested, ready) = (Rc::new(Notify::new()), Rc::default());
     let table = ConnectionManager::new(
         budget.clone(),
         ConnectionKind::Client,
@@ -145,12 +147,12 @@
     // Where lists are pushed, what the agent has counts as told from a process's first moment: it is asked for at
     // once, and the node is ready when it has that. Elsewhere a whole list has a price, and the node holds its own.
     let pushed = !settings.polls_discovery;
-    let seq = (!known.endpoints.is_empty() && !pushed).then_some(known.version);
+    let version = (!known.endpoints.is_empty() && !pushed).then_some(known.version);
     let random = fastrand::Rng::with_seed(seed);
     let (addresses, address) = watch::channel(discovery);
-    let discovery = Discovery {
+    let discovery = DiscoveryOptions {
         address,
-        seq,
+        version,
         pushed,
         drain_grace: settings.drain_grace,
         max_poll_interval: settings.max_poll_interval,
@@ -166,16 +168,16 @@
     let balancer = Balancer::new(settings, seed);
     let (told, to_driver) = mpsc::unbounded_channel();
     let heeding = heed_departures(lists, told, upstream.clone());
-    let following = discovery.run(follow.clone());
-    let driver = Driver::new(
+    let following = discovery::run(discovery, poll_requested.clone());
+    let driver = Driver::new(DriverOptions {
         balancer,
-        upstream.clone(),
-        follow,
+        upstream: upstream.clone(),
+        poll_requested,
         ready,
-        pushed,
+        awaits_first_list: pushed,
         events,
-        telemetry.clone(),
-    );
+        observer: telemetry.clone(),
+    });
     spawn_local(driver.run(known, to_driver, inputs));
     let beside = match side {
         Some(listener) => {
--- a/crates/wire/src/parser/requests.rs
+++ b/crates/wire/src/parser/requests.rs
@@ -48,7 +48,7 @@
         Ok(Outcome {
             id: fields.request_id()?,
             attempt: fields.required("hop")?,
-            server: self.endpoint_id(fields)?,
+            endpoint: self.endpoint_id(fields)?,
             status,
             cache_result: cache_result(fields)?,
             latency: fields.micros("spent_us")?.unwrap_or_default(),
--- a/crates/wire/src/reply.rs
+++ b/crates/wire/src/reply.rs
@@ -12,7 +12,7 @@
     match action {
         Action::Send {
             id,
-            server,
+            endpoint,
             timeout,
             // In the simulator an attempt begins in the moment it is sent.
             begin_within: _,
@@ -21,7 +21,7 @@
             write_line(
                 out,
                 format_args!(
-                    "send who={instance} request_id={id} server={server} allow_for_us={timeout}"
+                    "send who={instance} request_id={id} server={endpoint} allow_for_us={timeout}"
                 ),
             );
         }
@@ -43,8 +43,8 @@
                 format_args!("wake_at who={instance} nonce=w sleep_for_us={micros}"),
             );
         }
-        Action::CloseIdleConnections { server } => {
-            write_line(out, format_args!("close who={instance} server={server}"));
+        Action::CloseIdleConnections { endpoint } => {
+            write_line(out, format_args!("close who={instance} server={endpoint}"));
         }
         Action::PollDiscovery => write_line(out, format_args!("follow who={instance} on=1")),
         Action::BreakerOpened(scope) => {
