--- a/crates/admission/src/connections/closing.rs
+++ b/crates/admission/src/connections/closing.rs
@@ -4,7 +4,7 @@
 
 /// Why a connection was closed or refused, or a request refused.
 ///
-/// The discriminants number the positions of [`ConnectionStats::closed`](super::ConnectionStats::closed) and
+/// The discriminants are the positions of [`ConnectionStats::closed`](super::ConnectionStats::closed) and
 /// [`ConnectionStats::refused`](super::ConnectionStats::refused).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CloseCause {
--- a/crates/admission/src/connections/eviction.rs
+++ b/crates/admission/src/connections/eviction.rs
@@ -71,7 +71,7 @@
     }
 
     /// Closes a connection without a request in favour of a connection to an endpoint. It has to be woken.
-    pub fn evict_for_server(&mut self, now: Duration) -> Option<ConnectionId> {
+    pub fn evict_for_upstream(&mut self, now: Duration) -> Option<ConnectionId> {
         let evicted = self.oldest_unused(now)?;
         self.close(evicted, CloseCause::Evicted);
         Some(evicted)
--- a/crates/admission/src/timer_wheel.rs
+++ b/crates/admission/src/timer_wheel.rs
@@ -1,9 +1,11 @@
 //! A hierarchical timing wheel (G. Varghese and T. Lauck, "Hashed and Hierarchical Timing Wheels", SOSP 1987, scheme 7).
 //!
-//! Resolution: one tick of 10 ms. A timer never fires early, and up to one tick late. Cost: setting and cancelling take
-//! constant time, whatever the number of timers; a timer moves at most `LEVELS - 1` times before it fires, and once
-//! more for each 46 h (`MAX_TICKS_AHEAD`) that it lies ahead. Memory: 20 bytes for each id, up to the highest one used. Timers that fall
-//! due together can be fired in parts.
+//! - Resolution: one tick of 10 ms. A timer never fires early, and less than one tick late.
+//! - Cost: setting and cancelling take constant time, whatever the number of timers. A timer moves at most `LEVELS - 1`
+//!   times before it fires, and once more for each 46 h (`MAX_TICKS_AHEAD`) that it lies ahead.
+//! - Memory: 20 bytes for each id, up to the highest one used.
+//!
+//! Timers that fall due together can be fired in parts.
 
 use crate::linked_lists::LinkedLists;
 use std::time::Duration;
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -99,7 +99,7 @@
 
     /// Has an unused connection close in favour of one to an endpoint. `false` where there is none.
     pub fn evict_for_server(&self) -> bool {
-        let evicted = self.table.borrow_mut().evict_for_server(self.now());
+        let evicted = self.table.borrow_mut().evict_for_upstream(self.now());
         self.wake_if_any(evicted)
     }
 
