--- a/crates/config/src/endpoint_list.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -60,7 +60,7 @@
         self.address
     }
 
-    /// Discovery's own word for its availability.
+    /// Its state as discovery names it, also where [`EndpointRecord::availability`] does not know that name.
     pub fn state(&self) -> &str {
         &self.state
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -14,8 +14,8 @@
 
 use sha2::{Digest, Sha256};
 
-/// SHA-256 in lower-case hexadecimal.
-pub fn digest(bytes: &[u8]) -> String {
+/// The SHA-256 of these bytes in lower-case hexadecimal.
+pub fn sha256_hex(bytes: &[u8]) -> String {
     Sha256::digest(bytes)
         .iter()
         .map(|byte| format!("{byte:02x}"))
--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -131,7 +131,7 @@
 pub fn load(path: PathBuf) -> Result<Settings, SettingsError> {
     let text = toml_file::read(&path)?;
     let settings: Settings = toml_file::parse(&path, &text)?;
-    let sha256 = crate::digest(text.as_bytes());
+    let sha256 = crate::sha256_hex(text.as_bytes());
     Ok(Settings {
         file: Some(SettingsFile { path, sha256 }),
         ..settings
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -20,7 +20,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// The file is not JSON of the expected form.
@@ -107,7 +107,7 @@
 /// Goes before the file's `listen`.
 const LISTEN_VARIABLE: &str = "LB_LISTEN";
 /// Goes before the file's `discovery` at the start. At a reload it is out of date, since a process keeps the environment that it
-/// started with: the file's word holds then.
+/// started with: the file's value holds then.
 pub const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
 
 /// Reads the file that `LB_CONFIG` names; the other variables go before what it says. `variable` looks one up.
--- a/crates/config/src/toml_file.rs
+++ b/crates/config/src/toml_file.rs
@@ -12,7 +12,7 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         error: std::io::Error,
     },
     /// The file is not TOML, or has a key or value that is not taken.
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -20,7 +20,7 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
-use trail::Trail;
+use trail::{OpenedTrail, Trail};
 
 /// Records that may wait for the disk; those past them are counted.
 const MAX_QUEUED_RECORDS: usize = 768;
@@ -33,7 +33,7 @@
 pub struct Audit {
     sender: BoundedSender,
     trail: Arc<Mutex<Trail>>,
-    /// Records that found no place in the queue since the last one that did.
+    /// Records that did not fit the queue since the last one that did.
     lost: Cell<u64>,
     /// The record of the stop is made: no other follows it.
     stopped: Cell<bool>,
@@ -47,8 +47,11 @@
 
     /// Opens the trail for this node alone; without a path it goes to standard error.
     pub fn open(path: Option<&Path>, writer: &Writer) -> Result<Self, TelemetryError> {
-        let (trail, torn) = match path {
-            None => (Trail::default(), None),
+        let OpenedTrail { trail, torn } = match path {
+            None => OpenedTrail {
+                trail: Trail::default(),
+                torn: None,
+            },
             Some(path) => Trail::open(path).map_err(|error| TelemetryError::Audit {
                 path: path.to_owned(),
                 error,
--- a/crates/telemetry/src/audit/record.rs
+++ b/crates/telemetry/src/audit/record.rs
@@ -1,10 +1,10 @@
-//! The format of an audit trail: what a record tells, and the chain of hashes that binds each record to the one before it.
+//! The format of an audit trail: what a record holds, and the chain of hashes that binds each record to the one before it.
 //!
 //! A record is one line, a JSON object. Its last two fields are `prev`, the hash of the record before it, and `hash`, the
 //! SHA-256 of the line without that field.
 
 use serde::{Deserialize, Serialize};
-use slatelink_config::digest;
+use slatelink_config::sha256_hex;
 
 /// A line is longer than this in no trail, and at a start no more is read to find the last ones.
 pub(super) const MAX_LINE_BYTES: usize = 64 << 10;
@@ -16,7 +16,7 @@
 /// Length of the last field and the closing brace: `,"hash":"` and 64 digits, `"}`.
 const HASH_FIELD_BYTES: usize = ",\"hash\":\"\"}".len() + FIRST_PREVIOUS_HASH.len();
 
-/// What a record tells. The variants' names are stored, in lower case, as the field `event`.
+/// What a record is about. The variants' names are stored, in lower case, as the field `event`.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "lowercase")]
 pub(super) enum Event {
@@ -113,7 +113,7 @@
 }
 
 impl ChainPosition {
-    /// The record that tells of `event`, as the next one of the trail. `at_ms` is milliseconds of Unix time.
+    /// The record of `event`, as the next one of the trail. `at_ms` is milliseconds of Unix time.
     pub(super) fn next_record(
         &self,
         at_ms: u64,
@@ -126,7 +126,7 @@
             event,
             prev: &self.hash,
         })?;
-        let hash = digest(line.as_bytes());
+        let hash = sha256_hex(line.as_bytes());
         line.pop();
         line.push_str(&hash_field(&hash));
         line.push('\n');
@@ -157,7 +157,7 @@
     // The hash covers what stands before its field, and the closing brace.
     let (covered, stored_hash) =
         line.split_at_checked(line.len().checked_sub(HASH_FIELD_BYTES)?)?;
-    let hash = digest(&[covered, b"}"].concat());
+    let hash = sha256_hex(&[covered, b"}"].concat());
     if stored_hash != hash_field(&hash).as_bytes() {
         return None;
     }
--- a/crates/telemetry/src/audit/tests.rs
+++ b/crates/telemetry/src/audit/tests.rs
@@ -1,7 +1,7 @@
 use super::record::{FIRST_PREVIOUS_HASH, MAX_LINE_BYTES};
 use super::trail::Destination;
 use super::*;
-use slatelink_config::digest;
+use slatelink_config::sha256_hex;
 use std::fs::File;
 use std::io::Read;
 use std::path::PathBuf;
@@ -26,7 +26,7 @@
 
 fn trail(name: &str, records: usize) -> (PathBuf, Vec<u8>) {
     let path = file(name);
-    let (mut trail, torn) = Trail::open(&path).unwrap();
+    let OpenedTrail { mut trail, torn } = Trail::open(&path).unwrap();
     assert!(torn.is_none());
     for i in 0..records {
         trail
@@ -54,12 +54,12 @@
              \"from\":\"ready\",\"to\":\"draining\",\"prev\":\"{prev}\"}}",
             i + 1
         );
-        prev = digest(body.as_bytes());
+        prev = sha256_hex(body.as_bytes());
         let body = body.strip_suffix('}').unwrap();
         assert_eq!(*line, format!("{body},\"hash\":\"{prev}\"}}"));
     }
     assert_eq!(
-        digest(b""),
+        sha256_hex(b""),
         "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855"
     );
     std::fs::remove_file(path).unwrap();
@@ -155,7 +155,7 @@
     let (path, bytes) = trail("tail", 2);
     let half = &bytes[..bytes.len() - 20];
     std::fs::write(&path, half).unwrap();
-    let (mut trail, torn) = Trail::open(&path).unwrap();
+    let OpenedTrail { mut trail, torn } = Trail::open(&path).unwrap();
     let torn = torn.expect("word of the tail");
     trail.append(&mut stderr(), 1, &torn).unwrap();
     let text = std::fs::read_to_string(&path).unwrap();
@@ -167,7 +167,7 @@
     let start = half.iter().rposition(|&byte| byte == b'\n').unwrap() + 1;
     assert_eq!((&last["event"], &last["seq"]), (&"torn".into(), &2.into()));
     assert_eq!(last["text"], std::str::from_utf8(&half[start..]).unwrap());
-    assert_eq!(last["sha256"], digest(&half[start..]));
+    assert_eq!(last["sha256"], sha256_hex(&half[start..]));
     std::fs::remove_file(path).unwrap();
 }
 
@@ -175,12 +175,12 @@
 #[test]
 fn a_trail_that_is_in_use_or_is_none_is_not_opened() {
     let (path, bytes) = trail("use", 1);
-    let held = Trail::open(&path).unwrap();
+    let in_use = Trail::open(&path).unwrap();
     assert_eq!(
         Trail::open(&path).err().unwrap().to_string(),
         "another node writes there"
     );
-    drop(held);
+    drop(in_use);
     for other in [
         &b"some words"[..],
         b"a line\n",
@@ -198,7 +198,7 @@
 #[test]
 fn what_a_failed_write_left_goes_before_the_next_record() {
     let (path, _) = trail("spoiled", 1);
-    let (mut trail, _) = Trail::open(&path).unwrap();
+    let OpenedTrail { mut trail, .. } = Trail::open(&path).unwrap();
     let Destination::Regular { file, .. } = &mut trail.destination else {
         panic!("the trail is in a regular file");
     };
@@ -218,7 +218,7 @@
 #[test]
 fn a_trail_whose_file_lost_its_name_begins_anew_and_says_where_it_was() {
     let (path, _) = trail("vanished", 2);
-    let (mut trail, _) = Trail::open(&path).unwrap();
+    let OpenedTrail { mut trail, .. } = Trail::open(&path).unwrap();
     let moved = path.with_extension("1");
     std::fs::rename(&path, &moved).unwrap();
     trail.record(&mut stderr(), 1, &health("s-1")).unwrap();
@@ -251,7 +251,7 @@
     // Not by a program: a forked process holds the locks of other tests' trails until it has begun.
     nix::unistd::mkfifo(&path, nix::sys::stat::Mode::S_IRWXU).unwrap();
     let mut reader = File::options().read(true).write(true).open(&path).unwrap();
-    let (mut trail, _) = Trail::open(&path).unwrap();
+    let OpenedTrail { mut trail, .. } = Trail::open(&path).unwrap();
     // Longer than what a pipe takes whole or not at all: it is cut in the middle.
     let long = health(&"h".repeat(5_000));
     let mut lost = 0;
@@ -284,10 +284,10 @@
     let path = file("lost");
     let writer = Writer::start().unwrap();
     let audit = Audit::open(Some(&path), &writer).unwrap();
-    let (release, held) = std::sync::mpsc::channel::<()>();
+    let (release, released) = std::sync::mpsc::channel::<()>();
     assert!(writer
         .sender(1)
-        .try_send(move |_| held.recv().unwrap_or_default()));
+        .try_send(move |_| released.recv().unwrap_or_default()));
     (0..MAX_QUEUED_RECORDS + 5).for_each(|i| audit.record(health(&i.to_string())));
     release.send(()).unwrap();
     let lines = || std::fs::read_to_string(&path).unwrap().lines().count();
--- a/crates/telemetry/src/audit/trail.rs
+++ b/crates/telemetry/src/audit/trail.rs
@@ -3,7 +3,7 @@
 use super::record::{parse, ChainPosition, Event, FIRST_RECORD_START, MAX_LINE_BYTES};
 use crate::error::TrailError;
 use crate::writer::{has_vanished, write_part};
-use slatelink_config::digest;
+use slatelink_config::sha256_hex;
 use std::fs::{File, TryLockError};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::os::unix::fs::OpenOptionsExt;
@@ -20,11 +20,18 @@
     pub(super) destination: Destination,
     /// A write failed, and what it may have left of a record is not yet cut off.
     pub(super) write_failed: bool,
-    /// Records that the trail lacks and does not tell of yet.
+    /// Records that could not be written, and whose number is not in the trail yet.
     pub(super) lost: u64,
     position: ChainPosition,
 }
 
+/// A trail that was opened.
+pub(super) struct OpenedTrail {
+    pub(super) trail: Trail,
+    /// The event of a line that broke off and was cut off: the first one to record.
+    pub(super) torn: Option<Event>,
+}
+
 /// Where records go.
 #[derive(Default)]
 pub(super) enum Destination {
@@ -47,20 +54,17 @@
 }
 
 impl Trail {
-    /// Continues where the file ends, or begins at its first line. A last line that broke off is cut, and the event tells of
-    /// it.
-    pub(super) fn open(path: &Path) -> Result<(Self, Option<Event>), TrailError> {
+    /// Continues where the file ends, or begins at its first line. A last line that broke off is cut off.
+    pub(super) fn open(path: &Path) -> Result<OpenedTrail, TrailError> {
         let mut file = open_or_create(path)?;
         // A FIFO or device holds no trail that two could break.
         if !file.metadata()?.is_file() {
             let unwritten = Vec::new();
-            return Ok((
-                Self {
-                    destination: Destination::Stream { file, unwritten },
-                    ..Self::default()
-                },
-                None,
-            ));
+            let trail = Self {
+                destination: Destination::Stream { file, unwritten },
+                ..Self::default()
+            };
+            return Ok(OpenedTrail { trail, torn: None });
         }
         file.try_lock().map_err(|error| match error {
             TryLockError::WouldBlock => TrailError::Locked,
@@ -77,13 +81,14 @@
             ..Self::default()
         };
         if end.torn.is_empty() {
-            return Ok((trail, None));
+            return Ok(OpenedTrail { trail, torn: None });
         }
         trail.truncate_to_last_record()?;
-        Ok((trail, Some(torn_event(&end.torn))))
+        let torn = Some(torn_event(&end.torn));
+        Ok(OpenedTrail { trail, torn })
     }
 
-    /// Writes a record, and before it those that tell of records which are missing there.
+    /// Writes a record, and before it those of records that were lost and of a file that has vanished.
     pub(super) fn record(
         &mut self,
         stderr: &mut File,
@@ -110,15 +115,15 @@
         }
     }
 
-    /// Goes over to the file that has the name now, and tells there of the one that had it.
+    /// Changes to the file that has the name now, and records there that the one before has vanished.
     fn begin_anew(&mut self, path: &Path, stderr: &mut File, at_ms: u64) -> io::Result<()> {
-        let (mut reopened, torn) = Self::open(path).map_err(io::Error::other)?;
-        reopened.lost = self.lost;
+        let OpenedTrail { mut trail, torn } = Self::open(path).map_err(io::Error::other)?;
+        trail.lost = self.lost;
         let vanished = Event::Vanished {
             records: self.position.seq,
             last: self.position.hash.clone(),
         };
-        *self = reopened;
+        *self = trail;
         for event in torn.iter().chain([&vanished]) {
             self.append(stderr, at_ms, event)?;
         }
@@ -176,14 +181,14 @@
 /// Writes what waits and then the line. Once a line is begun it is a record of the trail: its reader gets the rest of it with
 /// the next one.
 fn write_to_stream(file: &mut File, unwritten: &mut Vec<u8>, line: &[u8]) -> io::Result<()> {
-    let (taken, written) = write_part(file, unwritten);
-    unwritten.drain(..taken);
-    written?;
-    let (taken, written) = write_part(file, line);
-    if taken == 0 {
-        return written;
+    let progress = write_part(file, unwritten);
+    unwritten.drain(..progress.written);
+    progress.result?;
+    let progress = write_part(file, line);
+    if progress.written == 0 {
+        return progress.result;
     }
-    unwritten.extend_from_slice(&line[taken..]);
+    unwritten.extend_from_slice(&line[progress.written..]);
     Ok(())
 }
 
@@ -268,12 +273,12 @@
     start.starts_with(FIRST_RECORD_START) || FIRST_RECORD_START.starts_with(start)
 }
 
-/// Tells of a line that broke off.
+/// The event of a line that broke off.
 fn torn_event(torn: &[u8]) -> Event {
     let quoted = &torn[..torn.len().min(MAX_TORN_TEXT_BYTES)];
     Event::Torn {
         bytes: torn.len(),
-        sha256: digest(torn),
+        sha256: sha256_hex(torn),
         text: String::from_utf8_lossy(quoted).into_owned(),
     }
 }
--- a/crates/telemetry/src/error.rs
+++ b/crates/telemetry/src/error.rs
@@ -16,7 +16,7 @@
     Signal {
         /// The signal's name.
         signal: &'static str,
-        /// What the system said.
+        /// The error of the operating system.
         error: io::Error,
     },
     /// The file that metrics are appended to.
@@ -24,7 +24,7 @@
     MetricsFile {
         /// The file, as the settings name it.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         error: io::Error,
     },
     /// The socket that metrics are sent from.
@@ -32,7 +32,7 @@
     MetricsSocket {
         /// The receiver, as the settings name it.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         error: io::Error,
     },
     /// The file of the audit trail.
--- a/crates/telemetry/src/hotlist/tests.rs
+++ b/crates/telemetry/src/hotlist/tests.rs
@@ -52,11 +52,11 @@
             "{entry:?} {real}"
         );
     }
-    let held = |key: &str| list.entries.iter().any(|entry| *entry.key == *key);
+    let is_listed = |key: &str| list.entries.iter().any(|entry| *entry.key == *key);
     assert!(tally
         .iter()
         .filter(|(_, &count)| count > bound)
-        .all(|(key, _)| held(key)));
+        .all(|(key, _)| is_listed(key)));
     let lines = printed(list, now);
     let counts: Vec<u64> = lines
         .iter()
@@ -88,7 +88,7 @@
 // Guards against keys that take more than their share, break within a character or forge lines of the log.
 #[test]
 fn keys_are_cut_on_a_character_and_escaped() {
-    for (key, held) in [
+    for (key, truncated) in [
         ("k".repeat(128), "k".repeat(128)),
         ("k".repeat(129), "k".repeat(125) + "…"),
         ("é".repeat(65), "é".repeat(62) + "…"),
@@ -100,8 +100,11 @@
         let mut list = list(4);
         list.count(&key, Instant::now());
         list.count(&key.clone(), Instant::now());
-        assert_eq!((&*list.entries[0].key, list.entries[0].count), (&*held, 2));
-        assert!(held.len() <= MAX_KEY_BYTES);
+        assert_eq!(
+            (&*list.entries[0].key, list.entries[0].count),
+            (&*truncated, 2)
+        );
+        assert!(truncated.len() <= MAX_KEY_BYTES);
     }
     assert_eq!(
         escaped("a\\b\nhot lookup x\u{1b}[2K\u{2028}\u{202e}'\"é"),
@@ -124,7 +127,7 @@
         }
     }
     let lists = hot.lists.borrow();
-    let held = |list: &HotKeys| {
+    let bytes = |list: &HotKeys| {
         let keys: usize = list
             .entries
             .iter()
@@ -132,7 +135,7 @@
             .sum();
         list.entries.capacity() * size_of::<Entry>() + keys
     };
-    let all: usize = lists.iter().map(|list| held(&list.keys)).sum();
+    let all: usize = lists.iter().map(|list| bytes(&list.keys)).sum();
     assert!(lists.iter().all(|list| list.keys.entries.len() == most));
     assert!(2 * all <= MAX_MEMORY_BYTES, "{all}");
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,7 +1,7 @@
 //! Telemetry of a node, as the operators' file asks for it: metrics, the audit trail, the hot list, and the writer behind them;
 //! and the node's log.
 //!
-//! The node tells an [`Observer`] what happened; [`Telemetry`] passes it on to the features that are on. Nothing here decides
+//! The node reports events to an [`Observer`]; [`Telemetry`] passes them on to the features that are on. Nothing here decides
 //! anything, nothing calls back into the node, and nothing here ever makes the node wait.
 
 pub mod audit;
@@ -21,7 +21,7 @@
 use metrics::Metrics;
 use slatelink_admission::ConnectionStats;
 use slatelink_config::operators::{HotListSettings, MetricsSettings, Settings, SettingsFile};
-use slatelink_config::{digest, EndpointList};
+use slatelink_config::{sha256_hex, EndpointList};
 use slatelink_policy::{BreakerScope, ClassId, EndpointId, Name, Status};
 use std::io;
 use std::path::Path;
@@ -125,7 +125,7 @@
         let Some(audit) = &self.audit else {
             return;
         };
-        audit.config_loaded("platform", path, digest(contents));
+        audit.config_loaded("platform", path, sha256_hex(contents));
         if let Some(SettingsFile { path, sha256 }) = &self.settings_file {
             audit.config_loaded("features", path, sha256.clone());
         }
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -60,8 +60,8 @@
         dispatcher::with_default(&self.lines, || info!("{text}"));
     }
 
-    /// Writes a line of a topic that may have very many: past a few they are suppressed and counted, and
-    /// [`Log::report_suppressed`] tells of them.
+    /// Writes a line of a topic that may have very many: past a few they are suppressed and counted for
+    /// [`Log::report_suppressed`].
     pub fn rate_limited(&self, topic: &'static str, text: &str) {
         let now = Instant::now();
         let admitted = self
--- a/crates/telemetry/src/log/sink.rs
+++ b/crates/telemetry/src/log/sink.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Sink {
     sender: Arc<BoundedSender>,
-    /// Lines that found no place in the queue since the last one that did.
+    /// Lines that did not fit the queue since the last one that did.
     lost_lines: Arc<AtomicU64>,
     format: LogFormat,
 }
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Hands a line to the writer, behind one that tells of lines lost before it. Never waits.
+    /// Hands a line to the writer, behind the notice of lines lost before it. Never waits.
     fn send(&self, line: &[u8]) {
         let lost_lines = self.lost_lines.load(Ordering::Relaxed);
         let mut bytes = self.loss_notice(lost_lines).into_bytes();
@@ -39,7 +39,7 @@
         self.lost_lines.store(lost_lines, Ordering::Relaxed);
     }
 
-    /// The line that tells of lost lines; empty where there are none.
+    /// The notice of so many lost lines, a line; empty where there are none.
     fn loss_notice(&self, lost_lines: u64) -> String {
         match (lost_lines, self.format) {
             (0, _) => String::new(),
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -46,7 +46,7 @@
     connections: ConnectionStats,
     /// By endpoint: whether its breaker has opened and nothing was sent there since.
     breaker_open: BTreeMap<EndpointId, bool>,
-    /// Dropped batches that the log has told of.
+    /// Dropped batches that are in the log already.
     reported_dropped_batches: u64,
 }
 
@@ -288,7 +288,7 @@
         }
     }
 
-    /// Logs how many batches were dropped: where none gets out, that can only be told beside them.
+    /// Logs how many batches were dropped: while none gets out, the counter of them does not either.
     fn report_dropped(&self, state: &mut State) {
         let total = state.emitter.buffer.total_dropped_batches;
         if total > state.reported_dropped_batches {
--- a/crates/telemetry/src/metrics/buffer.rs
+++ b/crates/telemetry/src/metrics/buffer.rs
@@ -1,4 +1,4 @@
-//! Lines that wait to go out, in bounded memory: the oldest give way, and what is lost is counted.
+//! Lines that wait to go out, in bounded memory: the oldest are evicted, and what is lost is counted.
 
 use super::output::BatchResult;
 use std::collections::VecDeque;
@@ -8,12 +8,12 @@
 /// Of these, kept free for the counters of what was lost, which a batch gets as it goes out.
 pub(super) const LOSS_COUNTER_BYTES: usize = 256;
 
-/// What no batch that got out has told of.
+/// Losses that no batch which was written has counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Losses {
     /// Batches that could not be written.
     pub(super) dropped_batches: u64,
-    /// Lines that gave way in a full buffer.
+    /// Lines that were evicted from a full buffer.
     pub(super) evicted_lines: u64,
 }
 
@@ -22,7 +22,7 @@
 pub(super) struct InFlightBatch {
     /// Its length.
     pub(super) bytes: usize,
-    /// The losses that it tells of.
+    /// The losses that it counts.
     losses: Losses,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Adds a whole line, for which the oldest ones give way. `false` where there is no room even so.
+    /// Adds a whole line, for which the oldest ones are evicted if need be. `false` where even so it does not fit.
     pub(super) fn push(&mut self, line: &str) -> bool {
         let in_flight_bytes = self.in_flight.map_or(0, |batch| batch.bytes);
         let max_waiting = MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES;
@@ -107,7 +107,7 @@
         self.in_flight.is_none() && (self.lines.len() >= self.max_batch_bytes || self.due_bytes > 0)
     }
 
-    /// Takes the oldest lines that make a batch, behind `loss_lines`, which tell of the present losses. It is being written
+    /// Takes the oldest lines that make a batch, behind `loss_lines`, the counters of the present losses. It is being written
     /// until [`LineBuffer::batch_finished`].
     pub(super) fn next_batch(&mut self, loss_lines: &str) -> Vec<u8> {
         let mut batch = Vec::with_capacity(self.max_batch_bytes);
@@ -129,7 +129,7 @@
         batch
     }
 
-    /// The batch is written, and with it the losses that it tells of, or it is lost itself.
+    /// The batch is written, and with it the counters of losses, or it is lost itself.
     pub(super) fn batch_finished(&mut self, result: BatchResult) {
         let batch = self.in_flight.take().unwrap_or_default();
         match result {
--- a/crates/telemetry/src/metrics/file.rs
+++ b/crates/telemetry/src/metrics/file.rs
@@ -44,9 +44,9 @@
             file.write_all(b"\n")?;
             self.torn = false;
         }
-        let (taken, written) = write_part(file, batch);
-        self.torn = taken > 0 && taken < batch.len();
-        written
+        let progress = write_part(file, batch);
+        self.torn = progress.written > 0 && progress.written < batch.len();
+        progress.result
     }
 
     fn has_vanished(&self) -> bool {
--- a/crates/telemetry/src/metrics/output.rs
+++ b/crates/telemetry/src/metrics/output.rs
@@ -10,8 +10,8 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Batches that may be with the writer: one that is written, and one whose result is already sent but whose place is not yet
-/// given back.
+/// Batches that may be with the writer: one that is written, and one whose result is sent already but which the writer still
+/// counts.
 const MAX_QUEUED_BATCHES: usize = 2;
 
 /// How the writing of a batch ended.
@@ -36,7 +36,7 @@
 pub(super) enum SendOutcome {
     /// It is done with.
     Finished(BatchResult),
-    /// The writer has it, and will tell of its result.
+    /// The writer has it, and will send its result.
     InFlight,
 }
 
@@ -50,13 +50,13 @@
         sender: BoundedSender,
         /// `None` for standard error.
         file: Option<Arc<Mutex<AppendedFile>>>,
-        /// Told of each batch that the thread is done with.
+        /// Gets the result of each batch that the thread is done with.
         results: UnboundedSender<BatchResult>,
     },
 }
 
 impl Output {
-    /// Opens what metrics go to; `results` is told of each batch that the writer is done with.
+    /// Opens what metrics go to; `results` gets that of each batch that the writer is done with.
     pub(super) fn open(
         target: &MetricsTarget,
         writer: &Writer,
--- a/crates/telemetry/src/metrics/tests.rs
+++ b/crates/telemetry/src/metrics/tests.rs
@@ -108,9 +108,9 @@
     let writer = Writer::start().unwrap();
     let (metrics, mut results) = metrics("target = \"file:/dev/null\"", &writer);
     let stuck = writer.sender(1);
-    let (release, held) = channel::<()>();
-    assert!(stuck.try_send(move |_| held.recv().unwrap_or_default()));
-    // The first batch is handed over and stays; what follows must share the rest of the room.
+    let (release, released) = channel::<()>();
+    assert!(stuck.try_send(move |_| released.recv().unwrap_or_default()));
+    // The first batch is handed over and stays; what follows must share the rest of the buffer.
     for i in 0..20_000 {
         let emitter = &mut metrics.state.borrow_mut().emitter;
         for name in ["req.count", "req.time"] {
@@ -165,8 +165,8 @@
     let _ = std::fs::remove_file(&path);
     let (metrics, mut results) = metrics(&format!("target = \"file:{}\"", path.display()), &writer);
     let stuck = writer.sender(1);
-    let (release, held) = channel::<()>();
-    assert!(stuck.try_send(move |_| held.recv().unwrap_or_default()));
+    let (release, released) = channel::<()>();
+    assert!(stuck.try_send(move |_| released.recv().unwrap_or_default()));
     let (endpoint, start) = (EndpointId::from("h"), std::time::Instant::now());
     for i in 0..100_000 {
         metrics.request_received(ClassId(1));
@@ -242,7 +242,7 @@
 #[test]
 fn what_was_dropped_is_told_by_the_first_batch_that_gets_out() {
     let writer = Writer::start().unwrap();
-    let (metrics, _landed) = metrics("target = \"file:/dev/null\"", &writer);
+    let (metrics, _results) = metrics("target = \"file:/dev/null\"", &writer);
     let emitter = &mut metrics.state.borrow_mut().emitter;
     for _ in 0..3 {
         emitter.next_batch();
@@ -260,7 +260,7 @@
 #[test]
 fn the_longest_line_fits_the_smallest_batch() {
     let writer = Writer::start().unwrap();
-    let (metrics, _landed) = metrics("format = \"influx\"\nmax_batch_bytes = 512", &writer);
+    let (metrics, _results) = metrics("format = \"influx\"\nmax_batch_bytes = 512", &writer);
     let long = escape_tag(MetricsFormat::Influx, &"=".repeat(1000)).into_owned();
     assert_eq!(long.len(), 2 * MAX_TAG_BYTES);
     let emitter = &mut metrics.state.borrow_mut().emitter;
--- a/crates/telemetry/src/observer.rs
+++ b/crates/telemetry/src/observer.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Hears what happens in a node, in the order in which it happens. Each method does nothing unless it is implemented.
+/// Is called with each event of a node, in the order of the events. Each method does nothing unless it is implemented.
 pub trait Observer {
     /// A request of this class, for this path, has come in.
     fn request_received(&self, _class: ClassId, _path: &str) {}
@@ -52,7 +52,7 @@
     /// An attempt at this endpoint, for a request of this class, has ended.
     fn attempt_ended(&self, _class: ClassId, _endpoint: &EndpointId, _status: Status) {}
 
-    /// A list of discovery is in force, or the changes that it tells of are.
+    /// An endpoint list of discovery is in force: all endpoints, or those that changed.
     fn endpoints_updated(&self, _list: &EndpointList) {}
 
     /// The counts of the client connections' table; each second.
--- a/crates/telemetry/src/writer.rs
+++ b/crates/telemetry/src/writer.rs
@@ -14,13 +14,13 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Jobs that may wait, at least as many as all senders may have together: a sender that is not full always finds a place.
+/// Jobs that may wait, at least as many as all senders may have together: a sender that is not full always gets in.
 const QUEUE_CAPACITY: usize = 1024;
 
 /// What the thread is to write; it gets standard error.
 type Job = Box<dyn FnOnce(&mut File) + Send>;
 
-/// The way to the thread, which ends with the process, or when the last sender has gone.
+/// The way to the thread, which ends with the process, or once the last sender is dropped.
 #[derive(Debug)]
 pub struct Writer {
     jobs: SyncSender<Job>,
@@ -44,7 +44,7 @@
         Ok(Self { jobs })
     }
 
-    /// A sender of which `capacity` jobs may wait or run at a time: a full one takes no place from the others.
+    /// A sender of which `capacity` jobs may wait or run at a time: a full one takes nothing from the others.
     pub fn sender(&self, capacity: usize) -> BoundedSender {
         BoundedSender {
             jobs: self.jobs.clone(),
@@ -66,18 +66,36 @@
     }
 }
 
-/// Writes as much as the file takes at once. Returns how many bytes that was, and the error that kept it from the rest.
-pub fn write_part(file: &mut File, bytes: &[u8]) -> (usize, io::Result<()>) {
-    let mut taken = 0;
-    while taken < bytes.len() {
-        match file.write(&bytes[taken..]) {
-            Ok(0) => return (taken, Err(io::ErrorKind::WriteZero.into())),
-            Ok(written) => taken += written,
-            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-            Err(error) => return (taken, Err(error)),
-        }
+/// How far a write came.
+pub struct WriteProgress {
+    /// Bytes that are written.
+    pub written: usize,
+    /// What kept it from the rest.
+    pub result: io::Result<()>,
+}
+
+/// Writes as much as the file takes at once.
+pub fn write_part(file: &mut File, bytes: &[u8]) -> WriteProgress {
+    let mut written = 0;
+    while written < bytes.len() {
+        let error = match file.write(&bytes[written..]) {
+            Ok(0) => io::ErrorKind::WriteZero.into(),
+            Ok(count) => {
+                written += count;
+                continue;
+            }
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
+            Err(error) => error,
+        };
+        return WriteProgress {
+            written,
+            result: Err(error),
+        };
+    }
+    WriteProgress {
+        written,
+        result: Ok(()),
     }
-    (taken, Ok(()))
 }
 
 /// Whether a regular file is no longer the one at `path`, after a move or removal: nobody reads what is written there. `false`
@@ -99,9 +117,9 @@
 }
 
 impl BoundedSender {
-    /// Has the thread run this job, which gets standard error; `false` where no place is left. Never waits.
+    /// Has the thread run this job, which gets standard error; `false` where the sender is full. Never waits.
     pub fn try_send(&self, job: impl FnOnce(&mut File) + Send + 'static) -> bool {
-        // Only the node's own thread sends, so no other takes the place in between.
+        // Only the node's own thread sends, so the number cannot grow in between.
         if self.queued.load(Ordering::Acquire) >= self.capacity {
             return false;
         }
