--- a/crates/config/src/endpoint_list.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -34,14 +34,18 @@
     id: String,
     #[serde(rename = "dial")]
     address: Option<SocketAddr>,
+    /// The zone it is in, if any.
     #[serde(rename = "site")]
     zone: Option<String>,
+    /// The kind of machine, if it is said.
     #[serde(rename = "class")]
     kind: Option<String>,
+    /// The cell it is in; 0 where none is said.
     #[serde(rename = "block")]
     cell: Option<u64>,
     #[serde(rename = "health")]
     state: String,
+    /// Its part of the work in proportion to that of others.
     #[serde(rename = "share")]
     weight: Option<f64>,
     /// In milliseconds of Unix time.
@@ -100,6 +104,7 @@
         }
     }
 
+    /// Its weight, where that is a finite number of at least 0; else the default.
     fn weight(&self) -> f64 {
         self.weight
             .filter(|weight| weight.is_finite() && *weight >= 0.0)
--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -84,6 +84,7 @@
 pub struct HotListSettings {
     /// Keys for each class; 0 turns the list off.
     pub capacity: usize,
+    /// In seconds.
     window_s: HotListWindowS,
 }
 
@@ -107,9 +108,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MultiGetSettings {
-    /// `None` turns it off.
+    /// Where such calls are accepted; `None` turns them off.
     port: Option<u16>,
+    /// Requests of one call that run at a time.
     parallel: Option<BoundedInteger<1, 64>>,
+    /// Keys of one call.
     max_items: Option<BoundedInteger<1, 1024>>,
 }
 
--- a/crates/config/src/operators/admission.rs
+++ b/crates/config/src/operators/admission.rs
@@ -14,9 +14,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmissionSettings {
+    /// Percent of the process's descriptors.
     clients_percent: Option<BoundedInteger<1, 100>>,
+    /// Descriptors that are reserved for connections to endpoints.
     servers_floor: Option<BoundedInteger<1, 1_000_000>>,
+    /// In seconds.
     idle_s: Option<BoundedInteger<2, 86_400>>,
+    /// Connections of one client address.
     per_address: Option<BoundedInteger<1, 1_000_000>>,
     /// By the name of a class: percent of the clients' descriptors that its open requests may take.
     #[serde(rename = "per_class")]
@@ -40,7 +44,7 @@
         }
     }
 
-    /// A client connection that is idle for so long is closed.
+    /// A client connection that has been idle for this long is closed.
     pub fn idle_timeout(&self) -> Duration {
         let seconds = self.idle_s.map_or(DEFAULT_IDLE_S, BoundedInteger::get);
         Duration::from_secs(seconds as u64)
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -122,6 +122,7 @@
         }
     }
 
+    /// Records that an endpoint has gone from one state to another.
     fn state_changed(&self, id: &EndpointId, from: String, to: String) {
         self.record(Event::Health {
             endpoint: truncated(id.as_str()),
@@ -151,6 +152,7 @@
     }
 }
 
+/// The present time in milliseconds of Unix time.
 fn unix_time_ms() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -158,6 +160,7 @@
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
 
+/// At most [`MAX_NAME_BYTES`] of the text, cut at the end of a character.
 fn truncated(text: &str) -> String {
     text[..text.floor_char_boundary(MAX_NAME_BYTES)].to_owned()
 }
--- a/crates/telemetry/src/audit/trail.rs
+++ b/crates/telemetry/src/audit/trail.rs
@@ -40,13 +40,16 @@
     StandardError,
     /// A regular file, which can be cut and synced.
     Regular {
+        /// Locked for this process.
         file: File,
+        /// The name that it was opened by, which it may lose.
         path: PathBuf,
         /// Bytes of whole records.
         len: u64,
     },
     /// A FIFO or a device.
     Stream {
+        /// Writing to it never waits.
         file: File,
         /// What it did not take of a record that it has begun: this goes first.
         unwritten: Vec<u8>,
@@ -209,6 +212,7 @@
     Ok(file)
 }
 
+/// Syncs the folder that the file is in, and so the file's name.
 fn sync_parent(path: &Path) -> io::Result<()> {
     let folder = path
         .parent()
--- a/crates/telemetry/src/hotlist/key.rs
+++ b/crates/telemetry/src/hotlist/key.rs
@@ -9,7 +9,9 @@
 
 /// A key as it is kept: whole, or cut with a mark. It borrows the key, so that a key which is kept already needs no allocation.
 pub(super) struct TruncatedKey<'a> {
+    /// The key, less what was cut off.
     head: &'a str,
+    /// Whether something was cut off.
     truncated: bool,
 }
 
--- a/crates/telemetry/src/hotlist/space_saving.rs
+++ b/crates/telemetry/src/hotlist/space_saving.rs
@@ -18,11 +18,13 @@
 pub(super) struct Entry {
     /// The key, truncated.
     pub(super) key: Box<str>,
+    /// Compared before the key itself.
     key_hash: u64,
     /// The key's requests, and as many more at most as the error's bound says.
     pub(super) count: u64,
     /// Its requests since it came in, each of which decays by a factor of e in a window; as of `updated_at`.
     decayed_count: f64,
+    /// When the key was last counted.
     updated_at: Instant,
 }
 
@@ -38,6 +40,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct HotKeys {
     capacity: usize,
+    /// Decayed counts decay by a factor of e in this time.
     window: Duration,
     /// All requests.
     pub(super) total: u64,
--- a/crates/telemetry/src/log/topic.rs
+++ b/crates/telemetry/src/log/topic.rs
@@ -18,6 +18,7 @@
     /// All of its lines.
     count: u64,
     window_start: Instant,
+    /// Lines written whole in the present window.
     written_in_window: u64,
     /// Suppressed since the last summary.
     suppressed: u64,
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -31,7 +31,7 @@
 use tokio::time::{interval, timeout, Instant, MissedTickBehavior};
 
 /// Value of a tag where there is nothing to name: no endpoint was picked.
-const NONE: &str = "none";
+const NONE_TAG: &str = "none";
 /// While the node stops, what is left is looked at so often.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
@@ -86,7 +86,7 @@
                 .iter()
                 .map(|name| escape_tag(format, name.as_str()).into_owned())
                 .collect(),
-            no_endpoint: NONE.into(),
+            no_endpoint: NONE_TAG.into(),
             log,
             state: RefCell::new(State {
                 emitter,
@@ -300,7 +300,7 @@
     }
 
     fn class_name(&self, class: ClassId) -> &str {
-        self.classes.get(class.0).map_or(NONE, String::as_str)
+        self.classes.get(class.0).map_or(NONE_TAG, String::as_str)
     }
 }
 
--- a/crates/telemetry/src/metrics/buffer.rs
+++ b/crates/telemetry/src/metrics/buffer.rs
@@ -33,7 +33,9 @@
     pub(super) lines: VecDeque<u8>,
     /// So many of these bytes have waited for a flush: they go out also where they fill no batch.
     due_bytes: usize,
+    /// The batch that is being written.
     pub(super) in_flight: Option<InFlightBatch>,
+    /// What was lost and not yet counted in a batch that got out.
     pub(super) losses: Losses,
     /// Batches that could not be written, since the start.
     pub(super) total_dropped_batches: u64,
@@ -67,6 +69,7 @@
         true
     }
 
+    /// `false` where no line waits.
     fn evict_oldest_line(&mut self) -> bool {
         let Some(end) = self.lines.iter().position(|&byte| byte == b'\n') else {
             return false;
