--- a/crates/cli/tests/node_clients.rs
+++ b/crates/cli/tests/node_clients.rs
@@ -10,7 +10,7 @@
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
     let server = CacheServer::start(|_| {
-        Does::Answer(answer(
+        Reply::Answer(answer(
             "200 OK",
             "Srv-Load: queue=2\r\n",
             "the\r\n\r\nvalue",
@@ -24,12 +24,12 @@
          Req-Deadline-Ms: 20000\r\nIdempotency-Key: k-1\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     );
-    let served = node.client().ask(&put);
+    let served = node.client().request(&put);
     assert_eq!(
         (served.status(), &served.body[..]),
         (200, &b"the\r\n\r\nvalue"[..])
     );
-    let asked = server.asked.lock().unwrap();
+    let asked = server.received.lock().unwrap();
     assert_eq!(asked.len(), 1);
     assert_eq!(asked[0].start, "PUT /api/users/7f3a?x=1&y=%20z HTTP/1.1");
     assert_eq!(asked[0].header("req-id"), Some("9b1f03aa"));
@@ -87,14 +87,14 @@
     ];
     for (start, headers, status) in cases {
         let text = format!("{start} HTTP/1.1\r\nHost: s\r\n{headers}\r\n");
-        assert_eq!(node.client().ask(&text).status(), status, "{text}");
+        assert_eq!(node.client().request(&text).status(), status, "{text}");
     }
     let chunks = format!("10001\r\n{}\r\n0\r\n\r\n", "v".repeat(0x10001));
     let text = format!(
         "PUT /api/1 HTTP/1.1\r\nHost: s\r\n{id}{kind}{time}Transfer-Encoding: chunked\r\n\r\n{chunks}"
     );
     assert_eq!(
-        node.client().ask(&text).status(),
+        node.client().request(&text).status(),
         411,
         "a body of unstated length"
     );
@@ -108,9 +108,9 @@
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "draining")]);
     let node = Node::start(&config(discovery.address));
-    discovery.wait_until_told(1);
+    discovery.wait_until_applied(1);
     assert_eq!(node.get("/healthz").status(), 503);
-    discovery.tell(false, &[server.entry("s-1", "ready")]);
+    discovery.publish(false, &[server.entry("s-1", "ready")]);
     wait_for("readiness", || node.get("/healthz").status() == 200);
 
     let mut known = config(discovery.address);
@@ -128,11 +128,11 @@
     // Of the simulator's clients: those on sockets read the header whatever stands here.
     told["settings"]["limits"]["retry_after"] = json!(false);
     let node = Node::ready(&told);
-    discovery.tell(false, &[server.entry("s-1", "draining")]);
-    discovery.wait_until_told(2);
+    discovery.publish(false, &[server.entry("s-1", "draining")]);
+    discovery.wait_until_applied(2);
     let mut client = node.client();
     // The client would wait for an hour: an answer at all is one that was not held until its time was up.
-    let refused = client.ask(&read("read", 1, 3_600_000));
+    let refused = client.request(&read("read", 1, 3_600_000));
     assert_eq!(refused.status(), 503);
     let after: f64 = refused
         .header("retry-after")
@@ -147,16 +147,16 @@
 #[test]
 fn a_silent_server_ends_in_one_failure_before_the_client_gives_up() {
     let server = CacheServer::start(|asked| match asked.header("req-id") {
-        Some("1") => Does::Nothing,
-        _ => Does::Answer(answer("200 OK", "", "value")),
+        Some("1") => Reply::NoAnswer,
+        _ => Reply::Answer(answer("200 OK", "", "value")),
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
-    let failed = client.ask(&read("read", 1, 300));
+    let failed = client.request(&read("read", 1, 300));
     assert!(failed.status() >= 400, "{failed:?}");
     // The same connection goes on, and what it answers belongs to the next request.
-    assert_eq!(client.ask(&read("read", 2, 20_000)).body, b"value");
+    assert_eq!(client.request(&read("read", 2, 20_000)).body, b"value");
     // The attempt was given up: its connection is closed.
     wait_for("the given-up connection's end", || {
         server.closed.load(Ordering::SeqCst) == 1
@@ -175,10 +175,10 @@
     for (i, client) in clients.iter_mut().enumerate() {
         let text = read("read", i as u64, 20_000);
         // One that was closed before it was used: a client opens another and sends once more.
-        let mut answered = client.try_ask(&text);
+        let mut answered = client.try_request(&text);
         if answered.is_none() {
             *client = node.client();
-            answered = client.try_ask(&text);
+            answered = client.try_request(&text);
         }
         assert_eq!(answered.expect("an answer").status(), 200, "client {i}");
     }
@@ -189,14 +189,14 @@
 #[test]
 fn nothing_more_is_sent_for_a_client_that_left() {
     let gate = Gate::default();
-    let server = || CacheServer::holding_first(&gate, || Does::Close(String::new()));
+    let server = || CacheServer::delaying_first(&gate, || Reply::AnswerAndClose(String::new()));
     let (one, two) = (server(), server());
     let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
     client.send(&read("read", 1, 60_000));
     wait_for("the attempt", || one.count() + two.count() == 1);
-    client.leave();
+    client.shutdown_write();
     assert_eq!(client.answer(), None);
     gate.open();
     for key in 2..12 {
@@ -242,7 +242,7 @@
     ];
     for text in cases {
         let mut client = node.client();
-        let answered = client.ask(&text);
+        let answered = client.request(&text);
         assert!(
             (400..500).contains(&answered.status()),
             "{} to {text}",
@@ -259,8 +259,8 @@
     let gate = Gate::default();
     let held = gate.clone();
     let server = CacheServer::start(move |_| {
-        held.pass();
-        Does::Answer(answer("200 OK", "", "value"))
+        held.wait_until_open();
+        Reply::Answer(answer("200 OK", "", "value"))
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -299,7 +299,7 @@
         assert_eq!(client.answer(), None, "{text}");
     }
     // A wide margin over 2 s, and well under the minute that nothing at all would take here.
-    assert!(start.elapsed() < PATIENCE / 2, "{:?}", start.elapsed());
+    assert!(start.elapsed() < WAIT_TIMEOUT / 2, "{:?}", start.elapsed());
     assert_eq!(server.count(), 0);
 }
 
@@ -313,11 +313,11 @@
     small["limits"]["sockets"] = json!(40);
     let node = Node::ready(&small);
     let mut usual = node.client();
-    assert_eq!(usual.ask(&read("read", 1, 20_000)).status(), 200);
+    assert_eq!(usual.request(&read("read", 1, 20_000)).status(), 200);
     let _flood: Vec<_> = (0..24).map(|_| node.client()).collect();
     let mut new = node.client();
-    assert_eq!(new.ask(&read("read", 2, 20_000)).status(), 200);
-    assert_eq!(usual.ask(&read("read", 3, 20_000)).status(), 200);
+    assert_eq!(new.request(&read("read", 2, 20_000)).status(), 200);
+    assert_eq!(usual.request(&read("read", 3, 20_000)).status(), 200);
     assert_eq!(server.count(), 3);
 }
 
@@ -331,7 +331,7 @@
     let node = Node::ready(&small);
     let mut roomy = node.client();
     assert_eq!(
-        roomy.ask(&read("read", 0, 20_000)).header("connection"),
+        roomy.request(&read("read", 0, 20_000)).header("connection"),
         None
     );
     let (mut held, mut key) = (Vec::new(), 0);
@@ -340,7 +340,7 @@
         held.push(node.client());
         let answered = held
             .last_mut()
-            .and_then(|client| client.try_ask(&read("read", key, 20_000)));
+            .and_then(|client| client.try_request(&read("read", key, 20_000)));
         answered.is_some_and(|answered| answered.header("connection") == Some("close"))
     });
 }
@@ -362,7 +362,7 @@
             "client {key} cannot connect: idle connections hold the third"
         );
         let mut client = node.client();
-        let served = client.ask(&read("read", key, 20_000));
+        let served = client.request(&read("read", key, 20_000));
         assert_eq!(served.status(), 200);
         if served.header("connection") != Some("close") {
             kept.push_back(client);
@@ -398,18 +398,21 @@
         .into_iter()
         .enumerate()
     {
-        assert_eq!(client.ask(&read("read", key as u64, 20_000)).status(), 200);
+        assert_eq!(
+            client.request(&read("read", key as u64, 20_000)).status(),
+            200
+        );
     }
     for key in 10..12 {
         std::thread::sleep(REST);
-        let served = usual.ask(&read("read", key, 20_000));
+        let served = usual.request(&read("read", key, 20_000));
         assert_eq!((served.status(), served.header("connection")), (200, None));
     }
     // The first part wakes it, the second makes the request whole; and two at once are both answered.
     let text = read("read", 20, 20_000);
     halting.send(&text[..10]);
     std::thread::sleep(REST / 2);
-    assert_eq!(halting.ask(&text[10..]).status(), 200);
+    assert_eq!(halting.request(&text[10..]).status(), 200);
     std::thread::sleep(REST);
     halting.send(&[read("read", 21, 20_000), read("read", 22, 20_000)].concat());
     assert_eq!(
@@ -419,7 +422,7 @@
         ),
         (200, 200)
     );
-    left.leave();
+    left.shutdown_write();
     assert_eq!(left.answer(), None);
     std::thread::sleep(REST);
     node.terminate();
--- a/crates/cli/tests/node_common/cache_server.rs
+++ b/crates/cli/tests/node_common/cache_server.rs
@@ -11,65 +11,65 @@
 use std::time::{Duration, Instant};
 
 /// What a cache server does with a request.
-pub enum Does {
+pub enum Reply {
     /// Writes this and goes on.
     Answer(String),
     /// Writes this and closes the connection.
-    Close(String),
+    AnswerAndClose(String),
     /// Says nothing, until the node closes.
-    Nothing,
+    NoAnswer,
 }
 
 /// A cache server. It keeps what it was asked, in order.
 pub struct CacheServer {
     pub address: SocketAddr,
-    pub asked: Arc<Mutex<Vec<Message>>>,
+    pub received: Arc<Mutex<Vec<Message>>>,
     pub connections: Arc<AtomicU32>,
     /// Connections that the node has closed.
     pub closed: Arc<AtomicU32>,
 }
 
 impl CacheServer {
-    pub fn start(does: impl Fn(&Message) -> Does + Send + Sync + 'static) -> Self {
-        Self::start_with(move |message, _| does(message), None)
+    pub fn start(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
+        Self::start_with(move |message, _| reply(message), None)
     }
 
     /// The same, with the address of who asks.
-    pub fn start_knowing_peers(
-        does: impl Fn(&Message, SocketAddr) -> Does + Send + Sync + 'static,
+    pub fn start_with_peers(
+        reply: impl Fn(&Message, SocketAddr) -> Reply + Send + Sync + 'static,
     ) -> Self {
-        Self::start_with(does, None)
+        Self::start_with(reply, None)
     }
 
     /// One that serves, but for requests on connections that have stood idle for longer: those it drops.
-    pub fn dropping_idle(after: Duration) -> Self {
+    pub fn closing_idle(after: Duration) -> Self {
         Self::start_with(
-            |_, _| Does::Answer(answer("200 OK", "", "value")),
+            |_, _| Reply::Answer(answer("200 OK", "", "value")),
             Some(after),
         )
     }
 
     fn start_with(
-        does: impl Fn(&Message, SocketAddr) -> Does + Send + Sync + 'static,
+        reply: impl Fn(&Message, SocketAddr) -> Reply + Send + Sync + 'static,
         drops_after: Option<Duration>,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let server = Self {
             address: listener.local_addr().unwrap(),
-            asked: Arc::default(),
+            received: Arc::default(),
             connections: Arc::default(),
             closed: Arc::default(),
         };
         let (asked, connections, closed) = (
-            server.asked.clone(),
+            server.received.clone(),
             server.connections.clone(),
             server.closed.clone(),
         );
-        let does = Arc::new(does);
+        let reply = Arc::new(reply);
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 connections.fetch_add(1, Ordering::SeqCst);
-                let (asked, closed, does) = (asked.clone(), closed.clone(), does.clone());
+                let (asked, closed, reply) = (asked.clone(), closed.clone(), reply.clone());
                 thread::spawn(move || {
                     let Ok(peer) = stream.peer_addr() else { return };
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
@@ -84,10 +84,12 @@
                         }
                         answered = Some(Instant::now());
                         asked.lock().unwrap().push(message.clone());
-                        match does(&message, peer) {
-                            Does::Answer(text) => drop(stream.write_all(text.as_bytes())),
-                            Does::Close(text) => return drop(stream.write_all(text.as_bytes())),
-                            Does::Nothing => {}
+                        match reply(&message, peer) {
+                            Reply::Answer(text) => drop(stream.write_all(text.as_bytes())),
+                            Reply::AnswerAndClose(text) => {
+                                return drop(stream.write_all(text.as_bytes()))
+                            }
+                            Reply::NoAnswer => {}
                         }
                     }
                     closed.fetch_add(1, Ordering::SeqCst);
@@ -99,31 +101,31 @@
 
     /// One that serves everything with the same body.
     pub fn serving(body: &'static str) -> Self {
-        Self::start(move |_| Does::Answer(answer("200 OK", "", body)))
+        Self::start(move |_| Reply::Answer(answer("200 OK", "", body)))
     }
 
     /// One that serves, but keeps the request with the id 1 until the gate opens and then does this.
-    pub fn holding_first(gate: &Gate, then: impl Fn() -> Does + Send + Sync + 'static) -> Self {
+    pub fn delaying_first(gate: &Gate, then: impl Fn() -> Reply + Send + Sync + 'static) -> Self {
         let held = gate.clone();
         Self::start(move |asked| {
             if asked.header("req-id") != Some("1") {
-                return Does::Answer(answer("200 OK", "", "value"));
+                return Reply::Answer(answer("200 OK", "", "value"));
             }
-            held.pass();
+            held.wait_until_open();
             then()
         })
     }
 
     pub fn count(&self) -> usize {
-        self.asked.lock().unwrap().len()
+        self.received.lock().unwrap().len()
     }
 
     pub fn entry(&self, name: &str, health: &str) -> Value {
-        host(name, self.address, health)
+        endpoint_entry(name, self.address, health)
     }
 }
 
-pub fn host(name: &str, dial: SocketAddr, health: &str) -> Value {
+pub fn endpoint_entry(name: &str, dial: SocketAddr, health: &str) -> Value {
     json!({"host": name, "dial": dial.to_string(), "site": "a", "class": "m2", "block": 0,
            "health": health, "share": 1.0, "born_ms": 0})
 }
--- a/crates/cli/tests/node_common/discovery.rs
+++ b/crates/cli/tests/node_common/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery that answers every call with the list that a test has set.
 
 use super::http::{answer, Message};
-use super::waiting::{wait_for, PATIENCE};
+use super::waiting::{wait_for, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -17,7 +17,7 @@
 /// Discovery. It keeps the paths that it was asked for, in order.
 pub struct Discovery {
     pub address: SocketAddr,
-    pub asked: Arc<Mutex<Vec<String>>>,
+    pub received: Arc<Mutex<Vec<String>>>,
     lists: Arc<(Mutex<Lists>, Condvar)>,
 }
 
@@ -33,11 +33,11 @@
         let address = listener.local_addr().unwrap();
         let body = json!({"seq": 1, "whole": true, "hosts": hosts}).to_string();
         let lists = Arc::new((Mutex::new(Lists { seq: 1, body }), Condvar::new()));
-        let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (all, log) = (lists.clone(), asked.clone());
+        let received: Arc<Mutex<Vec<String>>> = Arc::default();
+        let (all, log) = (lists.clone(), received.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (lists, asked) = (all.clone(), log.clone());
+                let (lists, received) = (all.clone(), log.clone());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     let mut stream = stream;
@@ -47,10 +47,10 @@
                             .split_once("after=")
                             .map(|(_, rest)| rest.split('&').next().unwrap());
                         let after = after.map_or(0, |after| after.parse().unwrap());
-                        asked.lock().unwrap().push(path);
+                        received.lock().unwrap().push(path);
                         let (list, news) = &*lists;
                         let list = news
-                            .wait_timeout_while(list.lock().unwrap(), PATIENCE, |list| {
+                            .wait_timeout_while(list.lock().unwrap(), WAIT_TIMEOUT, |list| {
                                 list.seq <= after
                             })
                             .unwrap()
@@ -67,19 +67,19 @@
         });
         Self {
             address,
-            asked,
+            received,
             lists,
         }
     }
 
     /// Tells of a whole list, or of changes, with the next version.
-    pub fn tell(&self, whole: bool, hosts: &[Value]) {
+    pub fn publish(&self, whole: bool, hosts: &[Value]) {
         let seq = self.lists.0.lock().unwrap().seq + 1;
-        self.tell_text(json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string());
+        self.publish_text(json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string());
     }
 
     /// Answers what is out, and what comes until the next word, with this text.
-    pub fn tell_text(&self, body: String) {
+    pub fn publish_text(&self, body: String) {
         let mut lists = self.lists.0.lock().unwrap();
         *lists = Lists {
             seq: lists.seq + 1,
@@ -89,14 +89,14 @@
     }
 
     pub fn calls(&self) -> usize {
-        self.asked.lock().unwrap().len()
+        self.received.lock().unwrap().len()
     }
 
     /// Waits until the node has taken in the list of this version: it then watches for what comes after.
-    pub fn wait_until_told(&self, seq: u64) {
+    pub fn wait_until_applied(&self, seq: u64) {
         let next = format!("after={seq}&");
         wait_for("the next watch", || {
-            self.asked
+            self.received
                 .lock()
                 .unwrap()
                 .iter()
--- a/crates/cli/tests/node_common/pair.rs
+++ b/crates/cli/tests/node_common/endpoint_pair.rs
@@ -4,12 +4,12 @@
 use serde_json::{json, Value};
 
 /// Two servers, of which the first one leaves; their answers tell them apart.
-pub struct Pair {
+pub struct EndpointPair {
     pub leaving: CacheServer,
     pub staying: CacheServer,
 }
 
-impl Pair {
+impl EndpointPair {
     pub fn start() -> Self {
         Self {
             leaving: CacheServer::serving("leaving"),
@@ -35,7 +35,7 @@
     }
 
     /// Waits until the node sends the first one no more.
-    pub fn wait_until_left_alone(&self, node: &Node) {
+    pub fn wait_until_unused(&self, node: &Node) {
         wait_for("the drain's heeding", || {
             let before = self.leaving.count();
             (1..20).for_each(|key| drop(node.read("read", key)));
@@ -44,7 +44,7 @@
     }
 
     /// All requests go to the one that stays.
-    pub fn assert_left_alone(&self, node: &Node) {
+    pub fn assert_unused(&self, node: &Node) {
         let before = self.leaving.count();
         let answers: Vec<_> = (20..60).map(|key| node.read("read", key)).collect();
         assert_eq!(
@@ -59,7 +59,7 @@
     }
 }
 
-pub fn born(mut entry: Value, at_ms: u64) -> Value {
+pub fn started_at(mut entry: Value, at_ms: u64) -> Value {
     entry["born_ms"] = json!(at_ms);
     entry
 }
--- a/crates/cli/tests/node_common/http.rs
+++ b/crates/cli/tests/node_common/http.rs
@@ -81,7 +81,7 @@
     }
 
     /// Sends no more: the node sees that the client has gone.
-    pub fn leave(&self) {
+    pub fn shutdown_write(&self) {
         self.0
             .get_ref()
             .shutdown(std::net::Shutdown::Write)
@@ -98,19 +98,19 @@
     }
 
     /// All that comes until the node closes, as it comes.
-    pub fn rest(&mut self) -> String {
+    pub fn read_to_end(&mut self) -> String {
         let mut text = String::new();
         self.0.read_to_string(&mut text).unwrap();
         text
     }
 
     /// `None` where the node has closed the connection.
-    pub fn try_ask(&mut self, text: &str) -> Option<Message> {
+    pub fn try_request(&mut self, text: &str) -> Option<Message> {
         self.0.get_mut().write_all(text.as_bytes()).ok()?;
         self.answer()
     }
 
-    pub fn ask(&mut self, text: &str) -> Message {
+    pub fn request(&mut self, text: &str) -> Message {
         self.send(text);
         self.answer().expect("an answer")
     }
--- a/crates/cli/tests/node_common/manual_discovery.rs
+++ b/crates/cli/tests/node_common/manual_discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery whose calls a test answers one by one.
 
-use super::{answer, Message, PATIENCE};
+use super::{answer, Message, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -67,7 +67,7 @@
 
     pub fn next_call(&self) -> Call {
         self.calls
-            .recv_timeout(PATIENCE)
+            .recv_timeout(WAIT_TIMEOUT)
             .expect("a call of the node's")
     }
 }
--- a/crates/cli/tests/node_common/mod.rs
+++ b/crates/cli/tests/node_common/mod.rs
@@ -4,16 +4,16 @@
 
 mod cache_server;
 mod discovery;
+pub mod endpoint_pair;
 mod http;
 pub mod manual_discovery;
 mod node;
-pub mod pair;
 mod slow_server;
 mod waiting;
 
-pub use cache_server::{host, CacheServer, Does};
+pub use cache_server::{endpoint_entry, CacheServer, Reply};
 pub use discovery::Discovery;
 pub use http::{answer, read, Client, Message};
 pub use node::{command, config, write_config, Node};
 pub use slow_server::SlowServer;
-pub use waiting::{wait_for, Gate, PATIENCE};
+pub use waiting::{wait_for, Gate, WAIT_TIMEOUT};
--- a/crates/cli/tests/node_common/node.rs
+++ b/crates/cli/tests/node_common/node.rs
@@ -1,7 +1,7 @@
 //! The node under test: a process of this package's binary, its configuration and its signals.
 
 use super::http::{read, Client, Message};
-use super::waiting::{wait_for, PATIENCE};
+use super::waiting::{wait_for, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -110,7 +110,7 @@
     }
 
     /// Starts a node whose standard error goes there, where its first line is then read, and waits until it is ready.
-    pub fn silent(config: &Value, stderr: Stdio, first: impl FnOnce() -> String) -> Self {
+    pub fn with_stderr(config: &Value, stderr: Stdio, first: impl FnOnce() -> String) -> Self {
         let path = write_config(&config.to_string());
         let child = command()
             .env("LB_CONFIG", &path)
@@ -137,18 +137,18 @@
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client::on(stream)
     }
 
     pub fn get(&self, path: &str) -> Message {
         self.client()
-            .ask(&format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n"))
+            .request(&format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n"))
     }
 
     /// One read on a connection of its own.
     pub fn read(&self, class: &str, key: u64) -> Message {
-        self.client().ask(&read(class, key, 20_000))
+        self.client().request(&read(class, key, 20_000))
     }
 
     pub fn config(&self) -> &std::path::Path {
--- a/crates/cli/tests/node_common/slow_server.rs
+++ b/crates/cli/tests/node_common/slow_server.rs
@@ -13,7 +13,7 @@
     pub address: SocketAddr,
     listener: TcpListener,
     filling: Mutex<Vec<TcpStream>>,
-    asked: Arc<Mutex<Vec<String>>>,
+    received: Arc<Mutex<Vec<String>>>,
 }
 
 impl SlowServer {
@@ -34,12 +34,12 @@
             address,
             listener,
             filling: Mutex::new(filling),
-            asked: Arc::default(),
+            received: Arc::default(),
         }
     }
 
     /// Connections that are on their way to it.
-    pub fn waited_for(&self) -> usize {
+    pub fn pending_connections(&self) -> usize {
         let address = format!(
             "{:08X}:{:04X}",
             u32::from_le_bytes([127, 0, 0, 1]),
@@ -56,8 +56,8 @@
     }
 
     /// What was asked of it, one text a connection: head and body as they came.
-    pub fn asked(&self) -> Vec<String> {
-        self.asked.lock().unwrap().clone()
+    pub fn received(&self) -> Vec<String> {
+        self.received.lock().unwrap().clone()
     }
 
     /// Lets connections come up, and gives the first that the node makes.
@@ -78,7 +78,7 @@
     /// Lets connections come up, and answers one request on each.
     pub fn accept(&self) {
         self.filling.lock().unwrap().clear();
-        let (listener, asked) = (self.listener.try_clone().unwrap(), self.asked.clone());
+        let (listener, asked) = (self.listener.try_clone().unwrap(), self.received.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
                 let asked = asked.clone();
--- a/crates/cli/tests/node_common/waiting.rs
+++ b/crates/cli/tests/node_common/waiting.rs
@@ -5,13 +5,13 @@
 use std::time::{Duration, Instant};
 
 /// Far longer than anything here takes: a wait that reaches it has failed.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until `done` holds.
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain for: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "waited in vain for: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -27,12 +27,12 @@
     }
 
     /// Waits until it is open.
-    pub fn pass(&self) {
+    pub fn wait_until_open(&self) {
         let open = self.0 .0.lock().unwrap();
         drop(
             self.0
                  .1
-                .wait_timeout_while(open, PATIENCE, |open| !*open)
+                .wait_timeout_while(open, WAIT_TIMEOUT, |open| !*open)
                 .unwrap(),
         );
     }
--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -16,7 +16,7 @@
 fn read_and_leave(node: &Node, key: u64) {
     let mut client = node.client();
     client.send(&read("read", key, 20_000));
-    client.leave();
+    client.shutdown_write();
 }
 
 // Guards against work for nobody: a request that lies in the socket, or waits unaccepted, with its client's end behind it.
@@ -26,35 +26,35 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut open = node.client();
-    assert_eq!(open.ask(&read("read", 1, 20_000)).status(), 200);
+    assert_eq!(open.request(&read("read", 1, 20_000)).status(), 200);
     // A node that does not run: what comes meanwhile waits for it.
     node.signal("-STOP");
     open.send(&read("read", 2, 20_000));
-    open.leave();
+    open.shutdown_write();
     (3..20).for_each(|key| read_and_leave(&node, key));
     node.signal("-CONT");
     assert_eq!(open.answer(), None);
     // It has accepted this one behind all of them.
     assert_eq!(node.read("read", 20).status(), 200);
-    assert_eq!(server.count(), 2, "{:?}", server.asked.lock().unwrap());
+    assert_eq!(server.count(), 2, "{:?}", server.received.lock().unwrap());
 }
 
 // Guards against an attempt that was begun for a client, whose connection comes up once that has gone.
 #[test]
 fn a_connection_that_comes_up_after_its_client_left_carries_nothing() {
     let slow = SlowServer::start();
-    let discovery = Discovery::start(&[host("s-1", slow.address, "ready")]);
+    let discovery = Discovery::start(&[endpoint_entry("s-1", slow.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
     client.send(&read("once", 1, 20_000));
     let mut other = node.client();
     other.send(&read("once", 2, 20_000));
-    wait_for("the attempts", || slow.waited_for() >= 2);
-    client.leave();
+    wait_for("the attempts", || slow.pending_connections() >= 2);
+    client.shutdown_write();
     assert_eq!(client.answer(), None, "the node has seen it leave");
     slow.accept();
     assert_eq!(other.answer().unwrap().status(), 200);
-    let asked = slow.asked();
+    let asked = slow.received();
     assert_eq!(asked.len(), 1, "{asked:?}");
     assert!(asked[0].contains("req-id: 2\r\n"), "{asked:?}");
 }
@@ -64,7 +64,7 @@
 fn a_client_that_leaves_behind_further_bytes_gets_no_second_attempt() {
     for further in [read("read", 2, 20_000), "\r\n".into(), "x".repeat(300_000)] {
         let gate = Gate::default();
-        let server = || CacheServer::holding_first(&gate, || Does::Close(String::new()));
+        let server = || CacheServer::delaying_first(&gate, || Reply::AnswerAndClose(String::new()));
         let (one, two) = (server(), server());
         let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
         let node = Node::ready(&config(discovery.address));
@@ -72,7 +72,7 @@
         client.send(&read("read", 1, 60_000));
         wait_for("the attempt", || one.count() + two.count() == 1);
         client.send(&further);
-        client.leave();
+        client.shutdown_write();
         assert_eq!(client.answer(), None, "the node has seen it leave");
         gate.open();
         assert!((10..20).all(|key| node.read("read", key).status() == 200));
@@ -93,12 +93,12 @@
     let gate = Gate::default();
     let held = gate.clone();
     let broken = CacheServer::start(move |_| {
-        held.pass();
-        Does::Close(String::new())
+        held.wait_until_open();
+        Reply::AnswerAndClose(String::new())
     });
     let discovery = Discovery::start(&[
         broken.entry("s-1", "ready"),
-        host("s-2", slow.address, "ready"),
+        endpoint_entry("s-2", slow.address, "ready"),
     ]);
     let mut config = config(discovery.address);
     config["settings"]["lanes"][2]["repeat_window_us"] = json!(2_000_000);
@@ -112,11 +112,11 @@
         .for_each(|(key, client)| client.send(&read("keyed", *key, 20_000)));
     // None can be repeated before the gate opens: each stands for one first attempt.
     wait_for("all first attempts", || {
-        slow.waited_for() + broken.count() >= clients.len()
+        slow.pending_connections() + broken.count() >= clients.len()
     });
-    let first_at_slow = slow.waited_for();
+    let first_at_slow = slow.pending_connections();
     let repeated: Vec<_> = broken
-        .asked
+        .received
         .lock()
         .unwrap()
         .iter()
@@ -132,7 +132,9 @@
         "{repeated:?}, {first_at_slow} at the slow one"
     );
     gate.open();
-    wait_for("a repeat on its way", || slow.waited_for() > first_at_slow);
+    wait_for("a repeat on its way", || {
+        slow.pending_connections() > first_at_slow
+    });
     // Answered once the window is over: no server may be asked any more.
     for (key, client) in &mut clients {
         if repeated.contains(&format!("{key:x}")) {
@@ -145,7 +147,7 @@
             assert_eq!(client.answer().unwrap().status(), 200, "{key}");
         }
     }
-    let asked = slow.asked();
+    let asked = slow.received();
     assert_eq!(asked.len(), first_at_slow, "{asked:?}");
     for id in &repeated {
         assert!(
@@ -173,8 +175,8 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut used, mut fresh, mut idle) = (node.client(), node.client(), node.client());
-    assert_eq!(used.ask(&read("read", 1, 20_000)).status(), 200);
-    assert_eq!(idle.ask(&read("read", 2, 20_000)).status(), 200);
+    assert_eq!(used.request(&read("read", 1, 20_000)).status(), 200);
+    assert_eq!(idle.request(&read("read", 2, 20_000)).status(), 200);
     let (one, two) = (read("read", 3, 20_000), read("read", 4, 20_000));
     used.send(&one[..40]);
     fresh.send(&two[..40]);
@@ -202,8 +204,8 @@
     let held = gate.clone();
     let body: &'static str = Box::leak("v".repeat(60_000).into_boxed_str());
     let server = CacheServer::start(move |_| {
-        held.pass();
-        Does::Answer(answer("200 OK", "", body))
+        held.wait_until_open();
+        Reply::Answer(answer("200 OK", "", body))
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -212,7 +214,7 @@
     socket.set_recv_buffer_size(4_096).unwrap();
     socket.connect(&node.address.into()).unwrap();
     let stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let arrived = stream.try_clone().unwrap();
     let mut client = Client::on(stream);
     client.send(&read("read", 1, 60_000));
@@ -235,7 +237,7 @@
 #[test]
 fn a_late_second_copy_of_an_answer_is_never_the_next_requests() {
     let answered: Arc<Mutex<HashMap<SocketAddr, (Instant, String)>>> = Arc::default();
-    let server = CacheServer::start_knowing_peers(move |asked, peer| {
+    let server = CacheServer::start_with_peers(move |asked, peer| {
         let own = answer("200 OK", "", asked.header("req-id").unwrap());
         // On its way when the next request came: the client reads it first.
         let before = answered
@@ -243,13 +245,13 @@
             .unwrap()
             .insert(peer, (Instant::now(), own.clone()));
         let late = before.filter(|(at, _)| at.elapsed() < Duration::from_millis(10));
-        Does::Answer(late.map_or(String::new(), |(_, copy)| copy) + &own)
+        Reply::Answer(late.map_or(String::new(), |(_, copy)| copy) + &own)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
     for key in 1..60 {
-        let served = client.ask(&read("once", key, 20_000));
+        let served = client.request(&read("once", key, 20_000));
         assert_eq!(
             (served.status(), served.body),
             (200, format!("{key:x}").into_bytes())
@@ -259,7 +261,7 @@
     // Rested, connections are used again.
     std::thread::sleep(Duration::from_millis(40));
     let connections = server.connections.load(Ordering::SeqCst);
-    assert_eq!(client.ask(&read("once", 60, 20_000)).status(), 200);
+    assert_eq!(client.request(&read("once", 60, 20_000)).status(), 200);
     assert_eq!(server.connections.load(Ordering::SeqCst), connections);
 }
 
@@ -355,13 +357,13 @@
                 }
             }
         });
-        let discovery = Discovery::start(&[host("s-1", address, "ready")]);
+        let discovery = Discovery::start(&[endpoint_entry("s-1", address, "ready")]);
         let node = Node::ready(&config(discovery.address));
         let patience = Duration::from_millis(600);
         let asked = Instant::now();
         let served = node
             .client()
-            .ask(&read("once", 1, patience.as_millis() as u64));
+            .request(&read("once", 1, patience.as_millis() as u64));
         assert_eq!(served.status(), status, "{text:?} {ends:?}");
         if status == 200 {
             assert_eq!(served.body, b"value", "{text:?}");
@@ -381,12 +383,12 @@
 #[test]
 fn what_lies_in_a_connection_kept_unused_is_nobodys_answer() {
     let slow = SlowServer::start();
-    let discovery = Discovery::start(&[host("s-1", slow.address, "ready")]);
+    let discovery = Discovery::start(&[endpoint_entry("s-1", slow.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
     client.send(&read("once", 1, 20_000));
-    wait_for("the attempt", || slow.waited_for() == 1);
-    client.leave();
+    wait_for("the attempt", || slow.pending_connections() == 1);
+    client.shutdown_write();
     assert_eq!(client.answer(), None, "the node has seen it leave");
     let mut kept = slow.accept_one();
     // Both are there when the node runs again: a whole answer that nobody asked for, and the next request.
@@ -404,5 +406,5 @@
         0,
         "nothing was sent there"
     );
-    assert_eq!(slow.asked().len(), 1);
+    assert_eq!(slow.received().len(), 1);
 }
--- a/crates/cli/tests/node_exhaustion.rs
+++ b/crates/cli/tests/node_exhaustion.rs
@@ -84,12 +84,12 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut taken = node.client();
-    taken.ask("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n");
-    discovery.wait_until_told(1);
+    taken.request("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n");
+    discovery.wait_until_applied(1);
     limit(&node, Resource::Nofile, NO_MORE);
     let (used, start) = (cpu(&node), Instant::now());
     // At the dial: the node's own want is no server's fault, and is told at once.
-    refused_for_now(&taken.ask(&read("once", 1, 20_000)));
+    refused_for_now(&taken.request(&read("once", 1, 20_000)));
     // At accept: these wait in the machine's own queue.
     let mut outside: Vec<_> = (2..40).map(|key| (key, node.client())).collect();
     outside
@@ -117,7 +117,7 @@
     assert!(served > 10, "{served}");
     assert_eq!(
         taken
-            .try_ask(&read("once", 1, 20_000))
+            .try_request(&read("once", 1, 20_000))
             .unwrap_or_else(|| node.read("once", 1))
             .status(),
         200
@@ -139,7 +139,7 @@
         .each_ref()
         .map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
     let node = Node::ready(&config(lists[0].address));
-    lists[0].wait_until_told(1);
+    lists[0].wait_until_applied(1);
     limit(&node, Resource::Nofile, NO_MORE);
     node.reload(&config(lists[1].address).to_string());
     wait_for("a line", || {
@@ -147,7 +147,7 @@
     });
     assert_eq!(lists[1].calls(), 0);
     limit(&node, Resource::Nofile, None);
-    lists[1].wait_until_told(1);
+    lists[1].wait_until_applied(1);
     assert_eq!(node.read("read", 1).body, b"1");
 }
 
@@ -165,7 +165,7 @@
         figures.display()
     );
     let node = Node::with_features(&config(discovery.address), &settings);
-    discovery.wait_until_told(1);
+    discovery.wait_until_applied(1);
     let len = |path| fs::metadata(path).map_or(0, |file| file.len());
     wait_for("the start's records", || {
         fs::read_to_string(&trail).unwrap().contains("\"s-1\"")
@@ -174,11 +174,11 @@
     // A record breaks off in the middle of its line.
     limit(&node, Resource::Fsize, Some(len(&trail) + 40));
     for seq in 2..5 {
-        discovery.tell(
+        discovery.publish(
             false,
             &[server.entry("s-1", ["ready", "odd"][seq as usize % 2])],
         );
-        discovery.wait_until_told(seq);
+        discovery.wait_until_applied(seq);
     }
     wait_for("word of a record", || {
         lines(&node, "audit: a record is not written").len() >= 2
@@ -196,11 +196,11 @@
         "half a record is cut off again: {}",
         verdict()
     );
-    discovery.tell(false, &[server.entry("s-1", "ready")]);
-    discovery.wait_until_told(5);
+    discovery.publish(false, &[server.entry("s-1", "ready")]);
+    discovery.wait_until_applied(5);
     assert_eq!(node.read("read", 1).status(), 200);
     limit(&node, Resource::Fsize, None);
-    discovery.tell(false, &[server.entry("s-2", "ready")]);
+    discovery.publish(false, &[server.entry("s-2", "ready")]);
     wait_for("the gap", || {
         fs::read_to_string(&trail)
             .unwrap()
@@ -234,13 +234,13 @@
         let n = reader.read(&mut bytes).unwrap();
         String::from_utf8_lossy(&bytes[..n]).into_owned()
     };
-    let node = Node::silent(&config(discovery.address), writer.into(), first);
+    let node = Node::with_stderr(&config(discovery.address), writer.into(), first);
     let mut client = node.client();
     for key in 0..300 {
         node.reload("not a configuration");
         assert_eq!(
             client
-                .try_ask(&read("read", key, 20_000))
+                .try_request(&read("read", key, 20_000))
                 .expect("an answer")
                 .status(),
             200
@@ -262,7 +262,7 @@
         wait_for("the first line", || log().ends_with('\n'));
         log()
     };
-    let node = Node::silent(
+    let node = Node::with_stderr(
         &config(discovery.address),
         File::create(&path).unwrap().into(),
         first,
@@ -273,7 +273,7 @@
         node.reload("not a configuration");
         assert_eq!(
             client
-                .try_ask(&read("read", key, 20_000))
+                .try_request(&read("read", key, 20_000))
                 .expect("an answer")
                 .status(),
             200
@@ -294,9 +294,11 @@
     let poor = CacheServer::start(move |_| {
         match out.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1)) {
             // No descriptor: accepted and closed. No memory: it breaks off within an answer.
-            Ok(n) if n % 2 == 0 => Does::Close(String::new()),
-            Ok(_) => Does::Close("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nva".to_owned()),
-            Err(_) => Does::Answer(answer("200 OK", "", "value")),
+            Ok(n) if n % 2 == 0 => Reply::AnswerAndClose(String::new()),
+            Ok(_) => {
+                Reply::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nva".to_owned())
+            }
+            Err(_) => Reply::Answer(answer("200 OK", "", "value")),
         }
     });
     let rich = CacheServer::serving("value");
@@ -319,8 +321,8 @@
                 .duration_since(std::time::UNIX_EPOCH)
                 .unwrap();
             entry["born_ms"] = json!(now.as_millis() as u64);
-            discovery.tell(false, &[entry]);
-            discovery.wait_until_told(2);
+            discovery.publish(false, &[entry]);
+            discovery.wait_until_applied(2);
         }
         key > 200 && poor.count() > 40
     });
@@ -330,7 +332,7 @@
 #[test]
 fn bodies_and_answers_of_the_largest_size_stay_within_memory_and_leave_room_again() {
     let body = "v".repeat(64 << 10);
-    let server = CacheServer::start(move |_| Does::Answer(answer("200 OK", "", &body)));
+    let server = CacheServer::start(move |_| Reply::Answer(answer("200 OK", "", &body)));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut told = config(discovery.address);
     told["limits"]["memory_mb"] = json!(32);
@@ -373,7 +375,7 @@
     let mut small = config(first.address);
     small["limits"]["sockets"] = json!(64);
     let node = Node::ready(&small);
-    first.wait_until_told(1);
+    first.wait_until_applied(1);
     // As on the platform: a descriptor more than its limit is refused.
     limit(&node, Resource::Nofile, Some(64));
     // It is told of a discovery that is down: nobody listens there yet.
@@ -396,7 +398,7 @@
     assert!(used < took / 4.0, "{used} s of {took} s on a core");
     let back = Discovery::start_at(address, &[servers[1].entry("s-1", "ready")]);
     let start = Instant::now();
-    back.wait_until_told(1);
+    back.wait_until_applied(1);
     assert!(
         start.elapsed() < Duration::from_secs(6),
         "{:?}",
@@ -404,7 +406,7 @@
     );
     // A server that it has no connection to, for a client that had to wait for a place.
     let mut late = node.client();
-    assert_eq!(late.ask(&read("once", 1_000, 20_000)).body, b"1");
+    assert_eq!(late.request(&read("once", 1_000, 20_000)).body, b"1");
     drop(idle);
     wait_for("the room that they leave", || {
         node.read("read", 1_001).status() == 200
@@ -422,9 +424,9 @@
             let held = gate.clone();
             CacheServer::start(move |asked| {
                 if asked.header("req-id").is_some_and(|id| id.len() < 4) {
-                    held.pass();
+                    held.wait_until_open();
                 }
-                Does::Answer(answer("200 OK", "", "value"))
+                Reply::Answer(answer("200 OK", "", "value"))
             })
         })
         .collect();
@@ -461,7 +463,7 @@
         "{used} kB for 120 that sent 500 kB each"
     );
     for client in &flood {
-        client.leave();
+        client.shutdown_write();
     }
     gate.open();
     drop(flood);
--- a/crates/cli/tests/node_features.rs
+++ b/crates/cli/tests/node_features.rs
@@ -78,8 +78,8 @@
 #[test]
 fn figures_tell_each_request_and_attempt_with_its_class_and_host() {
     let server = CacheServer::start(|asked| match asked.header("req-kind") {
-        _ if asked.header("req-id") == Some("7") => Does::Answer(answer("500 No", "", "")),
-        _ => Does::Answer(answer("200 OK", "", "value")),
+        _ if asked.header("req-id") == Some("7") => Reply::Answer(answer("500 No", "", "")),
+        _ => Reply::Answer(answer("200 OK", "", "value")),
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let path = temporary("figures");
@@ -92,8 +92,8 @@
         assert_eq!(node.read("read", key).status(), 200);
     }
     assert_eq!(node.read("once", 7).status(), 502);
-    discovery.tell(false, &[server.entry("s-1", "draining")]);
-    discovery.wait_until_told(2);
+    discovery.publish(false, &[server.entry("s-1", "draining")]);
+    discovery.wait_until_applied(2);
     assert_eq!(node.read("keyed", 8).status(), 503);
     let read = || std::fs::read_to_string(&path).unwrap();
     wait_for("a flush", || read().contains("status:503"));
@@ -103,8 +103,8 @@
         read()
     );
     // What has not been flushed goes out at the stop.
-    discovery.tell(false, &[server.entry("s-1", "ready")]);
-    discovery.wait_until_told(3);
+    discovery.publish(false, &[server.entry("s-1", "ready")]);
+    discovery.wait_until_applied(3);
     assert_eq!(node.read("read", 9).status(), 200);
     node.terminate();
     assert!(node.exit().success());
@@ -152,7 +152,7 @@
 // Guards against a gauge that misses a breaker's trip: the module's words are all that tells of it.
 #[test]
 fn figures_tell_of_a_blocked_host() {
-    let bad = CacheServer::start(|_| Does::Answer(answer("500 No", "", "")));
+    let bad = CacheServer::start(|_| Reply::Answer(answer("500 No", "", "")));
     let good = CacheServer::serving("value");
     let discovery = Discovery::start(&[bad.entry("s-bad", "ready"), good.entry("s-good", "ready")]);
     let path = temporary("blocked");
@@ -208,7 +208,7 @@
     let mut key = 0;
     wait_for("a count that rises", || {
         key += 1;
-        assert_eq!(client.ask(&read("read", key, 20_000)).status(), 200);
+        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
         dropped(&node).len() > 3
     });
     assert!(
@@ -257,7 +257,7 @@
     let (mut client, mut key) = (node.client(), 0);
     wait_for("dropped batches again", || {
         key += 1;
-        assert_eq!(client.ask(&read("read", key, 20_000)).status(), 200);
+        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
         dropped() > told
     });
     wait_for("the count of those", || read_more() > told);
@@ -284,17 +284,17 @@
     let address: std::net::SocketAddr =
         line.trim_end().rsplit(' ').next().unwrap().parse().unwrap();
     let stream = std::net::TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut client = Client::on(stream);
     wait_for("readiness", || {
         client
-            .ask("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n")
+            .request("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n")
             .status()
             == 200
     });
     // Well over what a pipe of 64 KiB and the buffer of 256 KiB hold.
     for key in 0..4_000 {
-        assert_eq!(client.ask(&read("read", key, 20_000)).status(), 200);
+        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
     }
     let killed = std::process::Command::new("kill")
         .arg(child.id().to_string())
@@ -359,14 +359,14 @@
         let node = Node::with_features(&told, &settings);
         shas.push(sha256(node.config()));
         if signal == "-TERM" {
-            discovery.tell(false, &[host("draining")]);
-            discovery.wait_until_told(2);
-            discovery.tell(true, &[]);
-            discovery.wait_until_told(3);
-            discovery.tell(false, &[host("strange")]);
-            discovery.wait_until_told(4);
-            discovery.tell(false, &[host("gone")]);
-            discovery.wait_until_told(5);
+            discovery.publish(false, &[host("draining")]);
+            discovery.wait_until_applied(2);
+            discovery.publish(true, &[]);
+            discovery.wait_until_applied(3);
+            discovery.publish(false, &[host("strange")]);
+            discovery.wait_until_applied(4);
+            discovery.publish(false, &[host("gone")]);
+            discovery.wait_until_applied(5);
             node.reload(&format!("{told} "));
             wait_for("the reload", || {
                 records(&path)
@@ -584,12 +584,12 @@
         let key = if i % 3 == 0 { 7 } else { i * 40_503 % 100 };
         let text = read("read", i, 20_000)
             .replace(&format!("/api/{i:016x}"), &format!("/api/x/key{key}?v={i}"));
-        assert_eq!(client.ask(&text).status(), 200);
+        assert_eq!(client.request(&text).status(), 200);
         *tally.entry(format!("key{key}")).or_default() += 1;
     }
     // One that is refused is counted too; one that is not taken, or no request, is not.
-    discovery.tell(false, &[server.entry("s-1", "draining")]);
-    discovery.wait_until_told(2);
+    discovery.publish(false, &[server.entry("s-1", "draining")]);
+    discovery.wait_until_applied(2);
     assert_eq!(node.read("once", 0xabc).status(), 503);
     assert_eq!(node.read("no such class", 1).status(), 400);
     node.signal("-USR1");
--- a/crates/cli/tests/node_front.rs
+++ b/crates/cli/tests/node_front.rs
@@ -8,8 +8,8 @@
 /// A server that says nothing to requests whose id begins with `held`.
 fn holding() -> CacheServer {
     CacheServer::start(|asked| match asked.header("req-id") {
-        Some(id) if id.starts_with("dead") => Does::Nothing,
-        _ => Does::Answer(answer("200 OK", "", "value")),
+        Some(id) if id.starts_with("dead") => Reply::NoAnswer,
+        _ => Reply::Answer(answer("200 OK", "", "value")),
     })
 }
 
@@ -26,7 +26,7 @@
         let mut client = node.client();
         let mut served = None;
         wait_for("a place", || {
-            served = client.try_ask(&read("read", key, 20_000));
+            served = client.try_request(&read("read", key, 20_000));
             if served.is_none() {
                 client = node.client();
             }
@@ -47,7 +47,7 @@
         client.send(&read("read", key, 20_000));
         wait_for("the attempt", || {
             server
-                .asked
+                .received
                 .lock()
                 .unwrap()
                 .iter()
@@ -60,7 +60,7 @@
     wait_for("the third attempt", || server.count() == 4 + 3);
     let mut fourth = node.client();
     assert_eq!(
-        fourth.try_ask(&read("read", 4, 20_000)),
+        fourth.try_request(&read("read", 4, 20_000)),
         None,
         "closed without a word: it is no request yet"
     );
@@ -147,8 +147,8 @@
         .map(|_| {
             let held = gate.clone();
             CacheServer::start(move |_| {
-                held.pass();
-                Does::Answer(answer("200 OK", "", "value"))
+                held.wait_until_open();
+                Reply::Answer(answer("200 OK", "", "value"))
             })
         })
         .collect();
--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -2,8 +2,8 @@
 
 mod node_common;
 
+use node_common::endpoint_pair::{started_at, EndpointPair};
 use node_common::manual_discovery::{list, ManualDiscovery};
-use node_common::pair::{born, Pair};
 use node_common::*;
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
@@ -22,7 +22,7 @@
     let kept = times.clone();
     let server = CacheServer::start(move |_| {
         kept.lock().unwrap().push(Instant::now());
-        Does::Answer(answer("200 OK", "", "value"))
+        Reply::Answer(answer("200 OK", "", "value"))
     });
     (server, times)
 }
@@ -41,7 +41,7 @@
             thread::spawn(move || {
                 let connect = || {
                     let stream = TcpStream::connect(address).unwrap();
-                    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                     Client::on(stream)
                 };
                 let mut clients: Vec<_> = (0..connections).map(|_| connect()).collect();
@@ -101,7 +101,7 @@
     }
 
     /// When those that leave were asked.
-    fn asked(&self, leaves: impl Fn(usize) -> bool) -> Vec<Instant> {
+    fn received(&self, leaves: impl Fn(usize) -> bool) -> Vec<Instant> {
         let leaving = self.0.iter().enumerate().filter(|(i, _)| leaves(*i));
         leaving
             .flat_map(|(_, (_, times))| times.lock().unwrap().clone())
@@ -128,7 +128,7 @@
     let discovery = ManualDiscovery::start();
     let node = roomy_node(&discovery, &list(1, true, &fleet.entries(|_| false)));
     let crowd = Crowd::start(&node, 4, 25);
-    wait_for("a crowd at work", || fleet.asked(|_| true).len() > 2_000);
+    wait_for("a crowd at work", || fleet.received(|_| true).len() > 2_000);
     let (mut worst, mut heeded) = (Duration::ZERO, 0);
     for turn in 0..6 {
         // Half of them drain, and the other half after them.
@@ -136,11 +136,11 @@
         let mut watch = discovery.next_call();
         watch.answer(&list(turn as u64 + 2, true, &fleet.entries(leaves)));
         let told = Instant::now();
-        let before = fleet.asked(|i| !leaves(i)).len();
+        let before = fleet.received(|i| !leaves(i)).len();
         wait_for("the others' work", || {
-            told.elapsed() > 2 * GRACE && fleet.asked(|i| !leaves(i)).len() > before + 200
+            told.elapsed() > 2 * GRACE && fleet.received(|i| !leaves(i)).len() > before + 200
         });
-        let asked = fleet.asked(leaves);
+        let asked = fleet.received(leaves);
         worst = asked
             .iter()
             .map(|at| at.saturating_duration_since(told))
@@ -161,7 +161,7 @@
     word: impl FnOnce(),
     first_key: u64,
 ) -> usize {
-    let before = fleet.asked(leaves).len();
+    let before = fleet.received(leaves).len();
     node.signal("-STOP");
     word();
     for (key, client) in (first_key..).zip(clients.iter_mut()) {
@@ -178,7 +178,7 @@
             _ => *client = node.client(),
         }
     }
-    let asked = fleet.asked(leaves);
+    let asked = fleet.received(leaves);
     let worst = asked
         .iter()
         .map(|at| at.saturating_duration_since(told))
@@ -199,7 +199,7 @@
     let mut clients: Vec<_> = (0..600).map(|_| node.client()).collect();
     for (key, client) in (0..).zip(clients.iter_mut().take(200)) {
         // One that has stood idle for long the node may have closed.
-        if client.try_ask(&read("read", key, 20_000)).is_none() {
+        if client.try_request(&read("read", key, 20_000)).is_none() {
             *client = node.client();
         }
     }
@@ -249,7 +249,7 @@
         let slow = SlowServer::start();
         let (other, moved) = (CacheServer::serving("value"), CacheServer::serving("moved"));
         let discovery = Discovery::start(&[
-            host("s-1", slow.address, "ready"),
+            endpoint_entry("s-1", slow.address, "ready"),
             other.entry("s-2", "ready"),
         ]);
         let node = Node::ready(&config(discovery.address));
@@ -259,23 +259,26 @@
             .for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
         wait_for("those of the other server", || other.count() > 0);
         wait_for("those of the slow one", || {
-            slow.waited_for() + other.count() >= clients.len()
+            slow.pending_connections() + other.count() >= clients.len()
         });
-        assert!(slow.waited_for() > 0);
+        assert!(slow.pending_connections() > 0);
         for (i, (health, at_new_address, start)) in day.iter().enumerate() {
             let dial = if *at_new_address {
                 moved.address
             } else {
                 slow.address
             };
-            discovery.tell(false, &[born(host("s-1", dial, health), *start)]);
-            discovery.wait_until_told(i as u64 + 2);
+            discovery.publish(
+                false,
+                &[started_at(endpoint_entry("s-1", dial, health), *start)],
+            );
+            discovery.wait_until_applied(i as u64 + 2);
         }
         slow.accept();
         for (key, client) in &mut clients {
             assert_eq!(client.answer().unwrap().status(), 200, "{day:?}: {key}");
         }
-        assert_eq!(slow.asked().concat(), "", "{day:?}");
+        assert_eq!(slow.received().concat(), "", "{day:?}");
         if day.last().is_some_and(|last| last.0 != "ready") {
             assert_eq!(moved.count(), 0, "{day:?}");
         }
@@ -285,7 +288,7 @@
 /// How soon after a call that was reset the next one comes, for some of them, where lists are pushed and the settings
 /// leave this much time after a drain.
 fn pauses_after_resets(grace: Duration) -> Vec<Duration> {
-    let pair = Pair::start();
+    let pair = EndpointPair::start();
     let discovery = ManualDiscovery::start();
     let mut config = config(discovery.address);
     config["settings"]["membership_mode"] = json!("automatic");
@@ -329,16 +332,16 @@
 #[test]
 fn a_drain_is_heeded_before_the_next_request_however_short_the_settings_time_is() {
     for grace_us in [0, 60_000, 1_000_000] {
-        let pair = Pair::start();
+        let pair = EndpointPair::start();
         let discovery = Discovery::start(&pair.entries("ready"));
         let mut config = config(discovery.address);
         config["settings"]["safety"] = json!({"stop_sending_within_us": grace_us});
         let node = Node::ready(&config);
         pair.wait_for_both(&node);
-        discovery.tell(false, &pair.entries("draining")[..1]);
+        discovery.publish(false, &pair.entries("draining")[..1]);
         // The node has taken the list in when it asks for the next one.
-        discovery.wait_until_told(2);
-        pair.assert_left_alone(&node);
+        discovery.wait_until_applied(2);
+        pair.assert_unused(&node);
     }
 }
 
@@ -375,7 +378,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let staying = CacheServer::serving("staying");
-    let entries = |health: &str| [host("s-1", address, health), staying.entry("s-2", "ready")];
+    let entries = |health: &str| {
+        [
+            endpoint_entry("s-1", address, health),
+            staying.entry("s-2", "ready"),
+        ]
+    };
     let discovery = Discovery::start(&entries("ready")[..1]);
     let node = Node::ready(&config(discovery.address));
     let put = |id: usize| {
@@ -417,8 +425,8 @@
     // This one is given to that connection, or to a new one if the node knows better.
     client.send(&put(id));
     thread::sleep(Duration::from_millis(300));
-    discovery.tell(true, &entries("draining"));
-    discovery.wait_until_told(2);
+    discovery.publish(true, &entries("draining"));
+    discovery.wait_until_applied(2);
     thread::sleep(GRACE);
     let mut seen = String::new();
     let mut reader = BufReader::new(server);
--- a/crates/cli/tests/node_lifecycle.rs
+++ b/crates/cli/tests/node_lifecycle.rs
@@ -10,13 +10,14 @@
 #[test]
 fn a_terminated_node_finishes_what_it_took_and_exits_well() {
     let gate = Gate::default();
-    let server = CacheServer::holding_first(&gate, || Does::Answer(answer("200 OK", "", "value")));
+    let server =
+        CacheServer::delaying_first(&gate, || Reply::Answer(answer("200 OK", "", "value")));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut waiting, mut idle) = (node.client(), node.client());
     waiting.send(&read("read", 1, 60_000));
     wait_for("the first request", || server.count() == 1);
-    let served = idle.ask(&read("read", 2, 20_000));
+    let served = idle.request(&read("read", 2, 20_000));
     assert_eq!((served.status(), served.header("connection")), (200, None));
     node.terminate();
     // An idle connection ends when the node has stopped accepting; what it took before is still out.
@@ -35,7 +36,7 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut used, mut fresh) = (node.client(), node.client());
-    assert_eq!(used.ask(&read("read", 1, 20_000)).status(), 200);
+    assert_eq!(used.request(&read("read", 1, 20_000)).status(), 200);
     node.terminate();
     assert_eq!(used.answer(), None);
     assert_eq!(fresh.answer(), None);
@@ -92,27 +93,27 @@
         .each_ref()
         .map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
     let node = Node::ready(&config(lists[0].address));
-    lists[0].wait_until_told(1);
+    lists[0].wait_until_applied(1);
     // Under way, it stays on its server and is finished.
     let mut client = node.client();
     for (i, list) in lists.iter().enumerate().skip(1) {
         assert_eq!(
-            client.ask(&read("read", 1, 20_000)).body,
+            client.request(&read("read", 1, 20_000)).body,
             (i - 1).to_string().as_bytes()
         );
         node.reload(&config(list.address).to_string());
-        list.wait_until_told(1);
-        assert_eq!(list.asked.lock().unwrap()[0], "/v1/servers");
+        list.wait_until_applied(1);
+        assert_eq!(list.received.lock().unwrap()[0], "/v1/servers");
         assert_eq!(
-            client.ask(&read("read", 1, 20_000)).body,
+            client.request(&read("read", 1, 20_000)).body,
             i.to_string().as_bytes()
         );
     }
     // What the old ones say means nothing any more.
-    lists[0].tell(true, &[servers[0].entry("s-1", "ready")]);
-    lists[2].tell(false, &[]);
-    lists[2].wait_until_told(2);
-    assert_eq!(client.ask(&read("read", 1, 20_000)).body, b"2");
+    lists[0].publish(true, &[servers[0].entry("s-1", "ready")]);
+    lists[2].publish(false, &[]);
+    lists[2].wait_until_applied(2);
+    assert_eq!(client.request(&read("read", 1, 20_000)).body, b"2");
     assert_eq!(lists.each_ref().map(|list| list.calls()), [2, 2, 3]);
 }
 
@@ -124,7 +125,7 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let good = config(discovery.address);
     let node = Node::ready(&good);
-    discovery.wait_until_told(1);
+    discovery.wait_until_applied(1);
     for (i, text) in [
         "",
         "{\"name\":",
@@ -145,8 +146,8 @@
         assert_eq!(node.read("read", 1).status(), 200);
     }
     // The old watch goes on.
-    discovery.tell(false, &[]);
-    discovery.wait_until_told(2);
+    discovery.publish(false, &[]);
+    discovery.wait_until_applied(2);
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     node.reload(&config(silent.local_addr().unwrap()).to_string());
     let _call = silent.accept().unwrap();
@@ -155,7 +156,7 @@
     let calls = discovery.calls();
     node.reload(&good.to_string());
     wait_for("a call", || discovery.calls() > calls);
-    assert_eq!(discovery.asked.lock().unwrap()[calls], "/v1/servers");
+    assert_eq!(discovery.received.lock().unwrap()[calls], "/v1/servers");
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
@@ -195,13 +196,14 @@
 #[test]
 fn further_signals_during_the_end_change_nothing() {
     let gate = Gate::default();
-    let server = CacheServer::holding_first(&gate, || Does::Answer(answer("200 OK", "", "value")));
+    let server =
+        CacheServer::delaying_first(&gate, || Reply::Answer(answer("200 OK", "", "value")));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut waiting, mut idle) = (node.client(), node.client());
     waiting.send(&read("once", 1, 60_000));
     wait_for("the attempt", || server.count() == 1);
-    assert_eq!(idle.ask(&read("read", 2, 20_000)).status(), 200);
+    assert_eq!(idle.request(&read("read", 2, 20_000)).status(), 200);
     node.terminate();
     // While it still accepts, and once it does no more.
     let told = || {
@@ -258,7 +260,7 @@
     let mut left: Vec<_> = nodes.iter().collect();
     while !left.is_empty() {
         assert!(
-            start.elapsed() < PATIENCE,
+            start.elapsed() < WAIT_TIMEOUT,
             "{} of them are not ready",
             left.len()
         );
--- a/crates/cli/tests/node_lists.rs
+++ b/crates/cli/tests/node_lists.rs
@@ -19,13 +19,13 @@
             .header("req-id")
             .is_some_and(|id| id.ends_with(['1', '3', '5', '7']))
         {
-            gate.pass();
+            gate.wait_until_open();
         }
-        Does::Answer(answer("200 OK", "", name))
+        Reply::Answer(answer("200 OK", "", name))
     })
 }
 
-fn born(mut entry: Value, at_ms: u64) -> Value {
+fn started_at(mut entry: Value, at_ms: u64) -> Value {
     entry["born_ms"] = json!(at_ms);
     entry
 }
@@ -40,8 +40,8 @@
     let mut waiting = node.client();
     waiting.send(&read("once", 1, 20_000));
     wait_for("the attempt", || old.count() == 1);
-    discovery.tell(false, &[new.entry("s-1", "ready")]);
-    discovery.wait_until_told(2);
+    discovery.publish(false, &[new.entry("s-1", "ready")]);
+    discovery.wait_until_applied(2);
     gate.open();
     assert_eq!(
         waiting.answer().unwrap().body,
@@ -59,15 +59,15 @@
 fn a_new_start_under_the_same_id_and_address_gets_new_connections() {
     let gate = Gate::default();
     let server = gated("value", &gate);
-    let discovery = Discovery::start(&[born(server.entry("s-1", "ready"), 1)]);
+    let discovery = Discovery::start(&[started_at(server.entry("s-1", "ready"), 1)]);
     let node = Node::ready(&config(discovery.address));
     let mut waiting = node.client();
     waiting.send(&read("once", 1, 20_000));
     wait_for("the attempt", || server.count() == 1);
     assert_eq!(node.read("read", 2).status(), 200);
     assert_eq!(server.connections.load(Ordering::SeqCst), 2);
-    discovery.tell(false, &[born(server.entry("s-1", "ready"), 2)]);
-    discovery.wait_until_told(2);
+    discovery.publish(false, &[started_at(server.entry("s-1", "ready"), 2)]);
+    discovery.wait_until_applied(2);
     wait_for("the idle connection's end", || {
         server.closed.load(Ordering::SeqCst) == 1
     });
@@ -102,11 +102,11 @@
             let (stop, address) = (stop.clone(), node.address);
             thread::spawn(move || {
                 let stream = std::net::TcpStream::connect(address).unwrap();
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                 let (mut connection, mut answers) = (Client::on(stream), 0);
                 while stop.load(Ordering::SeqCst) == 0 {
                     let key = client << 32 | answers;
-                    let Some(answer) = connection.try_ask(&read("once", key, 20_000)) else {
+                    let Some(answer) = connection.try_request(&read("once", key, 20_000)) else {
                         break;
                     };
                     // Some server is ready all the time.
@@ -125,8 +125,8 @@
         let mut state = ["ready"; 3];
         let gone = turn % 3;
         state[gone] = ["draining", "absent"][turn / 3 % 2];
-        discovery.tell(true, &entries(&state));
-        discovery.wait_until_told(turn as u64 + 2);
+        discovery.publish(true, &entries(&state));
+        discovery.wait_until_applied(turn as u64 + 2);
         // Told: what was under way may still come to its last byte, and after the rule's time nothing.
         thread::sleep(Duration::from_millis(300));
         let count = servers[gone].count();
@@ -153,7 +153,7 @@
     let other = CacheServer::serving("value");
     let entries = |health: &str| {
         [
-            host("s-1", slow.address, health),
+            endpoint_entry("s-1", slow.address, health),
             other.entry("s-2", "ready"),
         ]
     };
@@ -165,21 +165,21 @@
         .for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
     // Each stands for one attempt: those of the other server are answered, those of the slow one wait for it.
     wait_for("an attempt of each", || {
-        slow.waited_for() + other.count() >= clients.len()
+        slow.pending_connections() + other.count() >= clients.len()
     });
-    let on_their_way = slow.waited_for();
+    let on_their_way = slow.pending_connections();
     assert!(
         on_their_way > 0 && other.count() > 0,
         "{on_their_way} on their way to the slow one"
     );
     assert_eq!(on_their_way + other.count(), clients.len());
-    discovery.tell(true, &entries("draining"));
-    discovery.wait_until_told(2);
+    discovery.publish(true, &entries("draining"));
+    discovery.wait_until_applied(2);
     slow.accept();
     for (key, client) in &mut clients {
         assert_eq!(client.answer().unwrap().status(), 200, "{key}");
     }
-    assert_eq!(slow.asked().concat(), "", "after the drain was told");
+    assert_eq!(slow.received().concat(), "", "after the drain was told");
 }
 
 // Guards against an empty list that leaves requests waiting, and one that cannot be undone.
@@ -188,8 +188,8 @@
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    discovery.tell(true, &[]);
-    discovery.wait_until_told(2);
+    discovery.publish(true, &[]);
+    discovery.wait_until_applied(2);
     let refused = node.read("once", 1);
     assert_eq!(refused.status(), 503);
     assert!(
@@ -200,8 +200,8 @@
             .unwrap()
             > 0.0
     );
-    discovery.tell(true, &[server.entry("s-2", "ready")]);
-    discovery.wait_until_told(3);
+    discovery.publish(true, &[server.entry("s-2", "ready")]);
+    discovery.wait_until_applied(3);
     assert_eq!(node.read("once", 1).status(), 200);
 }
 
@@ -288,7 +288,7 @@
 }
 
 /// All requests go to the server that answers "staying", and none to this one.
-fn assert_left_alone(node: &Node, leaving: &CacheServer) {
+fn assert_unused(node: &Node, leaving: &CacheServer) {
     let before = leaving.count();
     assert!((20..40).all(|key| node.read("read", key).body == b"staying"));
     assert_eq!(leaving.count(), before);
@@ -314,9 +314,9 @@
     let discovery = Discovery::start(&entries("ready"));
     let node = Node::ready(&pushed(discovery.address, &entries("ready")));
     wait_for_both(&node, &leaving, &staying);
-    discovery.tell(false, &entries("draining")[..1]);
-    discovery.wait_until_told(2);
-    assert_left_alone(&node, &leaving);
+    discovery.publish(false, &entries("draining")[..1]);
+    discovery.wait_until_applied(2);
+    assert_unused(&node, &leaving);
 }
 
 // Guards against a new process that serves from an old list where lists are pushed: what the agent has counts as told
@@ -393,7 +393,7 @@
     say.send(list(3, true, &entries("draining"))).unwrap();
     // The whole list is asked for, and does not come.
     wait_for("the third call", || asked.lock().unwrap().len() == 3);
-    assert_left_alone(&node, &leaving);
+    assert_unused(&node, &leaving);
 }
 
 // Guards against a bound anywhere between list, decision and sends that a fleet of this size meets: a list that is cut,
@@ -413,7 +413,7 @@
     // Some tell their lists in many lines.
     let all: Vec<_> = (0..SERVERS).map(|i| entry(i, "ready")).collect();
     let whole = json!({"seq": 2, "whole": true, "hosts": all});
-    discovery.tell_text(serde_json::to_string_pretty(&whole).unwrap());
+    discovery.publish_text(serde_json::to_string_pretty(&whole).unwrap());
     wait_for("the node's readiness", || {
         node.get("/healthz").status() == 200
     });
@@ -422,7 +422,7 @@
         let before: Vec<_> = servers.iter().map(CacheServer::count).collect();
         let mut client = node.client();
         for key in keys.by_ref().take(requests) {
-            let answer = client.ask(&read("read", key, 20_000));
+            let answer = client.request(&read("read", key, 20_000));
             assert_eq!(answer.status(), 200, "{key}");
             if answer.header("connection") == Some("close") {
                 client = node.client();
@@ -444,8 +444,8 @@
         .step_by(2)
         .map(|i| entry(i, "draining"))
         .collect();
-    discovery.tell(false, &leaving);
-    discovery.wait_until_told(3);
+    discovery.publish(false, &leaving);
+    discovery.wait_until_applied(3);
     let asked = ask(SERVERS);
     assert!(
         asked.iter().step_by(2).all(|asked| *asked == 0),
@@ -453,8 +453,8 @@
     );
     // Every fourth is left; what a whole list lacks is gone.
     let left: Vec<_> = (1..SERVERS).step_by(4).map(|i| entry(i, "ready")).collect();
-    discovery.tell(true, &left);
-    discovery.wait_until_told(4);
+    discovery.publish(true, &left);
+    discovery.wait_until_applied(4);
     let asked = ask(SERVERS);
     assert_eq!(
         asked.iter().skip(1).step_by(4).sum::<usize>(),
--- a/crates/cli/tests/node_multiget.rs
+++ b/crates/cli/tests/node_multiget.rs
@@ -27,7 +27,7 @@
 
 fn client(address: SocketAddr) -> Client {
     let stream = std::net::TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     Client::on(stream)
 }
 
@@ -60,15 +60,15 @@
 }
 
 /// A cache server whose body is what it was asked for.
-fn echo(asked: &Message) -> Does {
-    Does::Answer(answer("200 OK", "", asked.start.split(' ').nth(1).unwrap()))
+fn echo(asked: &Message) -> Reply {
+    Reply::Answer(answer("200 OK", "", asked.start.split(' ').nth(1).unwrap()))
 }
 
 // Guards against items that are not what single requests would be, and against lines out of order.
 #[test]
 fn each_key_is_a_request_of_its_own_and_lines_come_in_the_order_given() {
     let server = CacheServer::start(|asked| match asked.start.contains("0003 ") {
-        true => Does::Answer(answer("500 No", "", "")),
+        true => Reply::Answer(answer("500 No", "", "")),
         false => echo(asked),
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -105,7 +105,7 @@
         lines(&output)[2]
     );
     assert_eq!(lines(&output).len(), 32);
-    let asked = server.asked.lock().unwrap();
+    let asked = server.received.lock().unwrap();
     assert!(asked
         .iter()
         .all(|message| message.start.starts_with("GET /api/")));
@@ -144,7 +144,7 @@
     let gate = Gate::default();
     let held = gate.clone();
     let server = CacheServer::start(move |asked| {
-        held.pass();
+        held.wait_until_open();
         echo(asked)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -176,7 +176,7 @@
     let one = CacheServer::start(echo);
     let two = CacheServer::start(move |asked| {
         if off.load(Ordering::SeqCst) {
-            Does::Nothing
+            Reply::NoAnswer
         } else {
             echo(asked)
         }
@@ -188,7 +188,7 @@
     let whole = lines(&multi_get(node_side, 20_000, &keys).output().unwrap());
     assert!(whole.iter().all(|line| line["status"] == 200), "{whole:?}");
     let of_two: HashSet<String> = two
-        .asked
+        .received
         .lock()
         .unwrap()
         .iter()
@@ -201,7 +201,7 @@
     stopped.store(true, Ordering::SeqCst);
     let start = Instant::now();
     let output = multi_get(node_side, 1_500, &keys).output().unwrap();
-    assert!(start.elapsed() < PATIENCE / 2, "{:?}", start.elapsed());
+    assert!(start.elapsed() < WAIT_TIMEOUT / 2, "{:?}", start.elapsed());
     assert_eq!(output.status.code(), Some(0));
     let partial = lines(&output);
     assert_eq!(partial.len(), 12);
@@ -221,7 +221,7 @@
 #[test]
 fn what_is_done_is_printed_when_the_node_dies_and_the_rest_is_partial() {
     let server = CacheServer::start(|asked| match asked.start.contains("0003 ") {
-        true => Does::Nothing,
+        true => Reply::NoAnswer,
         false => echo(asked),
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -325,21 +325,21 @@
     ];
     for (text, status) in cases {
         let mut client = client(side);
-        assert_eq!(client.ask(&text).status(), status, "{text}");
+        assert_eq!(client.request(&text).status(), status, "{text}");
         assert_eq!(client.answer(), None, "still open after {text}");
     }
     assert_eq!(server.count(), 0);
     let mut silent = client(side);
     assert_eq!(silent.answer(), None, "a silent peer is closed");
     // The main port does not take what the side port does.
-    assert_eq!(node.client().ask(&post("[]", 900)).status(), 404);
+    assert_eq!(node.client().request(&post("[]", 900)).status(), 404);
 }
 
 // Guards against work that goes on for a client that has left, and against ids that two requests share.
 #[test]
 fn items_of_a_client_that_left_are_given_up_and_an_open_id_is_turned_away() {
     let server = CacheServer::start(|asked| match asked.header("req-id") {
-        Some("held") => Does::Nothing,
+        Some("held") => Reply::NoAnswer,
         _ => echo(asked),
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -360,7 +360,7 @@
         &json!([{"key": "1", "req_id": "held"}]).to_string(),
         20_000,
     ));
-    let taken = second.rest();
+    let taken = second.read_to_end();
     assert!(
         taken.contains("{\"i\":0,\"key\":\"1\",\"status\":409}\n"),
         "{taken}"
@@ -392,7 +392,10 @@
     let idle: Vec<_> = (0..5)
         .map(|i| {
             let mut client = node.client();
-            assert_eq!(client.ask(&read("read", 1_000 + i, 20_000)).status(), 200);
+            assert_eq!(
+                client.request(&read("read", 1_000 + i, 20_000)).status(),
+                200
+            );
             client
         })
         .collect();
@@ -418,7 +421,7 @@
     let gate = Gate::default();
     let held = gate.clone();
     let server = CacheServer::start(move |asked| {
-        held.pass();
+        held.wait_until_open();
         echo(asked)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -44,13 +44,13 @@
     patience: Duration,
 }
 
-fn does(status: Status) -> Does {
+fn reply(status: Status) -> Reply {
     match status {
-        Status::Failed => Does::Answer(answer("500 No", "", "")),
-        Status::Rejected => Does::Answer(answer("503 Full", "Srv-Declined: 1\r\n", "")),
-        Status::Reset | Status::ConnectError => Does::Close(String::new()),
-        Status::TimedOut => Does::Nothing,
-        _ => Does::Answer(answer("200 OK", "", "value")),
+        Status::Failed => Reply::Answer(answer("500 No", "", "")),
+        Status::Rejected => Reply::Answer(answer("503 Full", "Srv-Declined: 1\r\n", "")),
+        Status::Reset | Status::ConnectError => Reply::AnswerAndClose(String::new()),
+        Status::TimedOut => Reply::NoAnswer,
+        _ => Reply::Answer(answer("200 OK", "", "value")),
     }
 }
 
@@ -83,7 +83,7 @@
                     status,
                     at: Instant::now(),
                 });
-                does(status)
+                reply(status)
             })
         })
         .collect();
@@ -94,7 +94,7 @@
         .collect();
     let discovery = Discovery::start(&entries);
     let node = Node::ready(&config(discovery.address));
-    discovery.wait_until_told(1);
+    discovery.wait_until_applied(1);
     let mut clients: Vec<(String, Client)> = Vec::new();
     let (mut seq, mut shut, mut closed) = (1, [None; SERVERS], Vec::new());
     for step in steps {
@@ -108,13 +108,13 @@
                 let (id, class) = (format!("{:x}", clients.len() + 1), CLASSES[class % 3]);
                 let patience = Duration::from_millis(2_000 + patience_ms);
                 let stream = std::net::TcpStream::connect(node.address).unwrap();
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                 let left = stream.try_clone().unwrap();
                 let text = read(class, *key, patience.as_millis() as u64)
                     .replace(&format!("Req-Id: {key:x}"), &format!("Req-Id: {id}"));
                 let at = Instant::now();
                 let thread = thread::spawn(move || {
-                    let answer = node_common::Client::on(stream).try_ask(&text);
+                    let answer = node_common::Client::on(stream).try_request(&text);
                     (answer, at.elapsed())
                 });
                 clients.push((
@@ -157,9 +157,9 @@
                     (0..SERVERS).filter_map(|i| Some(servers[i].entry(&name(i), states[i]?)));
                 // From before it is told, a server may be used again; from after it, one must not be.
                 let before = Instant::now();
-                discovery.tell(true, &listed.collect::<Vec<_>>());
+                discovery.publish(true, &listed.collect::<Vec<_>>());
                 seq += 1;
-                discovery.wait_until_told(seq);
+                discovery.wait_until_applied(seq);
                 for i in 0..SERVERS {
                     match (states[i], shut[i]) {
                         (Some("ready"), Some(from)) => {
@@ -199,8 +199,8 @@
     let got = got.collect();
     // It is as good as ever afterwards.
     let end = Instant::now();
-    discovery.tell(true, &entries);
-    discovery.wait_until_told(seq + 1);
+    discovery.publish(true, &entries);
+    discovery.wait_until_applied(seq + 1);
     script.lock().unwrap().clear();
     wait_for("service", || node.read("read", 0xfff).status() == 200);
     closed.extend(
--- a/crates/cli/tests/node_servers.rs
+++ b/crates/cli/tests/node_servers.rs
@@ -13,11 +13,11 @@
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     assert_eq!(node.read("read", 1).body, b"old");
-    discovery.tell(
+    discovery.publish(
         false,
         &[old.entry("s-1", "draining"), new.entry("s-2", "ready")],
     );
-    discovery.wait_until_told(2);
+    discovery.wait_until_applied(2);
     wait_for("the idle connection's end", || {
         old.closed.load(Ordering::SeqCst) == 1
     });
@@ -34,8 +34,8 @@
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     assert_eq!(node.read("read", 1).body, b"old");
-    discovery.tell(true, &[new.entry("s-2", "ready")]);
-    discovery.wait_until_told(2);
+    discovery.publish(true, &[new.entry("s-2", "ready")]);
+    discovery.wait_until_applied(2);
     wait_for("the idle connection's end", || {
         old.closed.load(Ordering::SeqCst) == 1
     });
@@ -46,7 +46,7 @@
 // Guards against a request written to a kept connection that its server has closed meanwhile.
 #[test]
 fn a_connection_that_its_server_closed_is_not_used_again() {
-    let server = CacheServer::start(|_| Does::Close(answer("200 OK", "", "value")));
+    let server = CacheServer::start(|_| Reply::AnswerAndClose(answer("200 OK", "", "value")));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     for key in 0..10 {
@@ -65,7 +65,7 @@
 #[test]
 fn connections_that_a_server_drops_when_idle_are_no_longer_kept_that_long() {
     let idle = std::time::Duration::from_millis(400);
-    let server = CacheServer::dropping_idle(idle / 2);
+    let server = CacheServer::closing_idle(idle / 2);
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut key, mut served) = (0, 0);
@@ -106,7 +106,7 @@
     let (mut client, mut asked) = (node.client(), Vec::new());
     for key in 10..1_010 {
         asked.push(std::time::Instant::now());
-        assert_eq!(client.ask(&read("read", key, 20_000)).status(), 200);
+        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
     }
     let rest = std::time::Duration::from_millis(20 + 10);
     let most = asked.iter().map(|from| {
@@ -126,13 +126,13 @@
 }
 
 /// Two servers, of which the first to be asked does as told and the other one serves.
-fn after_one(does: fn() -> Does, class: &str) -> (u16, usize) {
+fn after_one(reply: fn() -> Reply, class: &str) -> (u16, usize) {
     let asked = Arc::new(AtomicU32::new(0));
     let server = || {
         let asked = asked.clone();
         CacheServer::start(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
-            0 => does(),
-            _ => Does::Answer(answer("200 OK", "", "value")),
+            0 => reply(),
+            _ => Reply::Answer(answer("200 OK", "", "value")),
         })
     };
     let (one, two) = (server(), server());
@@ -145,16 +145,16 @@
 // Guards against an outcome that is read wrong: what may have run must not run twice, what never ran may.
 #[test]
 fn an_unsafe_request_is_sent_again_only_after_an_end_that_proves_it_never_ran() {
-    let declined = || Does::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
+    let declined = || Reply::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
     assert_eq!(after_one(declined, "once"), (200, 2));
-    let over = || Does::Answer(answer("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
+    let over = || Reply::Answer(answer("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
     assert_eq!(after_one(over, "once"), (200, 2));
-    let ends: [fn() -> Does; 5] = [
-        || Does::Answer(answer("500 Internal Server Error", "", "")),
-        || Does::Answer(answer("503 Service Unavailable", "", "")),
-        || Does::Close(String::new()),
-        || Does::Close("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
-        || Does::Close("no HTTP at all\r\n\r\n".to_owned()),
+    let ends: [fn() -> Reply; 5] = [
+        || Reply::Answer(answer("500 Internal Server Error", "", "")),
+        || Reply::Answer(answer("503 Service Unavailable", "", "")),
+        || Reply::AnswerAndClose(String::new()),
+        || Reply::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
+        || Reply::AnswerAndClose("no HTTP at all\r\n\r\n".to_owned()),
     ];
     for (i, end) in ends.into_iter().enumerate() {
         let (status, sent) = after_one(end, "once");
@@ -168,7 +168,8 @@
 // Guards against half an answer passed on as a whole one.
 #[test]
 fn a_safe_request_is_served_whole_after_an_answer_that_broke_off() {
-    let half = || Does::Close("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned());
+    let half =
+        || Reply::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned());
     assert_eq!(after_one(half, "read"), (200, 2));
 }
 
@@ -180,7 +181,10 @@
         .local_addr()
         .unwrap();
     let server = CacheServer::serving("value");
-    let discovery = Discovery::start(&[host("s-1", closed, "ready"), server.entry("s-2", "ready")]);
+    let discovery = Discovery::start(&[
+        endpoint_entry("s-1", closed, "ready"),
+        server.entry("s-2", "ready"),
+    ]);
     let node = Node::ready(&config(discovery.address));
     for key in 0..6 {
         assert_eq!(node.read("once", key).status(), 200);
@@ -194,18 +198,18 @@
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    discovery.wait_until_told(1);
+    discovery.wait_until_applied(1);
     let calls = discovery.calls();
-    discovery.tell_text("{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":".to_owned());
+    discovery.publish_text("{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":".to_owned());
     wait_for("another call", || discovery.calls() > calls);
     assert_eq!(node.read("read", 1).status(), 200);
     // The version held has not moved.
-    assert!(discovery.asked.lock().unwrap()[calls..]
+    assert!(discovery.received.lock().unwrap()[calls..]
         .iter()
         .all(|path| path.contains("after=1&")));
     let new = CacheServer::serving("new");
-    discovery.tell(true, &[new.entry("s-2", "ready")]);
-    discovery.wait_until_told(3);
+    discovery.publish(true, &[new.entry("s-2", "ready")]);
+    discovery.wait_until_applied(3);
     assert_eq!(node.read("read", 1).body, b"new");
 }
 
@@ -215,13 +219,13 @@
     let server = CacheServer::start(|asked| {
         let own = answer("200 OK", "", asked.header("req-id").unwrap());
         let extra = answer("200 OK", "", "a copy");
-        Does::Answer(own + &extra)
+        Reply::Answer(own + &extra)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
     for key in 1..200_u64 {
-        let served = client.ask(&read("read", key, 20_000));
+        let served = client.request(&read("read", key, 20_000));
         assert_eq!(
             (served.status(), served.body),
             (200, format!("{key:x}").into_bytes())
@@ -234,7 +238,7 @@
 #[test]
 fn an_answer_of_a_stated_length_over_the_limit_ends_its_attempt_at_once() {
     let huge =
-        || Does::Answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
+        || Reply::Answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
     assert_eq!(after_one(huge, "read"), (200, 2));
 }
 
@@ -242,17 +246,17 @@
 #[test]
 fn an_endless_head_fails_its_attempt_and_interim_answers_are_passed_over() {
     let endless = || {
-        Does::Answer(format!(
+        Reply::Answer(format!(
             "HTTP/1.1 200 OK\r\n{}",
             "X-Noise: noise\r\n".repeat(2_000)
         ))
     };
     assert_eq!(after_one(endless, "read"), (200, 2));
-    let switched = || Does::Answer("HTTP/1.1 101 Switching Protocols\r\n\r\n".to_owned());
+    let switched = || Reply::Answer("HTTP/1.1 101 Switching Protocols\r\n\r\n".to_owned());
     assert_eq!(after_one(switched, "read"), (200, 2));
     let interim = || {
         let ahead = "HTTP/1.1 103 Early Hints\r\nX: 1\r\n\r\n".repeat(2);
-        Does::Answer(ahead + &answer("200 OK", "", "value"))
+        Reply::Answer(ahead + &answer("200 OK", "", "value"))
     };
     assert_eq!(after_one(interim, "read"), (200, 1));
 }
@@ -262,15 +266,15 @@
 #[test]
 fn a_class_that_a_server_turns_away_leaves_its_other_keys_there() {
     let picky = CacheServer::start(|asked| match asked.header("idempotency-key") {
-        Some(_) => Does::Answer(answer(
+        Some(_) => Reply::Answer(answer(
             "503 Service Unavailable",
             "Srv-Declined: 1\r\nSrv-Load: waiting=0\r\n",
             "",
         )),
-        None => Does::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "picky")),
+        None => Reply::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "picky")),
     });
     let other =
-        CacheServer::start(|_| Does::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "other")));
+        CacheServer::start(|_| Reply::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "other")));
     let discovery = Discovery::start(&[picky.entry("s-1", "ready"), other.entry("s-2", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let own: Vec<u64> = (0..60)
@@ -280,7 +284,7 @@
     let mut client = node.client();
     let mut keyed = |key| {
         let text = read("keyed", key, 20_000).replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\n\r\n");
-        assert_eq!(client.ask(&text).status(), 200);
+        assert_eq!(client.request(&text).status(), 200);
     };
     (0..2).for_each(|_| own.iter().for_each(|&key| keyed(key)));
     let before = picky.count();
@@ -303,7 +307,11 @@
     let (sender, answers) = std::sync::mpsc::channel();
     for key in keys.clone() {
         let (mut client, sender) = (node.client(), sender.clone());
-        std::thread::spawn(move || sender.send(client.ask(&read("read", key, 20_000))).unwrap());
+        std::thread::spawn(move || {
+            sender
+                .send(client.request(&read("read", key, 20_000)))
+                .unwrap()
+        });
     }
     let mut got = Vec::new();
     let mut reached = 0;
@@ -314,7 +322,7 @@
     });
     gate.hold(false);
     while got.len() < keys.clone().count() {
-        got.push(answers.recv_timeout(PATIENCE).expect("an answer"));
+        got.push(answers.recv_timeout(WAIT_TIMEOUT).expect("an answer"));
     }
     (reached, got)
 }
@@ -333,12 +341,12 @@
         self.opened.notify_all();
     }
 
-    fn pass(&self) {
+    fn wait_until_open(&self) {
         self.reached.fetch_add(1, Ordering::SeqCst);
         let held = self.held.lock().unwrap();
         drop(
             self.opened
-                .wait_timeout_while(held, PATIENCE, |held| *held)
+                .wait_timeout_while(held, WAIT_TIMEOUT, |held| *held)
                 .unwrap(),
         );
     }
@@ -358,10 +366,10 @@
                 .header("req-id")
                 .and_then(|id| u64::from_str_radix(id, 16).ok());
             if key.is_some_and(|key| key < 1000) {
-                return Does::Answer(answer("200 OK", "", "held"));
+                return Reply::Answer(answer("200 OK", "", "held"));
             }
-            gate.pass();
-            Does::Answer(match down.load(Ordering::SeqCst) {
+            gate.wait_until_open();
+            Reply::Answer(match down.load(Ordering::SeqCst) {
                 true => answer("500 Internal Server Error", "", ""),
                 false => answer("200 OK", "", "fetched"),
             })
--- a/crates/cli/tests/node_stale_lists.rs
+++ b/crates/cli/tests/node_stale_lists.rs
@@ -2,8 +2,8 @@
 
 mod node_common;
 
+use node_common::endpoint_pair::{started_at, EndpointPair};
 use node_common::manual_discovery::{list, ManualDiscovery};
-use node_common::pair::{born, Pair};
 use node_common::*;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 // it is of before: it was made, and is on its way, when the drain is told.
 #[test]
 fn a_whole_list_of_before_a_drain_that_comes_after_a_move_does_not_undo_it() {
-    let pair = Pair::start();
+    let pair = EndpointPair::start();
     let (old, new) = (ManualDiscovery::start(), ManualDiscovery::start());
     let config = config(old.address);
     let node = Node::start(&config);
@@ -34,15 +34,15 @@
     let mut whole = new.next_call();
     assert_eq!(whole.path, "/v1/servers");
     watch.answer(&list(6, false, &pair.entries("draining")[..1]));
-    pair.wait_until_left_alone(&node);
+    pair.wait_until_unused(&node);
     whole.answer(&list(5, true, &pair.entries("ready")));
     let mut next = new.next_call();
-    pair.assert_left_alone(&node);
+    pair.assert_unused(&node);
     // A later word that it is ready again counts.
     next.answer(&list(
         7,
         false,
-        &[born(pair.entries("ready")[0].clone(), 1_000)],
+        &[started_at(pair.entries("ready")[0].clone(), 1_000)],
     ));
     pair.wait_for_both(&node);
 }
@@ -64,7 +64,7 @@
     for leaves in [Leaves::Draining, Leaves::Gone, Leaves::Absent] {
         // It leaves with version 6, and a whole list of this one comes after that.
         for seq in [4, 6] {
-            let pair = Pair::start();
+            let pair = EndpointPair::start();
             let discovery = ManualDiscovery::start();
             let node = Node::start(&config(discovery.address));
             discovery
@@ -80,7 +80,7 @@
                 Leaves::Absent => list(6, true, &pair.entries("ready")[1..]),
             });
             let mut watch = discovery.next_call();
-            pair.assert_left_alone(&node);
+            pair.assert_unused(&node);
             watch.answer(&list(seq, true, &pair.entries("ready")));
             let mut next = discovery.next_call();
             if next.path == "/v1/servers" {
@@ -97,7 +97,7 @@
             next.answer(&list(
                 7,
                 false,
-                &[born(pair.entries("ready")[0].clone(), 1_000)],
+                &[started_at(pair.entries("ready")[0].clone(), 1_000)],
             ));
             pair.wait_for_both(&node);
         }
@@ -113,7 +113,7 @@
 #[test]
 fn a_drain_told_by_the_first_call_or_the_one_after_a_refusal_is_heeded() {
     for refused in [false, true] {
-        let pair = Pair::start();
+        let pair = EndpointPair::start();
         let discovery = ManualDiscovery::start();
         let mut config = config(discovery.address);
         config["known"] = json!({"seq": 1, "whole": true, "hosts": pair.entries("ready")});
@@ -135,7 +135,7 @@
         call.answer(&list(2, false, &pair.entries("draining")[..1]));
         let next = discovery.next_call();
         assert!(next.path.contains("after=2&"), "{}", next.path);
-        pair.assert_left_alone(&node);
+        pair.assert_unused(&node);
     }
 }
 
@@ -143,26 +143,26 @@
 #[test]
 fn a_server_that_started_anew_after_its_drain_is_used_again() {
     for (whole, gone_between) in [(false, false), (false, true), (true, false), (true, true)] {
-        let pair = Pair::start();
+        let pair = EndpointPair::start();
         let discovery = Discovery::start(&pair.entries("ready"));
         let node = Node::ready(&config(discovery.address));
         pair.wait_for_both(&node);
-        discovery.tell(false, &pair.entries("draining")[..1]);
-        discovery.wait_until_told(2);
-        pair.assert_left_alone(&node);
+        discovery.publish(false, &pair.entries("draining")[..1]);
+        discovery.wait_until_applied(2);
+        pair.assert_unused(&node);
         let mut seq = 2;
         if gone_between {
             match whole {
-                true => discovery.tell(true, &pair.entries("ready")[1..]),
-                false => discovery.tell(false, &pair.entries("gone")[..1]),
+                true => discovery.publish(true, &pair.entries("ready")[1..]),
+                false => discovery.publish(false, &pair.entries("gone")[..1]),
             }
             seq += 1;
-            discovery.wait_until_told(seq);
-            pair.assert_left_alone(&node);
+            discovery.wait_until_applied(seq);
+            pair.assert_unused(&node);
         }
         let [leaving, staying] = pair.entries("ready");
-        discovery.tell(whole, &[born(leaving, 1_000), staying]);
-        discovery.wait_until_told(seq + 1);
+        discovery.publish(whole, &[started_at(leaving, 1_000), staying]);
+        discovery.wait_until_applied(seq + 1);
         pair.wait_for_both(&node);
     }
 }
--- a/crates/cli/tests/relay.rs
+++ b/crates/cli/tests/relay.rs
@@ -130,7 +130,7 @@
     }
 
     /// Changes an entry, in the next version.
-    fn tell(&self, host: Value) {
+    fn publish(&self, host: Value) {
         let mut lists = self.lock();
         lists.version += 1;
         let change = (lists.version, host.clone());
@@ -183,7 +183,7 @@
 }
 
 fn entry(name: &str, health: &str) -> Value {
-    host(name, SocketAddr::from(([127, 0, 0, 1], 9)), health)
+    endpoint_entry(name, SocketAddr::from(([127, 0, 0, 1], 9)), health)
 }
 
 fn two() -> [Value; 2] {
@@ -236,12 +236,12 @@
 
     fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client::on(stream)
     }
 
     fn get(&self, path: &str) -> Message {
-        self.client().ask(&request(path))
+        self.client().request(&request(path))
     }
 
     fn list(&self, path: &str) -> Value {
@@ -320,7 +320,7 @@
         json!({"seq": 50, "whole": false, "hosts": []})
     );
     let mut watching: Vec<_> = (0..20).map(|_| relay.watching(50)).collect();
-    source.tell(entry("s-1", "draining"));
+    source.publish(entry("s-1", "draining"));
     let change = source.lock().told(Some(50));
     for client in &mut watching {
         assert_eq!(body(&client.answer().unwrap()), change);
@@ -353,7 +353,7 @@
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &[]);
     let refused = |request: &str, status: u16, why: &str| {
-        let message = relay.client().ask(request);
+        let message = relay.client().request(request);
         assert!(
             message.status() == status && text(&message).contains(why),
             "{request}: {}",
@@ -471,7 +471,7 @@
     fails(&relay, "/v1/servers", "nothing was heard from upstream");
     fails(&relay, "/healthz", "nothing was heard from upstream");
     assert_eq!(relay.status()["lease_left_ms"], 0);
-    source.tell(entry("s-2", "gone"));
+    source.publish(entry("s-2", "gone"));
     source.set(Mode::Serves);
     relay.until_answering();
     assert_eq!(
@@ -491,7 +491,7 @@
     let relay = Relay::ready(&[first.address, second.address], &["--lease-ms", "4500"]);
     let mut waiting = relay.watching(50);
     first.set(Mode::Silent);
-    second.tell(entry("s-1", "draining"));
+    second.publish(entry("s-1", "draining"));
     let told = waiting.answer().unwrap();
     assert_eq!(told.status(), 200, "within the lease: {}", text(&told));
     assert_eq!(health(&body(&told)), [("s-1", "draining")]);
@@ -501,8 +501,8 @@
         "from the version that was held, and without a whole list"
     );
     // One that is dead is noticed at once, and the first one has come back.
-    first.tell(entry("s-1", "draining"));
-    first.tell(entry("s-1", "gone"));
+    first.publish(entry("s-1", "draining"));
+    first.publish(entry("s-1", "gone"));
     first.set(Mode::Serves);
     second.set(Mode::Dead);
     wait_for("the first one's list", || relay.status()["version"] == 52);
@@ -541,12 +541,12 @@
     );
     let mut newer = relay.client();
     newer.send(&request("/v1/servers?after=52&wait_ms=60000"));
-    source.tell(entry("s-1", "draining"));
-    source.tell(entry("s-2", "draining"));
+    source.publish(entry("s-1", "draining"));
+    source.publish(entry("s-2", "draining"));
     source.set(Mode::Serves);
     wait_for("the relay's list", || relay.status()["version"] == 52);
     wait_for("a caller that waits", || relay.status()["waiting"] == 1);
-    source.tell(entry("s-1", "gone"));
+    source.publish(entry("s-1", "gone"));
     let told = newer.answer().unwrap();
     assert_eq!(
         health(&body(&told)),
@@ -571,7 +571,7 @@
             entry("s-3", "ready"),
         ],
     );
-    source.tell(entry("s-2", "draining"));
+    source.publish(entry("s-2", "draining"));
     wait_for("the call for the whole list", || {
         source.asked("/v1/servers") > source.asked("after=")
     });
@@ -597,7 +597,7 @@
     let mut held: Vec<Client> = Vec::new();
     wait_for("three places", || {
         let mut client = relay.client();
-        if client.ask(&request("/v1/servers")).status() == 200 {
+        if client.request(&request("/v1/servers")).status() == 200 {
             held.push(client);
         }
         held.len() == 3
@@ -612,7 +612,7 @@
     assert_eq!(refused.header("connection"), Some("close"));
     let kept = held.pop().unwrap();
     assert_eq!(
-        held[0].ask(&request("/v1/servers")).status(),
+        held[0].request(&request("/v1/servers")).status(),
         200,
         "those that are in stay"
     );
@@ -657,7 +657,7 @@
     for key in 0..20 {
         assert_eq!(node.read("read", key).status(), 200, "{key}");
     }
-    source.tell(servers[0].entry("s-1", "draining"));
+    source.publish(servers[0].entry("s-1", "draining"));
     let relay = Relay::start_at(address, &[source.address], &[]);
     wait_for("the node at its new relay", || {
         relay.status()["waiting"] == 1 && relay.status()["version"] == 51
@@ -694,7 +694,7 @@
             .iter()
             .all(|relay| relay.status()["waiting"] == 1)
     });
-    source.tell(servers[0].entry("s-1", "draining"));
+    source.publish(servers[0].entry("s-1", "draining"));
     wait_for("the node's next watch", || {
         site.status()["version"] == 51 && site.status()["waiting"] == 1
     });
