--- /dev/null
+++ b/crates/telemetry/src/metrics.rs
@@ -0,0 +1,314 @@
+//! Counters, gauges and timers of requests and attempts, in batches to a file, standard error or UDP.
+//!
+//! An event is counted at once and written as a line at the next flush; timers are written at once, up to a bound. Lines wait in
+//! a buffer of bounded size until a batch of them goes out.
+
+mod buffer;
+mod counters;
+mod emitter;
+mod file;
+mod line;
+mod output;
+
+use crate::error::TelemetryError;
+use crate::log::Log;
+use crate::writer::Writer;
+use crate::RequestOutcome;
+use buffer::LineBuffer;
+use counters::{attempt_outcome, CounterName, Counters, Series, TimerLimit};
+use emitter::Emitter;
+use line::{escape_tag, LineFormatter, Metric, MetricKind};
+use output::{BatchResult, Output};
+use slatelink_admission::{CloseCause, ConnectionStats, Phase};
+use slatelink_config::operators::{MetricsFormat, MetricsSettings};
+use slatelink_config::{EndpointList, EndpointRecord};
+use slatelink_policy::{Availability, ClassId, EndpointId, Name, Status};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
+use tokio::time::{interval, timeout, Instant, MissedTickBehavior};
+
+/// Value of a tag where there is nothing to name: no endpoint was picked.
+const NONE: &str = "none";
+/// While the node stops, what is left is looked at so often.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
+
+/// What changes as the node runs.
+struct State {
+    emitter: Emitter,
+    counters: Counters,
+    timer_limit: TimerLimit,
+    /// By class: requests received and not completed.
+    open_requests: Vec<u64>,
+    /// As they were sampled last.
+    connections: ConnectionStats,
+    /// By endpoint: whether its breaker has opened and nothing was sent there since.
+    breaker_open: BTreeMap<EndpointId, bool>,
+    /// Dropped batches that the log has told of.
+    reported_dropped_batches: u64,
+}
+
+/// Counts what happens and sends it out; see the module's page.
+pub struct Metrics {
+    format: MetricsFormat,
+    flush_interval: Duration,
+    /// By class: its name as a tag's value.
+    classes: Vec<String>,
+    no_endpoint: EndpointId,
+    log: Log,
+    state: RefCell<State>,
+}
+
+impl Metrics {
+    /// Descriptors that they hold.
+    pub const DESCRIPTORS: usize = 1;
+
+    /// Opens what they go to. The receiver is for [`Metrics::run`].
+    pub fn open(
+        settings: &MetricsSettings,
+        classes: &[Name],
+        writer: &Writer,
+        log: Log,
+    ) -> Result<(Self, UnboundedReceiver<BatchResult>), TelemetryError> {
+        let (results, finished_batches) = unbounded_channel();
+        let format = settings.format;
+        let emitter = Emitter::new(
+            LineFormatter::new(format),
+            LineBuffer::new(settings.max_batch_bytes()),
+            Output::open(&settings.target, writer, results)?,
+        );
+        let metrics = Self {
+            format,
+            flush_interval: settings.flush_interval(),
+            classes: classes
+                .iter()
+                .map(|name| escape_tag(format, name.as_str()).into_owned())
+                .collect(),
+            no_endpoint: NONE.into(),
+            log,
+            state: RefCell::new(State {
+                emitter,
+                counters: Counters::default(),
+                timer_limit: TimerLimit::default(),
+                open_requests: vec![0; classes.len()],
+                connections: ConnectionStats::default(),
+                breaker_open: BTreeMap::new(),
+                reported_dropped_batches: 0,
+            }),
+        };
+        Ok((metrics, finished_batches))
+    }
+
+    /// See [`crate::Observer::request_received`].
+    pub fn request_received(&self, class: ClassId) {
+        if let Some(open) = self.state.borrow_mut().open_requests.get_mut(class.0) {
+            *open += 1;
+        }
+    }
+
+    /// See [`crate::Observer::request_completed`].
+    pub fn request_completed(
+        &self,
+        class: ClassId,
+        endpoint: Option<&EndpointId>,
+        latency: Duration,
+        outcome: RequestOutcome,
+    ) {
+        let state = &mut *self.state.borrow_mut();
+        if let Some(open) = state.open_requests.get_mut(class.0) {
+            *open = open.saturating_sub(1);
+        }
+        let endpoint = endpoint.unwrap_or(&self.no_endpoint);
+        self.count(
+            state,
+            Series::new(
+                CounterName::Requests,
+                class,
+                endpoint.clone(),
+                outcome.status_tag(),
+            ),
+        );
+        if state.timer_limit.admit(Instant::now()) {
+            let endpoint = escape_tag(self.format, endpoint.as_str());
+            let tags = [("kind", self.class_name(class)), ("host", &endpoint)];
+            let latency_ms = rounded_ms(latency);
+            state.emitter.emit(&Metric::new(
+                "req.time",
+                &tags,
+                latency_ms,
+                MetricKind::Timer,
+            ));
+        }
+    }
+
+    /// See [`crate::Observer::attempt_started`].
+    pub fn attempt_started(&self, endpoint: &EndpointId) {
+        if let Some(open) = self.state.borrow_mut().breaker_open.get_mut(endpoint) {
+            *open = false;
+        }
+    }
+
+    /// See [`crate::Observer::attempt_ended`].
+    pub fn attempt_ended(&self, class: ClassId, endpoint: &EndpointId, status: Status) {
+        let series = Series::new(
+            CounterName::Attempts,
+            class,
+            endpoint.clone(),
+            attempt_outcome(status),
+        );
+        self.count(&mut self.state.borrow_mut(), series);
+    }
+
+    /// See [`crate::Observer::endpoints_updated`].
+    pub fn endpoints_updated(&self, list: &EndpointList) {
+        let breaker_open = &mut self.state.borrow_mut().breaker_open;
+        let mut previous = if list.complete {
+            std::mem::take(breaker_open)
+        } else {
+            BTreeMap::new()
+        };
+        for endpoint in list.endpoints.iter().map(EndpointRecord::endpoint) {
+            if endpoint.availability == Availability::Removed {
+                breaker_open.remove(&endpoint.id);
+            } else {
+                let was_open = previous.remove(&endpoint.id).unwrap_or(false);
+                breaker_open.entry(endpoint.id).or_insert(was_open);
+            }
+        }
+    }
+
+    /// See [`crate::Observer::connections_sampled`].
+    pub fn connections_sampled(&self, stats: &ConnectionStats) {
+        let state = &mut *self.state.borrow_mut();
+        let emitter = &mut state.emitter;
+        let previous = std::mem::replace(&mut state.connections, stats.clone());
+        for (phase, count) in Phase::ALL.iter().zip(stats.phases) {
+            let tags = [("phase", phase.label())];
+            emitter.emit(&Metric::gauge("conn.open", &tags, count as u64));
+        }
+        emitter.emit(&Metric::gauge("conn.waiting", &[], stats.waiting as u64));
+        for (index, cause) in CloseCause::ALL.iter().enumerate() {
+            let tags = [("cause", cause.label())];
+            let closed = stats.closed[index] - previous.closed[index];
+            let refused = stats.refused[index] - previous.refused[index];
+            for (name, count) in [("conn.closed", closed), ("conn.refused", refused)] {
+                if count > 0 {
+                    emitter.emit(&Metric::counter(name, &tags, count));
+                }
+            }
+        }
+    }
+
+    /// The breaker of this endpoint has opened.
+    pub fn breaker_opened(&self, endpoint: &EndpointId) {
+        if let Some(open) = self.state.borrow_mut().breaker_open.get_mut(endpoint) {
+            *open = true;
+        }
+    }
+
+    /// Sends what waits each `flush_ms`, and on as the writer is done with a batch; never returns.
+    pub async fn run(self: Rc<Self>, mut finished_batches: UnboundedReceiver<BatchResult>) {
+        let mut flush_timer = interval(self.flush_interval);
+        flush_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        loop {
+            tokio::select! {
+                _ = flush_timer.tick() => self.flush(),
+                Some(result) = finished_batches.recv() => {
+                    let emitter = &mut self.state.borrow_mut().emitter;
+                    emitter.batch_finished(result);
+                    emitter.send_batches();
+                }
+            }
+        }
+    }
+
+    /// Flushes and waits until all is out, or for `limit`; what a stuck pipe does not take by then is lost.
+    /// [`Metrics::run`] must be running.
+    pub async fn shut_down(&self, limit: Duration) {
+        let _ = timeout(limit, self.drain()).await;
+        self.report_dropped(&mut self.state.borrow_mut());
+    }
+
+    async fn drain(&self) {
+        self.flush();
+        let has_unsent = || self.state.borrow().emitter.buffer.has_unsent();
+        while has_unsent() || !self.state.borrow().counters.is_empty() {
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+            if !has_unsent() {
+                self.flush();
+            }
+        }
+    }
+
+    /// Turns what was counted and what is open into lines, and sends them.
+    fn flush(&self) {
+        let state = &mut *self.state.borrow_mut();
+        if !state.emitter.buffer.is_half_full() {
+            self.emit_counters(state);
+        }
+        for (class, &open) in self.classes.iter().zip(&state.open_requests) {
+            let tags = [("kind", class.as_str())];
+            state.emitter.emit(&Metric::gauge("req.open", &tags, open));
+        }
+        for (endpoint, &open) in &state.breaker_open {
+            let endpoint = escape_tag(self.format, endpoint.as_str());
+            let tags = [("host", &*endpoint)];
+            let metric = Metric::gauge("host.blocked", &tags, u64::from(open));
+            state.emitter.emit(&metric);
+        }
+        state.emitter.flush();
+        self.report_dropped(state);
+    }
+
+    fn count(&self, state: &mut State, series: Series) {
+        state.counters.increment(series);
+        if state.counters.is_full() {
+            self.emit_counters(state);
+        }
+    }
+
+    /// Turns what was counted into lines.
+    fn emit_counters(&self, state: &mut State) {
+        for (series, count) in state.counters.take() {
+            let endpoint = escape_tag(self.format, series.endpoint.as_str());
+            let tags = [
+                ("kind", self.class_name(series.class())),
+                ("host", &endpoint),
+                (series.name.outcome_tag(), series.outcome),
+            ];
+            let metric = Metric::counter(series.name.metric(), &tags, count);
+            state.emitter.emit(&metric);
+        }
+        let omitted = state.timer_limit.take_omitted();
+        if omitted > 0 {
+            let metric = Metric::counter("figures.times_left_out", &[], omitted);
+            state.emitter.emit(&metric);
+        }
+    }
+
+    /// Logs how many batches were dropped: where none gets out, that can only be told beside them.
+    fn report_dropped(&self, state: &mut State) {
+        let total = state.emitter.buffer.total_dropped_batches;
+        if total > state.reported_dropped_batches {
+            state.reported_dropped_batches = total;
+            self.log.line(&format!(
+                "slatelink.figures.dropped: {total} batches so far"
+            ));
+        }
+    }
+
+    fn class_name(&self, class: ClassId) -> &str {
+        self.classes.get(class.0).map_or(NONE, String::as_str)
+    }
+}
+
+/// Milliseconds, rounded to the nearest.
+fn rounded_ms(duration: Duration) -> u64 {
+    const HALF_A_MS: Duration = Duration::from_micros(500);
+    u64::try_from((duration + HALF_A_MS).as_millis()).unwrap_or(u64::MAX)
+}
+
+#[cfg(test)]
+mod tests;
