--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -44,8 +44,11 @@
 
 /// All connections of one port.
 pub struct ConnectionManager {
+    /// The phases and timeouts of the connections, and what each is to do.
     table: RefCell<ConnectionTable>,
+    /// Shared with the other ports and the connections to endpoints.
     budget: Budget,
+    /// Whose quota of the budget the connections count in.
     kind: ConnectionKind,
     /// The table's times count from here.
     started_at: Instant,
@@ -68,6 +71,7 @@
         })
     }
 
+    /// The present on the table's clock.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
@@ -217,6 +221,7 @@
 struct WaiterGuard<'a>(&'a ConnectionManager);
 
 impl<'a> WaiterGuard<'a> {
+    /// Counts one more.
     fn new(manager: &'a ConnectionManager) -> Self {
         manager.table.borrow_mut().add_waiter();
         Self(manager)
--- a/crates/node/src/connections/handle.rs
+++ b/crates/node/src/connections/handle.rs
@@ -18,8 +18,11 @@
 
 /// A connection in the table of its port, which it leaves when dropped.
 pub struct ConnectionHandle {
+    /// The connections of the port.
     pub(super) manager: Rc<ConnectionManager>,
+    /// Its id in the table.
     pub(super) id: ConnectionId,
+    /// Read and written by hyper through a [`ReportingSocket`](super::ReportingSocket).
     pub(super) socket: Socket,
 }
 
@@ -42,10 +45,12 @@
         }
     }
 
+    /// What the table wants the connection to do.
     fn directive(&self) -> Directive {
         self.table().directive(self.id)
     }
 
+    /// Whether the table has the connection in this phase.
     fn is_in_phase(&self, phase: Phase) -> bool {
         self.table().phase(self.id) == phase
     }
--- a/crates/node/src/connections/reporting_socket.rs
+++ b/crates/node/src/connections/reporting_socket.rs
@@ -15,6 +15,7 @@
 pub struct ReportingSocket(pub Rc<ConnectionHandle>);
 
 impl ReportingSocket {
+    /// Tells the table that bytes were handed to hyper.
     fn report_read(&self) {
         self.0.table().on_bytes_read(self.0.now(), self.0.id);
     }
--- a/crates/node/src/connections/socket.rs
+++ b/crates/node/src/connections/socket.rs
@@ -17,6 +17,7 @@
 
 /// A client's socket and its state, shared by hyper's part of the connection and the handle.
 pub(super) struct Socket {
+    /// The socket itself; read by [`Self::try_read`] alone, so that an end is noticed.
     pub(super) stream: TcpStream,
     /// Bytes that were read and not used yet.
     pub(super) read_ahead: RefCell<BytesMut>,
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -72,6 +72,7 @@
     pub log: Log,
     /// Ids of the requests that are open, or have an attempt in flight.
     pub open_ids: OpenRequestIds,
+    /// Counts up from 0.
     next_request_number: Cell<u64>,
 }
 
@@ -102,6 +103,7 @@
         }
     }
 
+    /// The present stage of the node's shutdown.
     fn stage(&self) -> ShutdownStage {
         *self.stage.borrow()
     }
--- a/crates/node/src/server/error.rs
+++ b/crates/node/src/server/error.rs
@@ -39,6 +39,7 @@
 }
 
 impl RequestError {
+    /// The status of the response.
     const fn status(&self) -> StatusCode {
         match self {
             Self::UnknownPath => StatusCode::NOT_FOUND,
--- a/crates/node/src/server/parameters.rs
+++ b/crates/node/src/server/parameters.rs
@@ -52,8 +52,11 @@
 
 /// The headers of a request.
 pub(super) struct RequestHeaders {
+    /// `Req-Id`, not empty.
     pub(super) id: HeaderValue,
+    /// `Idempotency-Key`, if the client sent one.
     pub(super) idempotency_key: Option<HeaderValue>,
+    /// All that the decision module is told.
     pub(super) parameters: RequestParameters,
 }
 
@@ -107,6 +110,7 @@
     })
 }
 
+/// The class that the request names.
 fn parse_class(context: &ServerContext, headers: &HeaderMap) -> Result<ClassId, ParameterError> {
     let kind = text_value(headers, &REQ_KIND)?.ok_or(ParameterError::MissingKind)?;
     context
@@ -144,6 +148,7 @@
     }
 }
 
+/// The value of a header as text.
 fn text_value<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -46,6 +46,7 @@
     response
 }
 
+/// Checks a request step by step, and has the driver give its final answer.
 async fn respond(
     context: &ServerContext,
     connection: &ConnectionHandle,
--- a/crates/node/src/server/submit.rs
+++ b/crates/node/src/server/submit.rs
@@ -46,8 +46,11 @@
 
 /// Tells the driver of a client that left: hyper drops the future of the response with its connection.
 struct DisconnectGuard<'a> {
+    /// Of the request.
     number: u64,
+    /// Where the driver takes its events.
     events: &'a UnboundedSender<DriverEvent>,
+    /// Its final answer has come: its client cannot leave without it any more.
     answered: bool,
 }
 
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -44,10 +44,13 @@
 /// The connection pools of all endpoints.
 pub struct Upstream {
     pools: RefCell<HashMap<EndpointId, Rc<EndpointPool>>>,
+    /// Where connections take their descriptors from.
     budget: Budget,
     /// The clients' connections, which share the budget and are evicted for connections to endpoints.
     clients: Rc<ConnectionManager>,
+    /// The longest time that making a connection may take.
     connect_timeout: Duration,
+    /// Says for how long idle connections are kept.
     idle_history: RefCell<IdleHistory>,
 }
 
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -50,6 +50,7 @@
         }
     }
 
+    /// Makes the attempt on one connection.
     async fn attempt_once(
         &self,
         pool: &Rc<EndpointPool>,
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -148,6 +148,7 @@
     }
 }
 
+/// What the head of a response says of the attempt.
 fn response_status(response: &Response<Incoming>) -> Status {
     let declined = response
         .headers()
--- a/crates/node/src/upstream/idle_history.rs
+++ b/crates/node/src/upstream/idle_history.rs
@@ -26,6 +26,7 @@
 }
 
 impl Bucket {
+    /// The share of the requests that were lost; 0 without requests.
     fn loss_rate(self) -> f64 {
         f64::from(self.lost) / f64::from(self.requests.max(1))
     }
@@ -35,9 +36,11 @@
 /// Endpoints state when they close idle connections at the latest; some drop them far earlier without notice, and the
 /// next request there is lost: its class may not allow a retry.
 pub(super) struct IdleHistory {
+    /// The idle timeout where no drops are known.
     max_idle_timeout: Duration,
     /// Bucket `n` holds the idle times under 2^n ms that the buckets before do not.
     buckets: [Bucket; BUCKETS],
+    /// When the history began.
     since: Instant,
 }
 
@@ -77,6 +80,7 @@
     }
 }
 
+/// The bucket that an idle time belongs to.
 fn bucket_index(idle_time: Duration) -> usize {
     let significant_bits = u64::BITS - (idle_time.as_millis() as u64).leading_zeros();
     (significant_bits as usize).min(BUCKETS - 1)
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -39,6 +39,7 @@
 pub(super) struct EndpointPool {
     /// Where connections to it are made.
     pub(super) address: Cell<SocketAddr>,
+    /// When its process started, as discovery says; `None` for long ago.
     process_started: Cell<Option<Timestamp>>,
     /// Counts how often the endpoint moved or restarted: connections made before lead elsewhere, or nowhere.
     pub(super) incarnation: Cell<u64>,
--- a/crates/node/src/upstream/request_ids.rs
+++ b/crates/node/src/upstream/request_ids.rs
@@ -25,6 +25,7 @@
 pub struct OpenRequestId {
     /// As the client sent it.
     pub(super) value: HeaderValue,
+    /// Where it is registered.
     ids: OpenRequestIds,
 }
 
--- a/crates/node/src/upstream/socket.rs
+++ b/crates/node/src/upstream/socket.rs
@@ -15,7 +15,9 @@
 /// byte are written. hyper puts a head and a body that is at hand into one buffer and flushes the socket only when that is
 /// empty: a flush after a write is the end of the request.
 pub(super) struct EndpointSocket {
+    /// The socket itself.
     pub(super) stream: TokioIo<TcpStream>,
+    /// Shared with the connection in its pool.
     pub(super) progress: Rc<WriteProgress>,
 }
 
@@ -40,6 +42,7 @@
         }
     }
 
+    /// Records the result of a write.
     fn record_write(&self, written: &Poll<io::Result<usize>>) {
         if matches!(written, Poll::Ready(Ok(bytes)) if *bytes > 0) {
             self.progress.on_written();
--- a/crates/node/src/upstream/write_progress.rs
+++ b/crates/node/src/upstream/write_progress.rs
@@ -45,6 +45,7 @@
 /// Permission to start a request. Between the attempt's own check and the first byte the connection's task has to be
 /// scheduled, which takes long on a busy node: the endpoint may begin to drain, or the client may leave, meanwhile.
 pub(super) struct SendPermit {
+    /// The pool of the endpoint that the request goes to.
     pub(super) pool: Rc<EndpointPool>,
     /// The pool's incarnation when the connection was made.
     pub(super) incarnation: u64,
@@ -55,6 +56,7 @@
 }
 
 impl SendPermit {
+    /// Whether the request may start now.
     fn is_valid(&self) -> bool {
         self.pool.accepts_requests_at(self.incarnation)
             && !self.canceled.get()
