--- a/crates/node/src/list_client.rs
+++ b/crates/node/src/list_client.rs
@@ -5,6 +5,9 @@
 //! own would have to take its turn among those of all requests before an answer is read. A relay has no such tasks, and
 //! drives it by one of its own.
 
+#[cfg(test)]
+mod tests;
+
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::Incoming;
--- /dev/null
+++ b/crates/node/src/list_client/tests.rs
@@ -0,0 +1,84 @@
+//! Tests of calls for the list, against a listener that answers once with given bytes.
+
+use super::{connect, exchange, CallError, ListCall, MAX_BODY_BYTES};
+use bytes::Bytes;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+
+/// Answers the first connection with a head and a body, and returns the head of its request.
+async fn answer_once(listener: TcpListener, head: String, body: Vec<u8>) -> String {
+    let (mut stream, _) = listener.accept().await.unwrap();
+    let mut request = vec![0; 4096];
+    let length = stream.read(&mut request).await.unwrap();
+    stream.write_all(head.as_bytes()).await.unwrap();
+    // The client may close the connection before it has read all.
+    let _ = stream.write_all(&body).await;
+    String::from_utf8(request[..length].to_vec()).unwrap()
+}
+
+/// What a call brings if it is answered with this status and body, and the head of its request.
+async fn call_answered_with(
+    call: ListCall,
+    status: &str,
+    body: Vec<u8>,
+) -> (Result<Bytes, CallError>, String, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let head = format!(
+        "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
+    let client = async {
+        let (mut sender, connection) = connect(address).await.unwrap();
+        tokio::spawn(connection);
+        exchange(&mut sender, address, call).await
+    };
+    let (result, request) = tokio::join!(client, answer_once(listener, head, body));
+    (result, request, address)
+}
+
+// Guards against a request that discovery does not know.
+#[tokio::test]
+async fn a_call_asks_for_its_version_and_wait_at_the_path_of_the_list() {
+    let calls = [
+        (ListCall::Snapshot, "/v1/servers"),
+        (
+            ListCall::After {
+                version: 7,
+                wait: Duration::from_millis(1500),
+            },
+            "/v1/servers?after=7&wait_ms=1500",
+        ),
+    ];
+    for (call, target) in calls {
+        let (result, request, address) = call_answered_with(call, "200 OK", b"{}".to_vec()).await;
+        assert_eq!(&*result.unwrap(), b"{}");
+        assert_eq!(
+            request,
+            format!("GET {target} HTTP/1.1\r\nhost: {address}\r\n\r\n")
+        );
+    }
+}
+
+// Guards against an answer that fills the memory, and against one at the bound that is refused.
+#[tokio::test]
+async fn a_body_past_its_bound_is_an_error_of_its_own() {
+    let longest = vec![b' '; MAX_BODY_BYTES];
+    let (result, ..) = call_answered_with(ListCall::Snapshot, "200 OK", longest).await;
+    assert_eq!(result.unwrap().len(), MAX_BODY_BYTES);
+    let too_long = vec![b' '; MAX_BODY_BYTES + 1];
+    let (result, ..) = call_answered_with(ListCall::Snapshot, "200 OK", too_long).await;
+    assert!(matches!(result, Err(CallError::BodyTooLong)), "{result:?}");
+}
+
+// Guards against an error page that is read as a list.
+#[tokio::test]
+async fn an_answer_with_another_status_is_an_error() {
+    let body = br#"{"seq":1,"whole":true,"hosts":[]}"#.to_vec();
+    let (result, ..) =
+        call_answered_with(ListCall::Snapshot, "503 Service Unavailable", body).await;
+    let error = result.unwrap_err();
+    assert_eq!(error.to_string(), "answered 503 Service Unavailable");
+}
