--- a/crates/node/src/discovery/watching.rs
+++ b/crates/node/src/discovery/watching.rs
@@ -1,6 +1,6 @@
 //! Watches on the list: opened, verified after failures, renewed, and what stands beside them.
 
-use super::call::{Ask, CallError, Called, Link};
+use super::call::{CallOutcome, DiscoveryConnection, DiscoveryError, ListRequest};
 use super::in_flight::CallId;
 use super::timing::*;
 use super::watches::Watches;
@@ -12,67 +12,94 @@
 
 /// How a call that has nothing to wait for but its turn ended, or what a watch brought meanwhile.
 enum Prompt {
-    Answered(Called),
-    Watch(Called),
-    Failed(CallError),
+    Answered(CallOutcome),
+    Watch(CallOutcome),
+    Failed(DiscoveryError),
 }
 
 /// What became of a call beside the open watches.
 enum Beside {
     /// Discovery has said something, or no watch is left: the next watch is to be opened.
-    Called(Called),
+    Called(CallOutcome),
     /// The watches stand, verified or renewed.
     Stands,
     /// It failed, and the watches stay as they were.
-    Failed(CallError),
+    Failed(DiscoveryError),
 }
 
 impl Client {
     /// Discovery's next word: the whole list where none is held, or what a watch brings.
-    pub(super) async fn ask(&mut self, address: SocketAddr, link: Option<Link>) -> Called {
-        match self.seq {
-            Some(seq) => self.watch(address, seq, link).await,
-            None => self.whole_list(address, link).await,
+    pub(super) async fn ask(
+        &mut self,
+        address: SocketAddr,
+        connection: Option<DiscoveryConnection>,
+    ) -> CallOutcome {
+        match self.version {
+            Some(version) => self.watch(address, version, connection).await,
+            None => self.whole_list(address, connection).await,
         }
     }
 
-    async fn whole_list(&mut self, address: SocketAddr, link: Option<Link>) -> Called {
+    async fn whole_list(
+        &mut self,
+        address: SocketAddr,
+        connection: Option<DiscoveryConnection>,
+    ) -> CallOutcome {
         let asked = Instant::now();
-        let hedge = self.failed_late.then_some(HEDGE);
+        let hedge = self.failed_late.then_some(LATE_FAILURE_HEDGE_DELAY);
         let called = match self
-            .prompt(address, Ask::Whole, link, hedge, &mut Watches::default())
+            .prompt(
+                address,
+                ListRequest::Complete,
+                connection,
+                hedge,
+                &mut Watches::default(),
+            )
             .await
         {
             Prompt::Answered(called) | Prompt::Watch(called) => called,
-            Prompt::Failed(error) => (Err(error), None),
+            Prompt::Failed(error) => CallOutcome::failed(error),
         };
-        self.failed_late = called.0.is_err() && asked.elapsed() >= LATE_FAILURE;
+        self.failed_late = called.result.is_err() && asked.elapsed() >= LATE_FAILURE_THRESHOLD;
         called
     }
 
     /// What a watch brings, or one of those that renew it.
-    async fn watch(&mut self, address: SocketAddr, seq: u64, link: Option<Link>) -> Called {
+    async fn watch(
+        &mut self,
+        address: SocketAddr,
+        version: u64,
+        connection: Option<DiscoveryConnection>,
+    ) -> CallOutcome {
         let mut opened = Instant::now();
         let mut unverified = self.unsure;
         let mut next_call = opened + self.first_call_beside();
-        let mut watches = Watches::new(self.start(address, Ask::After(seq, WAIT), link));
+        let mut watches = Watches::new(self.start(
+            address,
+            ListRequest::ChangesAfter {
+                version,
+                wait: WATCH_WAIT,
+            },
+            connection,
+        ));
         loop {
-            let over = opened + WAIT + OVERDUE;
+            let over = opened + WATCH_WAIT + WATCH_ANSWER_GRACE;
             if let Ok(called) = timeout_at(next_call.min(over), self.answer_of(&mut watches)).await
             {
                 let waited = opened.elapsed();
-                self.failed_late =
-                    unverified && called.0.is_err() && (LATE_FAILURE..TURN).contains(&waited);
+                self.failed_late = unverified
+                    && called.result.is_err()
+                    && (LATE_FAILURE_THRESHOLD..POLL_TIMEOUT).contains(&waited);
                 return called;
             }
             if over <= next_call {
                 watches.supersede(&mut self.in_flight, Duration::ZERO);
-                return (Err(CallError::Overdue), None);
+                return CallOutcome::failed(DiscoveryError::AnswerTimedOut);
             }
             let asked = Instant::now();
             let beside = match unverified {
-                true => self.verify(address, seq, &mut watches).await,
-                false => self.renew(address, seq, &mut watches).await,
+                true => self.verify(address, version, &mut watches).await,
+                false => self.renew(address, version, &mut watches).await,
             };
             match beside {
                 Beside::Called(called) => return called,
@@ -82,12 +109,12 @@
                     unverified = false;
                     next_call = asked + self.renewal();
                 }
-                Beside::Failed(error) if asked.elapsed() >= LATE_FAILURE => {
+                Beside::Failed(error) if asked.elapsed() >= LATE_FAILURE_THRESHOLD => {
                     // No time is left to wait before the next call. Those that are open are read on.
                     self.failed_late = true;
                     let left = over.saturating_duration_since(Instant::now());
                     watches.supersede(&mut self.in_flight, left);
-                    return (Err(error), None);
+                    return CallOutcome::failed(error);
                 }
                 Beside::Failed(error) => {
                     self.log.rate_limited(
@@ -95,32 +122,43 @@
                         &format!("discovery: watch not renewed: {error}"),
                     );
                     self.unsure = true;
-                    next_call = Instant::now() + self.spread(RENEW_AGAIN, RENEW_AGAIN_SPREAD);
+                    next_call = Instant::now() + RENEWAL_BACKOFF.draw(&mut self.random);
                 }
             }
         }
     }
 
     /// What the watches bring: the answer of either, or the failure of the newest.
-    async fn answer_of(&mut self, watches: &mut Watches) -> Called {
+    async fn answer_of(&mut self, watches: &mut Watches) -> CallOutcome {
         loop {
             let (ended, called) = self.answer_to(&watches.open().collect::<Vec<_>>()).await;
             watches.remove(ended);
-            if called.0.is_ok() || watches.is_broken() {
-                watches.supersede(&mut self.in_flight, OVERLAP);
+            if called.result.is_ok() || watches.is_broken() {
+                watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
                 return called;
             }
         }
     }
 
     /// Makes sure of a watch that was opened after a failed call.
-    async fn verify(&mut self, address: SocketAddr, seq: u64, watches: &mut Watches) -> Beside {
-        let ask = Ask::After(seq, BRIEF);
+    async fn verify(&mut self, address: SocketAddr, version: u64, watches: &mut Watches) -> Beside {
+        let request = ListRequest::ChangesAfter {
+            version,
+            wait: CATCH_UP_WAIT,
+        };
         match self
-            .prompt(address, ask, None, Some(VERIFY_HEDGE), watches)
+            .prompt(
+                address,
+                request,
+                None,
+                Some(VERIFICATION_HEDGE_DELAY),
+                watches,
+            )
             .await
         {
-            Prompt::Answered((Ok(list), _)) if list.version == seq && !watches.is_broken() => {
+            Prompt::Answered(CallOutcome {
+                result: Ok(list), ..
+            }) if list.version == version && !watches.is_broken() => {
                 self.unsure = false;
                 self.failed_late = false;
                 self.answered = Some(Instant::now());
@@ -131,17 +169,20 @@
     }
 
     /// Makes a call that stands in the newest watch's place, or shows what that has missed.
-    async fn renew(&mut self, address: SocketAddr, seq: u64, watches: &mut Watches) -> Beside {
+    async fn renew(&mut self, address: SocketAddr, version: u64, watches: &mut Watches) -> Beside {
         let confirm = self.confirm_at.is_some_and(|at| Instant::now() >= at);
         if !confirm && !self.unsure {
-            return self.renew_by_watch(address, seq, watches).await;
+            return self.renew_by_watch(address, version, watches).await;
         }
-        let ask = if confirm {
-            Ask::Whole
+        let request = if confirm {
+            ListRequest::Complete
         } else {
-            Ask::After(seq, BRIEF)
+            ListRequest::ChangesAfter {
+                version,
+                wait: CATCH_UP_WAIT,
+            }
         };
-        let prompt = self.prompt(address, ask, None, None, watches).await;
+        let prompt = self.prompt(address, request, None, None, watches).await;
         if confirm && matches!(prompt, Prompt::Answered(_)) {
             self.confirm_at = None;
         }
@@ -152,11 +193,13 @@
     fn end_of_call_beside(&mut self, prompt: Prompt, watches: &mut Watches) -> Beside {
         match prompt {
             Prompt::Answered(called) => {
-                watches.supersede(&mut self.in_flight, OVERLAP);
+                watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
                 Beside::Called(called)
             }
             Prompt::Watch(called) => Beside::Called(called),
-            Prompt::Failed(error) if watches.is_broken() => Beside::Called((Err(error), None)),
+            Prompt::Failed(error) if watches.is_broken() => {
+                Beside::Called(CallOutcome::failed(error))
+            }
             Prompt::Failed(error) => Beside::Failed(error),
         }
     }
@@ -164,20 +207,28 @@
     async fn renew_by_watch(
         &mut self,
         address: SocketAddr,
-        seq: u64,
+        version: u64,
         watches: &mut Watches,
     ) -> Beside {
-        let fresh = self.start(address, Ask::After(seq, WAIT), None);
-        let until = Instant::now() + OVERLAP;
+        let fresh = self.start(
+            address,
+            ListRequest::ChangesAfter {
+                version,
+                wait: WATCH_WAIT,
+            },
+            None,
+        );
+        let until = Instant::now() + RENEWAL_OVERLAP;
         loop {
             let calls: Vec<_> = watches.open().chain([fresh]).collect();
             let Ok((ended, called)) = timeout_at(until, self.answer_to(&calls)).await else {
                 watches.renew(fresh, &mut self.in_flight);
                 return Beside::Stands;
             };
-            match called {
-                (Ok(list), link) => {
-                    if ended == fresh && list.version > seq {
+            let CallOutcome { result, connection } = called;
+            match result {
+                Ok(list) => {
+                    if ended == fresh && list.version > version {
                         let news = list.version;
                         let text = format!(
                             "discovery: list {news} came by a new watch, not by the old one"
@@ -185,19 +236,27 @@
                         self.log.rate_limited("discovery", &text);
                     }
                     watches.remove(ended);
-                    watches.supersede(&mut self.in_flight, OVERLAP);
+                    watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
                     if ended != fresh {
-                        self.in_flight.supersede(fresh, OVERLAP);
+                        self.in_flight.supersede(fresh, SUPERSEDED_READ_TIME);
                     }
-                    return Beside::Called((Ok(list), link));
+                    return Beside::Called(CallOutcome {
+                        result: Ok(list),
+                        connection,
+                    });
                 }
                 // Those that are open are as good as they were.
-                (Err(error), _) if ended == fresh && !watches.is_broken() => {
+                Err(error) if ended == fresh && !watches.is_broken() => {
                     return Beside::Failed(error)
                 }
-                (Err(error), link) if ended == fresh => return Beside::Called((Err(error), link)),
+                Err(error) if ended == fresh => {
+                    return Beside::Called(CallOutcome {
+                        result: Err(error),
+                        connection,
+                    })
+                }
                 // What is left of a watch that broke just now is the new one.
-                (Err(_), _) => watches.remove(ended),
+                Err(_) => watches.remove(ended),
             }
         }
     }
@@ -207,39 +266,46 @@
     async fn prompt(
         &mut self,
         address: SocketAddr,
-        ask: Ask,
-        link: Option<Link>,
+        request: ListRequest,
+        connection: Option<DiscoveryConnection>,
         hedge: Option<Duration>,
         watches: &mut Watches,
     ) -> Prompt {
-        let mut calls = vec![self.start(address, ask, link)];
-        let mut until = Instant::now() + hedge.unwrap_or(TURN);
+        let mut calls = vec![self.start(address, request, connection)];
+        let mut until = Instant::now() + hedge.unwrap_or(POLL_TIMEOUT);
         let mut hedged = hedge.is_none();
         loop {
             let all: Vec<_> = watches.open().chain(calls.iter().copied()).collect();
             let Ok((ended, called)) = timeout_at(until, self.answer_to(&all)).await else {
                 if std::mem::replace(&mut hedged, true) {
-                    self.supersede(&calls, LATE_ANSWER);
-                    return Prompt::Failed(CallError::Overdue);
+                    self.supersede(&calls, LATE_ANSWER_READ_TIME);
+                    return Prompt::Failed(DiscoveryError::AnswerTimedOut);
                 }
-                calls.push(self.start(address, ask, None));
-                until = Instant::now() + TURN;
+                calls.push(self.start(address, request, None));
+                until = Instant::now() + POLL_TIMEOUT;
                 continue;
             };
             let by_watch = watches.contains(ended);
             watches.remove(ended);
             calls.retain(|call| *call != ended);
-            match called {
-                (Ok(list), link) => {
-                    self.supersede(&calls, OVERLAP);
+            let CallOutcome { result, connection } = called;
+            match result {
+                Ok(list) => {
+                    self.supersede(&calls, SUPERSEDED_READ_TIME);
                     if by_watch {
-                        watches.supersede(&mut self.in_flight, OVERLAP);
-                        return Prompt::Watch((Ok(list), link));
+                        watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
+                        return Prompt::Watch(CallOutcome {
+                            result: Ok(list),
+                            connection,
+                        });
                     }
-                    return Prompt::Answered((Ok(list), link));
+                    return Prompt::Answered(CallOutcome {
+                        result: Ok(list),
+                        connection,
+                    });
                 }
-                (Err(error), _) if calls.is_empty() => return Prompt::Failed(error),
-                (Err(_), _) => {}
+                Err(error) if calls.is_empty() => return Prompt::Failed(error),
+                Err(_) => {}
             }
         }
     }
@@ -253,8 +319,8 @@
     /// How long after a watch was opened another call is made beside it.
     fn first_call_beside(&mut self) -> Duration {
         match self.unsure {
-            true if self.failed_late => HEDGE,
-            true => self.spread(VERIFY, VERIFY_SPREAD),
+            true if self.failed_late => LATE_FAILURE_HEDGE_DELAY,
+            true => WATCH_VERIFICATION_DELAY.draw(&mut self.random),
             false => self.renewal(),
         }
     }
@@ -262,10 +328,12 @@
     /// How long after it was opened a watch is renewed.
     fn renewal(&mut self) -> Duration {
         if self.answered.is_some() || self.pushed {
-            return self.spread(RENEW, RENEW_SPREAD);
+            return WATCH_RENEWAL_INTERVAL.draw(&mut self.random);
         }
-        let Range { start, end } = FIRST_RENEWAL_PART;
+        let Range { start, end } = FIRST_RENEWAL_FRACTION;
         let part = start + (end - start) * self.random.f64();
-        self.max_poll_interval.mul_f64(part).min(RENEW)
+        self.max_poll_interval
+            .mul_f64(part)
+            .min(WATCH_RENEWAL_INTERVAL.mean)
     }
 }
