--- a/crates/node/src/list_client/tests.rs
+++ b/crates/node/src/list_client/tests.rs
@@ -1,7 +1,6 @@
 //! Tests of calls for the list, against a listener that answers once with given bytes.
 
-use super::{connect, exchange, CallError, ListCall, MAX_BODY_BYTES};
-use bytes::Bytes;
+use super::{connect, exchange, DiscoveryError, ListRequest, MAX_BODY_BYTES};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -20,10 +19,10 @@
 
 /// What a call brings if it is answered with this status and body, and the head of its request.
 async fn call_answered_with(
-    call: ListCall,
+    list_request: ListRequest,
     status: &str,
     body: Vec<u8>,
-) -> (Result<Bytes, CallError>, String, SocketAddr) {
+) -> (Result<Vec<u8>, DiscoveryError>, String, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let head = format!(
@@ -33,7 +32,7 @@
     let client = async {
         let (mut sender, connection) = connect(address).await.unwrap();
         tokio::spawn(connection);
-        exchange(&mut sender, address, call).await
+        exchange(&mut sender, address, list_request).await
     };
     let (result, request) = tokio::join!(client, answer_once(listener, head, body));
     (result, request, address)
@@ -43,9 +42,9 @@
 #[tokio::test]
 async fn a_call_asks_for_its_version_and_wait_at_the_path_of_the_list() {
     let calls = [
-        (ListCall::Snapshot, "/v1/servers"),
+        (ListRequest::Complete, "/v1/servers"),
         (
-            ListCall::After {
+            ListRequest::ChangesAfter {
                 version: 7,
                 wait: Duration::from_millis(1500),
             },
@@ -54,7 +53,7 @@
     ];
     for (call, target) in calls {
         let (result, request, address) = call_answered_with(call, "200 OK", b"{}".to_vec()).await;
-        assert_eq!(&*result.unwrap(), b"{}");
+        assert_eq!(result.unwrap(), b"{}");
         assert_eq!(
             request,
             format!("GET {target} HTTP/1.1\r\nhost: {address}\r\n\r\n")
@@ -66,11 +65,14 @@
 #[tokio::test]
 async fn a_body_past_its_bound_is_an_error_of_its_own() {
     let longest = vec![b' '; MAX_BODY_BYTES];
-    let (result, ..) = call_answered_with(ListCall::Snapshot, "200 OK", longest).await;
+    let (result, ..) = call_answered_with(ListRequest::Complete, "200 OK", longest).await;
     assert_eq!(result.unwrap().len(), MAX_BODY_BYTES);
     let too_long = vec![b' '; MAX_BODY_BYTES + 1];
-    let (result, ..) = call_answered_with(ListCall::Snapshot, "200 OK", too_long).await;
-    assert!(matches!(result, Err(CallError::BodyTooLong)), "{result:?}");
+    let (result, ..) = call_answered_with(ListRequest::Complete, "200 OK", too_long).await;
+    assert!(
+        matches!(result, Err(DiscoveryError::TooLarge)),
+        "{result:?}"
+    );
 }
 
 // Guards against an error page that is read as a list.
@@ -78,7 +80,7 @@
 async fn an_answer_with_another_status_is_an_error() {
     let body = br#"{"seq":1,"whole":true,"hosts":[]}"#.to_vec();
     let (result, ..) =
-        call_answered_with(ListCall::Snapshot, "503 Service Unavailable", body).await;
+        call_answered_with(ListRequest::Complete, "503 Service Unavailable", body).await;
     let error = result.unwrap_err();
     assert_eq!(error.to_string(), "answered 503 Service Unavailable");
 }
--- a/crates/node/src/relay/publisher.rs
+++ b/crates/node/src/relay/publisher.rs
@@ -1,7 +1,7 @@
 //! The published replica: the upstream client is its only writer, and clients wait for its changes.
 
 use super::encoded_answers::{EncodedAnswers, EncodedUpdate};
-use super::request::ListRequest;
+use super::request::ListParameters;
 use super::waiting_watches::WaitingWatches;
 use slatelink_membership::{
     Answer, ApplyOutcome, ListQuery, ListUpdate, RejectedUpdate, Replica, Unavailable,
@@ -132,7 +132,7 @@
     /// # Errors
     ///
     /// If the client has to be answered with an error.
-    pub async fn answer(&self, request: ListRequest) -> Result<EncodedUpdate, PublishError> {
+    pub async fn answer(&self, request: ListParameters) -> Result<EncodedUpdate, PublishError> {
         let received_at = self.now();
         let wait_ends_at = Instant::now() + request.wait;
         let mut revision = self.revision.subscribe();
--- a/crates/node/src/relay/request.rs
+++ b/crates/node/src/relay/request.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayRequest {
     /// The endpoint list, or what is newer than a version.
-    List(ListRequest),
+    List(ListParameters),
     /// Whether the relay can serve the list.
     Health,
     /// The relay's state and counters.
@@ -23,7 +23,7 @@
 
 /// A call for the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListRequest {
+pub struct ListParameters {
     /// The version that the client has; `None` if it asks for a snapshot.
     pub after: Option<Version>,
     /// How long it waits for something newer, at most [`MAX_WATCH_WAIT`].
@@ -63,7 +63,7 @@
             return Err(RequestError::Method(method.to_string()));
         }
         match target.path() {
-            LIST_PATH => ListRequest::parse(target.query().unwrap_or_default()).map(Self::List),
+            LIST_PATH => ListParameters::parse(target.query().unwrap_or_default()).map(Self::List),
             HEALTH_PATH => Ok(Self::Health),
             STATUS_PATH => Ok(Self::Status),
             other => Err(RequestError::Path(other.to_owned())),
@@ -71,7 +71,7 @@
     }
 }
 
-impl ListRequest {
+impl ListParameters {
     fn parse(query: &str) -> Result<Self, RequestError> {
         let after = number_parameter(query, "after")?.map(Version);
         let wait_ms = number_parameter(query, "wait_ms")?.unwrap_or(0);
--- a/crates/node/src/relay/service.rs
+++ b/crates/node/src/relay/service.rs
@@ -4,7 +4,7 @@
 use super::connection_limit::ConnectionLimit;
 use super::encoded_answers::EncodedUpdate;
 use super::publisher::{PublishError, ReplicaPublisher};
-use super::request::{ListRequest, RelayRequest, RequestError};
+use super::request::{ListParameters, RelayRequest, RequestError};
 use super::response::{closing, json, plain_text, RelayResponse};
 use super::status::{RelayStatus, UpstreamCounts};
 use hyper::body::Incoming;
@@ -41,7 +41,7 @@
         }
     }
 
-    async fn list(&self, request: ListRequest) -> RelayResponse {
+    async fn list(&self, request: ListParameters) -> RelayResponse {
         self.counters.add(|counts| match request.after {
             Some(_) => counts.watch_calls += 1,
             None => counts.snapshot_calls += 1,
--- a/crates/node/src/relay/upstream_client.rs
+++ b/crates/node/src/relay/upstream_client.rs
@@ -8,7 +8,7 @@
 use super::status::UpstreamCounts;
 use super::upstream_connection::UpstreamConnection;
 use super::MAX_WATCH_WAIT;
-use crate::list_client::{CallError, ListCall};
+use crate::list_client::{DiscoveryError, ListRequest};
 use slatelink_config::relay::RelaySettings;
 use slatelink_membership::{ApplyOutcome, ListUpdate, UpstreamCall, Version};
 use slatelink_telemetry::Log;
@@ -121,7 +121,7 @@
     }
 
     /// Makes calls to this address until one fails.
-    async fn follow(&mut self, address: SocketAddr) -> Result<Infallible, CallError> {
+    async fn follow(&mut self, address: SocketAddr) -> Result<Infallible, DiscoveryError> {
         let mut connection = UpstreamConnection::open(address).await?;
         loop {
             let call = self.publisher.next_call(self.may_confirm());
@@ -158,21 +158,23 @@
         &mut self,
         connection: &mut UpstreamConnection,
         call: UpstreamCall,
-    ) -> Result<CallOutcome, CallError> {
+    ) -> Result<CallOutcome, DiscoveryError> {
         self.count(|counts| counts.calls += 1);
         if matches!(call, UpstreamCall::Confirm(_)) {
             self.last_confirmation = Some(Instant::now());
         }
-        let (list_call, wait) = match call {
-            UpstreamCall::Snapshot => (ListCall::Snapshot, Duration::ZERO),
-            UpstreamCall::Watch(held) => (newer_than(held, self.watch_wait), self.watch_wait),
-            UpstreamCall::Confirm(version) => (newer_than(version, Duration::ZERO), Duration::ZERO),
+        let (request, wait) = match call {
+            UpstreamCall::Snapshot => (ListRequest::Complete, Duration::ZERO),
+            UpstreamCall::Watch(held) => (changes_after(held, self.watch_wait), self.watch_wait),
+            UpstreamCall::Confirm(version) => {
+                (changes_after(version, Duration::ZERO), Duration::ZERO)
+            }
         };
-        let answer = timeout(wait + self.response_timeout, connection.call(list_call));
+        let answer = timeout(wait + self.response_timeout, connection.fetch(request));
         tokio::select! {
             biased;
             answer = answer => answer
-                .map_err(|_| CallError::TimedOut)?
+                .map_err(|_| DiscoveryError::AnswerTimedOut)?
                 .map(CallOutcome::Answered),
             () = self.confirmation_due(), if matches!(call, UpstreamCall::Watch(_)) => {
                 Ok(CallOutcome::Abandoned)
@@ -234,8 +236,8 @@
     }
 }
 
-fn newer_than(version: Version, wait: Duration) -> ListCall {
-    ListCall::After {
+fn changes_after(version: Version, wait: Duration) -> ListRequest {
+    ListRequest::ChangesAfter {
         version: version.0,
         wait,
     }
--- a/crates/node/src/relay/upstream_connection.rs
+++ b/crates/node/src/relay/upstream_connection.rs
@@ -1,6 +1,6 @@
 //! A connection to upstream.
 
-use crate::list_client::{connect, exchange, CallError, CallSender, ListCall};
+use crate::list_client::{connect, exchange, DiscoveryError, ListRequest, RequestSender};
 use slatelink_membership::ListUpdate;
 use std::net::SocketAddr;
 use tokio::task::JoinSet;
@@ -8,14 +8,14 @@
 /// An open connection, closed when dropped. A task of its own drives it.
 pub struct UpstreamConnection {
     address: SocketAddr,
-    sender: CallSender,
+    sender: RequestSender,
     /// The task that drives the connection; dropping the set ends it.
     _driver: JoinSet<hyper::Result<()>>,
 }
 
 impl UpstreamConnection {
     /// Connects to this address.
-    pub async fn open(address: SocketAddr) -> Result<Self, CallError> {
+    pub async fn open(address: SocketAddr) -> Result<Self, DiscoveryError> {
         let (sender, connection) = connect(address).await?;
         let mut driver = JoinSet::new();
         driver.spawn_local(connection);
@@ -26,9 +26,9 @@
         })
     }
 
-    /// Makes a call and reads its answer. It sets no timeout.
-    pub async fn call(&mut self, call: ListCall) -> Result<ListUpdate, CallError> {
-        let body = exchange(&mut self.sender, self.address, call).await?;
+    /// Sends a request and reads its answer. It sets no timeout.
+    pub async fn fetch(&mut self, request: ListRequest) -> Result<ListUpdate, DiscoveryError> {
+        let body = exchange(&mut self.sender, self.address, request).await?;
         Ok(ListUpdate::parse(&body)?)
     }
 }
