--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,6 +1,6 @@
 //! The client's state, its loop of calls, and its backoff after failures.
 
-use super::call::{call, DiscoveryConnection, DiscoveryError, ListRequest};
+use super::call::{call, DiscoveryConnection};
 use super::in_flight::{AddressGeneration, CallId, CallsInFlight, CompletedCall};
 use super::lists::{DriverStopped, ListStatus};
 use super::notified::NOTIFIED_AFTER_ADDRESS_CHANGE;
@@ -8,6 +8,7 @@
 use super::timing::*;
 use super::DiscoveryOptions;
 use crate::driver::DriverEvent;
+use crate::list_client::{DiscoveryError, ListRequest};
 use slatelink_telemetry::Log;
 use std::convert::Infallible;
 use std::future::Future;
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -1,10 +1,11 @@
 //! Polls: calls that discovery answers in their turn, without waiting for a change.
 
-use super::call::{CallOutcome, DiscoveryConnection, DiscoveryError, ListRequest};
+use super::call::{CallOutcome, DiscoveryConnection};
 use super::client::DiscoveryClient;
 use super::in_flight::CompletedCall;
 use super::timing::*;
 use super::watches::Watches;
+use crate::list_client::{DiscoveryError, ListRequest};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
--- a/crates/node/src/discovery/renewal.rs
+++ b/crates/node/src/discovery/renewal.rs
@@ -1,11 +1,12 @@
 //! Checks of open watches: verification after a failed call, and renewal.
 
-use super::call::{CallOutcome, DiscoveryError, ListRequest};
+use super::call::CallOutcome;
 use super::client::DiscoveryClient;
 use super::in_flight::CompletedCall;
 use super::poll::{Poll, PollOutcome};
 use super::timing::*;
 use super::watches::Watches;
+use crate::list_client::{DiscoveryError, ListRequest};
 use std::net::SocketAddr;
 use std::ops::Range;
 use std::time::Duration;
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -1,7 +1,7 @@
-use super::call::CONNECT_TIMEOUT;
 use super::notified::*;
 use super::timing::*;
 use super::*;
+use crate::list_client::CONNECT_TIMEOUT;
 use slatelink_policy::Settings;
 use slatelink_telemetry::{LogFormat, Telemetry};
 use std::cell::RefCell;
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -1,10 +1,11 @@
 //! A watch on the endpoint list, from its opening to its answer.
 
-use super::call::{CallOutcome, DiscoveryConnection, DiscoveryError, ListRequest};
+use super::call::{CallOutcome, DiscoveryConnection};
 use super::client::DiscoveryClient;
 use super::renewal::CheckOutcome;
 use super::timing::*;
 use super::watches::Watches;
+use crate::list_client::{DiscoveryError, ListRequest};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
