--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -52,12 +52,12 @@
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     /// The process' limit on descriptors is too low for the connections that were asked for.
-    #[error("a limit of {limit} descriptors leaves no room for {callers} callers beside {RESERVED_DESCRIPTORS} others")]
+    #[error("a limit of {limit} descriptors leaves no room for {connections} callers beside {RESERVED_DESCRIPTORS} others")]
     Descriptors {
         /// The limit.
         limit: usize,
         /// Connections that were asked for.
-        callers: usize,
+        connections: usize,
     },
     /// The log cannot be written.
     #[error("{0}")]
@@ -130,10 +130,7 @@
     let allowed = limit.saturating_sub(RESERVED_DESCRIPTORS);
     let connections = requested.unwrap_or(allowed.max(1));
     if connections > allowed {
-        return Err(RelayError::Descriptors {
-            limit,
-            callers: connections,
-        });
+        return Err(RelayError::Descriptors { limit, connections });
     }
     Ok(connections)
 }
