--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -79,7 +79,5 @@
     }
 }
 
-#[cfg(test)]
-mod leaving_tests;
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/node/src/discovery/tests/harness.rs
@@ -0,0 +1,168 @@
+//! A client under test in virtual time, with what it forwards to the driver.
+
+use crate::discovery::{self, DiscoveryOptions};
+use crate::driver::DriverEvent;
+use slatelink_policy::{Availability, Settings};
+use slatelink_telemetry::{Format, Log, Observers};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
+use tokio::sync::{watch, Notify};
+use tokio::task::{spawn_local, yield_now, LocalSet};
+use tokio::time::{sleep, timeout_at, Instant};
+
+/// The policy's longest backoff after it was told of a failure.
+pub const LONGEST_POLICY_BACKOFF: Duration = Duration::from_millis(840);
+/// An answer reaches the driver within this time of its writing. The rule leaves 0.25 s, which also has to cover the way
+/// from the node to an endpoint.
+pub const PROMPTLY: Duration = Duration::from_millis(200);
+
+/// Runs a test in virtual time. That moves on in small steps between which the sockets have their turns: left to itself a
+/// paused clock jumps to the next timer whenever no task is ready, also over bytes that are on their way.
+pub fn run_in_virtual_time<T>(test: impl AsyncFnOnce(Log) -> T) -> T {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build();
+    LocalSet::new().block_on(&runtime.unwrap(), async {
+        spawn_local(async {
+            loop {
+                for _ in 0..200 {
+                    yield_now().await;
+                }
+                std::thread::sleep(Duration::from_micros(50));
+                tokio::time::advance(Duration::from_millis(10)).await;
+            }
+        });
+        let observers = Observers::start(&Default::default(), &[], Format::Text).unwrap();
+        test(observers.log.clone()).await
+    })
+}
+
+/// The defaults, with discovery polled. The default is lists that are pushed.
+pub fn polling_settings() -> Settings {
+    Settings {
+        polls_discovery: true,
+        ..Settings::default()
+    }
+}
+
+/// How long the policy waits after a failure until it requests a poll.
+#[derive(Clone, Copy)]
+pub enum PolicyBackoff {
+    /// `LONGEST_POLICY_BACKOFF`.
+    Longest,
+    /// Drawn as the policy does.
+    Drawn,
+}
+
+/// An event that the client forwarded to the driver.
+#[derive(Debug)]
+pub struct ForwardedEvent {
+    pub at: Instant,
+    pub event: DriverEvent,
+}
+
+/// A client that began with the list of version 1.
+pub struct TestClient {
+    pub events: UnboundedReceiver<ForwardedEvent>,
+    /// Sets discovery's address.
+    pub address: Rc<watch::Sender<SocketAddr>>,
+}
+
+impl TestClient {
+    /// Starts a client where discovery is polled, with the defaults of the other settings.
+    pub fn start(address: SocketAddr, seed: u64, log: &Log) -> Self {
+        let backoff = PolicyBackoff::Longest;
+        Self::start_with(address, seed, &polling_settings(), backoff, log)
+    }
+
+    /// Starts a client. Where the settings have lists pushed, nobody requests polls.
+    pub fn start_with(
+        address: SocketAddr,
+        seed: u64,
+        settings: &Settings,
+        policy_backoff: PolicyBackoff,
+        log: &Log,
+    ) -> Self {
+        let (events, mut from_client) = unbounded_channel();
+        let (forwarded, forwarded_events) = unbounded_channel();
+        let (address_sender, address) = watch::channel(address);
+        let address_sender = Rc::new(address_sender);
+        let held_sender = address_sender.clone();
+        let pushed = !settings.polls_discovery;
+        let options = DiscoveryOptions {
+            address,
+            version: Some(1),
+            pushed,
+            drain_grace: settings.drain_grace,
+            max_poll_interval: settings.max_poll_interval,
+            random: fastrand::Rng::with_seed(seed),
+            events,
+            log: log.clone(),
+        };
+        let poll_requested = Rc::new(Notify::new());
+        if !pushed {
+            poll_requested.notify_one();
+        }
+        spawn_local(discovery::run(options, poll_requested.clone()));
+        spawn_local(async move {
+            let mut random = fastrand::Rng::with_seed(seed ^ 0x9e37);
+            while let Some(event) = from_client.recv().await {
+                let failed = matches!(event, DriverEvent::DiscoveryFailed);
+                let at = Instant::now();
+                if forwarded.send(ForwardedEvent { at, event }).is_err() {
+                    return;
+                }
+                if failed && !pushed {
+                    sleep(match policy_backoff {
+                        PolicyBackoff::Longest => LONGEST_POLICY_BACKOFF,
+                        PolicyBackoff::Drawn => Duration::from_millis(random.u64(360..840)),
+                    })
+                    .await;
+                    poll_requested.notify_one();
+                }
+            }
+            drop(held_sender);
+        });
+        Self {
+            events: forwarded_events,
+            address: address_sender,
+        }
+    }
+
+    /// The next event.
+    pub async fn next_event(&mut self) -> ForwardedEvent {
+        self.events.recv().await.expect("a client that runs")
+    }
+
+    /// Waits for the list of a version; when it was forwarded.
+    pub async fn list_forwarded(&mut self, version: u64) -> Instant {
+        loop {
+            let ForwardedEvent { at, event } = self.next_event().await;
+            if matches!(event, DriverEvent::EndpointListReceived(list) if list.version == version) {
+                return at;
+            }
+        }
+    }
+
+    /// Waits until a list says that an endpoint is draining or removed; `None` if none does within this time.
+    pub async fn drain_forwarded(&mut self, id: &str, within: Duration) -> Option<Instant> {
+        let deadline = Instant::now() + within;
+        while let Ok(Some(ForwardedEvent { at, event })) =
+            timeout_at(deadline, self.events.recv()).await
+        {
+            let DriverEvent::EndpointListReceived(list) = event else {
+                continue;
+            };
+            let drains = list.hosts.iter().any(|endpoint| {
+                endpoint.id() == id && endpoint.availability() != Availability::Ready
+            });
+            if drains {
+                return Some(at);
+            }
+        }
+        None
+    }
+}
