--- a/crates/node/src/discovery/tests/address_change.rs
+++ b/crates/node/src/discovery/tests/address_change.rs
@@ -78,7 +78,7 @@
         let endpoints: Vec<_> = list
             .endpoints
             .iter()
-            .map(|endpoint| (endpoint.entry().id, endpoint.health()))
+            .map(|endpoint| (endpoint.endpoint().id, endpoint.state()))
             .collect();
         assert_eq!(
             endpoints,
--- a/crates/node/src/discovery/tests/failures.rs
+++ b/crates/node/src/discovery/tests/failures.rs
@@ -2,9 +2,9 @@
 
 use super::fake_discovery::{changes, ManualDiscovery, Reply, ScriptedDiscovery};
 use super::harness::{run_in_virtual_time, TestClient, LONGEST_POLICY_BACKOFF, PROMPTLY};
-use crate::discovery::call::CONNECT_TIMEOUT;
 use crate::discovery::notified::*;
 use crate::driver::DriverEvent;
+use crate::list_client::CONNECT_TIMEOUT;
 use slatelink_policy::Settings;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/node/src/discovery/tests/harness.rs
+++ b/crates/node/src/discovery/tests/harness.rs
@@ -3,7 +3,7 @@
 use crate::discovery::{self, DiscoveryOptions};
 use crate::driver::DriverEvent;
 use slatelink_policy::{Availability, Settings};
-use slatelink_telemetry::{Format, Log, Observers};
+use slatelink_telemetry::{Log, LogFormat, Telemetry};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,7 +35,7 @@
                 tokio::time::advance(Duration::from_millis(10)).await;
             }
         });
-        let observers = Observers::start(&Default::default(), &[], Format::Text).unwrap();
+        let observers = Telemetry::start(&Default::default(), &[], LogFormat::Text).unwrap();
         test(observers.log.clone()).await
     })
 }
