--- /dev/null
+++ b/crates/policy/src/balancer/selection.rs
@@ -0,0 +1,171 @@
+//! Which endpoint an attempt goes to.
+//!
+//! The endpoints that are ready rank by weighted rendezvous hashing of the request's key. The first
+//! few of them that no rule, breaker or budget bars are tried in that order for capacity.
+
+use super::Balancer;
+use crate::api::{Availability, CacheMode, Timestamp};
+use crate::hashing::{rendezvous_distance, routing_key};
+use crate::idempotency;
+use crate::pending::PendingRequest;
+use crate::slow_start;
+
+/// Endpoints of a key's order that may take a request for want of capacity at those before. No
+/// more: over a slow fleet, hits would turn to misses.
+const MAX_CANDIDATES: usize = 3;
+/// The part of its concurrency limit that an endpoint gives to keys that it does not come first
+/// for.
+const OVERFLOW_PART: f64 = 0.5;
+
+impl Balancer {
+    /// The endpoint that the request is to be sent to, if one can take it now. Where
+    /// `no_likely_miss`, none is chosen that would probably have to fetch the value.
+    pub(super) fn select_endpoint(
+        &self,
+        pending: &PendingRequest,
+        no_likely_miss: bool,
+        now: Timestamp,
+    ) -> Option<usize> {
+        if pending.attempts.len() >= self.settings.max_attempts as usize {
+            return None;
+        }
+        let is_eligible = |index: &usize| self.is_eligible(*index, pending, no_likely_miss, now);
+        if self.needs_origin(pending) {
+            let mut indices = 0..self.endpoints.iter().len();
+            return indices
+                .find(|i| self.is_origin(&self.endpoints[*i].endpoint) && is_eligible(i))
+                .filter(|i| self.has_capacity(*i, 1.0, pending, now));
+        }
+        let mut ranked = self.rank(routing_key(&pending.request), now).peekable();
+        let first = *ranked.peek()?;
+        let candidates: Vec<usize> = ranked.filter(is_eligible).take(MAX_CANDIDATES).collect();
+        if candidates.is_empty() {
+            let usable = !no_likely_miss && self.is_usable_though_blocked(first, pending, now);
+            return usable.then_some(first);
+        }
+        self.first_with_capacity(&candidates, pending, now)
+            .or_else(|| self.first_with_spare_cores(&candidates, now))
+    }
+
+    /// Whether the node itself asks the origin for this request (cache-aside).
+    fn needs_origin(&self, pending: &PendingRequest) -> bool {
+        matches!(self.settings.mode, CacheMode::CacheAside { .. })
+            && (pending.request.write || pending.has_missed())
+    }
+
+    /// Whether the rules, the breakers and the budgets let the request go to this endpoint now.
+    fn is_eligible(
+        &self,
+        index: usize,
+        pending: &PendingRequest,
+        no_likely_miss: bool,
+        now: Timestamp,
+    ) -> bool {
+        let state = &self.endpoints[index];
+        if no_likely_miss && self.is_likely_miss(&pending.request, state) {
+            return false;
+        }
+        let endpoint = &state.endpoint;
+        let class = self.class_index(&pending.request);
+        let idempotency = self.settings.classes[class].idempotency;
+        endpoint.availability == Availability::Ready
+            && idempotency::may_attempt(idempotency, pending, endpoint, now)
+            && state.breaker.admits(now)
+            && state.class_breakers[class].admits(now)
+            && self.zones.admits(&endpoint.zone, now)
+            && self.has_slow_start_budget(index, now)
+            && !pending.tried(endpoint)
+    }
+
+    /// Where every endpoint is blocked, a new request goes to the first one of its key, rather than
+    /// to none.
+    fn is_usable_though_blocked(
+        &self,
+        first: usize,
+        pending: &PendingRequest,
+        now: Timestamp,
+    ) -> bool {
+        self.has_slow_start_budget(first, now)
+            && pending.attempts.is_empty()
+            && self.has_capacity(first, 1.0, pending, now)
+    }
+
+    fn first_with_capacity(
+        &self,
+        candidates: &[usize],
+        pending: &PendingRequest,
+        now: Timestamp,
+    ) -> Option<usize> {
+        let part = |rank| if rank == 0 { 1.0 } else { OVERFLOW_PART };
+        let mut ranked = candidates.iter().copied().enumerate();
+        ranked
+            .find(|(rank, index)| self.has_capacity(*index, part(*rank), pending, now))
+            .map(|(_, index)| index)
+    }
+
+    /// Limits steer away from endpoints that answer late, and all of them do where misses wait for
+    /// a slow origin. An endpoint that reports no queue takes what none of the others has capacity
+    /// for, up to where limits start: its cores may be shared by many requests although none of
+    /// them waits.
+    fn first_with_spare_cores(&self, candidates: &[usize], now: Timestamp) -> Option<usize> {
+        let has_spare_cores = |index: &usize| {
+            let state = &self.endpoints[*index];
+            self.has_no_queue(state, now)
+                && f64::from(state.concurrency.in_flight()) < self.concurrency.start
+        };
+        candidates.iter().copied().find(has_spare_cores)
+    }
+
+    /// Whether this part of the endpoint's concurrency limit leaves a place for the request.
+    fn has_capacity(
+        &self,
+        index: usize,
+        part: f64,
+        pending: &PendingRequest,
+        now: Timestamp,
+    ) -> bool {
+        let state = &self.endpoints[index];
+        let has_share_of_time = || {
+            let idle = now.since(state.last_sent());
+            let usual = self.latencies.usual(self.class_index(&pending.request));
+            state.concurrency.has_share_of_time(part, idle, usual)
+        };
+        state.concurrency.has_capacity(part, pending.dither)
+            || self.is_large_deployment() && has_share_of_time()
+    }
+
+    /// The ready cache servers in the order of this key.
+    fn rank(&self, key: u64, now: Timestamp) -> impl Iterator<Item = usize> + use<> {
+        let ready = self
+            .endpoints
+            .iter()
+            .enumerate()
+            .filter(|(_, state)| self.is_ready_cache(&state.endpoint));
+        let mut ranked: Vec<(u64, usize)> = ready
+            .map(|(index, state)| {
+                let capacity = self.capacity(state, now);
+                (rendezvous_distance(key, state.hash, capacity), index)
+            })
+            .collect();
+        ranked.sort_unstable();
+        ranked.into_iter().map(|(_, index)| index)
+    }
+
+    /// Whether an endpoint that warms up may be sent one more in the present slot; true of any
+    /// other one.
+    fn has_slow_start_budget(&self, index: usize, now: Timestamp) -> bool {
+        let state = &self.endpoints[index];
+        let endpoint = &state.endpoint;
+        if self.is_origin(endpoint) || slow_start::warmth(&self.settings, endpoint, now) >= 1.0 {
+            return true;
+        }
+        let ready = self.endpoints.iter();
+        let ready = ready.filter(|state| self.is_ready_cache(&state.endpoint));
+        let fleet: f64 = ready.map(|state| self.capacity(state, now)).sum();
+        let share = self.capacity(state, now) / fleet;
+        let budget = slow_start::slot_budget(&self.settings, self.load_shedder.good(), share);
+        let slot = slow_start::slot_at(&self.settings, now);
+        let rounded = (budget + self.random.fixed(state.hash ^ slot)).floor();
+        f64::from(state.slow_start.sends_in(slot)) < rounded
+    }
+}
