--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -127,10 +127,8 @@
         .unwrap_or_default();
     let config = platform::load(|name| std::env::var(name).ok())?;
     // A node has one core: one thread, and no locks between its parts.
-    LocalSet::new().block_on(
-        &one_thread()?,
-        slatelink_node::run(config, features, format.into()),
-    )
+    let node = slatelink_node::run(config, features, format.into());
+    Ok(LocalSet::new().block_on(&one_thread()?, node)?)
 }
 
 /// A flag that Ctrl-C or SIGTERM raises: what runs then ends in order, and leaves nothing behind.
