--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -14,6 +14,7 @@
 mod discovery;
 mod driver;
 mod error;
+mod list_client;
 mod multiget;
 mod node;
 mod policy_runner;
