--- a/crates/node/src/multiget.rs
+++ b/crates/node/src/multiget.rs
@@ -1,135 +1,83 @@
-//! Many keys in one call: the side port that takes them, each item an ordinary request of this node, and the command
-//! that asks there.
+//! Multi-get: many keys in one HTTP request, at a port of its own.
+//!
+//! A `POST /multi` lists items, each a key with a request id. Every item becomes an ordinary GET request of this node, and
+//! the response has a line of JSON for each as it ends, in any order. The headers of the request hold for all of its
+//! items: class, deadline and owner are theirs too.
+
+mod items;
+mod request;
+mod response;
 
 use crate::connections::{ConnectionHandle, ReportingSocket};
-use crate::driver::FinalResponse;
 use crate::server::{
-    self, key_number, parse_parameters, read_body, submit_request, text_response, DescriptorSource,
-    RequestParameters, ServerContext,
+    self, text_response, DescriptorSource, RequestError, ServerContext, MAX_HEAD_BYTES,
 };
-use crate::upstream::ForwardedRequest;
-use bytes::Bytes;
-use http_body_util::{Either, Full};
-use hyper::body::{Body, Frame, Incoming};
-use hyper::header::{HeaderValue, CONTENT_TYPE, TRANSFER_ENCODING};
-use hyper::http::uri::PathAndQuery;
+use http_body_util::Either;
+use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Method, Request, Response, StatusCode};
-use serde::{Deserialize, Serialize};
-use slatelink_config::operators::MultiGetSettings as Settings;
-use std::collections::HashSet;
+use hyper::{Request, StatusCode};
+use items::Items;
+use request::MultiGetRequest;
+use response::{lines_response, HttpResponse};
+use slatelink_config::operators::MultiGetSettings;
 use std::convert::Infallible;
-use std::pin::Pin;
 use std::rc::Rc;
-use std::task::{Context, Poll};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpListener;
-use tokio::sync::mpsc::{channel, Receiver, Sender};
-use tokio::task::JoinSet;
+use tokio::sync::mpsc::channel;
+use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Items are given up so long before the client's time is up: later, the driver's own end of their time would come
-/// first, and what is unfinished would read as failed.
-const EARLY: Duration = Duration::from_millis(10);
-/// Beside the time of its items, a connection has so long to ask and to take its lines.
-const AROUND: Duration = Duration::from_secs(6);
-
-/// One item, as the client words it.
-#[derive(Debug, Deserialize, Serialize)]
-#[serde(deny_unknown_fields)]
-struct Item {
-    key: String,
-    req_id: String,
-}
-
-/// One item, as the node may send it.
-struct Checked {
-    key: String,
-    target: PathAndQuery,
-    id: HeaderValue,
-}
-
-impl Item {
-    fn check(self) -> Option<Checked> {
-        // One segment of a path: anything else would be another request than the one that is named.
-        let segment =
-            |byte: &u8| byte.is_ascii_alphanumeric() || b"-._~!$&'()*+,;=:@%".contains(byte);
-        if self.key.is_empty() || self.req_id.is_empty() || !self.key.as_bytes().iter().all(segment)
-        {
-            return None;
-        }
-        let target = PathAndQuery::try_from(format!("/api/{}", self.key)).ok()?;
-        let id = HeaderValue::from_str(&self.req_id).ok()?;
-        Some(Checked {
-            key: self.key,
-            target,
-            id,
-        })
-    }
-}
-
-/// How an item ended.
-#[derive(Debug, Serialize)]
-struct Line<'a> {
-    i: usize,
-    key: &'a str,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    status: Option<u16>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    body: Option<&'a str>,
-    /// In place of `body` where that is no text.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    body_hex: Option<String>,
-    #[serde(skip_serializing_if = "Option::is_none")]
-    partial: Option<bool>,
-}
-
-impl<'a> Line<'a> {
-    fn new(i: usize, key: &'a str) -> Self {
-        Self {
-            i,
-            key,
-            status: None,
-            body: None,
-            body_hex: None,
-            partial: None,
-        }
-    }
-
-    fn write(&self) -> Option<Bytes> {
-        let mut line = serde_json::to_vec(self).ok()?;
-        line.push(b'\n');
-        Some(line.into())
-    }
-}
-
-/// The lines as they come. With the answer's body go the items that are still out.
-struct Lines {
-    lines: Receiver<Bytes>,
-    _items: JoinSet<()>,
+/// Unfinished items are canceled this long before the client's deadline. Later the driver would fail them at its own
+/// deadline, and they would read as failed instead of unfinished.
+const CANCEL_MARGIN: Duration = Duration::from_millis(10);
+/// How long a connection has beside the longest deadline of its items, for sending the request and reading the response.
+const TRANSFER_TIMEOUT: Duration = Duration::from_secs(6);
+/// Lines that wait for the one before to be taken by the connection: few, since each may be large.
+const LINE_QUEUE: usize = 1;
+
+/// Why a multi-get request cannot be used: nothing was begun for it. Its client reads the text.
+#[derive(Debug, Error)]
+enum MultiGetError {
+    /// Its head, parameters or body cannot be used.
+    #[error(transparent)]
+    Request(#[from] RequestError),
+    /// Its body is no JSON of the form asked for.
+    #[error("not a list of items with key and req_id")]
+    Malformed,
+    /// It has more items than the settings allow.
+    #[error("too many items")]
+    TooManyItems,
+    /// A key is no segment of a path, or an id no value of a header.
+    #[error("a key or req_id is empty or not usable")]
+    InvalidItem,
+    /// Two of its items have the same id.
+    #[error("a req_id stands twice")]
+    DuplicateId,
 }
 
-impl Body for Lines {
-    type Data = Bytes;
-    type Error = Infallible;
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.lines
-            .poll_recv(cx)
-            .map(|line| line.map(|line| Ok(Frame::data(line))))
+impl From<MultiGetError> for server::HttpResponse {
+    fn from(error: MultiGetError) -> Self {
+        let status = match error {
+            MultiGetError::Request(error) => return error.into(),
+            MultiGetError::TooManyItems => StatusCode::PAYLOAD_TOO_LARGE,
+            MultiGetError::Malformed | MultiGetError::InvalidItem | MultiGetError::DuplicateId => {
+                StatusCode::BAD_REQUEST
+            }
+        };
+        text_response(status, error.to_string())
     }
 }
 
-type HttpResponse = Response<Either<Full<Bytes>, Lines>>;
-
-/// The side port's side of the node.
+/// The server of the multi-get port.
 pub struct MultiGet {
-    front: Rc<ServerContext>,
-    settings: Settings,
-    room: Rc<DescriptorSource>,
+    /// Shared with the clients' port: items are requests like those that come there.
+    context: Rc<ServerContext>,
+    settings: MultiGetSettings,
+    /// Where this port takes its descriptors from.
+    descriptors: Rc<DescriptorSource>,
 }
 
 impl MultiGet {
@@ -138,175 +86,84 @@
     /// Connections that it may hold at once.
     pub const CONNECTIONS: usize = 8;
 
-    pub fn new(front: Rc<ServerContext>, settings: Settings, room: DescriptorSource) -> Rc<Self> {
+    /// A server without connections.
+    pub fn new(
+        context: Rc<ServerContext>,
+        settings: MultiGetSettings,
+        descriptors: DescriptorSource,
+    ) -> Rc<Self> {
         Rc::new(Self {
-            front,
+            context,
             settings,
-            room: Rc::new(room),
+            descriptors: Rc::new(descriptors),
         })
     }
 
     /// Serves until the node closes and every connection has ended.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        let sweep = tokio::task::spawn_local(self.room.connections.clone().sweep());
-        let (room, front) = (self.room.clone(), self.front.clone());
-        let (stage, log) = (front.stage.clone(), front.log.clone());
-        let connection = move |place| connection(place, self.clone());
-        server::serve(listener, room, stage, log, connection).await;
+        let sweep = spawn_local(self.descriptors.connections.clone().sweep());
+        let descriptors = self.descriptors.clone();
+        let (stage, log) = (self.context.stage.clone(), self.context.log.clone());
+        let connection = move |handle| self.clone().serve_connection(handle);
+        server::serve(listener, descriptors, stage, log, connection).await;
         sweep.abort();
     }
-}
-
-async fn connection(place: ConnectionHandle, side: Rc<MultiGet>) {
-    let place = Rc::new(place);
-    let service = service_fn(async |request| {
-        place.on_request_head();
-        let response = respond(&side, &place, request)
-            .await
-            .unwrap_or_else(|rejected| {
-                place.on_response();
-                rejected.map(Either::Left)
-            });
-        Ok::<_, Infallible>(response)
-    });
-    let mut http = http1::Builder::new();
-    // One call a connection: so its time has a bound, whatever its client takes of the answer.
-    http.max_buf_size(server::MAX_HEAD_BYTES).keep_alive(false);
-    let longest = side
-        .front
-        .classes
-        .iter()
-        .map(|class| class.max_timeout)
-        .max()
-        .unwrap_or_default();
-    let mut serving = http.serve_connection(ReportingSocket(place.clone()), service);
-    // With one call a connection it is never idle for long, and parked is as good as over.
-    let driven = place.drive(&mut serving, |serving| serving.graceful_shutdown());
-    // Cut off, it is as if its client had left.
-    let _ = timeout(longest + AROUND, driven).await;
-    drop(serving);
-    place.linger().await;
-}
 
-async fn respond(
-    side: &MultiGet,
-    place: &ConnectionHandle,
-    request: Request<Incoming>,
-) -> Result<HttpResponse, Response<Full<Bytes>>> {
-    let at = Instant::now();
-    let (head, body) = request.into_parts();
-    if head.uri.path() != "/multi" {
-        return Err(text_response(StatusCode::NOT_FOUND, "no such path"));
-    }
-    if head.method != Method::POST {
-        return Err(server::method_not_allowed("POST"));
+    /// Serves one request. With one a connection, its time has a bound however slowly its client takes the response.
+    async fn serve_connection(self: Rc<Self>, handle: ConnectionHandle) {
+        let handle = Rc::new(handle);
+        let service = service_fn(async |request| {
+            handle.on_request_head();
+            let response = self
+                .handle_request(&handle, request)
+                .await
+                .unwrap_or_else(|error| {
+                    handle.on_response();
+                    server::HttpResponse::from(error).map(Either::Left)
+                });
+            Ok::<_, Infallible>(response)
+        });
+        let mut http = http1::Builder::new();
+        http.max_buf_size(MAX_HEAD_BYTES).keep_alive(false);
+        let mut serving = http.serve_connection(ReportingSocket(handle.clone()), service);
+        // A connection of one request is never idle for long: parked is as good as closed.
+        let driven = handle.drive(&mut serving, |serving| serving.graceful_shutdown());
+        // Past the timeout it ends as if its client had disconnected.
+        let _ = timeout(self.max_timeout() + TRANSFER_TIMEOUT, driven).await;
+        drop(serving);
+        handle.linger().await;
     }
-    if head.headers.contains_key(TRANSFER_ENCODING) {
-        return Err(text_response(
-            StatusCode::LENGTH_REQUIRED,
-            "a body needs a Content-Length",
-        ));
-    }
-    let bad = |what| text_response(StatusCode::BAD_REQUEST, what);
-    let terms = parse_parameters(&side.front, &head.headers)?;
-    let body = read_body(body).await?;
-    let items: Vec<Item> = serde_json::from_slice(&body)
-        .map_err(|_| bad("not a list of items with key and req_id"))?;
-    if items.len() > side.settings.max_items() {
-        return Err(text_response(
-            StatusCode::PAYLOAD_TOO_LARGE,
-            "too many items",
-        ));
-    }
-    let items: Option<Vec<_>> = items.into_iter().map(Item::check).collect();
-    let items = items.ok_or_else(|| bad("a key or req_id is empty or not usable"))?;
-    let mut ids = HashSet::new();
-    if !items.iter().all(|item| ids.insert(&item.id)) {
-        return Err(bad("a req_id stands twice"));
-    }
-    place.on_request(terms.class.0);
-    // A line waits here for the one before it to be taken: so few are held, however large they are.
-    let (sender, lines) = channel(1);
-    let (until, parallel) = (at + terms.timeout, side.settings.parallel_requests());
-    let mut running = JoinSet::new();
-    let all = run(side.front.clone(), terms, items, parallel, until, sender);
-    running.spawn_local(async move {
-        // What is unfinished then is given up, as if its client had left.
-        let _ = timeout_at(until - EARLY.min(until - at), all).await;
-    });
-    let mut response = Response::new(Either::Right(Lines {
-        lines,
-        _items: running,
-    }));
-    response.headers_mut().insert(
-        CONTENT_TYPE,
-        HeaderValue::from_static("application/x-ndjson"),
-    );
-    Ok(response)
-}
 
-/// Runs the items, so many at once, and sends each one's line as it ends.
-async fn run(
-    front: Rc<ServerContext>,
-    terms: RequestParameters,
-    items: Vec<Checked>,
-    parallel: usize,
-    until: Instant,
-    lines: Sender<Bytes>,
-) {
-    let mut left = items.into_iter().enumerate();
-    let mut out = JoinSet::new();
-    loop {
-        while out.len() < parallel {
-            let Some((i, item)) = left.next() else { break };
-            out.spawn_local(run_item(front.clone(), terms, i, item, until));
-        }
-        let Some(ended) = out.join_next().await else {
-            return;
-        };
-        if let Ok(Some(line)) = ended {
-            if lines.send(line).await.is_err() {
-                return;
-            }
-        }
+    /// The longest time for which a client of any class waits.
+    fn max_timeout(&self) -> Duration {
+        let timeouts = self.context.classes.iter().map(|class| class.max_timeout);
+        timeouts.max().unwrap_or_default()
     }
-}
 
-/// One item: a client's request in all but its connection, whose place among those it takes all the same.
-async fn run_item(
-    front: Rc<ServerContext>,
-    terms: RequestParameters,
-    i: usize,
-    item: Checked,
-    until: Instant,
-) -> Option<Bytes> {
-    let mut line = Line::new(i, &item.key);
-    let Some(id) = front.open_ids.register(item.id) else {
-        line.status = Some(StatusCode::CONFLICT.as_u16());
-        return line.write();
-    };
-    let _place = front.descriptors.lease().await;
-    let at = Instant::now();
-    let terms = RequestParameters {
-        timeout: until.saturating_duration_since(at),
-        ..terms
-    };
-    let (target, key) = (item.target, key_number(&item.key));
-    let message = ForwardedRequest {
-        method: Method::GET,
-        target,
-        id,
-        idempotency_key: None,
-        body: Bytes::new(),
-    };
-    let answer = submit_request(&front, at, key, terms, message).await;
-    line.status = Some(answer.status().as_u16());
-    if let FinalResponse::Served(body) = &answer {
-        match std::str::from_utf8(body) {
-            Ok(text) => line.body = Some(text),
-            Err(_) => line.body_hex = Some(body.iter().map(|byte| format!("{byte:02x}")).collect()),
-        }
-        return line.write();
+    /// Reads a request, starts its items and responds with their lines to come.
+    async fn handle_request(
+        &self,
+        handle: &ConnectionHandle,
+        request: Request<Incoming>,
+    ) -> Result<HttpResponse, MultiGetError> {
+        let received_at = Instant::now();
+        let request = MultiGetRequest::read(request, &self.context, &self.settings).await?;
+        handle.on_request(request.parameters.class.0);
+        let deadline = received_at + request.parameters.timeout;
+        let (sender, lines) = channel(LINE_QUEUE);
+        let items = Items {
+            context: self.context.clone(),
+            parameters: request.parameters,
+            deadline,
+            max_in_flight: self.settings.parallel_requests(),
+        };
+        let running_items = items.run(request.items, sender);
+        let cancel_at = deadline - CANCEL_MARGIN.min(deadline - received_at);
+        let mut task = JoinSet::new();
+        task.spawn_local(async move {
+            // Items that are unfinished then are canceled, as if their client had disconnected.
+            let _ = timeout_at(cancel_at, running_items).await;
+        });
+        Ok(lines_response(lines, task))
     }
-    line.write()
 }
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -15,9 +15,10 @@
 pub use crate::upstream::read_body;
 pub use accept::{serve, DescriptorSource};
 pub use connection::ClientConnection;
+pub use error::RequestError;
 pub use parameters::{parse_parameters, RequestParameters};
 pub use request::key_number;
-pub use response::{method_not_allowed, text_response};
+pub use response::{text_response, HttpResponse};
 pub use submit::submit_request;
 
 use crate::driver::DriverEvent;
--- a/crates/node/src/server/error.rs
+++ b/crates/node/src/server/error.rs
@@ -63,15 +63,3 @@
         }
     }
 }
-
-impl From<ParameterError> for HttpResponse {
-    fn from(error: ParameterError) -> Self {
-        RequestError::from(error).into()
-    }
-}
-
-impl From<BodyError> for HttpResponse {
-    fn from(error: BodyError) -> Self {
-        RequestError::from(error).into()
-    }
-}
