--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -147,24 +147,28 @@
 impl Driver {
     fn on_request_received(&mut self, request: ClientRequest) {
         let id = request_id(request.number);
-        let (key, expected_work) = (request.key, request.expected_work);
-        let (write, over_quota) = (request.write, request.over_quota);
+        let decision_request = self.decision_request(id.clone(), &request);
         let open = OpenRequest::new(request);
         self.observer.request_received(open.class(), open.path());
         self.timers.schedule(
             open.response_deadline(),
             Timer::ResponseDeadline(id.clone()),
         );
-        self.policy.enqueue(Event::Request(Request {
-            id: id.clone(),
-            class: Some(open.class()),
-            key,
-            deadline: self.policy.timestamp(open.deadline()),
-            expected_work,
-            write,
-            over_quota,
-        }));
         self.open_requests.insert(id, open);
+        self.policy.enqueue(Event::Request(decision_request));
+    }
+
+    /// A client's request as the decision module sees it.
+    fn decision_request(&self, id: RequestId, request: &ClientRequest) -> Request {
+        Request {
+            id,
+            class: Some(request.class),
+            key: request.key,
+            deadline: self.policy.timestamp(request.deadline()),
+            expected_work: request.expected_work,
+            write: request.write,
+            over_quota: request.over_quota,
+        }
     }
 
     fn start_attempt(
--- a/crates/node/src/driver/messages.rs
+++ b/crates/node/src/driver/messages.rs
@@ -9,6 +9,10 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
+/// Taken off a client's timeout, which runs from when the client sent its request until it has read the response: the
+/// request's way here and the response's way back are part of it.
+pub(super) const NETWORK_MARGIN: Duration = Duration::from_millis(5);
+
 /// What the node's other parts tell the driver.
 #[derive(Debug)]
 pub enum DriverEvent {
@@ -56,6 +60,13 @@
     pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
+impl ClientRequest {
+    /// Point in time after which no endpoint's answer reaches the client in time.
+    pub fn deadline(&self) -> Instant {
+        self.received_at + self.timeout.saturating_sub(NETWORK_MARGIN)
+    }
+}
+
 /// The final response to a request.
 #[derive(Debug)]
 pub enum FinalResponse {
--- a/crates/node/src/driver/open_request.rs
+++ b/crates/node/src/driver/open_request.rs
@@ -1,6 +1,6 @@
 //! A request from its arrival until it has its final response and none of its attempts is in flight.
 
-use super::messages::{ClientRequest, FinalResponse};
+use super::messages::{ClientRequest, FinalResponse, NETWORK_MARGIN};
 use crate::upstream::{AttemptLimits, ForwardedRequest};
 use bytes::Bytes;
 use slatelink_policy::{ClassId, EndpointId, Status};
@@ -11,12 +11,10 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Taken off a client's timeout, which runs from when the client sent its request until it has read the response: the
-/// request's way here and the response's way back are part of it.
-const NETWORK_MARGIN: Duration = Duration::from_millis(5);
-/// How long past a request's deadline the decision module's own response is waited for. Shorter than
-/// `NETWORK_MARGIN`, so that what the driver then responds still reaches the client in time.
+/// How long past a request's deadline the decision module's own response is waited for. Less than `NETWORK_MARGIN`, so
+/// that the driver's response still comes before the client gives up.
 const RESPONSE_GRACE: Duration = Duration::from_millis(4);
+const _: () = assert!(RESPONSE_GRACE.as_micros() < NETWORK_MARGIN.as_micros());
 
 /// A request that is not finished.
 pub struct OpenRequest {
@@ -62,14 +60,14 @@
 impl OpenRequest {
     /// Opens a client's request, without attempts.
     pub fn new(request: ClientRequest) -> Self {
-        let timeout = request.timeout.saturating_sub(NETWORK_MARGIN);
+        let deadline = request.deadline();
         Self {
             message: Rc::new(request.message),
             response_sender: Some(request.response_sender),
             canceled: Rc::default(),
             class: request.class,
             received_at: request.received_at,
-            deadline: request.received_at + timeout,
+            deadline,
             attempts: Vec::new(),
         }
     }
@@ -79,11 +77,6 @@
         self.class
     }
 
-    /// Point in time after which no endpoint's answer is of use.
-    pub const fn deadline(&self) -> Instant {
-        self.deadline
-    }
-
     /// Point in time by which its client must have been sent a response.
     pub fn response_deadline(&self) -> Instant {
         self.deadline + RESPONSE_GRACE
