--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -1,11 +1,12 @@
 //! The client side of HTTP.
 //!
-//! Connections are accepted ([`accept`]) and served until they end ([`connection`]); a request is read and checked
+//! Connections are accepted ([`accept`], [`descriptors`]) and served until they end ([`connection`]); a request is read and checked
 //! ([`request`], [`parameters`]) and handed to the driver, which gives the final answer ([`submit`]). Nothing is decided
 //! here: what cannot be used is answered at once, and everything else goes to the driver.
 
 mod accept;
 mod connection;
+mod descriptors;
 mod error;
 mod parameters;
 mod request;
@@ -13,8 +14,9 @@
 mod submit;
 
 pub use crate::upstream::read_body;
-pub use accept::{serve, DescriptorSource};
+pub use accept::serve;
 pub use connection::ClientConnection;
+pub use descriptors::DescriptorSource;
 pub use parameters::{parse_parameters, RequestParameters};
 pub use request::key_number;
 pub use response::{method_not_allowed, text_response};
--- a/crates/node/src/server/accept.rs
+++ b/crates/node/src/server/accept.rs
@@ -1,58 +1,19 @@
 //! The accept loop of a port.
 
-use super::ShutdownStage;
-use crate::connections::{ConnectionHandle, ConnectionManager};
-use crate::upstream::Upstream;
-use slatelink_admission::{ConnectionKind, Lease};
+use super::{DescriptorSource, ShutdownStage};
+use crate::connections::ConnectionHandle;
 use slatelink_telemetry::Log;
 use std::future::Future;
-use std::io;
-use std::net::IpAddr;
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpStream};
+use tokio::net::TcpListener;
 use tokio::sync::watch;
 use tokio::time::sleep;
 
 /// After a failed accept (no descriptor left, say) the next one waits: tried at once, it would fail and spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Where a port takes the descriptors of its connections from.
-pub struct DescriptorSource {
-    /// The connections of the port.
-    pub connections: Rc<ConnectionManager>,
-    /// The connections to endpoints, which share the budget: idle ones are closed for connections of this port.
-    pub upstream: Rc<Upstream>,
-}
-
-impl DescriptorSource {
-    /// Has a connection of another kind close. `false` where none can.
-    fn evict_other_kind(&self, kind: ConnectionKind) -> bool {
-        kind == ConnectionKind::Upstream && self.upstream.close_oldest_idle()
-    }
-
-    /// Waits for a descriptor without a connection, for what counts as one.
-    pub async fn lease(&self) -> Lease {
-        self.connections
-            .lease(|kind| self.evict_other_kind(kind))
-            .await
-    }
-
-    /// Waits for a descriptor for an accepted connection. `None` where its address has as many connections as it may.
-    async fn admit(
-        &self,
-        stream: TcpStream,
-        address: IpAddr,
-    ) -> io::Result<Option<ConnectionHandle>> {
-        stream.set_nodelay(true)?;
-        let admitted = self
-            .connections
-            .admit(stream, address, |kind| self.evict_other_kind(kind));
-        Ok(admitted.await)
-    }
-}
-
 /// Accepts connections and serves each in a task of its own until the node closes, then returns when all have ended. A
 /// connection that there is no descriptor for is accepted and waits, and those behind it wait unaccepted.
 pub async fn serve<F: Future<Output = ()> + 'static>(
