--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -121,7 +121,7 @@
     /// Closes the idle connections to an endpoint.
     pub fn close_idle(&self, endpoint: &EndpointId) {
         if let Some(pool) = self.pools.borrow().get(endpoint) {
-            pool.idle.borrow_mut().clear();
+            pool.close_idle();
         }
     }
 
--- a/crates/node/src/upstream/checkout.rs
+++ b/crates/node/src/upstream/checkout.rs
@@ -15,9 +15,6 @@
 
 /// The longest head of a response: a longer one is read no further, and counts as a connection that broke.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// After a response a connection is not reused for this long: a duplicate of the response, some milliseconds late, would be
-/// taken for the response to the next request. One that comes in this time closes the connection.
-const REUSE_DELAY: Duration = Duration::from_millis(20);
 /// After the eviction of a client's connection its descriptor is polled for at most this often.
 const EVICTION_POLLS: u32 = 10;
 /// The time between two of these polls.
@@ -38,7 +35,7 @@
     /// The connection used last of those that may be reused.
     async fn reuse(&self, pool: &EndpointPool) -> Option<PooledConnection> {
         loop {
-            let mut connection = take_idle(pool)?;
+            let mut connection = pool.take_idle()?;
             if self.is_fresh(&connection) && connection.sender.ready().await.is_ok() {
                 return Some(connection);
             }
@@ -69,16 +66,6 @@
     }
 }
 
-/// Takes the connection used last out of the pool, of those that may be reused already.
-fn take_idle(pool: &EndpointPool) -> Option<PooledConnection> {
-    let mut idle = pool.idle.borrow_mut();
-    let may_be_reused = |connection: &PooledConnection| {
-        !connection.progress.reused.get() || connection.idle_since.elapsed() >= REUSE_DELAY
-    };
-    let place = idle.iter().rposition(may_be_reused)?;
-    Some(idle.remove(place))
-}
-
 /// Connects to the endpoint, at the address that it has now.
 async fn connect(pool: &EndpointPool, lease: Lease) -> io::Result<PooledConnection> {
     let incarnation = pool.incarnation.get();
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -9,9 +9,15 @@
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
+/// After it was returned to the pool a connection is not reused for this long: a duplicate of the last response, some
+/// milliseconds late, would be taken for the response to the next request. One that comes in this time closes the
+/// connection.
+const REUSE_DELAY: Duration = Duration::from_millis(20);
+
 /// A connection to an endpoint. Dropping it closes the socket at once, also with a response under way: that is how an
 /// attempt is given up.
 pub(super) struct PooledConnection {
@@ -71,14 +77,14 @@
             self.incarnation.set(self.incarnation.get() + 1);
         }
         if moved || restarted || !ready {
-            self.idle.borrow_mut().clear();
+            self.close_idle();
         }
     }
 
     /// Starts no more attempts, and closes the idle connections.
     pub(super) fn stop_accepting(&self) {
         self.accepts_requests.set(false);
-        self.idle.borrow_mut().clear();
+        self.close_idle();
     }
 
     /// Whether a connection that was made at this incarnation may carry a request now.
@@ -92,4 +98,18 @@
         connection.idle_since = Instant::now();
         self.idle.borrow_mut().push(connection);
     }
+
+    /// Takes the connection used last out of the pool, of those that may be reused already.
+    pub(super) fn take_idle(&self) -> Option<PooledConnection> {
+        let mut idle = self.idle.borrow_mut();
+        let index = idle
+            .iter()
+            .rposition(|connection| connection.idle_since.elapsed() >= REUSE_DELAY)?;
+        Some(idle.remove(index))
+    }
+
+    /// Closes the idle connections.
+    pub(super) fn close_idle(&self) {
+        self.idle.borrow_mut().clear();
+    }
 }
