--- a/crates/config/src/endpoint_list.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -37,10 +37,10 @@
     /// The zone it is in, if any.
     #[serde(rename = "site")]
     zone: Option<String>,
-    /// The kind of machine, if it is said.
+    /// What kind of endpoint it is, if that is said; not a class of requests.
     #[serde(rename = "class")]
     kind: Option<String>,
-    /// The cell it is in; 0 where none is said.
+    /// The cell it is in, whose endpoints share their memory of idempotency keys; 0 where none is said.
     #[serde(rename = "block")]
     cell: Option<u64>,
     #[serde(rename = "health")]
