--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,7 +1,7 @@
 //! One budget of descriptors and bytes of memory for everything that a node holds open.
 //!
-//! Each kind of connection has a reserved number of descriptors that the other kinds cannot take. The descriptors beyond
-//! the reservations go to whoever asks first, up to each kind's limit. Bytes are one shared amount.
+//! Each kind of connection has a reserved number of descriptors that the other kinds cannot take. The descriptors
+//! beyond the reservations go to whoever asks first, up to each kind's limit. Bytes are one shared amount.
 
 use std::cell::RefCell;
 use std::fmt;
@@ -48,7 +48,8 @@
     /// The kind that asked is at its limit, or no other kind exceeds its reservation by more: one of its own
     /// connections should be closed.
     OwnLimit,
-    /// This other kind exceeds its reservation by more than the one that asked: one of its connections should be closed.
+    /// This other kind exceeds its reservation by more than the one that asked: one of its connections should be
+    /// closed.
     OtherKind(ConnectionKind),
 }
 
@@ -185,8 +186,8 @@
 impl Lease {
     /// Changes the bytes that the lease holds to this number.
     ///
-    /// `false` where the budget does not have as many; the lease then holds what it held before. Fewer bytes than before
-    /// always succeed.
+    /// `false` where the budget does not have as many; the lease then holds what it held before. Fewer bytes than
+    /// before always succeed.
     pub fn try_set_bytes(&mut self, bytes: usize) -> bool {
         let state = &mut *self.budget.0.borrow_mut();
         let held_by_others = state.usage.bytes - self.bytes;
--- a/crates/admission/src/connections/closing.rs
+++ b/crates/admission/src/connections/closing.rs
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Whether the descriptor of a closed connection may be held for a moment, for a client that still reads: not where it
-    /// closed so that another connection gets the descriptor.
+    /// Whether the descriptor of a closed connection may be held for a moment, for a client that still reads: not where
+    /// it closed so that another connection gets the descriptor.
     pub fn may_linger(&self, id: ConnectionId) -> bool {
         let closing = self.entry(id).and_then(|entry| entry.closing.as_ref());
         closing.is_none_or(|closing| {
@@ -120,8 +120,8 @@
         })
     }
 
-    /// Closes a connection for this cause: at once while it reads a request or writes a response, else after the response
-    /// to its request. At shutdown, requests and responses in progress are completed too.
+    /// Closes a connection for this cause: at once while it reads a request or writes a response, else after the
+    /// response to its request. At shutdown, requests and responses in progress are completed too.
     pub fn close(&mut self, id: ConnectionId, cause: CloseCause) {
         let in_progress = matches!(
             self.phase(id),
--- a/crates/admission/src/connections/eviction.rs
+++ b/crates/admission/src/connections/eviction.rs
@@ -58,9 +58,9 @@
 
     /// Closes a connection in favour of a client that waits for a descriptor. It has to be woken.
     ///
-    /// Connections without a request go first, so that a flood of them evicts its own. Without any, those whose request is
-    /// slow to arrive go, and then the longest idle one, unless a connection has just been accepted that may send its
-    /// request yet.
+    /// Connections without a request go first, so that a flood of them evicts its own. Without any, those whose request
+    /// is slow to arrive go, and then the longest idle one, unless a connection has just been accepted that may send
+    /// its request yet.
     pub fn evict_for_client(&mut self, now: Duration) -> Option<ConnectionId> {
         let evicted = self
             .oldest_unused(now)
@@ -99,7 +99,8 @@
         newcomer.is_none().then_some(idle)
     }
 
-    /// The longest idle connection, if it was idle for at least `age`. Parked ones have been idle for longer than others.
+    /// The longest idle connection, if it was idle for at least `age`. Parked ones have been idle for longer than
+    /// others.
     fn oldest_idle(&self, now: Duration, age: Duration) -> Option<ConnectionId> {
         self.oldest_in_phase(now, Phase::Parked, age)
             .or_else(|| self.oldest_in_phase(now, Phase::Idle, age))
--- a/crates/admission/src/connections/limits.rs
+++ b/crates/admission/src/connections/limits.rs
@@ -6,15 +6,15 @@
 /// The limits of a connection table.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionLimits {
-    /// With this many connections in use (processing, writing a response or idle), a connection closes with its response,
-    /// so that other clients get a descriptor.
+    /// With this many connections in use (processing, writing a response or idle), a connection closes with its
+    /// response, so that other clients get a descriptor.
     pub keep_alive_limit: usize,
     /// An idle connection closes after this time.
     pub idle_timeout: Duration,
     /// Connections that one client address may have; `None` for any number.
     pub per_address: Option<usize>,
-    /// Requests in flight that each class may have, by the class's number; `None` for any number, as for classes past the
-    /// end.
+    /// Requests in flight that each class may have, by the class's number; `None` for any number, as for classes past
+    /// the end.
     pub per_class: Vec<Option<usize>>,
     /// Bytes of memory that a connection in use is counted as.
     pub active_bytes: usize,
--- a/crates/admission/src/connections/phase.rs
+++ b/crates/admission/src/connections/phase.rs
@@ -2,8 +2,8 @@
 
 /// What a client connection is doing.
 ///
-/// The discriminants are the positions of [`ConnectionStats::phases`](super::ConnectionStats::phases), and the indexes of
-/// the table's lists of connections by phase.
+/// The discriminants are the positions of [`ConnectionStats::phases`](super::ConnectionStats::phases), and the indexes
+/// of the table's lists of connections by phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
     /// It was accepted, and no byte has been read from it.
--- a/crates/admission/src/connections/timeouts.rs
+++ b/crates/admission/src/connections/timeouts.rs
@@ -60,8 +60,8 @@
         true
     }
 
-    /// Requests that an idle connection is parked, and sets its idle timeout. Whether it has to be woken: not where it was
-    /// parked before, because of a shortage of memory.
+    /// Requests that an idle connection is parked, and sets its idle timeout. Whether it has to be woken: not where it
+    /// was parked before, because of a shortage of memory.
     fn on_park_timeout(&mut self, id: ConnectionId, idle_until: Duration) -> bool {
         let park = self.phase(id) == Phase::Idle;
         if let Some(entry) = self.entry_mut(id) {
--- a/crates/admission/src/linked_lists.rs
+++ b/crates/admission/src/linked_lists.rs
@@ -1,5 +1,5 @@
-//! Intrusive doubly linked lists over ids: the links of all ids stand in one array, so that an id is in at most one list,
-//! and every operation takes constant time without an allocation of its own.
+//! Intrusive doubly linked lists over ids: the links of all ids stand in one array, so that an id is in at most one
+//! list, and every operation takes constant time without an allocation of its own.
 //!
 //! Ids are expected to be small and dense: an id costs 12 bytes, as do all ids below the highest one used.
 
--- a/crates/admission/src/timer_wheel.rs
+++ b/crates/admission/src/timer_wheel.rs
@@ -1,4 +1,5 @@
-//! A hierarchical timing wheel (G. Varghese and T. Lauck, "Hashed and Hierarchical Timing Wheels", SOSP 1987, scheme 7).
+//! A hierarchical timing wheel (G. Varghese and T. Lauck, "Hashed and Hierarchical Timing Wheels", SOSP 1987, scheme
+//! 7).
 //!
 //! - Resolution: one tick of 10 ms. A timer never fires early, and less than one tick late.
 //! - Cost: setting and cancelling take constant time, whatever the number of timers. A timer moves at most `LEVELS - 1`
@@ -138,8 +139,8 @@
         true
     }
 
-    /// The next tick at which a timer may fire or move: while the lowest levels are empty, nothing happens before the next
-    /// slot of the level above them begins.
+    /// The next tick at which a timer may fire or move: while the lowest levels are empty, nothing happens before the
+    /// next slot of the level above them begins.
     fn next_occupied_tick(&self) -> u64 {
         let empty_levels = self.occupied.iter().take_while(|bits| **bits == 0).count() as u32;
         let step = ticks_per_slot(empty_levels.min(LEVELS - 1));
--- a/crates/wire/src/main.rs
+++ b/crates/wire/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts balancers on the simulator's wire, on standard input and output: one isolated [`Balancer`] for each instance, a
-//! reply of lines to each batch of lines.
+//! Hosts balancers on the simulator's wire, on standard input and output: one isolated [`Balancer`] for each instance,
+//! a reply of lines to each batch of lines.
 
 use slatelink_policy::{Action, Balancer, Event, Timestamp};
 use slatelink_wire::{
@@ -84,8 +84,8 @@
         Ok(())
     }
 
-    /// Lets an instance handle an event, and adds its actions to the reply. A panic of the decision module becomes part of
-    /// the reply too: the other instances go on.
+    /// Lets an instance handle an event, and adds its actions to the reply. A panic of the decision module becomes part
+    /// of the reply too: the other instances go on.
     fn handle_event(&mut self, instance: InstanceId, event: Event) {
         let Some(balancer) = self.instances.get_mut(&instance) else {
             return;
