--- a/crates/admission/src/connections/closing.rs
+++ b/crates/admission/src/connections/closing.rs
@@ -85,7 +85,7 @@
 pub(super) struct Closing {
     /// The first cause that was given.
     pub(super) cause: CloseCause,
-    /// [`Directive::Abort`] once that was given, else the last one given.
+    /// [`Directive::Abort`] once that was given, until a complete request takes it back; else the last one given.
     pub(super) directive: Directive,
 }
 
@@ -135,7 +135,7 @@
         self.set_closing(id, cause, directive);
     }
 
-    /// Records that a connection closes. The first cause is kept, and an abort is never taken back.
+    /// Records that a connection closes. The first cause is kept, and no other directive takes the place of an abort.
     pub(super) fn set_closing(
         &mut self,
         id: ConnectionId,
