--- a/crates/lab/src/client/exchange.rs
+++ b/crates/lab/src/client/exchange.rs
@@ -79,7 +79,7 @@
                 end: End::Broke { begun },
                 reusable: false,
             },
-            Err(ReadError::Malformed(_)) => Outcome {
+            Err(ReadError::Malformed(_) | ReadError::TooLarge) => Outcome {
                 end: End::Failed(0),
                 reusable: false,
             },
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -10,12 +10,13 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// A longer message is given up.
-const LARGEST: usize = 256 << 10;
-const HEADERS: usize = 32;
-/// Read at once.
-const CHUNK: usize = 8 << 10;
-/// After a failed accept the next one waits: tried at once, it would fail and spin.
+/// Bytes of a message, head and body, at most; reading a longer one is an error.
+const MAX_MESSAGE_BYTES: usize = 256 << 10;
+/// Headers of a message, at most; more are malformed.
+const MAX_HEADERS: usize = 32;
+/// Bytes that the buffer has room for before each read.
+const READ_BYTES: usize = 8 << 10;
+/// Pause after a failed accept: tried again at once, it would fail and spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Why there is no message.
@@ -29,7 +30,10 @@
     },
     /// It is no HTTP.
     #[error("not HTTP: {0}")]
-    Malformed(String),
+    Malformed(#[from] httparse::Error),
+    /// It is longer than `MAX_MESSAGE_BYTES`.
+    #[error("not HTTP: a message too large")]
+    TooLarge,
 }
 
 /// A connection and what was read ahead on it.
@@ -121,12 +125,10 @@
 
     async fn more(&mut self) -> Result<(), ReadError> {
         let had = !self.buffer.is_empty();
-        self.buffer.reserve(CHUNK);
+        self.buffer.reserve(READ_BYTES);
         match self.stream.read_buf(&mut self.buffer).await {
             Ok(0) | Err(_) => Err(ReadError::Ended { begun: had }),
-            Ok(_) if self.buffer.len() > LARGEST => {
-                Err(ReadError::Malformed("a message too large".into()))
-            }
+            Ok(_) if self.buffer.len() > MAX_MESSAGE_BYTES => Err(ReadError::TooLarge),
             Ok(_) => {
                 if !had {
                     self.first = Some(Instant::now());
@@ -139,11 +141,9 @@
     /// The next request, whole.
     pub async fn request(&mut self) -> Result<Asked, ReadError> {
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Request::new(&mut headers);
-            let parsed = head
-                .parse(&self.buffer)
-                .map_err(|error| ReadError::Malformed(error.to_string()))?;
+            let parsed = head.parse(&self.buffer)?;
             if let httparse::Status::Complete(start) = parsed {
                 let body = length(head.headers);
                 if self.buffer.len() >= start + body {
@@ -167,11 +167,9 @@
     /// The next answer, whole.
     pub async fn answer(&mut self) -> Result<Answered, ReadError> {
         loop {
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Response::new(&mut headers);
-            let parsed = head
-                .parse(&self.buffer)
-                .map_err(|error| ReadError::Malformed(error.to_string()))?;
+            let parsed = head.parse(&self.buffer)?;
             if let httparse::Status::Complete(start) = parsed {
                 let body = length(head.headers);
                 if self.buffer.len() >= start + body {
--- a/crates/lab/src/list_protocol.rs
+++ b/crates/lab/src/list_protocol.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 /// The longest wait that a watch may ask for.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// Where lists are asked for.
-const PATH: &str = "/v1/servers";
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
+/// The path of calls for the list.
+const LIST_PATH: &str = "/v1/servers";
 
 /// The answer to a call that is turned away.
 pub const REFUSED: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -27,7 +27,7 @@
     /// Reads a request's target; `None` where that is no call for the list.
     pub fn parse(target: &str) -> Option<Self> {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        if path != PATH {
+        if path != LIST_PATH {
             return None;
         }
         let figure = |name: &str| {
@@ -36,7 +36,7 @@
                 .find(|pair| pair.0 == name)
                 .and_then(|pair| pair.1.parse::<u64>().ok())
         };
-        let wait = figure("wait_ms").map(|wait| Duration::from_millis(wait).min(LONGEST_WAIT));
+        let wait = figure("wait_ms").map(|wait| Duration::from_millis(wait).min(MAX_WATCH_WAIT));
         Some(Self {
             after: figure("after"),
             wait,
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -8,7 +8,7 @@
 use thiserror::Error;
 
 /// A run takes no more processes than this.
-const MOST_PROCESSES: u64 = 300;
+const MAX_PROCESSES: u64 = 300;
 
 /// The run's own process, with discovery, servers and clients, in KiB.
 const RUN_KIB: u64 = 24 << 10;
@@ -36,7 +36,7 @@
 /// At the run for each relay: its pipe, its address of discovery, its calls there, and the question for its status.
 const RELAY_DESCRIPTORS: u64 = 1 + 1 + NODE_CONNECTIONS + 1;
 /// Pipes to a process.
-const PIPES: u64 = 3;
+const PROCESS_PIPES: u64 = 3;
 /// Descriptors of a process besides.
 const SPARE_DESCRIPTORS: u64 = 64;
 /// Descriptors of a real node: the limit in its configuration.
@@ -76,7 +76,7 @@
         allowed: u64,
     },
     /// Too many processes.
-    #[error("the run would take {0} processes: {MOST_PROCESSES} are the most")]
+    #[error("the run would take {0} processes: {MAX_PROCESSES} are the most")]
     Processes(u64),
     /// Too many descriptors.
     #[error(
@@ -115,8 +115,8 @@
         };
         let run = SPARE_DESCRIPTORS
             + nodes * NODE_CONNECTIONS
-            + real * (GROUP_LISTENERS + PIPES)
-            + workers * (WORKER_GROUPS * GROUP_LISTENERS + PIPES)
+            + real * (GROUP_LISTENERS + PROCESS_PIPES)
+            + workers * (WORKER_GROUPS * GROUP_LISTENERS + PROCESS_PIPES)
             + relays * RELAY_DESCRIPTORS
             + clients;
         let worker = SPARE_DESCRIPTORS + simulated.div_ceil(workers.max(1)) * NODE_CONNECTIONS;
@@ -140,7 +140,7 @@
 
     /// Refuses a run that takes more than there is.
     pub fn check(&self, limits: &Limits) -> Result<(), BoundsError> {
-        if self.processes > MOST_PROCESSES {
+        if self.processes > MAX_PROCESSES {
             return Err(BoundsError::Processes(self.processes));
         }
         if self.memory_kib > limits.memory_kib {
--- a/crates/lab/src/scale/convergence.rs
+++ b/crates/lab/src/scale/convergence.rs
@@ -59,12 +59,13 @@
     pub to_each: Histogram<u64>,
 }
 
-/// Times are kept to three digits, up to an hour; a longer one counts as an hour.
-const DIGITS: u8 = 3;
-const LONGEST_US: u64 = 3_600_000_000;
+/// Significant digits that times are recorded to.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// The longest time recorded, an hour in microseconds; a longer one counts as this.
+const MAX_RECORDED_US: u64 = 3_600_000_000;
 
 fn histogram() -> Result<Histogram<u64>, hdrhistogram::CreationError> {
-    Histogram::new_with_max(LONGEST_US, DIGITS)
+    Histogram::new_with_max(MAX_RECORDED_US, SIGNIFICANT_DIGITS)
 }
 
 impl Times {
--- a/crates/lab/src/scale/error.rs
+++ b/crates/lab/src/scale/error.rs
@@ -3,9 +3,10 @@
 use crate::nodes::NodeError;
 use crate::scale::bounds::BoundsError;
 use crate::scale::options::OptionsError;
+use crate::scale::real::RealNodeFailure;
 use crate::scale::relays::RelayProcessError;
 use crate::scale::service::ServiceEnded;
-use crate::scale::workers::WorkersError;
+use crate::scale::workers::{WorkerEnd, WorkersError};
 use crate::scenario::ScenarioError;
 use std::io;
 use std::time::Duration;
@@ -37,13 +38,13 @@
     Workers(#[from] WorkersError),
     /// A worker that gave up.
     #[error("worker {0}: {1}")]
-    Worker(usize, String),
+    Worker(usize, WorkerEnd),
     /// A worker that says nothing.
     #[error("a worker did not answer in time")]
     Silent,
     /// A real node that gave up.
     #[error("real node {0}: {1}")]
-    RealNode(usize, String),
+    RealNode(usize, RealNodeFailure),
     /// A relay.
     #[error(transparent)]
     Relay(#[from] RelayProcessError),
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -16,14 +16,14 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{interval, Instant, Interval, MissedTickBehavior};
 
-/// What is due is looked at so often.
-const TICK: Duration = Duration::from_millis(5);
+/// Interval of the checks for what is due.
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 /// A fleet that is not up to date by then does not get there.
-const FLEET_START: Duration = Duration::from_secs(120);
+const FLEET_START_TIMEOUT: Duration = Duration::from_secs(120);
 /// After the last change the fleet has this long to be up to date.
-const SETTLE: Duration = Duration::from_secs(20);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 /// A worker answers within this.
-const WORKER_ANSWER: Duration = Duration::from_secs(20);
+const WORKER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Plays on a fleet.
 pub struct Player<'a, 'b> {
@@ -102,7 +102,7 @@
     async fn set_up(&mut self) -> Result<Usage, ScaleError> {
         let workers = self.fleet.workers.len();
         if !self
-            .until(WORKER_ANSWER, |fleet| fleet.state.ready_workers == workers)
+            .until(WORKER_TIMEOUT, |fleet| fleet.state.ready_workers == workers)
             .await?
         {
             return Err(ScaleError::Silent);
@@ -113,10 +113,10 @@
     /// Waits for the real nodes, and then starts the simulated ones: the real ones' start has no herd beside it.
     async fn start_nodes(&mut self) -> Result<StartTimes, ScaleError> {
         let mut well = self
-            .until(FLEET_START, |fleet| fleet.state.real_nodes_ready())
+            .until(FLEET_START_TIMEOUT, |fleet| fleet.state.real_nodes_ready())
             .await?;
         self.fleet.start_all_simulated().await?;
-        well &= self.until(FLEET_START, Fleet::is_settled).await?;
+        well &= self.until(FLEET_START_TIMEOUT, Fleet::is_settled).await?;
         if !well {
             let (behind, nodes) = (
                 self.fleet.state.convergence.behind(),
@@ -125,7 +125,7 @@
             return Err(ScaleError::NoStart {
                 behind,
                 nodes,
-                waited: FLEET_START,
+                waited: FLEET_START_TIMEOUT,
             });
         }
         self.start_times()
@@ -164,7 +164,7 @@
                 self.make(step).await?;
             }
             let over = now >= length && schedule.is_over() && self.fleet.is_settled();
-            if over || now >= length + SETTLE {
+            if over || now >= length + SETTLE_TIMEOUT {
                 return Ok(());
             }
             let doing = format!("{:.0} of {:.0} s", now.as_secs_f64(), length.as_secs_f64());
@@ -237,7 +237,7 @@
             worker.order(&Order::Count).await?;
         }
         let counted = |fleet: &Fleet<'a>| fleet.state.counted.iter().all(Option::is_some);
-        if !self.until(WORKER_ANSWER, counted).await? {
+        if !self.until(WORKER_TIMEOUT, counted).await? {
             return Err(ScaleError::Silent);
         }
         Sample::take(self.fleet).await
@@ -299,7 +299,7 @@
 }
 
 fn ticks() -> Interval {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks
 }
--- a/crates/lab/src/scale/queue.rs
+++ b/crates/lab/src/scale/queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// A call that would have to wait longer than this for its turn is turned away.
-const LONGEST_QUEUE: Duration = Duration::from_secs(2);
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 
 /// What discovery's work costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,8 +43,8 @@
 
     /// A call that comes now and that so many entries answer at once: its turn, or the end of its patience.
     pub fn call(&mut self, now: Duration, entries: usize) -> Admission {
-        if self.free_at.saturating_sub(now) > LONGEST_QUEUE {
-            return Admission::Refused(now + LONGEST_QUEUE);
+        if self.free_at.saturating_sub(now) > MAX_QUEUE_TIME {
+            return Admission::Refused(now + MAX_QUEUE_TIME);
         }
         Admission::Served(self.work(now, self.costs.call + self.entries(entries)))
     }
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -8,6 +8,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::interval;
@@ -25,7 +26,18 @@
     /// Its process is ready, and this is its id.
     Ready(Option<i32>),
     /// It did not come up, or ended by itself.
-    Failed(String),
+    Failed(RealNodeFailure),
+}
+
+/// Why a real node does not run.
+#[derive(Debug, Error)]
+pub enum RealNodeFailure {
+    /// It cannot be started or configured.
+    #[error("{0}")]
+    Node(#[from] NodeError),
+    /// Its process exited without being told to.
+    #[error("it ended by itself")]
+    Exited,
 }
 
 enum Order {
@@ -105,8 +117,8 @@
     }
 }
 
-/// A process is looked at so often for whether it has ended by itself.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval of the checks whether a process has exited by itself.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 async fn drive(
     number: usize,
@@ -119,7 +131,7 @@
         let _ = events.send((number, event));
     };
     if let Err(error) = follow(&mut node, &mut orders, &report).await {
-        report(RealNodeEvent::Failed(error.to_string()));
+        report(RealNodeEvent::Failed(error.into()));
     }
     node.stop().await;
 }
@@ -131,7 +143,7 @@
 ) -> Result<(), NodeError> {
     let mut configuration = 0;
     start(node, configuration, report).await?;
-    let mut looks = interval(LOOK);
+    let mut looks = interval(EXIT_POLL_INTERVAL);
     loop {
         tokio::select! {
             order = orders.recv() => match order {
@@ -146,7 +158,7 @@
                 Some(Order::End) | None => return Ok(()),
             },
             _ = looks.tick() => if node.has_died() {
-                report(RealNodeEvent::Failed("it ended by itself".to_owned()));
+                report(RealNodeEvent::Failed(RealNodeFailure::Exited));
                 return Ok(());
             },
         }
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -1,6 +1,6 @@
 //! Relays of a scale run: processes of this program between discovery and the nodes, in tiers.
 
-use crate::http::Conn;
+use crate::http::{Conn, ReadError};
 use crate::scale::options::Options;
 use slatelink_node::relay::{RelayStatus, STATUS_PATH};
 use std::cell::RefCell;
@@ -15,18 +15,19 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, ChildStderr, Command};
 use tokio::task::JoinSet;
+use tokio::time::error::Elapsed;
 use tokio::time::{sleep, timeout};
 
 /// A relay listens, and has a list, within this.
-const START: Duration = Duration::from_secs(20);
-/// Whether it has is looked at so often.
-const START_POLL: Duration = Duration::from_millis(5);
-/// A relay is asked for its state so often while the run goes on.
-const POLL: Duration = Duration::from_millis(100);
-/// It answers that within this.
-const ANSWER: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Pause between two looks at whether a relay that starts has a list.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Pause between two calls for a relay's state while the run goes on.
+const STATUS_INTERVAL: Duration = Duration::from_millis(100);
+/// A call for its state is given up after this.
+const STATUS_TIMEOUT: Duration = Duration::from_secs(10);
 /// A relay that is told to stop ends within this, or is ended.
-const ENDING: Duration = Duration::from_secs(3);
+const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why a relay is not there.
 #[derive(Debug, Error)]
@@ -38,11 +39,28 @@
     #[error("a relay did not say where it listens, but {0:?}")]
     NoAddress(String),
     /// It has no list.
-    #[error("relay {0} had no list {seconds} s after its start", seconds = START.as_secs())]
+    #[error("relay {0} had no list {seconds} s after its start", seconds = START_TIMEOUT.as_secs())]
     NoList(SocketAddr),
     /// It does not tell its state.
     #[error("relay {0} does not tell its state: {1}")]
-    NoStatus(SocketAddr, String),
+    NoStatus(SocketAddr, StatusError),
+}
+
+/// Why a relay's state is not known.
+#[derive(Debug, Error)]
+pub enum StatusError {
+    /// It cannot be called.
+    #[error("{0}")]
+    Call(#[from] io::Error),
+    /// Its answer cannot be read.
+    #[error("{0}")]
+    Answer(#[from] ReadError),
+    /// Its answer is no state.
+    #[error("{0}")]
+    Body(#[from] serde_json::Error),
+    /// It did not answer within `STATUS_TIMEOUT`.
+    #[error("no answer in time")]
+    Timeout(#[from] Elapsed),
 }
 
 /// The connection for a relay's state.
@@ -60,18 +78,18 @@
     }
 
     async fn ask(&mut self) -> Result<RelayStatus, RelayProcessError> {
-        let failed = |error: String| RelayProcessError::NoStatus(self.address, error);
-        match timeout(ANSWER, exchange(self.address, &mut self.conn)).await {
-            Ok(status) => status.map_err(|error| failed(error.to_string())),
-            Err(_) => Err(failed("no answer in time".to_owned())),
-        }
+        let exchanged = timeout(STATUS_TIMEOUT, exchange(self.address, &mut self.conn)).await;
+        exchanged
+            .unwrap_or_else(|elapsed| Err(elapsed.into()))
+            .map_err(|error| RelayProcessError::NoStatus(self.address, error))
     }
 }
 
+/// One call for a relay's state, on the connection of the last one where that is left.
 async fn exchange(
     address: SocketAddr,
     kept: &mut Option<Conn>,
-) -> Result<RelayStatus, Box<dyn std::error::Error>> {
+) -> Result<RelayStatus, StatusError> {
     let mut conn = match kept.take() {
         Some(conn) => conn,
         None => Conn::new(TcpStream::connect(address).await?)?,
@@ -149,7 +167,7 @@
             let _ =
                 nix::sys::signal::kill(nix::unistd::Pid::from_raw(pid), nix::sys::signal::SIGTERM);
         }
-        if timeout(ENDING, self.child.wait()).await.is_err() {
+        if timeout(STOP_TIMEOUT, self.child.wait()).await.is_err() {
             let _ = self.child.kill().await;
         }
     }
@@ -157,7 +175,7 @@
 
 /// The address in the first line of a relay's log.
 async fn address(log: &mut Lines<BufReader<ChildStderr>>) -> Result<SocketAddr, RelayProcessError> {
-    let line = timeout(START, log.next_line())
+    let line = timeout(START_TIMEOUT, log.next_line())
         .await
         .ok()
         .and_then(Result::ok)
@@ -176,10 +194,10 @@
             if status.version.is_some() {
                 return Ok(status);
             }
-            sleep(START_POLL).await;
+            sleep(START_POLL_INTERVAL).await;
         }
     };
-    timeout(START, asked)
+    timeout(START_TIMEOUT, asked)
         .await
         .map_err(|_| RelayProcessError::NoList(address))?
 }
@@ -195,7 +213,7 @@
         if let Ok(status) = client.ask().await {
             *latest.borrow_mut() = status;
         }
-        sleep(POLL).await;
+        sleep(STATUS_INTERVAL).await;
     }
 }
 
--- a/crates/lab/src/scale/run.rs
+++ b/crates/lab/src/scale/run.rs
@@ -14,8 +14,8 @@
 use tokio::task::LocalSet;
 use tokio::time::interval;
 
-/// Whether the run is to stop is looked at so often.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval of the checks whether the run is to stop.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs it, until it is over or `stop` is raised. Nothing that it started is left then.
 pub fn run(
@@ -44,7 +44,7 @@
 }
 
 async fn stopped(stop: &AtomicBool) {
-    let mut looks = interval(LOOK);
+    let mut looks = interval(STOP_POLL_INTERVAL);
     while !stop.load(Ordering::Relaxed) {
         looks.tick().await;
     }
--- a/crates/lab/src/scale/state.rs
+++ b/crates/lab/src/scale/state.rs
@@ -6,7 +6,7 @@
 use crate::scale::protocol::{InForce, Message, WorkerCounts};
 use crate::scale::real::RealNodeEvent;
 use crate::scale::service::Acknowledged;
-use crate::scale::workers::WorkerEvent;
+use crate::scale::workers::{WorkerEnd, WorkerEvent};
 
 /// Something that happened to a member of the fleet.
 #[derive(Debug)]
@@ -84,7 +84,9 @@
             Message::Ready => self.ready_workers += 1,
             Message::InForce(all) => all.into_iter().for_each(|in_force| self.in_force(in_force)),
             Message::Counted(counts) => self.counted[worker] = Some(counts),
-            Message::Failed(why) => return Err(ScaleError::Worker(worker, why)),
+            Message::Failed(why) => {
+                return Err(ScaleError::Worker(worker, WorkerEnd::Reported(why)))
+            }
         }
         Ok(())
     }
--- a/crates/lab/src/scale/traffic.rs
+++ b/crates/lab/src/scale/traffic.rs
@@ -19,9 +19,9 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 /// How long a client waits for an answer; the node knows it from the request.
-const DEADLINE: Duration = Duration::from_millis(500);
+const REQUEST_DEADLINE: Duration = Duration::from_millis(500);
 /// A client without a node or a connection tries again after this.
-const AGAIN: Duration = Duration::from_millis(50);
+const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Keys that are asked for.
 const KEYS: u64 = 20_000;
 const SERVED: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -116,7 +116,7 @@
             None => connect(node, &table).await,
         };
         let key = random.random_range(0..KEYS);
-        let answered = timeout(DEADLINE, request(&mut open, client, number, key)).await;
+        let answered = timeout(REQUEST_DEADLINE, request(&mut open, client, number, key)).await;
         let mut now = counts.get();
         now.asked += 1;
         match answered {
@@ -141,7 +141,7 @@
                 return conn;
             }
         }
-        sleep(AGAIN).await;
+        sleep(CONNECT_RETRY_DELAY).await;
     }
 }
 
@@ -150,7 +150,7 @@
     let text = format!(
         "GET /api/{key:016x} HTTP/1.1\r\nHost: lab\r\nReq-Id: scale-{client}-{number}\r\nReq-Kind: lookup\r\n\
          Req-Deadline-Ms: {}\r\n\r\n",
-        DEADLINE.as_millis()
+        REQUEST_DEADLINE.as_millis()
     );
     conn.write(text.as_bytes()).await?;
     let answer = conn.answer().await.map_err(io::Error::other)?;
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -24,9 +24,9 @@
 use tokio::time::{interval, sleep_until, Instant};
 
 /// Lists that came into force are reported this long after the first of them.
-const REPORT: Duration = Duration::from_millis(20);
-/// The log is asked for what it left out so often.
-const LOG_TURN: Duration = Duration::from_secs(1);
+const REPORT_DELAY: Duration = Duration::from_millis(20);
+/// Interval at which the log reports the lines it dropped.
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a worker cannot go on.
 #[derive(Debug, Error)]
@@ -82,7 +82,7 @@
     };
     let mut worker = Worker::new(setup)?;
     send(&Message::Ready)?;
-    let mut log_turns = interval(LOG_TURN);
+    let mut log_turns = interval(LOG_INTERVAL);
     // When lists that came into force are to be reported.
     let mut report_at = None;
     loop {
@@ -92,7 +92,7 @@
                 Some(order) => worker.follow(serde_json::from_str(&order)?)?,
                 None => return Ok(()),
             },
-            () = tally.news.notified(), if report_at.is_none() => report_at = Some(Instant::now() + REPORT),
+            () = tally.news.notified(), if report_at.is_none() => report_at = Some(Instant::now() + REPORT_DELAY),
             () = at(report_at) => {
                 report_at = None;
                 worker.report()?;
--- a/crates/lab/src/scale/workers.rs
+++ b/crates/lab/src/scale/workers.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 /// A worker whose standard input has ended ends within this, or is ended.
-const ENDING: Duration = Duration::from_secs(3);
+const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What makes a process a worker.
 #[derive(Clone, Debug)]
@@ -40,8 +40,25 @@
 pub enum WorkerEvent {
     /// It says something.
     Message(Message),
-    /// It said what cannot be read, or ended.
-    Ended(String),
+    /// No more is heard from it.
+    Ended(WorkerEnd),
+}
+
+/// Why no more is heard from a worker.
+#[derive(Debug, Error)]
+pub enum WorkerEnd {
+    /// It wrote a line that is no message.
+    #[error("it said what cannot be read: {0}")]
+    Unreadable(serde_json::Error),
+    /// Its process closed its standard output.
+    #[error("its process has ended")]
+    Exited,
+    /// Its standard output cannot be read.
+    #[error("{0}")]
+    Output(io::Error),
+    /// It reported an error of its own.
+    #[error("{0}")]
+    Reported(String),
 }
 
 /// A worker's process.
@@ -101,7 +118,7 @@
     /// Ends it.
     pub async fn end(mut self) {
         self.orders = None;
-        if timeout(ENDING, self.child.wait()).await.is_err() {
+        if timeout(STOP_TIMEOUT, self.child.wait()).await.is_err() {
             // It may have ended this moment.
             let _ = self.child.kill().await;
         }
@@ -114,10 +131,10 @@
         let event = match lines.next_line().await {
             Ok(Some(line)) => match serde_json::from_str(&line) {
                 Ok(message) => WorkerEvent::Message(message),
-                Err(error) => WorkerEvent::Ended(format!("it said what cannot be read: {error}")),
+                Err(error) => WorkerEvent::Ended(WorkerEnd::Unreadable(error)),
             },
-            Ok(None) => WorkerEvent::Ended("its process has ended".to_owned()),
-            Err(error) => WorkerEvent::Ended(error.to_string()),
+            Ok(None) => WorkerEvent::Ended(WorkerEnd::Exited),
+            Err(error) => WorkerEvent::Ended(WorkerEnd::Output(error)),
         };
         let over = matches!(event, WorkerEvent::Ended(_));
         if events.send((place, event)).is_err() || over {
--- a/crates/lab/src/servers/connection.rs
+++ b/crates/lab/src/servers/connection.rs
@@ -119,7 +119,7 @@
         match read {
             Ok(Ok(request)) => Ok(Some(request)),
             Ok(Err(ReadError::Ended { .. })) | Err(_) => Err(ConnectionEnd::Close),
-            Ok(Err(ReadError::Malformed(_))) => Err(ConnectionEnd::Reset),
+            Ok(Err(ReadError::Malformed(_) | ReadError::TooLarge)) => Err(ConnectionEnd::Reset),
         }
     }
 
