--- a/crates/cli/src/lab/scale.rs
+++ b/crates/cli/src/lab/scale.rs
@@ -7,7 +7,7 @@
 use slatelink_config::relay::DEFAULT_LEASE_MS;
 use slatelink_lab::scale::bounds::{Estimate, Limits};
 use slatelink_lab::scale::{
-    self, Options, Programs, Progress, Report, ScaleError, Trouble, TroubleKind, WorkerProgram,
+    self, Fault, FaultKind, Options, Programs, Progress, Report, ScaleError, WorkerProgram,
 };
 use std::error::Error;
 use std::fs::File;
@@ -109,13 +109,13 @@
     Split,
 }
 
-impl From<TroubleName> for TroubleKind {
+impl From<TroubleName> for FaultKind {
     fn from(name: TroubleName) -> Self {
         match name {
             TroubleName::DiscoveryDown => Self::DiscoveryDown,
             TroubleName::RestartTenth => Self::RestartTenth,
             TroubleName::ZoneLost => Self::ZoneLost,
-            TroubleName::Split => Self::Split,
+            TroubleName::Split => Self::Partition,
         }
     }
 }
@@ -158,14 +158,14 @@
     }
 
     fn options(&self) -> Options {
-        let trouble = self.trouble.map(|name| {
-            let kind = TroubleKind::from(name);
-            let for_s = if kind == TroubleKind::RestartTenth {
+        let fault = self.trouble.map(|name| {
+            let kind = FaultKind::from(name);
+            let for_s = if kind == FaultKind::RestartTenth {
                 0.0
             } else {
                 self.trouble_for
             };
-            Trouble {
+            Fault {
                 kind,
                 at_s: self.trouble_at,
                 for_s,
@@ -187,7 +187,7 @@
             entry_cost_us: self.entry_cost,
             relays: self.relays.clone(),
             relay_lease_ms: self.relay_lease_ms,
-            trouble,
+            fault,
         }
     }
 }
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -31,7 +31,7 @@
 
 pub use error::ScaleError;
 pub use fleet::Programs;
-pub use options::{Options, Trouble, TroubleKind};
+pub use options::{Fault, FaultKind, Options};
 pub use progress::Progress;
 pub use report::Report;
 pub use run::run;
--- a/crates/lab/src/scale/assignment.rs
+++ b/crates/lab/src/scale/assignment.rs
@@ -41,20 +41,21 @@
     /// Who calls at discovery's addresses: two follow one another for each real node, and two for each worker's nodes on
     /// each side of a split. At the end there is one for each relay.
     pub fn peers(&self) -> Vec<Peer> {
-        let both = |caller, far| {
+        let both = |caller, beyond_partition| {
             (0..2).map(move |address| Peer {
                 caller,
                 address,
-                far,
+                beyond_partition,
             })
         };
-        let real = (0..self.real).flat_map(|node| both(Caller::RealNode(node), is_far(node)));
-        let simulated = |far| both(Caller::SimulatedNodes, far);
+        let real =
+            (0..self.real).flat_map(|node| both(Caller::RealNode(node), is_beyond_partition(node)));
+        let simulated = |beyond_partition| both(Caller::SimulatedNodes, beyond_partition);
         let shared = (0..self.workers()).flat_map(|_| simulated(false).chain(simulated(true)));
         let relay = Peer {
             caller: Caller::Relay,
             address: 0,
-            far: false,
+            beyond_partition: false,
         };
         real.chain(shared)
             .chain((0..self.relays).map(|_| relay))
@@ -80,13 +81,13 @@
     ) -> [SocketAddr; 2] {
         pair(
             addresses,
-            self.real + 2 * worker + usize::from(is_far(node)),
+            self.real + 2 * worker + usize::from(is_beyond_partition(node)),
         )
     }
 }
 
 /// Every second node is cut off by a split.
-fn is_far(node: usize) -> bool {
+fn is_beyond_partition(node: usize) -> bool {
     node % 2 == 1
 }
 
--- a/crates/lab/src/scale/assignment/tests.rs
+++ b/crates/lab/src/scale/assignment/tests.rs
@@ -23,7 +23,7 @@
     let relay = Peer {
         caller: Caller::Relay,
         address: 0,
-        far: false,
+        beyond_partition: false,
     };
     assert!(assignment
         .of_relays(&addresses)
@@ -35,7 +35,7 @@
         let peer = |address| Peer {
             caller: Caller::RealNode(node),
             address,
-            far: is_far(node),
+            beyond_partition: is_beyond_partition(node),
         };
         assert_eq!(pair, [peer(0), peer(1)]);
     }
@@ -46,7 +46,7 @@
         let peer = |address| Peer {
             caller: Caller::SimulatedNodes,
             address,
-            far: is_far(node),
+            beyond_partition: is_beyond_partition(node),
         };
         assert_eq!(pair, [peer(0), peer(1)]);
     }
--- a/crates/lab/src/scale/convergence.rs
+++ b/crates/lab/src/scale/convergence.rs
@@ -15,13 +15,13 @@
 
 /// What a change is part of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Occasion {
+pub enum ChangeCause {
     /// The planned changes.
     Planned,
-    /// The begin of a trouble.
-    TroubleBegins,
-    /// The end of a trouble.
-    TroubleEnds,
+    /// The begin of a fault.
+    FaultBegins,
+    /// The end of a fault.
+    FaultEnds,
 }
 
 /// What a node has in force.
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 struct Pending {
     change: Change,
-    occasion: Occasion,
+    cause: ChangeCause,
     at_us: u64,
     missing: usize,
     last_us: u64,
@@ -125,7 +125,7 @@
     started: Vec<(usize, u64)>,
     lists: Times,
     configurations: Times,
-    troubles: BTreeMap<Occasion, u64>,
+    fault_times: BTreeMap<ChangeCause, u64>,
 }
 
 impl Convergence {
@@ -142,7 +142,7 @@
             started: Vec::new(),
             lists: Times::new()?,
             configurations: Times::new()?,
-            troubles: BTreeMap::new(),
+            fault_times: BTreeMap::new(),
         })
     }
 
@@ -164,7 +164,7 @@
     }
 
     /// Something changed.
-    pub fn changed(&mut self, change: Change, occasion: Occasion, at_us: u64) {
+    pub fn changed(&mut self, change: Change, cause: ChangeCause, at_us: u64) {
         match change {
             Change::List(version) => self.newest.list = version,
             Change::Configuration(version) => self.newest.configuration = version,
@@ -172,7 +172,7 @@
         let missing = self.nodes.iter().filter(|node| !node.has(change)).count();
         self.pending.push_back(Pending {
             change,
-            occasion,
+            cause,
             at_us,
             missing,
             last_us: at_us,
@@ -201,7 +201,7 @@
                     Change::List(_) => &mut self.lists,
                     Change::Configuration(_) => &mut self.configurations,
                 };
-                if pending.occasion == Occasion::Planned {
+                if pending.cause == ChangeCause::Planned {
                     times
                         .to_each
                         .saturating_record(at_us.saturating_sub(pending.at_us));
@@ -219,13 +219,15 @@
                 return;
             };
             let took = pending.last_us - pending.at_us;
-            match (pending.occasion, pending.change) {
-                (Occasion::Planned, Change::List(_)) => self.lists.to_last.saturating_record(took),
-                (Occasion::Planned, Change::Configuration(_)) => {
+            match (pending.cause, pending.change) {
+                (ChangeCause::Planned, Change::List(_)) => {
+                    self.lists.to_last.saturating_record(took)
+                }
+                (ChangeCause::Planned, Change::Configuration(_)) => {
                     self.configurations.to_last.saturating_record(took);
                 }
-                (occasion, _) => {
-                    self.troubles.insert(occasion, took);
+                (cause, _) => {
+                    self.fault_times.insert(cause, took);
                 }
             }
         }
@@ -261,9 +263,9 @@
         &self.configurations
     }
 
-    /// Microseconds from the change at this point of a trouble to the last node that had it.
-    pub fn trouble(&self, occasion: Occasion) -> Option<u64> {
-        self.troubles.get(&occasion).copied()
+    /// Microseconds from the change at this point of a fault to the last node that had it.
+    pub fn fault_time(&self, cause: ChangeCause) -> Option<u64> {
+        self.fault_times.get(&cause).copied()
     }
 }
 
--- a/crates/lab/src/scale/convergence/tests.rs
+++ b/crates/lab/src/scale/convergence/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const PLANNED: Occasion = Occasion::Planned;
+const PLANNED: ChangeCause = ChangeCause::Planned;
 
 // Guards against a change that counts as everywhere while a node lacks it, and against times from other moments.
 #[test]
@@ -41,17 +41,17 @@
     let mut fleet = Convergence::new(2).unwrap();
     fleet.in_force(0, 1, 0, 0);
     fleet.in_force(1, 1, 0, 0);
-    fleet.changed(Change::List(2), Occasion::TroubleEnds, 10);
+    fleet.changed(Change::List(2), ChangeCause::FaultEnds, 10);
     fleet.in_force(0, 2, 0, 20);
     fleet.starts(0, 0, 30);
     fleet.in_force(1, 2, 0, 40);
     assert_eq!(
-        (fleet.behind(), fleet.trouble(Occasion::TroubleEnds)),
+        (fleet.behind(), fleet.fault_time(ChangeCause::FaultEnds)),
         (1, None)
     );
     fleet.in_force(0, 2, 0, 60);
     assert_eq!(
-        (fleet.behind(), fleet.trouble(Occasion::TroubleEnds)),
+        (fleet.behind(), fleet.fault_time(ChangeCause::FaultEnds)),
         (0, Some(50))
     );
     assert_eq!(fleet.take_started(), [(0, 30)]);
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -4,7 +4,7 @@
 use crate::nodes::{NodeEnvironment, NodeEvents, Program};
 use crate::run::Folder;
 use crate::scale::assignment::Assignment;
-use crate::scale::convergence::{Change, Occasion};
+use crate::scale::convergence::{Change, ChangeCause};
 use crate::scale::directory::{EntryChange, FIRST_VERSION};
 use crate::scale::error::ScaleError;
 use crate::scale::options::Options;
@@ -221,14 +221,14 @@
     pub async fn change_list(
         &mut self,
         changes: Vec<EntryChange>,
-        occasion: Occasion,
+        cause: ChangeCause,
     ) -> Result<(), ScaleError> {
         let changed = self.service.change(changes).await?;
         self.version = changed.version;
         self.state.list_changes += 1;
         self.state
             .convergence
-            .changed(Change::List(changed.version), occasion, changed.at_us);
+            .changed(Change::List(changed.version), cause, changed.at_us);
         Ok(())
     }
 
@@ -239,7 +239,7 @@
         let configuration = self.state.configuration;
         self.state.convergence.changed(
             Change::Configuration(configuration),
-            Occasion::Planned,
+            ChangeCause::Planned,
             at_us,
         );
         self.real.iter().for_each(RealNode::configure);
--- a/crates/lab/src/scale/options.rs
+++ b/crates/lab/src/scale/options.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Trouble to play.
+/// Kinds of faults that a scale run plays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Discovery is away and comes back.
     DiscoveryDown,
     /// A tenth of the nodes is restarted at once.
@@ -16,14 +16,15 @@
     /// The servers of one zone are gone and come back.
     ZoneLost,
     /// Half of the fleet is cut off from discovery for a while.
-    Split,
+    #[serde(rename = "split")]
+    Partition,
 }
 
-/// One trouble on the time line.
+/// One fault on the time line.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Trouble {
+pub struct Fault {
     /// What.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// When, in seconds after the fleet was up to date first.
     pub at_s: f64,
     /// For how many seconds; a restart takes none.
@@ -64,7 +65,8 @@
     /// How long relays answer after upstream's last word, in milliseconds.
     pub relay_lease_ms: u64,
     /// What goes wrong.
-    pub trouble: Option<Trouble>,
+    #[serde(rename = "trouble")]
+    pub fault: Option<Fault>,
 }
 
 impl Default for Options {
@@ -85,7 +87,7 @@
             entry_cost_us: 5,
             relays: Vec::new(),
             relay_lease_ms: DEFAULT_LEASE_MS,
-            trouble: None,
+            fault: None,
         }
     }
 }
@@ -119,7 +121,7 @@
     /// A zone is to be lost and there is no other.
     #[error("a zone is to be lost: that takes at least 2 zones")]
     OnlyZone,
-    /// Trouble that begins or ends after the run.
+    /// Fault that begins or ends after the run.
     #[error("trouble from second {at_s} for {for_s} s does not end within the run's {length_s} s")]
     TroubleTooLate {
         /// When it begins.
@@ -184,7 +186,7 @@
         Duration::from_secs_f64(self.length_s)
     }
 
-    /// Changes of the list that are planned, without those of a trouble.
+    /// Changes of the list that are planned, without those of a fault.
     pub fn planned_list_changes(&self) -> usize {
         planned(self.list_changes, self.length_s)
     }
@@ -226,8 +228,7 @@
             return Err(OptionsError::TooManyChanges { changes });
         }
         self.check_relays()?;
-        self.trouble
-            .map_or(Ok(()), |trouble| self.check_trouble(trouble))
+        self.fault.map_or(Ok(()), |fault| self.check_fault(fault))
     }
 
     fn check_relays(&self) -> Result<(), OptionsError> {
@@ -249,14 +250,14 @@
         Ok(())
     }
 
-    fn check_trouble(&self, trouble: Trouble) -> Result<(), OptionsError> {
-        let Trouble { kind, at_s, for_s } = trouble;
+    fn check_fault(&self, fault: Fault) -> Result<(), OptionsError> {
+        let Fault { kind, at_s, for_s } = fault;
         range("--trouble-at", at_s, 0.0, MOST_SECONDS)?;
         range("--trouble-for", for_s, 0.0, MOST_SECONDS)?;
-        if kind == TroubleKind::Split && !self.relays.is_empty() {
+        if kind == FaultKind::Partition && !self.relays.is_empty() {
             return Err(OptionsError::SplitWithRelays);
         }
-        if kind == TroubleKind::ZoneLost && self.zones < 2 {
+        if kind == FaultKind::ZoneLost && self.zones < 2 {
             return Err(OptionsError::OnlyZone);
         }
         if at_s + for_s > self.length_s {
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -1,17 +1,17 @@
-//! Plays the time line on a fleet and measures it: the start, changes, configurations, a trouble.
+//! Plays the time line on a fleet and measures it: the start, changes, configurations, a fault.
 
 use crate::scale::bounds::{Estimate, Limits};
-use crate::scale::convergence::{Occasion, TimeSummary, Times};
+use crate::scale::convergence::{ChangeCause, TimeSummary, Times};
 use crate::scale::counts::ControlCounts;
 use crate::scale::error::ScaleError;
 use crate::scale::fleet::Fleet;
-use crate::scale::options::TroubleKind;
+use crate::scale::options::FaultKind;
 use crate::scale::processes::Usage;
 use crate::scale::progress::Progress;
 use crate::scale::protocol::Order;
 use crate::scale::report::{self, ChangeTimes, Report, StartTimes};
 use crate::scale::sample::{workers_usage, Period, Sample};
-use crate::scale::schedule::{ChangeGenerator, Schedule, Step, TroubleStep};
+use crate::scale::schedule::{ChangeGenerator, FaultStep, Schedule, Step};
 use crate::scale::traffic::TrafficCounts;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{interval, Instant, Interval, MissedTickBehavior};
@@ -30,8 +30,8 @@
     fleet: &'b mut Fleet<'a>,
     progress: &'b Progress,
     generator: ChangeGenerator,
-    /// The trouble that has begun, and all messages before it.
-    trouble: Option<(TroubleKind, ControlCounts)>,
+    /// The fault that has begun, and all messages before it.
+    fault: Option<(FaultKind, ControlCounts)>,
 }
 
 impl<'a, 'b> Player<'a, 'b> {
@@ -42,7 +42,7 @@
             fleet,
             progress,
             generator,
-            trouble: None,
+            fault: None,
         }
     }
 
@@ -154,8 +154,8 @@
         let mut ticks = ticks();
         loop {
             let now = begun.elapsed();
-            while let Some(step) = schedule.next_trouble(now) {
-                self.make_trouble(step).await?;
+            while let Some(step) = schedule.next_fault(now) {
+                self.make_fault_step(step).await?;
             }
             while !self.fleet.options.step_wise || self.fleet.is_settled() {
                 let Some(step) = schedule.next_step(now) else {
@@ -176,54 +176,56 @@
         match step {
             Step::ListChange => {
                 let changes = self.generator.list_change();
-                self.fleet.change_list(changes, Occasion::Planned).await
+                self.fleet.change_list(changes, ChangeCause::Planned).await
             }
             Step::Configuration => self.fleet.configure().await,
         }
     }
 
-    async fn make_trouble(&mut self, step: TroubleStep) -> Result<(), ScaleError> {
+    async fn make_fault_step(&mut self, step: FaultStep) -> Result<(), ScaleError> {
         match step {
-            TroubleStep::Begin(kind) => {
+            FaultStep::Begin(kind) => {
                 let figures = self.fleet.service.figures().await?;
-                self.trouble = Some((kind, figures.control()));
+                self.fault = Some((kind, figures.control()));
                 self.begin(kind).await
             }
-            TroubleStep::End(kind) => self.end(kind).await,
+            FaultStep::End(kind) => self.end(kind).await,
         }
     }
 
-    async fn begin(&mut self, kind: TroubleKind) -> Result<(), ScaleError> {
+    async fn begin(&mut self, kind: FaultKind) -> Result<(), ScaleError> {
         match kind {
-            TroubleKind::DiscoveryDown => Ok(self.fleet.service.set_down(true)?),
-            TroubleKind::Split => Ok(self.fleet.service.set_cut(true)?),
-            TroubleKind::RestartTenth => {
+            FaultKind::DiscoveryDown => Ok(self.fleet.service.set_down(true)?),
+            FaultKind::Partition => Ok(self.fleet.service.set_partitioned(true)?),
+            FaultKind::RestartTenth => {
                 let nodes = self.generator.tenth();
                 self.fleet.restart(nodes).await
             }
-            TroubleKind::ZoneLost => {
+            FaultKind::ZoneLost => {
                 let lost = self.generator.lose_zone();
-                self.fleet.change_list(lost, Occasion::TroubleBegins).await
+                self.fleet.change_list(lost, ChangeCause::FaultBegins).await
             }
         }
     }
 
-    /// Ends a trouble with a change of the list: that shows when the fleet is up to date again.
-    async fn end(&mut self, kind: TroubleKind) -> Result<(), ScaleError> {
+    /// Ends a fault with a change of the list: that shows when the fleet is up to date again.
+    async fn end(&mut self, kind: FaultKind) -> Result<(), ScaleError> {
         let changes = match kind {
-            TroubleKind::DiscoveryDown => {
+            FaultKind::DiscoveryDown => {
                 self.fleet.service.set_down(false)?;
                 self.generator.list_change()
             }
-            TroubleKind::Split => {
-                self.fleet.service.set_cut(false)?;
+            FaultKind::Partition => {
+                self.fleet.service.set_partitioned(false)?;
                 self.generator.list_change()
             }
-            TroubleKind::ZoneLost => self.generator.return_zone(unix_ms()),
+            FaultKind::ZoneLost => self.generator.return_zone(unix_ms()),
             // It is over when the nodes are back.
-            TroubleKind::RestartTenth => return Ok(()),
+            FaultKind::RestartTenth => return Ok(()),
         };
-        self.fleet.change_list(changes, Occasion::TroubleEnds).await
+        self.fleet
+            .change_list(changes, ChangeCause::FaultEnds)
+            .await
     }
 
     /// What all members used so far.
@@ -250,7 +252,7 @@
         estimate: Estimate,
         limits: Limits,
     ) -> Result<Report, ScaleError> {
-        let trouble = self.trouble_report(period)?;
+        let fault = self.fault_report(period)?;
         let state = &self.fleet.state;
         Ok(Report {
             options: self.fleet.options.clone(),
@@ -268,23 +270,23 @@
             list_change: change_times(state.convergence.lists()),
             configuration: change_times(state.convergence.configurations()),
             start,
-            trouble,
+            fault,
             clients: TrafficCounts::default(),
         })
     }
 
-    fn trouble_report(&mut self, period: &Period) -> Result<Option<report::Trouble>, ScaleError> {
-        let Some((kind, counts_before)) = self.trouble else {
+    fn fault_report(&mut self, period: &Period) -> Result<Option<report::Fault>, ScaleError> {
+        let Some((kind, counts_before)) = self.fault else {
             return Ok(None);
         };
         let restarted = self.start_times()?;
         let convergence = &self.fleet.state.convergence;
-        let ms = |occasion| convergence.trouble(occasion).map(|us| us as f64 / 1e3);
-        Ok(Some(report::Trouble {
+        let ms = |cause| convergence.fault_time(cause).map(|us| us as f64 / 1e3);
+        Ok(Some(report::Fault {
             kind,
-            to_last_node_ms: ms(Occasion::TroubleBegins),
-            recovered_ms: ms(Occasion::TroubleEnds),
-            restarted: (kind == TroubleKind::RestartTenth).then_some(restarted),
+            to_last_node_ms: ms(ChangeCause::FaultBegins),
+            recovered_ms: ms(ChangeCause::FaultEnds),
+            restarted: (kind == FaultKind::RestartTenth).then_some(restarted),
             counts: period.after.service.control() - counts_before,
             failed_calls: period.after.failed_calls - period.before.failed_calls,
         }))
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -5,7 +5,7 @@
 use crate::scale::bounds::{Estimate, Limits};
 use crate::scale::convergence::TimeSummary;
 use crate::scale::counts::ControlCounts;
-use crate::scale::options::{Options, TroubleKind};
+use crate::scale::options::{FaultKind, Options};
 use crate::scale::traffic::TrafficCounts;
 use serde::Serialize;
 
@@ -40,8 +40,9 @@
     pub configuration: ChangeTimes,
     /// From the start of the whole fleet to a node's first list in force.
     pub start: StartTimes,
-    /// The trouble, if one was played.
-    pub trouble: Option<Trouble>,
+    /// The fault, if one was played.
+    #[serde(rename = "trouble")]
+    pub fault: Option<Fault>,
     /// What clients of real nodes saw.
     pub clients: TrafficCounts,
 }
@@ -49,7 +50,7 @@
 /// Messages and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Changes of the list that were made, those of a trouble with them.
+    /// Changes of the list that were made, those of a fault with them.
     pub list_changes: u64,
     /// Configurations that were given out.
     pub configurations: u64,
@@ -168,11 +169,11 @@
     pub simulated: TimeSummary,
 }
 
-/// How a trouble went.
+/// How a fault went.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Trouble {
+pub struct Fault {
     /// What was played.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// From its begin until the last node had the change that it is; only a lost zone is one.
     pub to_last_node_ms: Option<f64>,
     /// From its end until the last node had the list as it was then.
--- a/crates/lab/src/scale/report/text.rs
+++ b/crates/lab/src/scale/report/text.rs
@@ -99,19 +99,19 @@
         )?;
         time_line(f, "fleet's start, simulated nodes", &self.start.simulated)?;
         time_line(f, "fleet's start, real nodes", &self.start.real)?;
-        let Some(trouble) = &self.trouble else {
+        let Some(fault) = &self.fault else {
             return Ok(());
         };
-        if let Some(restarted) = &trouble.restarted {
+        if let Some(restarted) = &fault.restarted {
             time_line(f, "restart, simulated nodes", &restarted.simulated)?;
             time_line(f, "restart, real nodes", &restarted.real)?;
         }
         single_time_line(
             f,
             "trouble's begin, to the last node",
-            trouble.to_last_node_ms,
+            fault.to_last_node_ms,
         )?;
-        single_time_line(f, "trouble's end, to the last node", trouble.recovered_ms)
+        single_time_line(f, "trouble's end, to the last node", fault.recovered_ms)
     }
 
     fn discovery_line(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/lab/src/scale/schedule.rs
+++ b/crates/lab/src/scale/schedule.rs
@@ -1,7 +1,7 @@
-//! What happens when in a run: planned changes, new configurations and a trouble. No I/O and no clock.
+//! What happens when in a run: planned changes, new configurations and a fault. No I/O and no clock.
 
 use crate::scale::directory::{EntryChange, Health};
-use crate::scale::options::{Options, TroubleKind};
+use crate::scale::options::{FaultKind, Options};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -17,20 +17,20 @@
     Configuration,
 }
 
-/// A point of a trouble.
+/// A point of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TroubleStep {
+pub enum FaultStep {
     /// It begins.
-    Begin(TroubleKind),
+    Begin(FaultKind),
     /// It ends.
-    End(TroubleKind),
+    End(FaultKind),
 }
 
 /// The time line.
 #[derive(Debug)]
 pub struct Schedule {
     steps: VecDeque<(Duration, Step)>,
-    trouble: VecDeque<(Duration, TroubleStep)>,
+    fault: VecDeque<(Duration, FaultStep)>,
 }
 
 impl Schedule {
@@ -49,20 +49,20 @@
         let mut steps: Vec<_> = lists.chain(configurations).collect();
         // Stable: of two at the same time the list's comes first, each time.
         steps.sort_by_key(|(due, _)| *due);
-        let trouble = options.trouble.map(|trouble| {
+        let fault = options.fault.map(|fault| {
             let begin = (
-                Duration::from_secs_f64(trouble.at_s),
-                TroubleStep::Begin(trouble.kind),
+                Duration::from_secs_f64(fault.at_s),
+                FaultStep::Begin(fault.kind),
             );
-            let end = Duration::from_secs_f64(trouble.at_s + trouble.for_s);
-            let ends = trouble.kind != TroubleKind::RestartTenth;
+            let end = Duration::from_secs_f64(fault.at_s + fault.for_s);
+            let ends = fault.kind != FaultKind::RestartTenth;
             [begin]
                 .into_iter()
-                .chain(ends.then_some((end, TroubleStep::End(trouble.kind))))
+                .chain(ends.then_some((end, FaultStep::End(fault.kind))))
         });
         Self {
             steps: steps.into(),
-            trouble: trouble.into_iter().flatten().collect(),
+            fault: fault.into_iter().flatten().collect(),
         }
     }
 
@@ -71,14 +71,14 @@
         next(&mut self.steps, now)
     }
 
-    /// The next point of the trouble that is due.
-    pub fn next_trouble(&mut self, now: Duration) -> Option<TroubleStep> {
-        next(&mut self.trouble, now)
+    /// The next point of the fault that is due.
+    pub fn next_fault(&mut self, now: Duration) -> Option<FaultStep> {
+        next(&mut self.fault, now)
     }
 
     /// Whether nothing is left.
     pub fn is_over(&self) -> bool {
-        self.steps.is_empty() && self.trouble.is_empty()
+        self.steps.is_empty() && self.fault.is_empty()
     }
 }
 
--- a/crates/lab/src/scale/schedule/tests.rs
+++ b/crates/lab/src/scale/schedule/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::scale::options::Trouble;
+use crate::scale::options::Fault;
 
 // Guards against changes that are lost at the run's end, or that come before their time.
 #[test]
 fn each_planned_step_is_due_once_in_order() {
-    let trouble = Trouble {
-        kind: TroubleKind::Split,
+    let fault = Fault {
+        kind: FaultKind::Partition,
         at_s: 1.0,
         for_s: 0.5,
     };
@@ -13,7 +13,7 @@
         list_changes: 1.0,
         configurations: 0.5,
         length_s: 3.0,
-        trouble: Some(trouble),
+        fault: Some(fault),
         ..Options::default()
     };
     let mut schedule = Schedule::new(&options);
@@ -22,10 +22,10 @@
     assert_eq!(schedule.next_step(ms(500)), Some(Step::ListChange));
     assert_eq!(schedule.next_step(ms(999)), None);
     assert_eq!(
-        schedule.next_trouble(ms(1000)),
-        Some(TroubleStep::Begin(TroubleKind::Split))
+        schedule.next_fault(ms(1000)),
+        Some(FaultStep::Begin(FaultKind::Partition))
     );
-    assert_eq!(schedule.next_trouble(ms(1000)), None);
+    assert_eq!(schedule.next_fault(ms(1000)), None);
     let rest: Vec<_> = std::iter::from_fn(|| schedule.next_step(ms(3000))).collect();
     assert_eq!(
         rest,
@@ -33,8 +33,8 @@
     );
     assert!(!schedule.is_over());
     assert_eq!(
-        schedule.next_trouble(ms(1500)),
-        Some(TroubleStep::End(TroubleKind::Split))
+        schedule.next_fault(ms(1500)),
+        Some(FaultStep::End(FaultKind::Partition))
     );
     assert!(schedule.is_over());
 }
--- a/crates/lab/src/scale/service.rs
+++ b/crates/lab/src/scale/service.rs
@@ -42,7 +42,7 @@
     /// Which of a node's two addresses it is.
     pub address: usize,
     /// Whether a split cuts it off.
-    pub far: bool,
+    pub beyond_partition: bool,
 }
 
 /// A real node has asked for what is newer than a version: it has that one in force.
@@ -96,7 +96,7 @@
 enum Order {
     Change(Vec<EntryChange>, oneshot::Sender<Changed>),
     Down(bool),
-    Cut(bool),
+    Partition(bool),
     Count(oneshot::Sender<ServiceFigures>),
 }
 
@@ -171,8 +171,10 @@
     }
 
     /// Falls silent for far peers; when that ends, the connections of that time are reset.
-    pub fn set_cut(&self, cut: bool) -> Result<(), ServiceEnded> {
-        self.orders.send(Order::Cut(cut)).map_err(|_| ServiceEnded)
+    pub fn set_partitioned(&self, partitioned: bool) -> Result<(), ServiceEnded> {
+        self.orders
+            .send(Order::Partition(partitioned))
+            .map_err(|_| ServiceEnded)
     }
 
     /// What it counted so far.
@@ -197,7 +199,7 @@
     /// The list's version.
     version: watch::Sender<u64>,
     down: watch::Sender<bool>,
-    cut: watch::Sender<bool>,
+    partitioned: watch::Sender<bool>,
     waiting: watch::Sender<usize>,
     acknowledged: UnboundedSender<Acknowledged>,
     real: Cell<ControlCounts>,
@@ -236,7 +238,7 @@
             queue: RefCell::new(CallQueue::new(costs)),
             origin: Instant::now(),
             down: watch::Sender::new(false),
-            cut: watch::Sender::new(false),
+            partitioned: watch::Sender::new(false),
             waiting,
             acknowledged,
             real: Cell::default(),
@@ -269,8 +271,8 @@
                 Order::Down(down) => {
                     self.down.send_replace(down);
                 }
-                Order::Cut(cut) => {
-                    self.cut.send_replace(cut);
+                Order::Partition(partitioned) => {
+                    self.partitioned.send_replace(partitioned);
                 }
                 Order::Count(counted) => {
                     let _ = counted.send(self.figures());
@@ -317,11 +319,11 @@
         self.open.set(self.open.get() + 1);
         self.most_open
             .set(self.most_open.get().max(self.open.get()));
-        let (mut down, mut cut) = (self.down.subscribe(), self.cut.subscribe());
-        let is_cut = tokio::select! {
+        let (mut down, mut partitioned) = (self.down.subscribe(), self.partitioned.subscribe());
+        let is_partitioned = tokio::select! {
             biased;
             _ = down.wait_for(|down| *down) => false,
-            _ = cut.wait_for(|cut| *cut && peer.far) => true,
+            _ = partitioned.wait_for(|partitioned| *partitioned && peer.beyond_partition) => true,
             ended = self.calls(peer, &mut conn) => {
                 // How a connection ends is its peer's affair.
                 let _ = ended;
@@ -329,10 +331,10 @@
                 return;
             }
         };
-        if is_cut {
+        if is_partitioned {
             // Nothing is said and nothing answered until it is over, or the peer has given it up.
             tokio::select! {
-                _ = cut.wait_for(|cut| !*cut) => {}
+                _ = partitioned.wait_for(|partitioned| !*partitioned) => {}
                 () = conn.drain() => {}
             }
         }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -110,7 +110,7 @@
         let peers = vec![Peer {
             caller: Caller::SimulatedNodes,
             address: 0,
-            far: false,
+            beyond_partition: false,
         }];
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
         let service = Service::start(&size, nowhere, peers, unbounded_channel().0)
@@ -174,37 +174,38 @@
             ..Options::default()
         };
         let peers = [false, true]
-            .map(|far| Peer {
+            .map(|beyond_partition| Peer {
                 caller: Caller::SimulatedNodes,
                 address: 0,
-                far,
+                beyond_partition,
             })
             .to_vec();
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
         let service = Service::start(&size, nowhere, peers, unbounded_channel().0)
             .await
             .unwrap();
-        let (near, far) = (Rc::new(Seen::default()), Rc::new(Seen::default()));
+        let (near, beyond_partition) = (Rc::new(Seen::default()), Rc::new(Seen::default()));
         let mut moves = Vec::new();
-        for (place, seen) in [&near, &far].into_iter().enumerate() {
+        for (place, seen) in [&near, &beyond_partition].into_iter().enumerate() {
             let (options, moved) = options(service.addresses[place], &telemetry);
             moves.push(moved);
             spawn_local(run(options, seen.clone()));
             seen.until("the first list", |seen| !seen.lists.borrow().is_empty())
                 .await;
         }
-        service.set_cut(true).unwrap();
+        service.set_partitioned(true).unwrap();
         service.change(change(Health::Draining)).await.unwrap();
         near.until("the change", |seen| {
             seen.lists.borrow().last() == Some(&(2, false))
         })
         .await;
-        assert_eq!(*far.lists.borrow(), [(1, true)]);
-        service.set_cut(false).unwrap();
-        far.until("the change", |seen| {
-            seen.lists.borrow().last() == Some(&(2, false))
-        })
-        .await;
-        assert!(far.failed.get() > 0, "its watch was reset");
+        assert_eq!(*beyond_partition.lists.borrow(), [(1, true)]);
+        service.set_partitioned(false).unwrap();
+        beyond_partition
+            .until("the change", |seen| {
+                seen.lists.borrow().last() == Some(&(2, false))
+            })
+            .await;
+        assert!(beyond_partition.failed.get() > 0, "its watch was reset");
     });
 }
