--- a/crates/lab/src/scale/assignment.rs
+++ b/crates/lab/src/scale/assignment.rs
@@ -41,20 +41,21 @@
     /// Who calls at discovery's addresses: two follow one another for each real node, and two for each worker's nodes on
     /// each side of a split. At the end there is one for each relay.
     pub fn peers(&self) -> Vec<Peer> {
-        let both = |caller, far| {
+        let both = |caller, beyond_partition| {
             (0..2).map(move |address| Peer {
                 caller,
                 address,
-                far,
+                beyond_partition,
             })
         };
-        let real = (0..self.real).flat_map(|node| both(Caller::RealNode(node), is_far(node)));
-        let simulated = |far| both(Caller::SimulatedNodes, far);
+        let real =
+            (0..self.real).flat_map(|node| both(Caller::RealNode(node), is_beyond_partition(node)));
+        let simulated = |beyond_partition| both(Caller::SimulatedNodes, beyond_partition);
         let shared = (0..self.workers()).flat_map(|_| simulated(false).chain(simulated(true)));
         let relay = Peer {
             caller: Caller::Relay,
             address: 0,
-            far: false,
+            beyond_partition: false,
         };
         real.chain(shared)
             .chain((0..self.relays).map(|_| relay))
@@ -80,13 +81,13 @@
     ) -> [SocketAddr; 2] {
         pair(
             addresses,
-            self.real + 2 * worker + usize::from(is_far(node)),
+            self.real + 2 * worker + usize::from(is_beyond_partition(node)),
         )
     }
 }
 
 /// Every second node is cut off by a split.
-fn is_far(node: usize) -> bool {
+fn is_beyond_partition(node: usize) -> bool {
     node % 2 == 1
 }
 
@@ -95,58 +96,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    // Guards against a node that two workers run, or none, and against one that calls at another's address.
-    #[test]
-    fn each_node_has_one_worker_and_addresses_of_its_side() {
-        let options = Options {
-            real: 3,
-            simulated: 8,
-            workers: 3,
-            relays: vec![2, 4],
-            ..Options::default()
-        };
-        let assignment = Assignment::new(&options);
-        let dealt: Vec<_> = (0..assignment.workers())
-            .flat_map(|worker| assignment.nodes(worker))
-            .collect();
-        assert_eq!(dealt, (3..11).collect::<Vec<_>>());
-        let peers = assignment.peers();
-        let addresses: Vec<_> = (0..peers.len())
-            .map(|port| SocketAddr::from(([127, 0, 0, 1], port as u16)))
-            .collect();
-        let at = |address: SocketAddr| peers[usize::from(address.port())];
-        let relay = Peer {
-            caller: Caller::Relay,
-            address: 0,
-            far: false,
-        };
-        assert!(assignment
-            .of_relays(&addresses)
-            .iter()
-            .map(|address| at(*address))
-            .eq([relay; 2]));
-        for node in 0..3 {
-            let pair = assignment.of_real(node, &addresses).map(at);
-            let peer = |address| Peer {
-                caller: Caller::RealNode(node),
-                address,
-                far: is_far(node),
-            };
-            assert_eq!(pair, [peer(0), peer(1)]);
-        }
-        for (worker, node) in
-            (0..3).flat_map(|worker| assignment.nodes(worker).map(move |node| (worker, node)))
-        {
-            let pair = assignment.of_simulated(worker, node, &addresses).map(at);
-            let peer = |address| Peer {
-                caller: Caller::SimulatedNodes,
-                address,
-                far: is_far(node),
-            };
-            assert_eq!(pair, [peer(0), peer(1)]);
-        }
-    }
-}
+mod tests;
