--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/lab/scale.rs
@@ -1,12 +1,14 @@
 //! `slatelink lab scale`: real nodes and many simulated ones against a stand-in for discovery, measured.
 
-use crate::lab::{unusable, Code, Node, BROKEN, UNUSABLE};
+use crate::exit::{success_if, unusable, CommandResult, BROKEN, UNUSABLE};
+use crate::node_arguments::NodeArguments;
 use clap::{Args, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
 use slatelink_config::relay::DEFAULT_LEASE_MS;
 use slatelink_lab::scale::bounds::{Estimate, Limits};
-use slatelink_lab::scale::run::{Programs, WorkerProgram};
-use slatelink_lab::scale::{self, Options, Progress, Report, ScaleError, Trouble, TroubleKind};
+use slatelink_lab::scale::{
+    self, Options, Programs, Progress, Report, ScaleError, Trouble, TroubleKind, WorkerProgram,
+};
 use std::error::Error;
 use std::fs::File;
 use std::io::{self, Write};
@@ -18,12 +20,12 @@
 use std::time::Duration;
 
 /// The progress line is written anew this often.
-const PROGRESS: Duration = Duration::from_millis(200);
-/// The hidden command that makes a process a worker.
-pub const WORKER: [&str; 2] = ["lab", "scale-worker"];
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
+/// Arguments of the hidden command that makes a process of this binary a worker.
+const WORKER_ARGUMENTS: [&str; 2] = ["lab", "scale-worker"];
 
 #[derive(Args)]
-pub struct Command {
+pub struct Scale {
     /// Nodes that are processes of their own
     #[arg(long, value_name = "N", default_value_t = 1)]
     real: usize,
@@ -92,7 +94,7 @@
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
     #[command(flatten)]
-    node: Node,
+    node: NodeArguments,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -118,20 +120,21 @@
     }
 }
 
-impl Command {
-    pub fn run(self) -> Code {
-        self.node.log();
+impl Scale {
+    /// Runs it and prints its report.
+    pub fn run(self) -> CommandResult {
+        self.node.start_log();
         let options = self.options();
         let programs = Programs {
             node: self.node.program()?,
             worker: WorkerProgram {
                 path: std::env::current_exe()?,
-                arguments: WORKER.map(str::to_owned).to_vec(),
+                arguments: WORKER_ARGUMENTS.map(str::to_owned).to_vec(),
             },
             relay: std::env::current_exe()?,
         };
         if let Err(error) = announce(&options) {
-            return refused(&error);
+            return failed(&error);
         }
         // A path that cannot be written is an error before the run, not after it.
         let json = match self.json.as_ref().map(|path| (path, File::create(path))) {
@@ -141,20 +144,16 @@
                 return unusable(format!("cannot write {}: {error}", path.display()));
             }
         };
-        let stop = crate::stop_at_interrupt()?;
-        match watched(&options, &programs, &stop)? {
+        let stop = crate::signals::stop_at_interrupt()?;
+        match run_with_progress(&options, &programs, &stop)? {
             Ok(report) => {
                 if let Some(file) = json {
                     serde_json::to_writer_pretty(file, &report)?;
                 }
                 write!(io::stdout().lock(), "{report}")?;
-                Ok(if report.behind_at_end == 0 {
-                    ExitCode::SUCCESS
-                } else {
-                    ExitCode::from(BROKEN)
-                })
+                Ok(success_if(report.behind_at_end == 0))
             }
-            Err(error) => refused(&error),
+            Err(error) => failed(&error),
         }
     }
 
@@ -194,7 +193,7 @@
 }
 
 /// Runs simulated nodes for a run that has started this process.
-pub fn work() -> Code {
+pub fn work() -> CommandResult {
     scale::work()?;
     Ok(ExitCode::SUCCESS)
 }
@@ -209,14 +208,14 @@
     Ok(())
 }
 
-fn refused(error: &ScaleError) -> Code {
+fn failed(error: &ScaleError) -> CommandResult {
     eprintln!("slatelink: {error}");
     let unusable = matches!(error, ScaleError::Options(_) | ScaleError::Bounds(_));
     Ok(ExitCode::from(if unusable { UNUSABLE } else { BROKEN }))
 }
 
 /// Runs it with a progress line, which is not drawn where no terminal is.
-fn watched(
+fn run_with_progress(
     options: &Options,
     programs: &Programs,
     stop: &Arc<AtomicBool>,
@@ -230,7 +229,7 @@
         while !running.is_finished() {
             line.set_message(progress.line());
             line.tick();
-            thread::sleep(PROGRESS);
+            thread::sleep(PROGRESS_INTERVAL);
         }
         running.join()
     });
--- a/crates/config/src/endpoint_list.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -1,89 +1,108 @@
-//! The list of cache servers in discovery's form.
+//! The endpoint list in discovery's form: JSON, whose keys the fields' `serde(rename)` state.
 
 use serde::Deserialize;
 use slatelink_policy::{Availability, Endpoint, Timestamp};
 use std::net::SocketAddr;
 
-/// Discovery's word for a server that finishes its work and wants no more.
-const DRAINING: &str = "draining";
+/// Discovery's state of an endpoint that takes new work.
+const READY_STATE: &str = "ready";
+/// Discovery's state of an endpoint that finishes its work and takes no more.
+const DRAINING_STATE: &str = "draining";
+/// Discovery's state of an endpoint that has left.
+const REMOVED_STATE: &str = "gone";
+/// The weight of an endpoint where discovery gives none, or one that is no weight.
+const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Discovery's answer: the whole list, or what changed.
+/// Discovery's answer: all endpoints, or those that changed.
 #[derive(Debug, Default, Deserialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// The list's version.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether what it lacks is gone.
+    /// Whether an endpoint that it lacks has left.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// The entries, or those that changed.
-    #[serde(default)]
-    pub hosts: Vec<EndpointRecord>,
+    /// The endpoints, or those that changed.
+    #[serde(default, rename = "hosts")]
+    pub endpoints: Vec<EndpointRecord>,
 }
 
-/// One cache server in it.
+/// One endpoint in the list.
 #[derive(Debug, Deserialize)]
 pub struct EndpointRecord {
-    host: String,
-    dial: Option<SocketAddr>,
-    site: Option<String>,
-    class: Option<String>,
-    block: Option<u64>,
-    health: String,
-    share: Option<f64>,
-    born_ms: Option<u64>,
+    #[serde(rename = "host")]
+    id: String,
+    #[serde(rename = "dial")]
+    address: Option<SocketAddr>,
+    #[serde(rename = "site")]
+    zone: Option<String>,
+    #[serde(rename = "class")]
+    kind: Option<String>,
+    #[serde(rename = "block")]
+    cell: Option<u64>,
+    #[serde(rename = "health")]
+    state: String,
+    #[serde(rename = "share")]
+    weight: Option<f64>,
+    /// In milliseconds of Unix time.
+    #[serde(rename = "born_ms")]
+    started_ms: Option<u64>,
 }
 
 impl EndpointRecord {
-    /// Where it listens; one that is gone may have no address.
-    pub fn dial(&self) -> Option<SocketAddr> {
-        self.dial
+    /// The endpoint's name, the same at every node.
+    pub fn id(&self) -> &str {
+        &self.id
     }
 
-    /// Discovery's own word for whether it takes work.
-    pub fn health(&self) -> &str {
-        &self.health
+    /// Where it listens; one that has left may have no address.
+    pub fn address(&self) -> Option<SocketAddr> {
+        self.address
     }
 
-    /// Its name, alike at every node.
-    pub fn id(&self) -> &str {
-        &self.host
-    }
-
-    /// Its process's start in milliseconds of Unix time; `None` for long ago.
-    pub fn started_ms(&self) -> Option<u64> {
-        self.born_ms.filter(|&at| at > 0)
+    /// Discovery's own word for its availability.
+    pub fn state(&self) -> &str {
+        &self.state
     }
 
-    /// Whether it takes work.
+    /// Whether it takes new work.
     pub fn availability(&self) -> Availability {
-        match self.health.as_str() {
-            "ready" => Availability::Ready,
-            "gone" => Availability::Removed,
-            // Draining, or a state that this version does not know: keep away from that server.
+        match self.state.as_str() {
+            READY_STATE => Availability::Ready,
+            REMOVED_STATE => Availability::Removed,
+            // Draining, or a state that this version does not know: nothing new is sent there.
             _ => Availability::Draining,
         }
     }
 
-    /// Has it left alone, whatever the list says.
+    /// Makes it draining, whatever discovery says.
     pub fn set_draining(&mut self) {
-        DRAINING.clone_into(&mut self.health);
+        DRAINING_STATE.clone_into(&mut self.state);
     }
 
-    /// The entry as the module knows it.
-    pub fn entry(&self) -> Endpoint {
-        let started = self.started_ms();
+    /// When its process started, in milliseconds of Unix time; `None` where that is not known, and so long ago.
+    pub fn started_ms(&self) -> Option<u64> {
+        self.started_ms.filter(|&at| at > 0)
+    }
+
+    /// The endpoint as the policy knows it.
+    pub fn endpoint(&self) -> Endpoint {
         Endpoint {
-            id: self.host.as_str().into(),
-            zone: self.site.as_deref().map(Into::into),
-            kind: self.class.as_deref().map(Into::into),
-            cell: self.block.unwrap_or(0),
+            id: self.id.as_str().into(),
+            zone: self.zone.as_deref().map(Into::into),
+            kind: self.kind.as_deref().map(Into::into),
+            cell: self.cell.unwrap_or(0),
             availability: self.availability(),
-            weight: self
-                .share
-                .filter(|share| share.is_finite() && *share >= 0.0)
-                .unwrap_or(1.0),
-            started: started.map(|ms| Timestamp::from_micros(ms.saturating_mul(1000))),
+            weight: self.weight(),
+            started: self
+                .started_ms()
+                .map(|ms| Timestamp::from_micros(ms.saturating_mul(1000))),
         }
     }
+
+    fn weight(&self) -> f64 {
+        self.weight
+            .filter(|weight| weight.is_finite() && *weight >= 0.0)
+            .unwrap_or(DEFAULT_WEIGHT)
+    }
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,27 +1,40 @@
 //! All that a run starts: discovery, traffic, real nodes and workers, from their start to their end.
 
 use crate::client::Table;
+use crate::nodes::{NodeEnvironment, NodeEvents, Program};
 use crate::run::Folder;
 use crate::scale::assignment::Assignment;
 use crate::scale::convergence::{Change, Occasion};
 use crate::scale::directory::{EntryChange, FIRST_VERSION};
+use crate::scale::error::ScaleError;
 use crate::scale::options::Options;
 use crate::scale::processes::monotonic_us;
 use crate::scale::protocol::{NodeSetup, Order, Setup};
-use crate::scale::real::{self, RealNode, RealNodeEvent, Surroundings};
+use crate::scale::real::{self, RealNode, RealNodeEvent};
 use crate::scale::relays::Relays;
-use crate::scale::run::{Programs, ScaleError};
 use crate::scale::service::{Acknowledged, Service};
 use crate::scale::state::{FleetEvent, FleetState};
 use crate::scale::traffic::{Traffic, TrafficCounts};
-use crate::scale::workers::{Worker, WorkerEvent};
+use crate::scale::workers::{Worker, WorkerEvent, WorkerProgram};
 use std::future::pending;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::sync::{Arc, RwLock};
+use std::time::Instant;
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::task::JoinSet;
 
+/// The programs that a run starts.
+#[derive(Clone)]
+pub struct Programs {
+    /// The real nodes'.
+    pub node: Program,
+    /// The workers'.
+    pub worker: WorkerProgram,
+    /// The relays' binary.
+    pub relay: PathBuf,
+}
+
 /// Events of the members, as they come.
 pub struct Inbox {
     acknowledged: UnboundedReceiver<Acknowledged>,
@@ -82,16 +95,21 @@
         let (real_sender, real_events) = unbounded_channel();
         let relay_upstream = assignment.of_relays(&service.addresses);
         let relays = Relays::start(options, &programs.relay, relay_upstream).await?;
-        let around = Surroundings {
+        let environment = NodeEnvironment {
             scenario: &scenario,
             seed: options.seed,
             program: programs.node.clone(),
             folder: &folder.0,
             table,
-            events: real_sender,
+            events: NodeEvents::default(),
+            start: Instant::now(),
+            live: Arc::default(),
         };
         let addresses = &service.addresses;
-        let start_real = |node| RealNode::start(node, assignment.of_real(node, addresses), &around);
+        let start_real = |node| {
+            let discovery = assignment.of_real(node, addresses);
+            RealNode::start(node, discovery, &environment, real_sender.clone())
+        };
         let real = (0..options.real).map(start_real).collect();
         let (worker_sender, worker_events) = unbounded_channel();
         let configuration = real::write_configuration(&scenario, options.seed, &folder.0)?;
--- a/crates/lab/src/scale/sample.rs
+++ b/crates/lab/src/scale/sample.rs
@@ -1,12 +1,12 @@
 //! What the members of a fleet used up to a moment, and what that comes to for each between two moments.
 
 use crate::scale::counts::ControlCounts;
+use crate::scale::error::ScaleError;
 use crate::scale::fleet::Fleet;
 use crate::scale::options::Options;
 use crate::scale::processes::Usage;
 use crate::scale::relays::RelayProcess;
 use crate::scale::report::{Counts, Discovery, Node, RelayTier, Traffic};
-use crate::scale::run::ScaleError;
 use crate::scale::service::ServiceFigures;
 use crate::scale::workers::Worker;
 use std::collections::BTreeMap;
@@ -28,10 +28,10 @@
         let mut sample = Self::default();
         for relay in relays {
             let status = relay.status().await?;
-            sample.callers = sample.callers + status.callers.into();
-            sample.upstream_failed += status.upstream.failed;
+            sample.callers = sample.callers + status.downstream.into();
+            sample.upstream_failed += status.upstream.failed_calls;
             // The run's own are no callers: the one that follows its state, and the one that asked now.
-            sample.open += status.open.saturating_sub(2);
+            sample.open += status.open_connections.saturating_sub(2);
             let usage = relay.pid().map(Usage::of).transpose()?;
             sample.usage = [sample.usage, usage.unwrap_or_default()].into_iter().sum();
         }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,16 +1,13 @@
-//! Lists and their entries in discovery's form. What an entry says beside its name and health is passed on byte for byte.
+//! Updates of the endpoint list in discovery's JSON.
 
+use crate::record::EndpointRecord;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
-use serde_json::{Map, Value};
+use std::collections::HashMap;
 use std::fmt;
-use std::sync::Arc;
 use thiserror::Error;
 
-/// The health of a server that was removed.
-const GONE: &str = "gone";
-
-/// A version of the list, as upstream numbers it.
+/// A version of the endpoint list, as upstream numbers it; on the wire `seq`. It grows within an epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -23,156 +20,114 @@
     }
 }
 
-/// Why a message is no list.
+/// Why a message could not be read as an update.
 #[derive(Debug, Error)]
 pub enum MessageError {
     /// It is not JSON of the expected form.
     #[error("not a list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// An entry lacks what every entry has.
-    #[error("entry {place} of list {version} has no name or no health: {error}")]
-    Entry {
-        /// The list's version.
+    /// A record lacks a field that each record has.
+    #[error("entry {index} of list {version} has no name or no health: {error}")]
+    InvalidRecord {
+        /// Version of the update.
         version: Version,
-        /// Which entry, from 0.
-        place: usize,
-        /// What was found.
+        /// Index of the record in the message, from 0.
+        index: usize,
+        /// What the parser found.
         error: serde_json::Error,
     },
 }
 
-/// One server of the list. Cheap to clone.
-#[derive(Clone, Debug)]
-pub struct Entry {
-    host: Arc<str>,
-    gone: bool,
-    json: Arc<RawValue>,
-}
-
-/// What is read of an entry.
-#[derive(Deserialize)]
-struct Head {
-    host: String,
-    health: String,
-}
-
-impl Entry {
-    /// Reads an entry; all of its text is kept.
-    pub fn parse(json: Box<RawValue>) -> serde_json::Result<Self> {
-        let Head { host, health } = serde_json::from_str(json.get())?;
-        Ok(Self {
-            host: host.into(),
-            gone: health == GONE,
-            json: json.into(),
-        })
-    }
-
-    /// The server's name.
-    pub fn host(&self) -> &Arc<str> {
-        &self.host
-    }
-
-    /// Whether the server was removed.
-    pub fn is_gone(&self) -> bool {
-        self.gone
-    }
-
-    /// The entry as upstream wrote it.
-    pub fn json(&self) -> &str {
-        self.json.get()
-    }
-
-    /// The same server, removed; for a whole list that no longer has it.
-    pub(crate) fn removed(&self) -> Self {
-        // It was read as an object before.
-        let mut fields: Map<String, Value> =
-            serde_json::from_str(self.json.get()).unwrap_or_default();
-        fields.insert("host".to_owned(), Value::from(&*self.host));
-        fields.insert("health".to_owned(), Value::from(GONE));
-        let json =
-            serde_json::value::to_raw_value(&fields).map_or_else(|_| self.json.clone(), Arc::from);
-        Self {
-            host: self.host.clone(),
-            gone: true,
-            json,
-        }
-    }
-
-    /// The bytes that keeping it takes, roughly.
-    pub(crate) fn bytes(&self) -> usize {
-        size_of::<Self>() + self.host.len() + self.json.get().len()
-    }
-}
-
-/// Two entries are equal where they say the same in the same words.
-impl PartialEq for Entry {
-    fn eq(&self, other: &Self) -> bool {
-        self.json.get() == other.json.get()
-    }
-}
-
-impl Eq for Entry {}
-
-/// A whole list, or a delta.
+/// A snapshot, or a delta to the version that the call named.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct List {
-    /// Its version.
+pub struct ListUpdate {
+    /// Version of the list once the update is applied.
     pub version: Version,
-    /// Whether what it lacks is gone.
-    pub whole: bool,
-    /// The entries, or those that changed.
-    pub entries: Vec<Entry>,
+    /// Whether this is a snapshot: an endpoint that it lacks is removed. On the wire `whole`.
+    pub complete: bool,
+    /// The records of all endpoints in a snapshot, of those that changed in a delta.
+    pub records: Vec<EndpointRecord>,
 }
 
+/// An update as it is read. Records are read one by one afterwards, so that an error can name the record.
 #[derive(Deserialize)]
-struct ReadList {
-    seq: Version,
-    whole: bool,
-    #[serde(default)]
-    hosts: Vec<Box<RawValue>>,
+struct ReceivedUpdate {
+    #[serde(rename = "seq")]
+    version: Version,
+    #[serde(rename = "whole")]
+    complete: bool,
+    #[serde(default, rename = "hosts")]
+    records: Vec<Box<RawValue>>,
 }
 
+/// An update as it is written.
 #[derive(Serialize)]
-struct WrittenList<'a> {
-    seq: Version,
-    whole: bool,
-    hosts: Vec<&'a RawValue>,
+struct EncodedUpdate<'a> {
+    #[serde(rename = "seq")]
+    version: Version,
+    #[serde(rename = "whole")]
+    complete: bool,
+    #[serde(rename = "hosts")]
+    records: Vec<&'a RawValue>,
 }
 
-impl List {
-    /// Reads a message of discovery's.
+impl ListUpdate {
+    /// Reads a message of discovery.
+    ///
+    /// # Errors
+    ///
+    /// If the message or one of its records has not the expected form.
     pub fn parse(body: &[u8]) -> Result<Self, MessageError> {
-        let ReadList {
-            seq: version,
-            whole,
-            hosts,
+        let ReceivedUpdate {
+            version,
+            complete,
+            records,
         } = serde_json::from_slice(body)?;
-        let entry = |(place, json)| {
-            Entry::parse(json).map_err(|error| MessageError::Entry {
+        let parse_record = |(index, json)| {
+            EndpointRecord::parse(json).map_err(|error| MessageError::InvalidRecord {
                 version,
-                place,
+                index,
                 error,
             })
         };
-        let entries = hosts
+        let records = records
             .into_iter()
             .enumerate()
-            .map(entry)
+            .map(parse_record)
             .collect::<Result<_, _>>()?;
         Ok(Self {
             version,
-            whole,
-            entries,
+            complete,
+            records,
         })
     }
 
-    /// Writes it as discovery would.
+    /// Writes the update in the form in which discovery does.
+    ///
+    /// # Errors
+    ///
+    /// If the serializer fails; no value of this type is known to make it.
     pub fn encode(&self) -> serde_json::Result<Vec<u8>> {
-        let hosts = self.entries.iter().map(|entry| &*entry.json).collect();
-        serde_json::to_vec(&WrittenList {
-            seq: self.version,
-            whole: self.whole,
-            hosts,
+        let records = self.records.iter().map(EndpointRecord::raw).collect();
+        serde_json::to_vec(&EncodedUpdate {
+            version: self.version,
+            complete: self.complete,
+            records,
         })
     }
+
+    /// The last record of each endpoint, in the order of the message: a later record replaces an earlier one.
+    pub(crate) fn effective_records(&self) -> impl Iterator<Item = &EndpointRecord> {
+        let last_index: HashMap<&str, usize> = self
+            .records
+            .iter()
+            .enumerate()
+            .map(|(index, record)| (&**record.name(), index))
+            .collect();
+        self.records
+            .iter()
+            .enumerate()
+            .filter(move |(index, record)| last_index.get(&**record.name()) == Some(index))
+            .map(|(_, record)| record)
+    }
 }
--- a/crates/node/src/discovery/lists.rs
+++ b/crates/node/src/discovery/lists.rs
@@ -65,7 +65,7 @@
     /// Forwards what a list that isn't accepted says of draining and removed endpoints: that holds whatever its version is.
     fn forward_unavailable(&mut self, mut list: EndpointList, generation: AddressGeneration) {
         list.complete = false;
-        list.hosts
+        list.endpoints
             .retain(|endpoint| endpoint.availability() != Availability::Ready);
         // Whether the driver has stopped shows at the next list.
         let _ = self.forward(list, generation);
--- a/crates/node/src/discovery/stale_lists.rs
+++ b/crates/node/src/discovery/stale_lists.rs
@@ -56,7 +56,7 @@
         let newest = self.update_newest(list, generation, now);
         let version = list.version;
         let mut marked_any = false;
-        for endpoint in &mut list.hosts {
+        for endpoint in &mut list.endpoints {
             if endpoint.availability() != Availability::Ready {
                 let announcement = Announcement {
                     generation,
@@ -122,14 +122,17 @@
 
     fn update_listed(&mut self, list: &EndpointList) {
         if list.complete {
-            let ids = list.hosts.iter().map(|endpoint| endpoint.id().to_owned());
+            let ids = list
+                .endpoints
+                .iter()
+                .map(|endpoint| endpoint.id().to_owned());
             self.listed = Some(ids.collect());
             return;
         }
         let Some(listed) = &mut self.listed else {
             return;
         };
-        for endpoint in &list.hosts {
+        for endpoint in &list.endpoints {
             if endpoint.availability() == Availability::Removed {
                 listed.remove(endpoint.id());
             } else {
--- a/crates/node/src/discovery/tests/address_change.rs
+++ b/crates/node/src/discovery/tests/address_change.rs
@@ -76,9 +76,9 @@
             panic!("a list: {:?}", first.event)
         };
         let endpoints: Vec<_> = list
-            .hosts
+            .endpoints
             .iter()
-            .map(|endpoint| (endpoint.entry().id, endpoint.health()))
+            .map(|endpoint| (endpoint.endpoint().id, endpoint.state()))
             .collect();
         assert_eq!(
             endpoints,
--- a/crates/node/src/discovery/tests/concurrent_answers.rs
+++ b/crates/node/src/discovery/tests/concurrent_answers.rs
@@ -78,7 +78,7 @@
                 let DriverEvent::EndpointListReceived(list) = event else {
                     continue;
                 };
-                for endpoint in &list.hosts {
+                for endpoint in &list.endpoints {
                     let ready = endpoint.availability() == Availability::Ready;
                     assert!(
                         !(ready && drained),
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,20 +1,26 @@
-//! What observes a node at the operators' wish: figures, the audit trail, the hot list, and the writer behind them.
+//! Telemetry of a node, as the operators' file asks for it: metrics, the audit trail, the hot list, and the writer behind them;
+//! and the node's log.
 //!
-//! The node tells an [`Observer`] what happened; [`Observers`] passes it on to those that are on. Nothing here decides
+//! The node tells an [`Observer`] what happened; [`Telemetry`] passes it on to the features that are on. Nothing here decides
 //! anything, nothing calls back into the node, and nothing here ever makes the node wait.
 
 pub mod audit;
-mod figures;
+mod error;
 mod hotlist;
 mod log;
+mod metrics;
+mod observer;
 mod writer;
 
-pub use log::{Format, Log};
+pub use error::{TelemetryError, TrailError};
+pub use log::{Log, LogFormat};
+pub use observer::{Observer, RequestOutcome};
 
 use audit::{Audit, StopSignal};
-use figures::Figures;
 use hotlist::HotList;
-use slatelink_config::operators::{Settings, Source};
+use metrics::Metrics;
+use slatelink_admission::ConnectionStats;
+use slatelink_config::operators::{HotListSettings, MetricsSettings, Settings, SettingsFile};
 use slatelink_config::{digest, EndpointList};
 use slatelink_policy::{BreakerScope, ClassId, EndpointId, Name, Status};
 use std::io;
@@ -23,151 +29,78 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc::UnboundedReceiver;
+use tokio::task::spawn_local;
 use writer::Writer;
 
-/// How a request ended, as a tag's value.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestOutcome {
-    /// With the answer of a cache server.
-    Served,
-    /// Not done, and harmless to ask again.
-    Shed,
-    /// Not done, or not known.
-    Failed,
-    /// Its client left first.
-    ClientDisconnected,
-}
-
-impl RequestOutcome {
-    const fn word(self) -> &'static str {
-        match self {
-            Self::Served => "200",
-            Self::Shed => "503",
-            Self::Failed => "502",
-            Self::ClientDisconnected => "left",
-        }
-    }
-}
-
-/// Hears what happens in a node, in the order it happens. What it does not care for it leaves out.
-pub trait Observer {
-    /// A request was taken: one of this path.
-    fn request_received(&self, _class: ClassId, _path: &str) {}
-
-    /// A request taken has its final answer, or its client has left. `host`: who served it or was tried last.
-    fn request_completed(
-        &self,
-        _class: ClassId,
-        _host: Option<&EndpointId>,
-        _took: Duration,
-        _end: RequestOutcome,
-    ) {
-    }
-
-    /// An attempt begins.
-    fn attempt_started(&self, _host: &EndpointId) {}
-
-    /// An attempt has ended.
-    fn attempt_ended(&self, _class: ClassId, _host: &EndpointId, _status: Status) {}
-
-    /// Discovery's word, as the node takes it in.
-    fn endpoints_updated(&self, _listing: &EndpointList) {}
-
-    /// What the table of clients' connections is like; each second.
-    fn connections_sampled(&self, _table: &slatelink_admission::ConnectionStats) {}
-
-    /// A circuit breaker of the decision module has opened.
-    fn breaker_opened(&self, _scope: &BreakerScope) {}
-}
-
-/// At a stop the figures wait no longer than this for a pipe that is read slowly.
-const FIGURES_FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
+/// At a stop the metrics wait no longer than this for a pipe that is read slowly.
+const METRICS_FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 /// And then all features for the writer: a record that it has begun should be on disk.
 const WRITER_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+/// The log's topic of breakers that opened.
+const BREAKER_TOPIC: &str = "module";
 
-/// The features that are on.
-pub struct Observers {
-    /// The node's log, which shares standard error with them.
+/// The features that are on, and the log.
+pub struct Telemetry {
+    /// The node's log, which shares standard error with the features.
     pub log: Log,
     writer: Writer,
-    figures: Option<Rc<Figures>>,
+    metrics: Option<Rc<Metrics>>,
     audit: Option<Audit>,
-    hotlist: Option<HotList>,
-    source: Option<Source>,
+    hotlist: Option<Rc<HotList>>,
+    /// The operators' file, where there is one.
+    settings_file: Option<SettingsFile>,
 }
 
-impl Observers {
-    /// Begins what the settings name, for these classes of requests. Its tasks run on the present local set.
+impl Telemetry {
+    /// Starts what the settings name, for these classes of requests. Its tasks run on the present local set. Fails where a file,
+    /// a socket, a signal handler or the writer's thread cannot be had.
     pub fn start(
         settings: &Settings,
         classes: &[Name],
-        format: Format,
-    ) -> Result<Rc<Self>, String> {
-        let writer =
-            Writer::start().map_err(|error| format!("cannot start the writer: {error}"))?;
+        format: LogFormat,
+    ) -> Result<Rc<Self>, TelemetryError> {
+        let writer = Writer::start().map_err(TelemetryError::Writer)?;
         let log = Log::new(&writer, format);
         // A file that may grow no further is an error of the write, not the process's end. Standard error may be one.
-        let caught = signal(SignalKind::from_raw(libc::SIGXFSZ));
-        drop(caught.map_err(|error| format!("cannot catch SIGXFSZ: {error}"))?);
-        let source = settings.source.clone();
-        let mut observers = Self {
+        drop(install_handler(
+            "SIGXFSZ",
+            SignalKind::from_raw(libc::SIGXFSZ),
+        )?);
+        let metrics = match &settings.metrics {
+            Some(settings) => Some(start_metrics(settings, classes, &writer, &log)?),
+            None => None,
+        };
+        let audit = match &settings.audit {
+            Some(settings) => Some(Audit::open(settings.path.as_deref(), &writer)?),
+            None => None,
+        };
+        let hotlist = match settings.enabled_hotlist() {
+            Some(settings) => Some(start_hotlist(settings, classes, &writer)?),
+            None => None,
+        };
+        Ok(Rc::new(Self {
             log,
             writer,
-            figures: None,
-            audit: None,
-            hotlist: None,
-            source,
-        };
-        if let Some(settings) = &settings.figures {
-            let (figures, landed) =
-                Figures::open(settings, classes, &observers.writer, observers.log.clone())?;
-            let figures = Rc::new(figures);
-            tokio::task::spawn_local(figures.clone().run(landed));
-            observers.figures = Some(figures);
-        }
-        if let Some(settings) = &settings.audit {
-            observers.audit = Some(Audit::open(settings.path.as_deref(), &observers.writer)?);
-        }
-        let mut prints = None;
-        if let Some(settings) = settings.hot() {
-            // Caught before it is known to be on: uncaught, it ends the process.
-            let caught = signal(SignalKind::user_defined1());
-            prints = Some(caught.map_err(|error| format!("cannot catch SIGUSR1: {error}"))?);
-            let list = HotList::new(
-                settings.capacity,
-                settings.window(),
-                classes,
-                &observers.writer,
-            )?;
-            observers.hotlist = Some(list);
-        }
-        let observers = Rc::new(observers);
-        if let Some(prints) = prints {
-            tokio::task::spawn_local(observers.clone().print(prints));
-        }
-        Ok(observers)
+            metrics,
+            audit,
+            hotlist,
+            settings_file: settings.file.clone(),
+        }))
     }
 
-    /// Prints the hot list at each signal, for as long as the node runs.
-    async fn print(self: Rc<Self>, mut signals: Signal) {
-        while signals.recv().await.is_some() {
-            if let Some(hotlist) = &self.hotlist {
-                hotlist.print();
-            }
-        }
-    }
-
-    /// Descriptors that they hold: they come out of the node's limit.
-    pub fn descriptors(settings: &Settings) -> usize {
-        let figures = settings
-            .figures
+    /// Descriptors that the features of these settings hold: they come out of the node's limit.
+    pub fn descriptor_count(settings: &Settings) -> usize {
+        let metrics = settings
+            .metrics
             .as_ref()
-            .map_or(0, |_| Figures::DESCRIPTORS);
-        Writer::DESCRIPTORS + figures + settings.audit.as_ref().map_or(0, |_| Audit::DESCRIPTORS)
+            .map_or(0, |_| Metrics::DESCRIPTORS);
+        let audit = settings.audit.as_ref().map_or(0, |_| Audit::DESCRIPTORS);
+        Writer::DESCRIPTORS + metrics + audit
     }
 
-    /// The signals, beside those that have a use, which end the node: caught where their names are wanted.
-    pub fn stops(&self) -> io::Result<Option<UnboundedReceiver<StopSignal>>> {
+    /// The signals, beside those that have a use, which end the node: caught where the audit trail wants their names, and `None`
+    /// where it is off. Fails where a handler cannot be installed.
+    pub fn termination_signals(&self) -> io::Result<Option<UnboundedReceiver<StopSignal>>> {
         let except: &[i32] = if self.hotlist.is_some() {
             &[libc::SIGUSR1]
         } else {
@@ -180,88 +113,135 @@
     }
 
     /// The node of this name listens.
-    pub fn started(&self, node: &str) {
+    pub fn node_started(&self, node: &str) {
         if let Some(audit) = &self.audit {
-            audit.start(node);
+            audit.node_started(node);
         }
     }
 
-    /// The platform's configuration, and with it the features', is in force: at the start and at each SIGHUP.
-    pub fn loaded(&self, path: &Path, text: &[u8]) {
-        if let Some(audit) = &self.audit {
-            audit.loaded("platform", path, digest(text));
-            if let Some(Source { path, sha256 }) = &self.source {
-                audit.loaded("features", path, sha256.clone());
-            }
+    /// The platform's configuration, read at `path`, is in force, and with it the operators' file: at the start and at each
+    /// SIGHUP.
+    pub fn config_loaded(&self, path: &Path, contents: &[u8]) {
+        let Some(audit) = &self.audit else {
+            return;
+        };
+        audit.config_loaded("platform", path, digest(contents));
+        if let Some(SettingsFile { path, sha256 }) = &self.settings_file {
+            audit.config_loaded("features", path, sha256.clone());
         }
     }
 
-    /// The node stops: what waits goes out, or is left after a while.
-    pub async fn stop(&self, by: StopSignal) {
-        if let Some(figures) = &self.figures {
-            figures.stop(FIGURES_FLUSH_TIMEOUT).await;
+    /// The node stops, by this signal: what waits goes out, or is left after a while.
+    pub async fn shut_down(&self, by: StopSignal) {
+        if let Some(metrics) = &self.metrics {
+            metrics.shut_down(METRICS_FLUSH_TIMEOUT).await;
         }
         if let Some(audit) = &self.audit {
-            audit.stop(by);
+            audit.node_stopped(by);
         }
         self.writer.flush(WRITER_FLUSH_TIMEOUT).await;
     }
 }
 
-impl Observer for Observers {
+fn start_metrics(
+    settings: &MetricsSettings,
+    classes: &[Name],
+    writer: &Writer,
+    log: &Log,
+) -> Result<Rc<Metrics>, TelemetryError> {
+    let (metrics, finished_batches) = Metrics::open(settings, classes, writer, log.clone())?;
+    let metrics = Rc::new(metrics);
+    spawn_local(metrics.clone().run(finished_batches));
+    Ok(metrics)
+}
+
+fn start_hotlist(
+    settings: &HotListSettings,
+    classes: &[Name],
+    writer: &Writer,
+) -> Result<Rc<HotList>, TelemetryError> {
+    // Caught before it is known to be on: uncaught, it ends the process.
+    let print_signals = install_handler("SIGUSR1", SignalKind::user_defined1())?;
+    let hotlist = Rc::new(HotList::new(
+        settings.capacity,
+        settings.window(),
+        classes,
+        writer,
+    )?);
+    spawn_local(print_at_signals(hotlist.clone(), print_signals));
+    Ok(hotlist)
+}
+
+/// Prints the hot list at each signal, for as long as the node runs.
+async fn print_at_signals(hotlist: Rc<HotList>, mut signals: Signal) {
+    while signals.recv().await.is_some() {
+        hotlist.print();
+    }
+}
+
+/// Installs a handler of the signal of this name. It stays for the process's life, also once the receiver is dropped.
+fn install_handler(name: &'static str, kind: SignalKind) -> Result<Signal, TelemetryError> {
+    signal(kind).map_err(|error| TelemetryError::Signal {
+        signal: name,
+        error,
+    })
+}
+
+impl Observer for Telemetry {
     fn request_received(&self, class: ClassId, path: &str) {
         if let Some(hotlist) = &self.hotlist {
-            hotlist.request_received(class, path.rsplit('/').next().unwrap_or_default());
+            let key = path.rsplit('/').next().unwrap_or_default();
+            hotlist.request_received(class, key);
         }
-        if let Some(figures) = &self.figures {
-            figures.request_received(class);
+        if let Some(metrics) = &self.metrics {
+            metrics.request_received(class);
         }
     }
 
     fn request_completed(
         &self,
         class: ClassId,
-        host: Option<&EndpointId>,
-        took: Duration,
-        end: RequestOutcome,
+        endpoint: Option<&EndpointId>,
+        latency: Duration,
+        outcome: RequestOutcome,
     ) {
-        if let Some(figures) = &self.figures {
-            figures.request_completed(class, host, took, end);
+        if let Some(metrics) = &self.metrics {
+            metrics.request_completed(class, endpoint, latency, outcome);
         }
     }
 
-    fn attempt_started(&self, host: &EndpointId) {
-        if let Some(figures) = &self.figures {
-            figures.attempt_started(host);
+    fn attempt_started(&self, endpoint: &EndpointId) {
+        if let Some(metrics) = &self.metrics {
+            metrics.attempt_started(endpoint);
         }
     }
 
-    fn attempt_ended(&self, class: ClassId, host: &EndpointId, status: Status) {
-        if let Some(figures) = &self.figures {
-            figures.attempt_ended(class, host, status);
+    fn attempt_ended(&self, class: ClassId, endpoint: &EndpointId, status: Status) {
+        if let Some(metrics) = &self.metrics {
+            metrics.attempt_ended(class, endpoint, status);
         }
     }
 
     fn endpoints_updated(&self, list: &EndpointList) {
-        if let Some(figures) = &self.figures {
-            figures.endpoints_updated(list);
+        if let Some(metrics) = &self.metrics {
+            metrics.endpoints_updated(list);
         }
         if let Some(audit) = &self.audit {
             audit.endpoints_updated(list);
         }
     }
 
-    fn connections_sampled(&self, table: &slatelink_admission::ConnectionStats) {
-        self.log.turn();
-        if let Some(figures) = &self.figures {
-            figures.connections_sampled(table);
+    fn connections_sampled(&self, stats: &ConnectionStats) {
+        self.log.report_suppressed();
+        if let Some(metrics) = &self.metrics {
+            metrics.connections_sampled(stats);
         }
     }
 
     fn breaker_opened(&self, scope: &BreakerScope) {
-        if let (Some(figures), BreakerScope::Endpoint(endpoint)) = (&self.figures, scope) {
-            figures.breaker_opened(endpoint);
+        if let (Some(metrics), BreakerScope::Endpoint(endpoint)) = (&self.metrics, scope) {
+            metrics.breaker_opened(endpoint);
         }
-        self.log.rate_limited("module", &scope.to_string());
+        self.log.rate_limited(BREAKER_TOPIC, &scope.to_string());
     }
 }
