--- a/crates/node/src/discovery/tests/harness.rs
+++ b/crates/node/src/discovery/tests/harness.rs
@@ -35,8 +35,8 @@
                 tokio::time::advance(Duration::from_millis(10)).await;
             }
         });
-        let observers = Telemetry::start(&Default::default(), &[], LogFormat::Text).unwrap();
-        test(observers.log.clone()).await
+        let telemetry = Telemetry::start(&Default::default(), &[], LogFormat::Text).unwrap();
+        test(telemetry.log.clone()).await
     })
 }
 
