--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -3,7 +3,9 @@
 //! Each node has two addresses of its own; the second is where a SIGHUP sends it.
 
 use crate::http::{listen, reset, Conn};
-use crate::list_protocol::{ListAnswer, ListCall, ListedHost, NOT_FOUND, REFUSED};
+use crate::list_protocol::{
+    Availability, EndpointListMessage, ListCall, ListedEndpoint, NOT_FOUND, REFUSED,
+};
 use crate::record::{AvailabilityChange, AvailabilityNotice};
 use crate::scenario::Fleet;
 use crate::servers::CacheServers;
@@ -12,28 +14,51 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// After a SIGHUP the old address closes its open connections so much later.
-const OLD_CLOSES: Duration = Duration::from_millis(1500);
+/// Time from a SIGHUP until a node's old address closes its connections.
+const OLD_ADDRESS_CLOSES_AFTER: Duration = Duration::from_millis(1500);
 
 /// What discovery knows of a server.
 #[derive(Clone, Debug, PartialEq)]
 struct Entry {
-    health: &'static str,
-    born_ms: u64,
+    availability: Availability,
+    started_ms: u64,
     /// Version of the list with its last change; 0 for one that was never listed.
-    seq: u64,
+    version: u64,
 }
 
 /// What a message says of one server.
-struct ReportedServer {
+struct ReportedEndpoint {
     server: usize,
     ready: bool,
 }
 
+/// The answer to a call.
+struct ListAnswer {
+    /// The HTTP message.
+    message: Vec<u8>,
+    /// What it says of each endpoint.
+    reported: Vec<ReportedEndpoint>,
+}
+
+/// Why a connection is reset.
+#[derive(Debug, Error)]
+enum ConnectionReset {
+    /// Discovery went down, or the address serves no more.
+    #[error("discovery does not serve this address")]
+    Unavailable,
+    /// An answer cannot be written.
+    #[error("an answer cannot be written: {0}")]
+    Write(#[from] io::Error),
+    /// A list cannot be written as JSON.
+    #[error("a list cannot be written: {0}")]
+    List(#[from] serde_json::Error),
+}
+
 /// Discovery.
 pub struct Directory {
     cache_servers: Rc<CacheServers>,
@@ -42,8 +67,8 @@
     /// What each server is called.
     names: Vec<String>,
     /// Where each server listens for each node: `[node][server]`.
-    dials: Vec<Vec<SocketAddr>>,
-    seq: watch::Sender<u64>,
+    addresses: Vec<Vec<SocketAddr>>,
+    version: watch::Sender<u64>,
     /// Down: calls and open connections are reset.
     down: watch::Sender<bool>,
     /// Every server is reported ready, whatever it is.
@@ -62,21 +87,21 @@
         cache_servers: Rc<CacheServers>,
         fleet: &Fleet,
         all: usize,
-        dials: Vec<Vec<SocketAddr>>,
+        addresses: Vec<Vec<SocketAddr>>,
     ) -> Rc<Self> {
         let entry = |i| Entry {
-            health: "ready",
-            born_ms: 0,
-            seq: u64::from(i < fleet.servers),
+            availability: Availability::Ready,
+            started_ms: 0,
+            version: u64::from(i < fleet.servers),
         };
         Rc::new(Self {
             cache_servers,
             fleet: fleet.clone(),
             entries: RefCell::new((0..all).map(entry).collect()),
             names: (0..all).map(|server| format!("s-{server:03}")).collect(),
-            closed: watch::Sender::new(vec![None; dials.len()]),
-            dials,
-            seq: watch::Sender::new(1),
+            closed: watch::Sender::new(vec![None; addresses.len()]),
+            addresses,
+            version: watch::Sender::new(1),
             down: watch::Sender::new(false),
             reports_all_ready: Cell::new(false),
             refuses: Cell::new(false),
@@ -85,17 +110,17 @@
     }
 
     /// A server's state changes; discovery reports it once its delay is over.
-    pub fn change(self: &Rc<Self>, server: usize, health: &'static str, born_ms: u64) {
+    pub fn change(self: &Rc<Self>, server: usize, availability: Availability, started_ms: u64) {
         let directory = self.clone();
         spawn_local(async move {
             sleep(directory.late.get()).await;
-            let seq = *directory.seq.borrow() + 1;
+            let version = *directory.version.borrow() + 1;
             directory.entries.borrow_mut()[server] = Entry {
-                health,
-                born_ms,
-                seq,
+                availability,
+                started_ms,
+                version,
             };
-            directory.seq.send_replace(seq);
+            directory.version.send_replace(version);
             let at = directory.cache_servers.now().as_micros() as u64;
             directory
                 .cache_servers
@@ -104,7 +129,7 @@
                 .availability_changes
                 .push(AvailabilityChange {
                     server,
-                    ready: health == "ready",
+                    ready: availability == Availability::Ready,
                     at,
                 });
         });
@@ -126,7 +151,7 @@
             .enumerate()
             .map(|(server, entry)| AvailabilityChange {
                 server,
-                ready: all_ready || entry.health == "ready",
+                ready: all_ready || entry.availability == Availability::Ready,
                 at,
             });
         self.cache_servers
@@ -135,20 +160,20 @@
             .availability_changes
             .extend(changes);
         drop(entries);
-        let seq = *self.seq.borrow() + 1;
+        let version = *self.version.borrow() + 1;
         self.entries
             .borrow_mut()
             .iter_mut()
-            .filter(|entry| entry.seq > 0)
-            .for_each(|entry| entry.seq = seq);
-        self.seq.send_replace(seq);
+            .filter(|entry| entry.version > 0)
+            .for_each(|entry| entry.version = version);
+        self.version.send_replace(version);
     }
 
     /// A node's old address accepts no more and closes what is open after a while.
     pub fn close_old(self: &Rc<Self>, node: usize, which: usize) {
         let directory = self.clone();
         spawn_local(async move {
-            sleep(OLD_CLOSES).await;
+            sleep(OLD_ADDRESS_CLOSES_AFTER).await;
             directory
                 .closed
                 .send_modify(|closed| closed[node] = Some(which));
@@ -173,38 +198,38 @@
         let (mut down, mut closed) = (self.down.subscribe(), self.closed.subscribe());
         let ended = tokio::select! {
             ended = self.calls(node, &mut conn) => ended,
-            _ = down.wait_for(|down| *down) => Err(()),
-            _ = closed.wait_for(|closed| closed[node] == Some(which)) => Err(()),
+            _ = down.wait_for(|down| *down) => Err(ConnectionReset::Unavailable),
+            _ = closed.wait_for(|closed| closed[node] == Some(which)) => Err(ConnectionReset::Unavailable),
         };
         if ended.is_err() {
             conn.reset();
         }
     }
 
-    async fn calls(&self, node: usize, conn: &mut Conn) -> Result<(), ()> {
+    async fn calls(&self, node: usize, conn: &mut Conn) -> Result<(), ConnectionReset> {
         loop {
             let Ok(asked) = conn.request().await else {
                 return Ok(());
             };
             let Some(call) = ListCall::parse(&asked.path) else {
-                conn.write(NOT_FOUND).await.map_err(drop)?;
+                conn.write(NOT_FOUND).await?;
                 continue;
             };
             if self.refuses.get() {
-                conn.write(REFUSED).await.map_err(drop)?;
+                conn.write(REFUSED).await?;
                 continue;
             }
             if let (Some(after), Some(wait)) = (call.after, call.wait) {
-                let mut seq = self.seq.subscribe();
-                let _ = timeout(wait, seq.wait_for(|seq| *seq > after)).await;
+                let mut version = self.version.subscribe();
+                let _ = timeout(wait, version.wait_for(|version| *version > after)).await;
             }
-            let (message, reported) = self.list(node, call.after).map_err(drop)?;
-            conn.write(&message).await.map_err(drop)?;
+            let ListAnswer { message, reported } = self.list(node, call.after)?;
+            conn.write(&message).await?;
             // The node counts as informed once it is written.
             let at = self.cache_servers.now().as_micros() as u64;
             let notices = reported
                 .into_iter()
-                .map(|ReportedServer { server, ready }| AvailabilityNotice {
+                .map(|ReportedEndpoint { server, ready }| AvailabilityNotice {
                     node,
                     server,
                     ready,
@@ -219,44 +244,51 @@
     }
 
     /// The answer to a call, as a message, and what that says of each server.
-    fn list(
-        &self,
-        node: usize,
-        after: Option<u64>,
-    ) -> serde_json::Result<(Vec<u8>, Vec<ReportedServer>)> {
+    fn list(&self, node: usize, after: Option<u64>) -> serde_json::Result<ListAnswer> {
         let entries = self.entries.borrow();
-        let seq = *self.seq.borrow();
-        let whole = after.is_none_or(|after| after > seq);
-        let (mut hosts, mut reported) = (Vec::new(), Vec::new());
+        let version = *self.version.borrow();
+        let complete = after.is_none_or(|after| after > version);
+        let (mut endpoints, mut reported) = (Vec::new(), Vec::new());
         for (server, entry) in entries
             .iter()
             .enumerate()
-            .filter(|(_, entry)| entry.seq > 0)
+            .filter(|(_, entry)| entry.version > 0)
         {
-            let health = if self.reports_all_ready.get() {
-                "ready"
+            let availability = if self.reports_all_ready.get() {
+                Availability::Ready
             } else {
-                entry.health
+                entry.availability
             };
-            if whole || after.is_some_and(|after| entry.seq > after) {
-                reported.push(ReportedServer {
-                    server,
-                    ready: health == "ready",
-                });
-                if !(whole && health == "gone") {
-                    hosts.push(ListedHost {
-                        host: &self.names[server],
-                        dial: self.dials[node][server],
-                        site: self.fleet.zone(server),
-                        class: "lab",
-                        block: 0,
-                        health,
-                        share: self.fleet.cores as f64,
-                        born_ms: entry.born_ms,
-                    });
-                }
+            let changed = after.is_some_and(|after| entry.version > after);
+            if !(complete || changed) {
+                continue;
             }
+            reported.push(ReportedEndpoint {
+                server,
+                ready: availability == Availability::Ready,
+            });
+            if complete && availability == Availability::Removed {
+                continue;
+            }
+            endpoints.push(ListedEndpoint {
+                name: &self.names[server],
+                address: self.addresses[node][server],
+                zone: self.fleet.zone(server),
+                class: "lab",
+                block: 0,
+                availability,
+                weight: self.fleet.cores as f64,
+                started_ms: entry.started_ms,
+            });
         }
-        Ok((ListAnswer { seq, whole, hosts }.message()?, reported))
+        let message = EndpointListMessage {
+            version,
+            complete,
+            endpoints,
+        };
+        Ok(ListAnswer {
+            message: message.message()?,
+            reported,
+        })
     }
 }
--- a/crates/lab/src/list_protocol.rs
+++ b/crates/lab/src/list_protocol.rs
@@ -44,40 +44,62 @@
     }
 }
 
-/// An entry, as it is written.
+/// Whether an endpoint takes requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Availability {
+    /// It takes requests.
+    Ready,
+    /// It takes no new requests and finishes those it has.
+    Draining,
+    /// It is no longer there.
+    #[serde(rename = "gone")]
+    Removed,
+}
+
+/// An endpoint, as it is written in a list.
 #[derive(Debug, Serialize)]
-pub struct ListedHost<'a> {
-    /// The server's name, alike at every node.
-    pub host: &'a str,
+pub struct ListedEndpoint<'a> {
+    /// Its name, the same at every node.
+    #[serde(rename = "host")]
+    pub name: &'a str,
     /// Where it listens for this node.
-    pub dial: SocketAddr,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
     /// Its zone.
-    pub site: &'a str,
+    #[serde(rename = "site")]
+    pub zone: &'a str,
     /// Its kind of machine.
     pub class: &'a str,
     /// Its group.
     pub block: u64,
-    /// `ready`, `draining` or `gone`.
-    pub health: &'a str,
+    /// Whether it takes requests.
+    #[serde(rename = "health")]
+    pub availability: Availability,
     /// Its weight.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub weight: f64,
     /// Its last start, in Unix time milliseconds; 0 for long ago.
-    pub born_ms: u64,
+    #[serde(rename = "born_ms")]
+    pub started_ms: u64,
 }
 
-/// A list, as it is written.
+/// An endpoint list, as it is written.
 #[derive(Debug, Serialize)]
-pub struct ListAnswer<'a> {
+pub struct EndpointListMessage<'a> {
     /// Its version.
-    pub seq: u64,
-    /// Whether what it lacks is gone.
-    pub whole: bool,
-    /// The entries, or those that changed.
-    pub hosts: Vec<ListedHost<'a>>,
+    #[serde(rename = "seq")]
+    pub version: u64,
+    /// Whether an endpoint that it lacks is removed.
+    #[serde(rename = "whole")]
+    pub complete: bool,
+    /// All endpoints, or those that changed.
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<ListedEndpoint<'a>>,
 }
 
-impl ListAnswer<'_> {
-    /// The whole message.
+impl EndpointListMessage<'_> {
+    /// The HTTP message, head and body.
     pub fn message(&self) -> serde_json::Result<Vec<u8>> {
         let body = serde_json::to_vec(self)?;
         let head = format!(
--- a/crates/lab/src/run/faults.rs
+++ b/crates/lab/src/run/faults.rs
@@ -1,6 +1,7 @@
 //! The faults of servers and discovery, set and lifted on the time line.
 
 use crate::discovery::Directory;
+use crate::list_protocol::Availability;
 use crate::record::AppliedFault;
 use crate::scenario::{Fault, Kind, Scenario};
 use crate::servers::{CacheServers, ServerMode};
@@ -78,7 +79,7 @@
             if let Some(back) = fault.back_s.filter(|_| fault.kind == Kind::Drain) {
                 sleep(Duration::from_secs_f64(back.get())).await;
                 cache_servers.set_mode(server, ServerMode::Healthy);
-                directory.change(server, "ready", unix_ms());
+                directory.change(server, Availability::Ready, unix_ms());
             }
         });
     }
@@ -101,7 +102,7 @@
     match fault.kind {
         Kind::Kill => {
             cache_servers.set_mode(server, ServerMode::Down);
-            directory.change(server, "gone", 0);
+            directory.change(server, Availability::Removed, 0);
         }
         Kind::Hang => cache_servers.set_mode(server, ServerMode::Hang),
         Kind::Slow => cache_servers.cluster.borrow_mut().set_slowdown(server, by),
@@ -110,13 +111,13 @@
         Kind::Garbage => cache_servers.set_mode(server, ServerMode::Garbage),
         Kind::Refuse => cache_servers.set_mode(server, ServerMode::Refuse),
         Kind::Cut => cache_servers.set_mode(server, ServerMode::Partitioned),
-        Kind::Drain => directory.change(server, "draining", 0),
+        Kind::Drain => directory.change(server, Availability::Draining, 0),
         Kind::Replace => {
             cache_servers.set_mode(server, ServerMode::Down);
             cache_servers.set_mode(replacement, ServerMode::Down);
             cache_servers.set_mode(replacement, ServerMode::Healthy);
-            directory.change(server, "gone", 0);
-            directory.change(replacement, "ready", unix_ms());
+            directory.change(server, Availability::Removed, 0);
+            directory.change(replacement, Availability::Ready, unix_ms());
         }
         Kind::DiscoveryDown => directory.set_down(true),
         Kind::DiscoveryRefuses => directory.refuses.set(true),
@@ -138,7 +139,7 @@
     match fault.kind {
         Kind::Kill => {
             cache_servers.set_mode(server, ServerMode::Healthy);
-            directory.change(server, "ready", unix_ms());
+            directory.change(server, Availability::Ready, unix_ms());
         }
         Kind::Slow => cache_servers.cluster.borrow_mut().set_slowdown(server, 1.0),
         Kind::Hang | Kind::Reset | Kind::Half | Kind::Garbage | Kind::Refuse | Kind::Cut => {
@@ -146,7 +147,7 @@
         }
         Kind::Drain => {
             cache_servers.set_mode(server, ServerMode::Down);
-            directory.change(server, "gone", 0);
+            directory.change(server, Availability::Removed, 0);
         }
         Kind::DiscoveryDown => directory.set_down(false),
         Kind::DiscoveryRefuses => directory.refuses.set(false),
--- a/crates/lab/src/scale/directory/tests.rs
+++ b/crates/lab/src/scale/directory/tests.rs
@@ -24,22 +24,27 @@
         ..Options::default()
     };
     let mut directory = Directory::new(&options, SocketAddr::from(([127, 0, 0, 1], 7070)));
-    let pair = |server: usize, health: &str| (format!("server-{server:05}"), health.to_owned());
+    let pair = |server: usize, availability: &str| {
+        (format!("server-{server:05}"), availability.to_owned())
+    };
     let ready = (0..3).map(|server| pair(server, "ready")).collect();
     assert_eq!(listed(&mut directory, None), (true, 1, ready));
     assert_eq!(listed(&mut directory, Some(1)), (false, 1, vec![]));
-    let change = |server, health| EntryChange {
+    let change = |server, availability| EndpointChange {
         server,
-        health,
-        born_ms: None,
+        availability,
+        started_ms: None,
     };
-    assert_eq!(directory.change(&[change(1, Health::Draining)]), 2);
+    assert_eq!(directory.change(&[change(1, Availability::Draining)]), 2);
     assert_eq!(
         listed(&mut directory, Some(1)),
         (false, 2, vec![pair(1, "draining")])
     );
     assert_eq!(
-        directory.change(&[change(1, Health::Gone), change(2, Health::Draining)]),
+        directory.change(&[
+            change(1, Availability::Removed),
+            change(2, Availability::Draining)
+        ]),
         3
     );
     let gone = vec![pair(1, "gone"), pair(2, "draining")];
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -5,7 +5,7 @@
 use crate::run::Folder;
 use crate::scale::assignment::Assignment;
 use crate::scale::convergence::{Change, ChangeCause};
-use crate::scale::directory::{EntryChange, FIRST_VERSION};
+use crate::scale::directory::{EndpointChange, FIRST_VERSION};
 use crate::scale::error::ScaleError;
 use crate::scale::options::Options;
 use crate::scale::processes::monotonic_us;
@@ -220,7 +220,7 @@
     /// Changes entries of the list, all at once.
     pub async fn change_list(
         &mut self,
-        changes: Vec<EntryChange>,
+        changes: Vec<EndpointChange>,
         cause: ChangeCause,
     ) -> Result<(), ScaleError> {
         let changed = self.service.change(changes).await?;
--- a/crates/lab/src/scale/schedule.rs
+++ b/crates/lab/src/scale/schedule.rs
@@ -1,6 +1,7 @@
 //! What happens when in a run: planned changes, new configurations and a fault. No I/O and no clock.
 
-use crate::scale::directory::{EntryChange, Health};
+use crate::list_protocol::Availability;
+use crate::scale::directory::EndpointChange;
 use crate::scale::options::{FaultKind, Options};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -99,7 +100,7 @@
 #[derive(Debug)]
 pub struct ChangeGenerator {
     random: StdRng,
-    health: Vec<Health>,
+    availability: Vec<Availability>,
     zones: usize,
     nodes: usize,
 }
@@ -112,7 +113,7 @@
     pub fn new(options: &Options) -> Self {
         Self {
             random: StdRng::seed_from_u64(options.seed),
-            health: vec![Health::Ready; options.servers],
+            availability: vec![Availability::Ready; options.servers],
             zones: options.zones,
             nodes: options.nodes(),
         }
@@ -120,39 +121,39 @@
 
     /// A change of the list: one server begins to drain, or is ready again. The last one that is ready stays so, and is
     /// only listed anew.
-    pub fn list_change(&mut self) -> Vec<EntryChange> {
-        let listed: Vec<_> = (0..self.health.len())
-            .filter(|&i| self.health[i] != Health::Gone)
+    pub fn list_change(&mut self) -> Vec<EndpointChange> {
+        let listed: Vec<_> = (0..self.availability.len())
+            .filter(|&i| self.availability[i] != Availability::Removed)
             .collect();
         let server = listed[self.random.random_range(0..listed.len())];
         let ready = self
-            .health
+            .availability
             .iter()
-            .filter(|health| **health == Health::Ready)
+            .filter(|availability| **availability == Availability::Ready)
             .count();
-        let drains = self.health[server] == Health::Ready && ready > 1;
+        let drains = self.availability[server] == Availability::Ready && ready > 1;
         self.set(
             server,
             if drains {
-                Health::Draining
+                Availability::Draining
             } else {
-                Health::Ready
+                Availability::Ready
             },
             None,
         )
     }
 
     /// The servers of the first zone are gone.
-    pub fn lose_zone(&mut self) -> Vec<EntryChange> {
+    pub fn lose_zone(&mut self) -> Vec<EndpointChange> {
         self.zone()
-            .flat_map(|server| self.set(server, Health::Gone, None))
+            .flat_map(|server| self.set(server, Availability::Removed, None))
             .collect()
     }
 
     /// The servers of the first zone are back, and start anew at this Unix time in milliseconds.
-    pub fn return_zone(&mut self, now_ms: u64) -> Vec<EntryChange> {
+    pub fn return_zone(&mut self, now_ms: u64) -> Vec<EndpointChange> {
         self.zone()
-            .flat_map(|server| self.set(server, Health::Ready, Some(now_ms)))
+            .flat_map(|server| self.set(server, Availability::Ready, Some(now_ms)))
             .collect()
     }
 
@@ -166,15 +167,20 @@
     }
 
     fn zone(&self) -> impl Iterator<Item = usize> {
-        (0..self.health.len()).step_by(self.zones)
+        (0..self.availability.len()).step_by(self.zones)
     }
 
-    fn set(&mut self, server: usize, health: Health, born_ms: Option<u64>) -> Vec<EntryChange> {
-        self.health[server] = health;
-        vec![EntryChange {
+    fn set(
+        &mut self,
+        server: usize,
+        availability: Availability,
+        started_ms: Option<u64>,
+    ) -> Vec<EndpointChange> {
+        self.availability[server] = availability;
+        vec![EndpointChange {
             server,
-            health,
-            born_ms,
+            availability,
+            started_ms,
         }]
     }
 }
--- a/crates/lab/src/scale/schedule/tests.rs
+++ b/crates/lab/src/scale/schedule/tests.rs
@@ -62,7 +62,10 @@
     assert_eq!(tenth.len(), 3);
     let lost: Vec<_> = lost
         .iter()
-        .map(|change| (change.server, change.health))
+        .map(|change| (change.server, change.availability))
         .collect();
-    assert_eq!(lost, [0, 3, 6].map(|server| (server, Health::Gone)));
+    assert_eq!(
+        lost,
+        [0, 3, 6].map(|server| (server, Availability::Removed))
+    );
 }
--- a/crates/lab/src/scale/service.rs
+++ b/crates/lab/src/scale/service.rs
@@ -6,7 +6,7 @@
 use crate::http::{listen, reset, Conn};
 use crate::list_protocol::{ListCall, NOT_FOUND, REFUSED};
 use crate::scale::counts::ControlCounts;
-use crate::scale::directory::{Answer, Directory, EntryChange};
+use crate::scale::directory::{Answer, Directory, EndpointChange};
 use crate::scale::options::Options;
 use crate::scale::processes::{monotonic_us, thread_processor_time};
 use crate::scale::queue::{Admission, CallQueue, Costs};
@@ -94,7 +94,7 @@
 }
 
 enum Order {
-    Change(Vec<EntryChange>, oneshot::Sender<Changed>),
+    Change(Vec<EndpointChange>, oneshot::Sender<Changed>),
     Down(bool),
     Partition(bool),
     Count(oneshot::Sender<ServiceFigures>),
@@ -155,7 +155,7 @@
     }
 
     /// Changes entries, all in one version.
-    pub async fn change(&self, changes: Vec<EntryChange>) -> Result<Changed, ServiceEnded> {
+    pub async fn change(&self, changes: Vec<EndpointChange>) -> Result<Changed, ServiceEnded> {
         let (made, changed) = oneshot::channel();
         self.orders
             .send(Order::Change(changes, made))
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,7 +1,8 @@
 //! A simulated node against the scale run's stand-in for discovery: it is the real client and the real decision module.
 
 use slatelink_config::operators;
-use slatelink_lab::scale::directory::{EntryChange, Health};
+use slatelink_lab::list_protocol::Availability;
+use slatelink_lab::scale::directory::EndpointChange;
 use slatelink_lab::scale::service::{Caller, Peer, Service};
 use slatelink_lab::scale::Options;
 use slatelink_node::control::{run, ControlObserver, ControlOptions};
@@ -78,11 +79,11 @@
     (options, moves)
 }
 
-fn change(health: Health) -> Vec<EntryChange> {
-    vec![EntryChange {
+fn change(availability: Availability) -> Vec<EndpointChange> {
+    vec![EndpointChange {
         server: 0,
-        health,
-        born_ms: None,
+        availability,
+        started_ms: None,
     }]
 }
 
@@ -128,7 +129,10 @@
             "a new node asks for the whole list, once"
         );
 
-        service.change(change(Health::Draining)).await.unwrap();
+        service
+            .change(change(Availability::Draining))
+            .await
+            .unwrap();
         seen.until("the change", |seen| {
             seen.lists.borrow().last() == Some(&(2, false))
         })
@@ -141,7 +145,7 @@
         service.set_down(true).unwrap();
         seen.until("a call that fails", |seen| seen.failed.get() > 1)
             .await;
-        service.change(change(Health::Ready)).await.unwrap();
+        service.change(change(Availability::Ready)).await.unwrap();
         service.set_down(false).unwrap();
         seen.until("the change of that time", |seen| {
             seen.lists.borrow().last() == Some(&(3, false))
@@ -194,7 +198,10 @@
                 .await;
         }
         service.set_partitioned(true).unwrap();
-        service.change(change(Health::Draining)).await.unwrap();
+        service
+            .change(change(Availability::Draining))
+            .await
+            .unwrap();
         near.until("the change", |seen| {
             seen.lists.borrow().last() == Some(&(2, false))
         })
