--- a/crates/admission/src/connections/closing.rs
+++ b/crates/admission/src/connections/closing.rs
@@ -4,7 +4,7 @@
 
 /// Why a connection was closed or refused, or a request refused.
 ///
-/// The discriminants number the positions of [`ConnectionStats::closed`](super::ConnectionStats::closed) and
+/// The discriminants are the positions of [`ConnectionStats::closed`](super::ConnectionStats::closed) and
 /// [`ConnectionStats::refused`](super::ConnectionStats::refused).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CloseCause {
@@ -85,7 +85,7 @@
 pub(super) struct Closing {
     /// The first cause that was given.
     pub(super) cause: CloseCause,
-    /// [`Directive::Abort`] once that was given, else the last one given.
+    /// [`Directive::Abort`] once that was given, until a complete request takes it back; else the last one given.
     pub(super) directive: Directive,
 }
 
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Whether the descriptor of a closed connection may be held for a moment, for a client that still reads: not where it
-    /// closed so that another connection gets the descriptor.
+    /// Whether the descriptor of a closed connection may be held for a moment, for a client that still reads: not where
+    /// it closed so that another connection gets the descriptor.
     pub fn may_linger(&self, id: ConnectionId) -> bool {
         let closing = self.entry(id).and_then(|entry| entry.closing.as_ref());
         closing.is_none_or(|closing| {
@@ -120,8 +120,8 @@
         })
     }
 
-    /// Closes a connection for this cause: at once while it reads a request or writes a response, else after the response
-    /// to its request. At shutdown, requests and responses in progress are completed too.
+    /// Closes a connection for this cause: at once while it reads a request or writes a response, else after the
+    /// response to its request. At shutdown, requests and responses in progress are completed too.
     pub fn close(&mut self, id: ConnectionId, cause: CloseCause) {
         let in_progress = matches!(
             self.phase(id),
@@ -135,7 +135,7 @@
         self.set_closing(id, cause, directive);
     }
 
-    /// Records that a connection closes. The first cause is kept, and an abort is never taken back.
+    /// Records that a connection closes. The first cause is kept, and no other directive takes the place of an abort.
     pub(super) fn set_closing(
         &mut self,
         id: ConnectionId,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -78,8 +78,6 @@
         .unwrap_or_default();
     let config = platform::load(|name| std::env::var(name).ok())?;
     // A node has one core: one thread, and no locks between its parts.
-    LocalSet::new().block_on(
-        &single_threaded_runtime()?,
-        slatelink_node::run(config, features, format.into()),
-    )
+    let node = slatelink_node::run(config, features, format.into());
+    Ok(LocalSet::new().block_on(&single_threaded_runtime()?, node)?)
 }
--- a/crates/node/src/server/error.rs
+++ b/crates/node/src/server/error.rs
@@ -39,6 +39,7 @@
 }
 
 impl RequestError {
+    /// The status of the response.
     const fn status(&self) -> StatusCode {
         match self {
             Self::UnknownPath => StatusCode::NOT_FOUND,
@@ -62,15 +63,3 @@
         }
     }
 }
-
-impl From<ParameterError> for HttpResponse {
-    fn from(error: ParameterError) -> Self {
-        RequestError::from(error).into()
-    }
-}
-
-impl From<BodyError> for HttpResponse {
-    fn from(error: BodyError) -> Self {
-        RequestError::from(error).into()
-    }
-}
