--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -53,7 +53,7 @@
     pub max_poll_interval: Duration,
     /// Source of jitter.
     pub random: fastrand::Rng,
-    /// Receives the lists, and a word of each failure after which the policy is to request a poll.
+    /// Receives the lists, and an event for each failure after which the policy is to request a poll.
     pub events: UnboundedSender<DriverEvent>,
     /// Receives a line, at a limited rate, for each failure and each stale list.
     pub log: Log,
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -5,7 +5,11 @@
 use super::lists::{DriverStopped, ListStatus};
 use super::notified::NOTIFIED_AFTER_ADDRESS_CHANGE;
 use super::stale_lists::StaleListFilter;
-use super::timing::*;
+use super::timing::{
+    Jittered, ADDRESS_CHANGE_BACKOFF, BACKOFF_JITTER, EARLY_ANSWER_PAUSE, EARLY_ANSWER_THRESHOLD,
+    LATE_ANSWER_READ_TIME, LATE_FAILURE_BACKOFF, PUSHED_BACKOFF_DRAIN_GRACE_FRACTION,
+    RECENT_ANSWER_BACKOFF, RECENT_ANSWER_WINDOW,
+};
 use super::DiscoveryOptions;
 use crate::driver::DriverEvent;
 use slatelink_telemetry::Log;
@@ -18,15 +22,21 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// The client of discovery.
+/// The state of the client. Its methods stand in the modules of their concern.
 pub(super) struct DiscoveryClient {
     /// Version of the list that is held; `None` where the next call has to bring the complete one.
     pub(super) version: Option<u64>,
+    /// `DiscoveryOptions::pushed`.
     pub(super) pushed: bool,
+    /// `DiscoveryOptions::drain_grace`.
     drain_grace: Duration,
+    /// `DiscoveryOptions::max_poll_interval`.
     pub(super) max_poll_interval: Duration,
+    /// Source of jitter.
     pub(super) random: fastrand::Rng,
+    /// To the driver.
     pub(super) events: UnboundedSender<DriverEvent>,
+    /// Where failures and stale lists are logged.
     pub(super) log: Log,
     /// When discovery last answered a call; before the first answer it may not know this node.
     pub(super) last_answer: Option<Instant>,
@@ -34,8 +44,11 @@
     pub(super) failing: bool,
     /// The last failure was a late one (`LATE_FAILURE_THRESHOLD`).
     pub(super) failed_late: bool,
+    /// Of the current address.
     pub(super) generation: AddressGeneration,
+    /// All calls, superseded ones too.
     pub(super) in_flight: CallsInFlight,
+    /// What every list passes on its way to the driver.
     pub(super) stale_lists: StaleListFilter,
     /// An endpoint was marked as draining against a list that calls it ready: when to poll for the complete list, which
     /// tells whether it still drains.
@@ -50,6 +63,7 @@
 }
 
 impl DiscoveryClient {
+    /// A client that has made no call yet.
     pub(super) fn new(options: DiscoveryOptions) -> Self {
         let DiscoveryOptions {
             version,
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -3,7 +3,10 @@
 use super::call::{CallOutcome, DiscoveryConnection, DiscoveryError, ListRequest};
 use super::client::DiscoveryClient;
 use super::in_flight::CompletedCall;
-use super::timing::*;
+use super::timing::{
+    LATE_ANSWER_READ_TIME, LATE_FAILURE_HEDGE_DELAY, LATE_FAILURE_THRESHOLD, POLL_TIMEOUT,
+    SUPERSEDED_READ_TIME,
+};
 use super::watches::Watches;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +14,9 @@
 
 /// What a poll consists of.
 pub(super) struct Poll {
+    /// Discovery's address.
     pub(super) address: SocketAddr,
+    /// The request of all its calls.
     pub(super) request: ListRequest,
     /// The connection of the first call.
     pub(super) connection: Option<DiscoveryConnection>,
--- a/crates/node/src/discovery/renewal.rs
+++ b/crates/node/src/discovery/renewal.rs
@@ -4,7 +4,11 @@
 use super::client::DiscoveryClient;
 use super::in_flight::CompletedCall;
 use super::poll::{Poll, PollOutcome};
-use super::timing::*;
+use super::timing::{
+    CATCH_UP_WAIT, FIRST_RENEWAL_FRACTION, LATE_FAILURE_HEDGE_DELAY, RENEWAL_OVERLAP,
+    SUPERSEDED_READ_TIME, VERIFICATION_HEDGE_DELAY, WATCH_RENEWAL_INTERVAL,
+    WATCH_VERIFICATION_DELAY, WATCH_WAIT,
+};
 use super::watches::Watches;
 use std::net::SocketAddr;
 use std::ops::Range;
--- a/crates/node/src/discovery/tests/address_change.rs
+++ b/crates/node/src/discovery/tests/address_change.rs
@@ -2,7 +2,7 @@
 
 use super::fake_discovery::{changes, ManualDiscovery, Reply, ScriptedDiscovery};
 use super::harness::{run_in_virtual_time, TestClient, PROMPTLY};
-use crate::discovery::notified::*;
+use crate::discovery::notified::{NOTIFIED_AFTER_ADDRESS_CHANGE, QUEUE_LIMIT};
 use crate::driver::DriverEvent;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
--- a/crates/node/src/discovery/tests/failures.rs
+++ b/crates/node/src/discovery/tests/failures.rs
@@ -3,7 +3,7 @@
 use super::fake_discovery::{changes, ManualDiscovery, Reply, ScriptedDiscovery};
 use super::harness::{run_in_virtual_time, TestClient, LONGEST_POLICY_BACKOFF, PROMPTLY};
 use crate::discovery::call::CONNECT_TIMEOUT;
-use crate::discovery::notified::*;
+use crate::discovery::notified::{NOTIFIED_AFTER_FAILED_CALL, QUEUE_LIMIT};
 use crate::driver::DriverEvent;
 use slatelink_policy::Settings;
 use std::net::SocketAddr;
--- a/crates/node/src/discovery/tests/renewal.rs
+++ b/crates/node/src/discovery/tests/renewal.rs
@@ -4,8 +4,10 @@
     changes, wait_of, ManualDiscovery, PendingCall, Reply, ScriptedDiscovery,
 };
 use super::harness::{run_in_virtual_time, TestClient, PROMPTLY};
-use crate::discovery::notified::*;
-use crate::discovery::timing::*;
+use crate::discovery::notified::{
+    NOTIFIED_AFTER_FAILED_CALL, NOTIFIED_AFTER_WATCH_WAIT, QUEUE_LIMIT,
+};
+use crate::discovery::timing::{RENEWAL_BACKOFF, RENEWAL_OVERLAP};
 use crate::driver::DriverEvent;
 use slatelink_telemetry::Log;
 use std::time::Duration;
--- a/crates/node/src/discovery/tests/verification.rs
+++ b/crates/node/src/discovery/tests/verification.rs
@@ -2,8 +2,8 @@
 
 use super::fake_discovery::{wait_of, Reply, ScriptedDiscovery};
 use super::harness::{run_in_virtual_time, TestClient};
-use crate::discovery::notified::*;
-use crate::discovery::timing::*;
+use crate::discovery::notified::{NOTIFIED_AFTER_FAILED_CALL, QUEUE_LIMIT};
+use crate::discovery::timing::{CATCH_UP_WAIT, WATCH_WAIT};
 use std::time::Duration;
 
 // Guards against a node that takes a silent watch for one without changes right after a failure, and against a poll that stands
--- a/crates/node/src/discovery/timing.rs
+++ b/crates/node/src/discovery/timing.rs
@@ -1,6 +1,8 @@
 //! Timeouts, intervals and backoffs of the discovery client, each with the rule of `notified` that it follows from.
 
-use super::notified::*;
+use super::notified::{
+    NOTIFIED_AFTER_FAILED_CALL, NOTIFIED_AFTER_WATCH_WAIT, QUEUE_LIMIT, WATCH_CONTINUITY_GAP,
+};
 use std::ops::Range;
 use std::time::Duration;
 
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -3,7 +3,10 @@
 use super::call::{CallOutcome, DiscoveryConnection, DiscoveryError, ListRequest};
 use super::client::DiscoveryClient;
 use super::renewal::CheckOutcome;
-use super::timing::*;
+use super::timing::{
+    LATE_FAILURE_THRESHOLD, POLL_TIMEOUT, RENEWAL_BACKOFF, SUPERSEDED_READ_TIME,
+    WATCH_ANSWER_GRACE, WATCH_WAIT,
+};
 use super::watches::Watches;
 use std::net::SocketAddr;
 use std::time::Duration;
