--- a/crates/lab/src/report/tally.rs
+++ b/crates/lab/src/report/tally.rs
@@ -36,6 +36,10 @@
 }
 
 impl Tally {
+    #[allow(
+        clippy::expect_used,
+        reason = "the bounds are constants that the crate accepts"
+    )]
     fn new() -> Self {
         // Microseconds up to ten minutes.
         let times = Histogram::new_with_bounds(1, 600_000_000, 3)
