--- /dev/null
+++ b/crates/policy/tests/properties/requests.rs
@@ -0,0 +1,224 @@
+//! Answers and attempts of requests: one final answer each, repeats as the class allows, no attempt
+//! at an endpoint that drains.
+
+use crate::events::check;
+use crate::simulation::{Observation, Simulation, CASES, LENGTH, SEEDS};
+use slatelink_policy::*;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+#[test]
+fn each_request_has_one_final_answer_before_its_deadline_and_no_attempt_after_it() {
+    check(SEEDS, CASES, LENGTH, |seed, steps| {
+        let mut open = BTreeMap::new();
+        for (at, observation) in Simulation::run(seed, steps).observations {
+            match observation {
+                Observation::RequestArrived(request) => {
+                    open.insert(request.id, request.deadline);
+                }
+                Observation::Answered { id, .. } => {
+                    let deadline = open
+                        .remove(&id)
+                        .unwrap_or_else(|| panic!("{id} is answered and is owed no answer"));
+                    assert!(at <= deadline, "{id} is answered after its deadline");
+                }
+                Observation::ClientLeft(id) => drop(open.remove(&id)),
+                Observation::AttemptSent { id, .. } => {
+                    assert!(open.contains_key(&id), "{id} is finished, and sent");
+                }
+                _ => {}
+            }
+        }
+        assert!(open.is_empty(), "no answer to {open:?}");
+    });
+}
+
+/// An attempt that may have run its request.
+struct EarlierAttempt {
+    sent: Timestamp,
+    endpoint: Endpoint,
+}
+
+fn may_repeat(
+    idempotency: Idempotency,
+    earlier: &EarlierAttempt,
+    endpoint: &Endpoint,
+    now: Timestamp,
+) -> bool {
+    match idempotency {
+        Idempotency::Idempotent => true,
+        Idempotency::NonIdempotent => false,
+        Idempotency::Keyed { scope, window } => {
+            let in_scope = match scope {
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => earlier.endpoint.zone == endpoint.zone,
+                DeduplicationScope::Cell => earlier.endpoint.cell == endpoint.cell,
+            };
+            now < earlier.sent + window && in_scope
+        }
+    }
+}
+
+fn every_endpoint_discards_repeats(idempotency: Idempotency) -> bool {
+    matches!(
+        idempotency,
+        Idempotency::Idempotent
+            | Idempotency::Keyed {
+                scope: DeduplicationScope::All,
+                ..
+            }
+    )
+}
+
+#[test]
+fn a_request_that_may_have_run_is_retried_or_shed_only_as_its_class_allows() {
+    check(SEEDS, CASES, LENGTH, |seed, steps| {
+        let simulation = Simulation::run(seed, steps);
+        let mut classes = BTreeMap::new();
+        let mut may_have_run = BTreeMap::<RequestId, Vec<EarlierAttempt>>::new();
+        for (at, observation) in &simulation.observations {
+            match observation {
+                Observation::RequestArrived(request) => {
+                    classes.insert(request.id.clone(), simulation.class(request).idempotency);
+                }
+                Observation::AttemptSent { id, endpoint } => {
+                    let earlier = may_have_run.entry(id.clone()).or_default();
+                    for attempt in earlier.iter() {
+                        let allowed = may_repeat(classes[id], attempt, endpoint, *at);
+                        assert!(allowed, "{id} is retried");
+                    }
+                    earlier.push(EarlierAttempt {
+                        sent: *at,
+                        endpoint: endpoint.clone(),
+                    });
+                }
+                Observation::AttemptEnded {
+                    id,
+                    endpoint,
+                    status,
+                    ..
+                } if status.never_ran() => {
+                    let earlier = may_have_run.entry(id.clone()).or_default();
+                    let place = earlier
+                        .iter()
+                        .position(|attempt| attempt.endpoint.id == endpoint.id)
+                        .expect("it was sent");
+                    earlier.remove(place);
+                }
+                Observation::Answered {
+                    id,
+                    retry_after: Some(_),
+                } => {
+                    let never_ran = may_have_run.get(id).is_none_or(Vec::is_empty);
+                    assert!(
+                        every_endpoint_discards_repeats(classes[id]) || never_ran,
+                        "{id} may have run, and is shed"
+                    );
+                }
+                _ => {}
+            }
+        }
+    });
+}
+
+#[test]
+fn no_attempt_is_sent_to_an_endpoint_that_is_draining_or_removed() {
+    check(SEEDS, CASES, LENGTH, |seed, steps| {
+        for (_, observation) in Simulation::run(seed, steps).observations {
+            if let Observation::AttemptSent { id, endpoint } = observation {
+                assert_eq!(
+                    endpoint.availability,
+                    Availability::Ready,
+                    "{id} goes to {}",
+                    endpoint.id
+                );
+            }
+        }
+    });
+}
+
+/// A request that is owed an answer.
+struct OpenRequest {
+    arrived: Timestamp,
+    in_flight: i32,
+    attempted: bool,
+    latency_objective: Duration,
+}
+
+impl OpenRequest {
+    /// With nothing in flight, only a request that was never sent may be open, as long as it is
+    /// queued: not past its latency objective.
+    fn assert_in_flight_or_queued(&self, id: &RequestId, now: Timestamp) {
+        let in_flight = self.in_flight > 0;
+        assert!(
+            in_flight || !self.attempted,
+            "{id} has nothing in flight and no answer"
+        );
+        assert!(
+            in_flight || now.since(self.arrived) < self.latency_objective,
+            "{id} is queued past its latency objective"
+        );
+    }
+}
+
+#[test]
+fn a_request_given_up_is_answered_in_that_event_and_a_shed_one_with_a_retry_after() {
+    check(SEEDS, CASES, LENGTH, |seed, steps| {
+        let simulation = Simulation::run(seed, steps);
+        let mut open = BTreeMap::<RequestId, OpenRequest>::new();
+        let mut over_quota = None;
+        for (at, observation) in &simulation.observations {
+            match observation {
+                Observation::RequestArrived(request) => {
+                    over_quota = request.over_quota.then(|| request.id.clone());
+                    let arrived = OpenRequest {
+                        arrived: *at,
+                        in_flight: 0,
+                        attempted: false,
+                        latency_objective: simulation.class(request).latency_objective,
+                    };
+                    open.insert(request.id.clone(), arrived);
+                }
+                Observation::AttemptSent { id, .. } => {
+                    if let Some(request) = open.get_mut(id) {
+                        request.in_flight += 1;
+                        request.attempted = true;
+                    }
+                }
+                Observation::AttemptEnded { id, .. } => {
+                    if let Some(request) = open.get_mut(id) {
+                        request.in_flight -= 1;
+                    }
+                }
+                Observation::Answered { id, retry_after } => {
+                    open.remove(id);
+                    if let Some(after) = retry_after {
+                        let most = simulation.settings.max_retry_after;
+                        assert!(
+                            !after.is_zero() && *after <= most,
+                            "{id}: a Retry-After of {after:?}"
+                        );
+                    }
+                }
+                Observation::ClientLeft(id) => drop(open.remove(id)),
+                Observation::EventHandled => {
+                    for (id, request) in &open {
+                        request.assert_in_flight_or_queued(id, *at);
+                    }
+                    let unanswered = over_quota.take().filter(|id| open.contains_key(id));
+                    assert_eq!(unanswered, None, "over its quota, and not shed at once");
+                }
+                _ => {}
+            }
+        }
+    });
+}
+
+#[test]
+fn equal_events_give_equal_actions() {
+    check(0..2, 10, LENGTH, |seed, steps| {
+        let [one, other] =
+            [(); 2].map(|()| format!("{:?}", Simulation::run(seed, steps).observations));
+        assert_eq!(one, other);
+    });
+}
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The four rules, each on its own; `properties.rs` has them over arbitrary sequences of events.
+//! The four rules, each on its own; `properties` has them over arbitrary sequences of events.
 
 mod common;
 use common::*;
