--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -24,6 +24,7 @@
 pub use submit::submit_request;
 
 use crate::driver::DriverEvent;
+use crate::shutdown::ShutdownStage;
 use crate::upstream::OpenRequestIds;
 use slatelink_policy::{Name, Settings};
 use slatelink_telemetry::Log;
@@ -37,17 +38,6 @@
 /// connection can make the node hold.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// How far the node is in its graceful shutdown.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ShutdownStage {
-    /// No shutdown has begun.
-    Serving,
-    /// It serves as before, and every response asks the client to use another connection.
-    Draining,
-    /// It accepts no more connections, idle ones close, and the requests that it has are finished.
-    Closing,
-}
-
 /// A class of requests, as clients may ask for it.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
--- a/crates/node/src/server/accept.rs
+++ b/crates/node/src/server/accept.rs
@@ -1,7 +1,8 @@
 //! The accept loop of a port.
 
-use super::{DescriptorSource, ShutdownStage};
+use super::DescriptorSource;
 use crate::connections::ConnectionHandle;
+use crate::shutdown::ShutdownStage;
 use slatelink_telemetry::Log;
 use std::future::Future;
 use std::pin::pin;
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -10,7 +10,6 @@
 //! Any other signal that ends a process does so at once. With an audit trail it is caught, so that the trail can name it,
 //! and the exit code is 128 plus its number, as a shell reports it.
 
-use crate::server::ShutdownStage;
 use slatelink_telemetry::audit::StopSignal;
 use slatelink_telemetry::Log;
 use std::future::pending;
@@ -28,6 +27,17 @@
 /// Added to a signal's number for the exit code of a process that it has ended.
 const SIGNALED_EXIT_CODE: u8 = 128;
 
+/// How far the node is in its graceful shutdown.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum ShutdownStage {
+    /// No shutdown has begun.
+    Serving,
+    /// It serves as before, and every response asks the client to use another connection.
+    Draining,
+    /// It accepts no more connections, idle ones close, and the requests that it has are finished.
+    Closing,
+}
+
 /// Waits for SIGTERM, then goes through the stages until all ports are closed.
 pub async fn shut_down_gracefully(
     mut terminate: Signal,
