--- a/crates/lab/src/list_protocol.rs
+++ b/crates/lab/src/list_protocol.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 /// The longest wait that a watch may ask for.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
-/// Where lists are asked for.
-const PATH: &str = "/v1/servers";
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
+/// The path of calls for the list.
+const LIST_PATH: &str = "/v1/servers";
 
 /// The answer to a call that is turned away.
 pub const REFUSED: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -27,7 +27,7 @@
     /// Reads a request's target; `None` where that is no call for the list.
     pub fn parse(target: &str) -> Option<Self> {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        if path != PATH {
+        if path != LIST_PATH {
             return None;
         }
         let figure = |name: &str| {
@@ -36,7 +36,7 @@
                 .find(|pair| pair.0 == name)
                 .and_then(|pair| pair.1.parse::<u64>().ok())
         };
-        let wait = figure("wait_ms").map(|wait| Duration::from_millis(wait).min(LONGEST_WAIT));
+        let wait = figure("wait_ms").map(|wait| Duration::from_millis(wait).min(MAX_WATCH_WAIT));
         Some(Self {
             after: figure("after"),
             wait,
@@ -44,40 +44,62 @@
     }
 }
 
-/// An entry, as it is written.
+/// Whether an endpoint takes requests.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
+#[serde(rename_all = "lowercase")]
+pub enum Availability {
+    /// It takes requests.
+    Ready,
+    /// It takes no new requests and finishes those it has.
+    Draining,
+    /// It is no longer there.
+    #[serde(rename = "gone")]
+    Removed,
+}
+
+/// An endpoint, as it is written in a list.
 #[derive(Debug, Serialize)]
-pub struct ListedHost<'a> {
-    /// The server's name, alike at every node.
-    pub host: &'a str,
+pub struct ListedEndpoint<'a> {
+    /// Its name, the same at every node.
+    #[serde(rename = "host")]
+    pub name: &'a str,
     /// Where it listens for this node.
-    pub dial: SocketAddr,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
     /// Its zone.
-    pub site: &'a str,
+    #[serde(rename = "site")]
+    pub zone: &'a str,
     /// Its kind of machine.
     pub class: &'a str,
     /// Its group.
     pub block: u64,
-    /// `ready`, `draining` or `gone`.
-    pub health: &'a str,
+    /// Whether it takes requests.
+    #[serde(rename = "health")]
+    pub availability: Availability,
     /// Its weight.
-    pub share: f64,
+    #[serde(rename = "share")]
+    pub weight: f64,
     /// Its last start, in Unix time milliseconds; 0 for long ago.
-    pub born_ms: u64,
+    #[serde(rename = "born_ms")]
+    pub started_ms: u64,
 }
 
-/// A list, as it is written.
+/// An endpoint list, as it is written.
 #[derive(Debug, Serialize)]
-pub struct ListAnswer<'a> {
+pub struct EndpointListMessage<'a> {
     /// Its version.
-    pub seq: u64,
-    /// Whether what it lacks is gone.
-    pub whole: bool,
-    /// The entries, or those that changed.
-    pub hosts: Vec<ListedHost<'a>>,
+    #[serde(rename = "seq")]
+    pub version: u64,
+    /// Whether an endpoint that it lacks is removed.
+    #[serde(rename = "whole")]
+    pub complete: bool,
+    /// All endpoints, or those that changed.
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<ListedEndpoint<'a>>,
 }
 
-impl ListAnswer<'_> {
-    /// The whole message.
+impl EndpointListMessage<'_> {
+    /// The HTTP message, head and body.
     pub fn message(&self) -> serde_json::Result<Vec<u8>> {
         let body = serde_json::to_vec(self)?;
         let head = format!(
@@ -89,29 +111,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    // Guards against a stand-in that takes a watch for a call of the whole list, or waits without end.
-    #[test]
-    fn a_call_is_read_with_its_version_and_a_bounded_wait() {
-        let call = |after, wait: Option<u64>| ListCall {
-            after,
-            wait: wait.map(Duration::from_millis),
-        };
-        assert_eq!(ListCall::parse("/v1/servers"), Some(call(None, None)));
-        assert_eq!(
-            ListCall::parse("/v1/servers?after=41&wait_ms=50"),
-            Some(call(Some(41), Some(50)))
-        );
-        assert_eq!(
-            ListCall::parse("/v1/servers?wait_ms=99000&after=0"),
-            Some(call(Some(0), Some(60_000)))
-        );
-        assert_eq!(
-            ListCall::parse("/v1/servers?after=x"),
-            Some(call(None, None))
-        );
-        assert_eq!(ListCall::parse("/v1/other?after=1"), None);
-    }
-}
+mod tests;
--- a/crates/lab/src/scale/convergence.rs
+++ b/crates/lab/src/scale/convergence.rs
@@ -15,13 +15,13 @@
 
 /// What a change is part of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Occasion {
+pub enum ChangeCause {
     /// The planned changes.
     Planned,
-    /// The begin of a trouble.
-    TroubleBegins,
-    /// The end of a trouble.
-    TroubleEnds,
+    /// The begin of a fault.
+    FaultBegins,
+    /// The end of a fault.
+    FaultEnds,
 }
 
 /// What a node has in force.
@@ -44,7 +44,7 @@
 #[derive(Debug)]
 struct Pending {
     change: Change,
-    occasion: Occasion,
+    cause: ChangeCause,
     at_us: u64,
     missing: usize,
     last_us: u64,
@@ -59,12 +59,13 @@
     pub to_each: Histogram<u64>,
 }
 
-/// Times are kept to three digits, up to an hour; a longer one counts as an hour.
-const DIGITS: u8 = 3;
-const LONGEST_US: u64 = 3_600_000_000;
+/// Significant digits that times are recorded to.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// The longest time recorded, an hour in microseconds; a longer one counts as this.
+const MAX_RECORDED_US: u64 = 3_600_000_000;
 
 fn histogram() -> Result<Histogram<u64>, hdrhistogram::CreationError> {
-    Histogram::new_with_max(LONGEST_US, DIGITS)
+    Histogram::new_with_max(MAX_RECORDED_US, SIGNIFICANT_DIGITS)
 }
 
 impl Times {
@@ -124,7 +125,7 @@
     started: Vec<(usize, u64)>,
     lists: Times,
     configurations: Times,
-    troubles: BTreeMap<Occasion, u64>,
+    fault_times: BTreeMap<ChangeCause, u64>,
 }
 
 impl Convergence {
@@ -141,7 +142,7 @@
             started: Vec::new(),
             lists: Times::new()?,
             configurations: Times::new()?,
-            troubles: BTreeMap::new(),
+            fault_times: BTreeMap::new(),
         })
     }
 
@@ -163,7 +164,7 @@
     }
 
     /// Something changed.
-    pub fn changed(&mut self, change: Change, occasion: Occasion, at_us: u64) {
+    pub fn changed(&mut self, change: Change, cause: ChangeCause, at_us: u64) {
         match change {
             Change::List(version) => self.newest.list = version,
             Change::Configuration(version) => self.newest.configuration = version,
@@ -171,7 +172,7 @@
         let missing = self.nodes.iter().filter(|node| !node.has(change)).count();
         self.pending.push_back(Pending {
             change,
-            occasion,
+            cause,
             at_us,
             missing,
             last_us: at_us,
@@ -200,7 +201,7 @@
                     Change::List(_) => &mut self.lists,
                     Change::Configuration(_) => &mut self.configurations,
                 };
-                if pending.occasion == Occasion::Planned {
+                if pending.cause == ChangeCause::Planned {
                     times
                         .to_each
                         .saturating_record(at_us.saturating_sub(pending.at_us));
@@ -218,13 +219,15 @@
                 return;
             };
             let took = pending.last_us - pending.at_us;
-            match (pending.occasion, pending.change) {
-                (Occasion::Planned, Change::List(_)) => self.lists.to_last.saturating_record(took),
-                (Occasion::Planned, Change::Configuration(_)) => {
+            match (pending.cause, pending.change) {
+                (ChangeCause::Planned, Change::List(_)) => {
+                    self.lists.to_last.saturating_record(took)
+                }
+                (ChangeCause::Planned, Change::Configuration(_)) => {
                     self.configurations.to_last.saturating_record(took);
                 }
-                (occasion, _) => {
-                    self.troubles.insert(occasion, took);
+                (cause, _) => {
+                    self.fault_times.insert(cause, took);
                 }
             }
         }
@@ -260,79 +263,11 @@
         &self.configurations
     }
 
-    /// Microseconds from the change at this point of a trouble to the last node that had it.
-    pub fn trouble(&self, occasion: Occasion) -> Option<u64> {
-        self.troubles.get(&occasion).copied()
+    /// Microseconds from the change at this point of a fault to the last node that had it.
+    pub fn fault_time(&self, cause: ChangeCause) -> Option<u64> {
+        self.fault_times.get(&cause).copied()
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const PLANNED: Occasion = Occasion::Planned;
-
-    // Guards against a change that counts as everywhere while a node lacks it, and against times from other moments.
-    #[test]
-    fn a_change_is_over_with_the_last_node_that_has_it() {
-        let mut fleet = Convergence::new(2).unwrap();
-        fleet.starts(0, 0, 0);
-        fleet.starts(1, 0, 0);
-        fleet.in_force(0, 1, 0, 30);
-        assert_eq!((fleet.behind(), fleet.starting()), (1, 1));
-        fleet.in_force(1, 1, 0, 50);
-        assert_eq!((fleet.behind(), fleet.starting()), (0, 0));
-        assert_eq!(fleet.take_started(), [(0, 30), (1, 50)]);
-        fleet.changed(Change::List(2), PLANNED, 100);
-        fleet.changed(Change::List(3), PLANNED, 110);
-        fleet.in_force(1, 3, 0, 190);
-        assert_eq!((fleet.behind(), fleet.lists().to_last.len()), (1, 0));
-        fleet.in_force(0, 2, 0, 120);
-        assert_eq!(
-            fleet.lists().to_last.max(),
-            90,
-            "the last report is not the last node"
-        );
-        fleet.in_force(0, 3, 0, 140);
-        assert_eq!(
-            (
-                fleet.behind(),
-                fleet.lists().to_last.len(),
-                fleet.lists().to_each.len()
-            ),
-            (0, 2, 4)
-        );
-        assert_eq!(fleet.lists().to_last.min(), 80);
-    }
-
-    // Guards against a restarted node that passes for up to date, or that is waited for twice.
-    #[test]
-    fn a_restarted_node_has_nothing_until_it_has_a_list() {
-        let mut fleet = Convergence::new(2).unwrap();
-        fleet.in_force(0, 1, 0, 0);
-        fleet.in_force(1, 1, 0, 0);
-        fleet.changed(Change::List(2), Occasion::TroubleEnds, 10);
-        fleet.in_force(0, 2, 0, 20);
-        fleet.starts(0, 0, 30);
-        fleet.in_force(1, 2, 0, 40);
-        assert_eq!(
-            (fleet.behind(), fleet.trouble(Occasion::TroubleEnds)),
-            (1, None)
-        );
-        fleet.in_force(0, 2, 0, 60);
-        assert_eq!(
-            (fleet.behind(), fleet.trouble(Occasion::TroubleEnds)),
-            (0, Some(50))
-        );
-        assert_eq!(fleet.take_started(), [(0, 30)]);
-        fleet.changed(Change::Configuration(1), PLANNED, 70);
-        fleet.starts(1, 1, 75);
-        fleet.in_force(1, 2, 0, 80);
-        assert_eq!(fleet.configurations().to_last.len(), 0);
-        fleet.in_force(0, 2, 1, 90);
-        assert_eq!(
-            (fleet.behind(), fleet.configurations().to_last.max()),
-            (0, 20)
-        );
-    }
-}
+mod tests;
--- a/crates/lab/src/scale/queue.rs
+++ b/crates/lab/src/scale/queue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// A call that would have to wait longer than this for its turn is turned away.
-const LONGEST_QUEUE: Duration = Duration::from_secs(2);
+const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 
 /// What discovery's work costs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,8 +43,8 @@
 
     /// A call that comes now and that so many entries answer at once: its turn, or the end of its patience.
     pub fn call(&mut self, now: Duration, entries: usize) -> Admission {
-        if self.free_at.saturating_sub(now) > LONGEST_QUEUE {
-            return Admission::Refused(now + LONGEST_QUEUE);
+        if self.free_at.saturating_sub(now) > MAX_QUEUE_TIME {
+            return Admission::Refused(now + MAX_QUEUE_TIME);
         }
         Admission::Served(self.work(now, self.costs.call + self.entries(entries)))
     }
@@ -74,38 +74,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MS: Duration = Duration::from_millis(1);
-
-    // Guards against a stand-in that serves calls beside each other, for which no herd would ever be too large.
-    #[test]
-    fn calls_are_served_in_turn_and_those_that_wait_for_too_long_are_turned_away() {
-        let mut queue = CallQueue::new(Costs {
-            call: 900 * MS,
-            entry: 10 * MS,
-        });
-        let now = Duration::from_secs(5);
-        assert_eq!(queue.call(now, 0), Admission::Served(now + 900 * MS));
-        assert_eq!(queue.news(now + 900 * MS, 20), now + 1100 * MS);
-        assert_eq!(queue.call(now, 0), Admission::Served(now + 2000 * MS));
-        assert_eq!(
-            queue.call(now, 5),
-            Admission::Served(now + 2950 * MS),
-            "it waits 2 s, and no longer"
-        );
-        assert_eq!(queue.call(now, 5), Admission::Refused(now + 2000 * MS));
-        assert_eq!(
-            queue.call(now + 950 * MS, 0),
-            Admission::Served(now + 3850 * MS)
-        );
-        assert_eq!(queue.busy(), 3850 * MS);
-        let later = now + Duration::from_secs(60);
-        assert_eq!(
-            queue.call(later, 0),
-            Admission::Served(later + 900 * MS),
-            "an idle service saves no time up"
-        );
-    }
-}
+mod tests;
--- a/crates/lab/src/scale/schedule.rs
+++ b/crates/lab/src/scale/schedule.rs
@@ -1,7 +1,8 @@
-//! What happens when in a run: planned changes, new configurations and a trouble. No I/O and no clock.
+//! What happens when in a run: planned changes, new configurations and a fault. No I/O and no clock.
 
-use crate::scale::directory::{EntryChange, Health};
-use crate::scale::options::{Options, TroubleKind};
+use crate::list_protocol::Availability;
+use crate::scale::directory::EndpointChange;
+use crate::scale::options::{FaultKind, Options};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -17,20 +18,20 @@
     Configuration,
 }
 
-/// A point of a trouble.
+/// A point of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TroubleStep {
+pub enum FaultStep {
     /// It begins.
-    Begin(TroubleKind),
+    Begin(FaultKind),
     /// It ends.
-    End(TroubleKind),
+    End(FaultKind),
 }
 
 /// The time line.
 #[derive(Debug)]
 pub struct Schedule {
     steps: VecDeque<(Duration, Step)>,
-    trouble: VecDeque<(Duration, TroubleStep)>,
+    fault: VecDeque<(Duration, FaultStep)>,
 }
 
 impl Schedule {
@@ -49,20 +50,20 @@
         let mut steps: Vec<_> = lists.chain(configurations).collect();
         // Stable: of two at the same time the list's comes first, each time.
         steps.sort_by_key(|(due, _)| *due);
-        let trouble = options.trouble.map(|trouble| {
+        let fault = options.fault.map(|fault| {
             let begin = (
-                Duration::from_secs_f64(trouble.at_s),
-                TroubleStep::Begin(trouble.kind),
+                Duration::from_secs_f64(fault.at_s),
+                FaultStep::Begin(fault.kind),
             );
-            let end = Duration::from_secs_f64(trouble.at_s + trouble.for_s);
-            let ends = trouble.kind != TroubleKind::RestartTenth;
+            let end = Duration::from_secs_f64(fault.at_s + fault.for_s);
+            let ends = fault.kind != FaultKind::RestartTenth;
             [begin]
                 .into_iter()
-                .chain(ends.then_some((end, TroubleStep::End(trouble.kind))))
+                .chain(ends.then_some((end, FaultStep::End(fault.kind))))
         });
         Self {
             steps: steps.into(),
-            trouble: trouble.into_iter().flatten().collect(),
+            fault: fault.into_iter().flatten().collect(),
         }
     }
 
@@ -71,14 +72,14 @@
         next(&mut self.steps, now)
     }
 
-    /// The next point of the trouble that is due.
-    pub fn next_trouble(&mut self, now: Duration) -> Option<TroubleStep> {
-        next(&mut self.trouble, now)
+    /// The next point of the fault that is due.
+    pub fn next_fault(&mut self, now: Duration) -> Option<FaultStep> {
+        next(&mut self.fault, now)
     }
 
     /// Whether nothing is left.
     pub fn is_over(&self) -> bool {
-        self.steps.is_empty() && self.trouble.is_empty()
+        self.steps.is_empty() && self.fault.is_empty()
     }
 }
 
@@ -99,7 +100,7 @@
 #[derive(Debug)]
 pub struct ChangeGenerator {
     random: StdRng,
-    health: Vec<Health>,
+    availability: Vec<Availability>,
     zones: usize,
     nodes: usize,
 }
@@ -112,7 +113,7 @@
     pub fn new(options: &Options) -> Self {
         Self {
             random: StdRng::seed_from_u64(options.seed),
-            health: vec![Health::Ready; options.servers],
+            availability: vec![Availability::Ready; options.servers],
             zones: options.zones,
             nodes: options.nodes(),
         }
@@ -120,39 +121,39 @@
 
     /// A change of the list: one server begins to drain, or is ready again. The last one that is ready stays so, and is
     /// only listed anew.
-    pub fn list_change(&mut self) -> Vec<EntryChange> {
-        let listed: Vec<_> = (0..self.health.len())
-            .filter(|&i| self.health[i] != Health::Gone)
+    pub fn list_change(&mut self) -> Vec<EndpointChange> {
+        let listed: Vec<_> = (0..self.availability.len())
+            .filter(|&i| self.availability[i] != Availability::Removed)
             .collect();
         let server = listed[self.random.random_range(0..listed.len())];
         let ready = self
-            .health
+            .availability
             .iter()
-            .filter(|health| **health == Health::Ready)
+            .filter(|availability| **availability == Availability::Ready)
             .count();
-        let drains = self.health[server] == Health::Ready && ready > 1;
+        let drains = self.availability[server] == Availability::Ready && ready > 1;
         self.set(
             server,
             if drains {
-                Health::Draining
+                Availability::Draining
             } else {
-                Health::Ready
+                Availability::Ready
             },
             None,
         )
     }
 
     /// The servers of the first zone are gone.
-    pub fn lose_zone(&mut self) -> Vec<EntryChange> {
+    pub fn lose_zone(&mut self) -> Vec<EndpointChange> {
         self.zone()
-            .flat_map(|server| self.set(server, Health::Gone, None))
+            .flat_map(|server| self.set(server, Availability::Removed, None))
             .collect()
     }
 
     /// The servers of the first zone are back, and start anew at this Unix time in milliseconds.
-    pub fn return_zone(&mut self, now_ms: u64) -> Vec<EntryChange> {
+    pub fn return_zone(&mut self, now_ms: u64) -> Vec<EndpointChange> {
         self.zone()
-            .flat_map(|server| self.set(server, Health::Ready, Some(now_ms)))
+            .flat_map(|server| self.set(server, Availability::Ready, Some(now_ms)))
             .collect()
     }
 
@@ -166,87 +167,23 @@
     }
 
     fn zone(&self) -> impl Iterator<Item = usize> {
-        (0..self.health.len()).step_by(self.zones)
+        (0..self.availability.len()).step_by(self.zones)
     }
 
-    fn set(&mut self, server: usize, health: Health, born_ms: Option<u64>) -> Vec<EntryChange> {
-        self.health[server] = health;
-        vec![EntryChange {
+    fn set(
+        &mut self,
+        server: usize,
+        availability: Availability,
+        started_ms: Option<u64>,
+    ) -> Vec<EndpointChange> {
+        self.availability[server] = availability;
+        vec![EndpointChange {
             server,
-            health,
-            born_ms,
+            availability,
+            started_ms,
         }]
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::scale::options::Trouble;
-
-    // Guards against changes that are lost at the run's end, or that come before their time.
-    #[test]
-    fn each_planned_step_is_due_once_in_order() {
-        let trouble = Trouble {
-            kind: TroubleKind::Split,
-            at_s: 1.0,
-            for_s: 0.5,
-        };
-        let options = Options {
-            list_changes: 1.0,
-            configurations: 0.5,
-            length_s: 3.0,
-            trouble: Some(trouble),
-            ..Options::default()
-        };
-        let mut schedule = Schedule::new(&options);
-        let ms = Duration::from_millis;
-        assert_eq!(schedule.next_step(ms(499)), None);
-        assert_eq!(schedule.next_step(ms(500)), Some(Step::ListChange));
-        assert_eq!(schedule.next_step(ms(999)), None);
-        assert_eq!(
-            schedule.next_trouble(ms(1000)),
-            Some(TroubleStep::Begin(TroubleKind::Split))
-        );
-        assert_eq!(schedule.next_trouble(ms(1000)), None);
-        let rest: Vec<_> = std::iter::from_fn(|| schedule.next_step(ms(3000))).collect();
-        assert_eq!(
-            rest,
-            [Step::Configuration, Step::ListChange, Step::ListChange]
-        );
-        assert!(!schedule.is_over());
-        assert_eq!(
-            schedule.next_trouble(ms(1500)),
-            Some(TroubleStep::End(TroubleKind::Split))
-        );
-        assert!(schedule.is_over());
-    }
-
-    // Guards against runs of one seed that differ, and against a lost zone that takes another one with it.
-    #[test]
-    fn draws_of_a_seed_are_the_same_and_a_zone_is_lost_whole() {
-        let options = Options {
-            servers: 7,
-            zones: 3,
-            simulated: 24,
-            real: 1,
-            ..Options::default()
-        };
-        let drawn = || {
-            let mut generator = ChangeGenerator::new(&options);
-            (
-                (0..9).map(|_| generator.list_change()).collect::<Vec<_>>(),
-                generator.tenth(),
-                generator.lose_zone(),
-            )
-        };
-        let (_, tenth, lost) = drawn();
-        assert_eq!(drawn(), drawn());
-        assert_eq!(tenth.len(), 3);
-        let lost: Vec<_> = lost
-            .iter()
-            .map(|change| (change.server, change.health))
-            .collect();
-        assert_eq!(lost, [0, 3, 6].map(|server| (server, Health::Gone)));
-    }
-}
+mod tests;
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,7 +1,8 @@
 //! A simulated node against the scale run's stand-in for discovery: it is the real client and the real decision module.
 
 use slatelink_config::operators;
-use slatelink_lab::scale::directory::{EntryChange, Health};
+use slatelink_lab::list_protocol::Availability;
+use slatelink_lab::scale::directory::EndpointChange;
 use slatelink_lab::scale::service::{Caller, Peer, Service};
 use slatelink_lab::scale::Options;
 use slatelink_node::control::{run, ControlObserver, ControlOptions};
@@ -78,11 +79,11 @@
     (options, moves)
 }
 
-fn change(health: Health) -> Vec<EntryChange> {
-    vec![EntryChange {
+fn change(availability: Availability) -> Vec<EndpointChange> {
+    vec![EndpointChange {
         server: 0,
-        health,
-        born_ms: None,
+        availability,
+        started_ms: None,
     }]
 }
 
@@ -110,7 +111,7 @@
         let peers = vec![Peer {
             caller: Caller::SimulatedNodes,
             address: 0,
-            far: false,
+            beyond_partition: false,
         }];
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
         let service = Service::start(&size, nowhere, peers, unbounded_channel().0)
@@ -128,7 +129,10 @@
             "a new node asks for the whole list, once"
         );
 
-        service.change(change(Health::Draining)).await.unwrap();
+        service
+            .change(change(Availability::Draining))
+            .await
+            .unwrap();
         seen.until("the change", |seen| {
             seen.lists.borrow().last() == Some(&(2, false))
         })
@@ -141,7 +145,7 @@
         service.set_down(true).unwrap();
         seen.until("a call that fails", |seen| seen.failed.get() > 1)
             .await;
-        service.change(change(Health::Ready)).await.unwrap();
+        service.change(change(Availability::Ready)).await.unwrap();
         service.set_down(false).unwrap();
         seen.until("the change of that time", |seen| {
             seen.lists.borrow().last() == Some(&(3, false))
@@ -174,37 +178,41 @@
             ..Options::default()
         };
         let peers = [false, true]
-            .map(|far| Peer {
+            .map(|beyond_partition| Peer {
                 caller: Caller::SimulatedNodes,
                 address: 0,
-                far,
+                beyond_partition,
             })
             .to_vec();
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
         let service = Service::start(&size, nowhere, peers, unbounded_channel().0)
             .await
             .unwrap();
-        let (near, far) = (Rc::new(Seen::default()), Rc::new(Seen::default()));
+        let (near, beyond_partition) = (Rc::new(Seen::default()), Rc::new(Seen::default()));
         let mut moves = Vec::new();
-        for (place, seen) in [&near, &far].into_iter().enumerate() {
+        for (place, seen) in [&near, &beyond_partition].into_iter().enumerate() {
             let (options, moved) = options(service.addresses[place], &telemetry);
             moves.push(moved);
             spawn_local(run(options, seen.clone()));
             seen.until("the first list", |seen| !seen.lists.borrow().is_empty())
                 .await;
         }
-        service.set_cut(true).unwrap();
-        service.change(change(Health::Draining)).await.unwrap();
+        service.set_partitioned(true).unwrap();
+        service
+            .change(change(Availability::Draining))
+            .await
+            .unwrap();
         near.until("the change", |seen| {
             seen.lists.borrow().last() == Some(&(2, false))
         })
         .await;
-        assert_eq!(*far.lists.borrow(), [(1, true)]);
-        service.set_cut(false).unwrap();
-        far.until("the change", |seen| {
-            seen.lists.borrow().last() == Some(&(2, false))
-        })
-        .await;
-        assert!(far.failed.get() > 0, "its watch was reset");
+        assert_eq!(*beyond_partition.lists.borrow(), [(1, true)]);
+        service.set_partitioned(false).unwrap();
+        beyond_partition
+            .until("the change", |seen| {
+                seen.lists.borrow().last() == Some(&(2, false))
+            })
+            .await;
+        assert!(beyond_partition.failed.get() > 0, "its watch was reset");
     });
 }
