--- a/crates/node/src/driver/readiness.rs
+++ b/crates/node/src/driver/readiness.rs
@@ -52,3 +52,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -7,8 +7,9 @@
 //! 2. `Closing`: it accepts no connections and closes the idle ones, and the requests that it has are finished.
 //! 3. Once the last connection has ended the process exits with code 0.
 //!
-//! Any other signal that ends a process does so at once. With an audit trail it is caught, so that the trail can name it,
-//! and the exit code is 128 plus its number, as a shell reports it.
+//! SIGHUP has another use (see [`crate::reload`]), and so has SIGUSR1 where there is a hot list. Any other signal that ends
+//! a process does so at once; with an audit trail it is caught, so that the trail can name it, and the exit code is 128
+//! plus its number, as a shell reports it.
 
 use slatelink_telemetry::audit::StopSignal;
 use slatelink_telemetry::Log;
--- a/crates/node/src/timer_queue.rs
+++ b/crates/node/src/timer_queue.rs
@@ -53,3 +53,6 @@
         None => pending().await,
     }
 }
+
+#[cfg(test)]
+mod tests;
