--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -46,7 +46,7 @@
 
 // Guards against nodes that break a rule when servers, nodes and discovery fail under load.
 #[test]
-fn rules_hold_on_short_days_of_trouble() {
+fn rules_hold_in_short_scenarios_with_faults() {
     let folder = Folder::new("trouble");
     let day = |name: &str, faults: &str| {
         folder.write(name, &format!("{}{faults}", DAY.replace("= 2\n", "= 4\n")))
@@ -103,7 +103,7 @@
 
 // Guards against reports that cannot be read back, and a seed that plays another day.
 #[test]
-fn reports_are_written_read_back_and_the_same_load_for_the_same_seed() {
+fn reports_are_written_and_read_back_and_equal_seeds_give_equal_load() {
     let folder = Folder::new("reports");
     let day = folder.write("day.toml", DAY);
     let out = folder.0.join("out");
@@ -143,7 +143,7 @@
 
 // Guards against a verdict that is lost in an exit code, and errors that do not say where.
 #[test]
-fn exit_codes_tell_what_holds_from_what_does_not_and_what_cannot_be_played() {
+fn exit_codes_distinguish_success_a_broken_rule_and_an_unusable_scenario() {
     let folder = Folder::new("codes");
     let hopeless = folder.write(
         "hopeless.toml",
@@ -193,7 +193,7 @@
 
 // Guards against a fleet that cannot be asked, or that leaves its processes behind.
 #[test]
-fn a_fleet_comes_up_says_how_to_ask_it_and_ends() {
+fn a_fleet_starts_prints_how_to_call_it_and_ends() {
     let up = slatelink(&["up", "--servers", "3", "--nodes", "2", "--for", "2s"]);
     let told = text(&up.stdout);
     assert!(up.status.success(), "{told}{}", text(&up.stderr));
@@ -215,7 +215,7 @@
 
 // Guards against processes that outlive the run which started them.
 #[test]
-fn an_interrupt_ends_a_fleet_in_order_and_leaves_nothing() {
+fn an_interrupt_ends_a_fleet_in_order_and_leaves_no_process() {
     let mut up = Command::new(env!("CARGO_BIN_EXE_slatelink"))
         .arg("up")
         .stdout(Stdio::piped())
@@ -241,7 +241,7 @@
 
 // Guards against a node's death that goes unnoticed, or that a run waits for in vain.
 #[test]
-fn a_node_that_dies_is_a_verdict() {
+fn a_node_that_dies_is_a_broken_rule() {
     let mut up = Command::new(env!("CARGO_BIN_EXE_slatelink"))
         .args(["up", "--nodes", "2", "--for", "2s"])
         .stdout(Stdio::piped())
--- a/crates/cli/tests/node_clients.rs
+++ b/crates/cli/tests/node_clients.rs
@@ -8,7 +8,7 @@
 
 // Guards against rewriting what only the client and the cache server may read.
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     let server = CacheServer::start(|_| {
         Reply::Answer(answer(
             "200 OK",
@@ -41,7 +41,7 @@
 
 // Guards against bad input that takes the node down or reaches a cache server.
 #[test]
-fn bad_input_is_answered_with_its_status_and_reaches_no_cache_server() {
+fn invalid_requests_are_answered_with_their_status_and_reach_no_endpoint() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -121,7 +121,7 @@
 
 // Guards against keeping back a request that is given up, and against no word of when to come again.
 #[test]
-fn a_refusal_comes_at_once_and_says_when_to_come_back() {
+fn a_shed_request_is_answered_at_once_with_retry_after() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut told = config(discovery.address);
@@ -145,7 +145,7 @@
 
 // Guards against a request that is lost in the silence of its cache server, and against a second answer.
 #[test]
-fn a_silent_server_ends_in_one_failure_before_the_client_gives_up() {
+fn an_endpoint_that_never_answers_fails_the_request_once_before_its_deadline() {
     let server = CacheServer::start(|asked| match asked.header("req-id") {
         Some("1") => Reply::NoAnswer,
         _ => Reply::Answer(answer("200 OK", "", "value")),
@@ -165,7 +165,7 @@
 
 // Guards against clients that hold idle connections and keep all others out of a full table.
 #[test]
-fn idle_connections_give_way_when_the_table_is_full() {
+fn idle_connections_are_evicted_when_the_connection_table_is_full() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut small = config(discovery.address);
@@ -187,7 +187,7 @@
 
 // Guards against work for a client that has gone: what its attempt comes to must not be tried again.
 #[test]
-fn nothing_more_is_sent_for_a_client_that_left() {
+fn no_further_attempt_is_made_for_a_client_that_disconnected() {
     let gate = Gate::default();
     let server = || CacheServer::delaying_first(&gate, || Reply::AnswerAndClose(String::new()));
     let (one, two) = (server(), server());
@@ -213,7 +213,7 @@
 // Guards against a request that hides in another's body, and against a connection that goes on after one that
 // could not be read for certain.
 #[test]
-fn a_request_of_doubtful_framing_is_turned_away_and_its_connection_closed() {
+fn a_request_with_ambiguous_framing_is_rejected_and_its_connection_closed() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -255,7 +255,7 @@
 
 // Guards against a second copy of a request that another client asks for under the same id.
 #[test]
-fn an_id_that_is_open_already_is_turned_away_and_free_again_afterwards() {
+fn a_request_id_in_flight_is_rejected_and_accepted_again_once_it_has_ended() {
     let gate = Gate::default();
     let held = gate.clone();
     let server = CacheServer::start(move |_| {
@@ -281,7 +281,7 @@
 
 // Guards against clients that keep a place in the table with nothing, half a head or half a body.
 #[test]
-fn what_does_not_come_whole_is_closed_within_its_time() {
+fn an_incomplete_request_is_closed_at_its_read_timeout() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -306,7 +306,7 @@
 // Guards against a silent flood that pushes the usual clients out of a full table, or a new one that is closed
 // before its first request.
 #[test]
-fn a_silent_flood_gives_way_before_the_usual_clients() {
+fn silent_connections_are_evicted_before_those_of_active_clients() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut small = config(discovery.address);
@@ -348,7 +348,7 @@
 // Guards against idle connections that use up the clients' third of the descriptors, so that no other client can
 // connect although the node has places left.
 #[test]
-fn clients_that_keep_to_their_third_are_all_served() {
+fn clients_within_their_third_of_the_descriptors_are_all_served() {
     const SOCKETS: usize = 96;
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -387,7 +387,7 @@
 
 // Guards against a connection that was idle for a while and lost its place, its bytes or its end.
 #[test]
-fn a_connection_that_has_been_parked_is_as_good_as_ever() {
+fn a_parked_connection_serves_further_requests() {
     // Past what a connection is idle before it gives its buffers back; later is as good.
     const REST: std::time::Duration = std::time::Duration::from_millis(700);
     let server = CacheServer::serving("value");
--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -21,7 +21,7 @@
 
 // Guards against work for nobody: a request that lies in the socket, or waits unaccepted, with its client's end behind it.
 #[test]
-fn a_request_that_is_read_after_its_client_left_reaches_no_server() {
+fn a_request_read_after_its_client_disconnected_reaches_no_endpoint() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -41,7 +41,7 @@
 
 // Guards against an attempt that was begun for a client, whose connection comes up once that has gone.
 #[test]
-fn a_connection_that_comes_up_after_its_client_left_carries_nothing() {
+fn a_connection_established_after_its_client_disconnected_carries_no_request() {
     let slow = SlowServer::start();
     let discovery = Discovery::start(&[endpoint_entry("s-1", slow.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -61,7 +61,7 @@
 
 // Guards against a client's end that stands behind bytes which nobody has asked for yet, few or many, and is not seen.
 #[test]
-fn a_client_that_leaves_behind_further_bytes_gets_no_second_attempt() {
+fn a_client_that_disconnects_behind_further_bytes_gets_no_second_attempt() {
     for further in [read("read", 2, 20_000), "\r\n".into(), "x".repeat(300_000)] {
         let gate = Gate::default();
         let server = || CacheServer::delaying_first(&gate, || Reply::AnswerAndClose(String::new()));
@@ -87,7 +87,7 @@
 
 // Guards against a repeat that was decided within its window and begins after it: servers know it for one no more.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_begun() {
+fn a_retry_whose_connection_is_established_after_its_repeat_window_is_not_sent() {
     const REQUESTS: u64 = 11;
     let slow = SlowServer::start();
     let gate = Gate::default();
@@ -170,7 +170,7 @@
 
 // Guards against half a request that is dropped as if nothing had come, when the node closes at that moment.
 #[test]
-fn half_a_request_that_crosses_the_nodes_end_is_read_and_answered() {
+fn a_partly_read_request_is_completed_and_answered_during_shutdown() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -199,7 +199,7 @@
 
 // Guards against an answer that is reset on its way, since its connection was closed over bytes that nobody read.
 #[test]
-fn an_answer_that_closes_its_connection_is_whole_though_more_was_sent() {
+fn a_response_that_closes_its_connection_is_complete_though_the_client_sent_more() {
     let gate = Gate::default();
     let held = gate.clone();
     let body: &'static str = Box::leak("v".repeat(60_000).into_boxed_str());
@@ -235,7 +235,7 @@
 // Guards against a second copy of an answer that comes some milliseconds late and meets the next request on its way: that
 // would be served with another one's answer.
 #[test]
-fn a_late_second_copy_of_an_answer_is_never_the_next_requests() {
+fn a_late_duplicate_response_is_never_given_to_the_next_request() {
     let answered: Arc<Mutex<HashMap<SocketAddr, (Instant, String)>>> = Arc::default();
     let server = CacheServer::start_with_peers(move |asked, peer| {
         let own = answer("200 OK", "", asked.header("req-id").unwrap());
@@ -279,7 +279,7 @@
 // Guards against an answer that broke off and is passed on as whole, or run again where that is not allowed; a reset is no
 // end. And against one that never ends and keeps its client past its time.
 #[test]
-fn an_answer_that_breaks_off_or_never_ends_is_one_failure_and_one_run() {
+fn a_response_that_is_truncated_or_never_ends_is_one_failure_and_one_attempt() {
     let cases = [
         (
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue",
@@ -381,7 +381,7 @@
 // Guards against what a server wrote on a connection that has carried nothing yet, and was kept since its client had left:
 // it is no answer to the request that is sent there next.
 #[test]
-fn what_lies_in_a_connection_kept_unused_is_nobodys_answer() {
+fn bytes_received_on_an_idle_connection_are_never_a_response() {
     let slow = SlowServer::start();
     let discovery = Discovery::start(&[endpoint_entry("s-1", slow.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
--- a/crates/cli/tests/node_exhaustion.rs
+++ b/crates/cli/tests/node_exhaustion.rs
@@ -79,7 +79,8 @@
 // Guards against an accept loop that spins or floods the log, a request that is lost for want of a descriptor, and a
 // node that is as good as dead when there are descriptors again.
 #[test]
-fn without_descriptors_the_taken_are_answered_and_those_outside_are_served_once_there_are_some() {
+fn without_descriptors_accepted_requests_are_answered_and_others_are_served_once_descriptors_are_free(
+) {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -133,7 +134,7 @@
 
 // Guards against a reload that is lost for want of a descriptor: its old discovery goes away, and no list comes any more.
 #[test]
-fn a_reload_without_descriptors_is_made_once_there_are_some() {
+fn a_reload_without_descriptors_is_retried_until_descriptors_are_free() {
     let servers = [CacheServer::serving("0"), CacheServer::serving("1")];
     let lists = servers
         .each_ref()
@@ -153,7 +154,7 @@
 
 // Guards against a file that may grow no further: its signal ends no node, records are counted, and the chain goes on.
 #[test]
-fn files_that_may_grow_no_further_cost_records_that_are_counted_and_nothing_else() {
+fn at_the_file_size_limit_records_are_dropped_and_counted_and_requests_are_served() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let folder = std::env::temp_dir().join(format!("slatelink-fsize-{}", std::process::id()));
@@ -288,7 +289,7 @@
 // Guards against a cache server that runs out and comes back, and is not used again; against one that broke off part-way
 // and whose answer is taken for whole.
 #[test]
-fn a_cache_server_that_ran_out_costs_no_request_its_answer_and_is_used_again() {
+fn an_endpoint_out_of_descriptors_loses_no_request_and_is_used_again() {
     let left = Arc::new(AtomicU32::new(30));
     let out = left.clone();
     let poor = CacheServer::start(move |_| {
@@ -330,7 +331,7 @@
 
 // Guards against memory that bodies and answers of many clients at once take beyond the limit, or keep when they have gone.
 #[test]
-fn bodies_and_answers_of_the_largest_size_stay_within_memory_and_leave_room_again() {
+fn bodies_and_responses_of_the_largest_size_stay_within_memory_and_release_it() {
     let body = "v".repeat(64 << 10);
     let server = CacheServer::start(move |_| Reply::Answer(answer("200 OK", "", &body)));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -369,7 +370,7 @@
 // Guards against clients that sit idle on every place while discovery is down, and keep the node from it, or from a server
 // of its new list, once it is back; and against a node that spins meanwhile.
 #[test]
-fn idle_clients_on_every_place_keep_the_node_neither_from_discovery_nor_from_its_servers() {
+fn idle_clients_at_the_full_quota_leave_descriptors_for_discovery_and_endpoints() {
     let servers = [CacheServer::serving("0"), CacheServer::serving("1")];
     let first = Discovery::start(&[servers[0].entry("s-0", "ready")]);
     let mut small = config(first.address);
@@ -416,7 +417,7 @@
 // Guards against clients that send much behind a request and go: what is read ahead of their requests, in search of their
 // end, must not fill the node's memory, and others are served meanwhile.
 #[test]
-fn clients_that_send_much_behind_a_request_and_go_cost_little_memory() {
+fn clients_that_send_many_bytes_behind_a_request_and_disconnect_use_little_memory() {
     let gate = Gate::default();
     // Room for all of them and more.
     let servers: Vec<_> = (0..16)
--- a/crates/cli/tests/node_features.rs
+++ b/crates/cli/tests/node_features.rs
@@ -6,7 +6,7 @@
 
 // Guards against a node that starts on settings it does not understand, or on none where some were named.
 #[test]
-fn a_missing_or_broken_feature_file_is_one_line_and_a_failed_start() {
+fn a_missing_or_malformed_feature_file_is_one_log_line_and_a_failed_start() {
     let texts = [
         "unknown = 1",
         "[nothing]",
@@ -50,7 +50,7 @@
 
 // Guards against a file without sections that changes what the node does.
 #[test]
-fn a_node_with_an_empty_feature_file_serves_as_ever() {
+fn a_node_with_an_empty_feature_file_serves_as_without_one() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::with_features(&config(discovery.address), "# nothing is on\n");
@@ -76,7 +76,7 @@
 
 // Guards against requests or attempts that are not counted, or counted under another host, class or end.
 #[test]
-fn figures_tell_each_request_and_attempt_with_its_class_and_host() {
+fn metrics_count_each_request_and_attempt_by_class_and_endpoint() {
     let server = CacheServer::start(|asked| match asked.header("req-kind") {
         _ if asked.header("req-id") == Some("7") => Reply::Answer(answer("500 No", "", "")),
         _ => Reply::Answer(answer("200 OK", "", "value")),
@@ -151,7 +151,7 @@
 
 // Guards against a gauge that misses a breaker's trip: the module's words are all that tells of it.
 #[test]
-fn figures_tell_of_a_blocked_host() {
+fn metrics_report_an_endpoint_whose_circuit_breaker_is_open() {
     let bad = CacheServer::start(|_| Reply::Answer(answer("500 No", "", "")));
     let good = CacheServer::serving("value");
     let discovery = Discovery::start(&[bad.entry("s-bad", "ready"), good.entry("s-good", "ready")]);
@@ -199,7 +199,7 @@
 
 // The operators' own check: every write to this target reports an error, requests flow and the count rises.
 #[test]
-fn figures_to_a_full_device_are_dropped_and_counted_while_requests_flow() {
+fn metrics_to_a_full_device_are_dropped_and_counted_while_requests_are_served() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let features = "[figures]\ntarget = \"file:/dev/full\"\nflush_ms = 20\n";
@@ -220,7 +220,7 @@
 
 // Guards against a FIFO that stalls the node: without a reader, with one that reads nothing, and read at last.
 #[test]
-fn figures_to_a_fifo_wait_for_no_reader() {
+fn metrics_to_a_fifo_without_a_reader_block_no_request() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let path = temporary("fifo");
@@ -266,7 +266,7 @@
 
 // Guards against a pipe that nobody reads, and that stalls the node once it is full.
 #[test]
-fn a_node_whose_standard_error_is_not_read_serves_and_stops_as_ever() {
+fn a_node_whose_standard_error_is_not_read_serves_and_shuts_down() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let path = write_config(&config(discovery.address).to_string());
@@ -342,7 +342,7 @@
 // Guards against a start, stop, configuration or switch of discovery's that the trail lacks, and against a chain
 // that a restart breaks. The operators' own check stands at the end.
 #[test]
-fn the_trail_holds_over_restarts_and_any_edit_of_it_is_found() {
+fn the_audit_trail_verifies_over_restarts_and_any_edit_of_it_is_detected() {
     let server = CacheServer::serving("value");
     let host = |health| server.entry("s-1", health);
     let path = temporary("trail");
@@ -467,7 +467,7 @@
 
 // Guards against two nodes in one trail.
 #[test]
-fn a_trail_in_use_is_a_failed_start() {
+fn an_audit_trail_in_use_is_a_failed_start() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let path = temporary("shared");
@@ -496,7 +496,7 @@
 
 // Guards against a full disk that stops service.
 #[test]
-fn a_trail_that_cannot_be_written_is_reported_and_service_goes_on() {
+fn an_audit_trail_that_cannot_be_written_is_reported_and_requests_are_served() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::with_features(
@@ -518,7 +518,7 @@
 
 // Guards against a trail that goes nowhere where no path is set.
 #[test]
-fn a_trail_without_a_path_goes_to_standard_error() {
+fn an_audit_trail_without_a_path_goes_to_standard_error() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::with_features(&config(discovery.address), "[audit]\n");
@@ -572,7 +572,7 @@
 
 // The operators' own check: a skewed load, and its clients' tally against the printed counts.
 #[test]
-fn the_hot_list_agrees_with_the_clients_own_tally_within_its_bound() {
+fn the_hot_list_agrees_with_the_clients_counts_within_its_error_bound() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::with_features(&config(discovery.address), "[hotlist]\ncapacity = 8\n");
--- a/crates/cli/tests/node_front.rs
+++ b/crates/cli/tests/node_front.rs
@@ -15,7 +15,7 @@
 
 // Guards against an address that takes the whole table, and one that is locked out by its own idle connections.
 #[test]
-fn an_address_over_its_limit_gives_up_an_idle_connection_or_gets_no_more() {
+fn an_address_over_its_quota_has_an_idle_connection_evicted_or_is_rejected() {
     let server = holding();
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let limits = "[front]\nper_address = 3\n[figures]\nflush_ms = 20\n";
@@ -78,7 +78,7 @@
 
 // Guards against a class whose slow requests take every place.
 #[test]
-fn a_class_over_its_share_is_refused_at_once_and_others_are_served() {
+fn a_class_over_its_quota_is_shed_at_once_and_others_are_served() {
     let server = holding();
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut small = config(discovery.address);
@@ -112,7 +112,7 @@
 
 // Guards against a crowd that speaks at once and takes more memory than the node has, or is forgotten.
 #[test]
-fn a_crowd_that_speaks_at_once_is_answered_with_little_memory() {
+fn many_idle_connections_that_send_at_once_are_answered_with_little_memory() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut small = config(discovery.address);
@@ -141,7 +141,7 @@
 
 // Guards against a client that is accepted into a full table just before the end, and dropped there.
 #[test]
-fn a_client_that_waits_for_a_place_at_the_end_is_served() {
+fn a_client_waiting_for_a_descriptor_during_shutdown_is_served() {
     let gate = Gate::default();
     let servers: Vec<_> = (0..8)
         .map(|_| {
@@ -186,7 +186,7 @@
 
 // Guards against a limit that is misread and then silently does nothing.
 #[test]
-fn a_limit_that_makes_no_sense_is_one_line_and_a_failed_start() {
+fn an_invalid_limit_is_one_log_line_and_a_failed_start() {
     let told = write_config(&config("127.0.0.1:1".parse().unwrap()).to_string());
     for (text, word) in [
         ("[front]\nclients_percent = 0", "1 to 100"),
--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -123,7 +123,7 @@
 
 // Guards against a list that is read late because very many clients are busy at once.
 #[test]
-fn a_drain_told_while_many_clients_are_busy_is_heeded_in_time() {
+fn a_drain_notified_while_many_clients_are_busy_takes_effect_in_time() {
     let fleet = Fleet::start(20);
     let discovery = ManualDiscovery::start();
     let node = roomy_node(&discovery, &list(1, true, &fleet.entries(|_| false)));
@@ -192,7 +192,7 @@
 
 // Guards against a list that tells of a drain and waits in the driver's queue behind a burst of requests that came after it.
 #[test]
-fn a_drain_told_before_a_burst_of_requests_is_heeded_before_these() {
+fn a_drain_notified_before_a_burst_of_requests_takes_effect_before_them() {
     let fleet = Fleet::start(20);
     let discovery = ManualDiscovery::start();
     let node = roomy_node(&discovery, &list(1, true, &fleet.entries(|_| false)));
@@ -230,7 +230,7 @@
 // Guards against a request that goes out on a connection which was begun before its server was told to leave, was forgotten
 // and listed again, or moved: what comes up then leads to one that wants nothing new, or is no more.
 #[test]
-fn a_connection_that_comes_up_after_a_drain_an_end_or_a_move_carries_nothing() {
+fn a_connection_established_after_a_drain_removal_or_move_carries_no_request() {
     // What is told of the slow server while connections to it are being made: its health, where it is, its start.
     let days: [&[(&str, bool, u64)]; 7] = [
         &[("ready", true, 0)],
@@ -314,7 +314,7 @@
 // at once, and a drain's time may be as short as this. That no pause is longer is tested in virtual time, beside the
 // client: here all but the shortest may be the machine's.
 #[test]
-fn where_lists_are_pushed_an_agent_that_fails_is_asked_again_within_the_settings_time() {
+fn with_pushed_lists_a_failing_agent_is_polled_again_within_the_configured_time() {
     for grace in [60, 250, 1_000].map(Duration::from_millis) {
         let pauses = pauses_after_resets(grace);
         println!("{grace:?}: {pauses:?}");
@@ -330,7 +330,7 @@
 // Guards against a drain that is heeded by a clock of the node's own, whatever time the settings leave: where that is as
 // short as this, there is none to lose.
 #[test]
-fn a_drain_is_heeded_before_the_next_request_however_short_the_settings_time_is() {
+fn a_drain_takes_effect_before_the_next_request_however_short_the_configured_time() {
     for grace_us in [0, 60_000, 1_000_000] {
         let pair = EndpointPair::start();
         let discovery = Discovery::start(&pair.entries("ready"));
@@ -369,7 +369,7 @@
 // Guards against a request whose first byte goes out long after it was given to its connection: the server answers early,
 // without reading, and what it has not read of the request before stands in the way.
 #[test]
-fn a_request_behind_bytes_that_its_server_does_not_read_goes_out_before_a_drain_or_not_at_all() {
+fn a_request_behind_unread_bytes_is_sent_before_a_drain_or_not_at_all() {
     const BODY: usize = 60_000;
     // Of the heads that a node writes, the shortest.
     const HEAD: usize = 110;
--- a/crates/cli/tests/node_lifecycle.rs
+++ b/crates/cli/tests/node_lifecycle.rs
@@ -8,7 +8,7 @@
 
 // Guards against a planned restart that loses what was taken.
 #[test]
-fn a_terminated_node_finishes_what_it_took_and_exits_well() {
+fn a_terminated_node_finishes_accepted_requests_and_exits_successfully() {
     let gate = Gate::default();
     let server =
         CacheServer::delaying_first(&gate, || Reply::Answer(answer("200 OK", "", "value")));
@@ -31,7 +31,7 @@
 
 // Guards against clients that sit idle and keep a node from its end.
 #[test]
-fn a_terminated_node_does_not_wait_for_idle_clients() {
+fn a_terminated_node_does_not_wait_for_idle_connections() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -45,7 +45,7 @@
 
 // Guards against a node that starts on half a configuration, or that dies with a panic's many lines.
 #[test]
-fn a_missing_or_broken_configuration_is_one_line_and_a_failure() {
+fn a_missing_or_malformed_configuration_is_one_log_line_and_a_failed_start() {
     let good = config("127.0.0.1:1".parse().unwrap());
     let changed = |path: &str, value: serde_json::Value| {
         let mut broken = good.clone();
@@ -83,7 +83,7 @@
 // Guards against a node that SIGHUP ends, that stays with its old discovery, and that asks the new one for what
 // came after a version of the old one's.
 #[test]
-fn a_reload_moves_the_watch_to_the_new_discovery_and_starts_from_its_whole_list() {
+fn a_reload_moves_the_watch_to_the_new_discovery_and_its_complete_list() {
     let servers = [
         CacheServer::serving("0"),
         CacheServer::serving("1"),
@@ -120,7 +120,7 @@
 // Guards against a reload that takes the node down or leaves it without a list: it serves from the old one for
 // as long as the new discovery says nothing.
 #[test]
-fn a_bad_reload_is_one_line_and_a_silent_discovery_leaves_the_old_list() {
+fn a_malformed_reload_is_one_log_line_and_an_unresponsive_discovery_keeps_the_old_list() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let good = config(discovery.address);
@@ -194,7 +194,7 @@
 
 // Guards against a second SIGTERM, or a SIGHUP, that cuts short what the first one lets the node finish.
 #[test]
-fn further_signals_during_the_end_change_nothing() {
+fn further_signals_during_shutdown_change_nothing() {
     let gate = Gate::default();
     let server =
         CacheServer::delaying_first(&gate, || Reply::Answer(answer("200 OK", "", "value")));
@@ -236,7 +236,7 @@
 // Guards against a fleet that starts together and stays away from its clients: discovery is slow and refuses most calls.
 // And against one that takes requests before it can place them.
 #[test]
-fn thirty_processes_started_together_are_ready_within_their_time() {
+fn thirty_nodes_started_together_are_ready_within_their_deadline() {
     const NODES: usize = 30;
     let server = CacheServer::serving("value");
     let (address, refused) =
--- a/crates/cli/tests/node_lists.rs
+++ b/crates/cli/tests/node_lists.rs
@@ -32,7 +32,7 @@
 
 // Guards against a connection of before a move that is kept, and takes later requests to where the server was.
 #[test]
-fn what_comes_back_from_the_old_address_is_answered_and_nothing_more_goes_there() {
+fn a_response_from_an_endpoints_old_address_is_delivered_and_no_request_goes_there() {
     let gate = Gate::default();
     let (old, new) = (gated("old", &gate), gated("new", &gate));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
@@ -56,7 +56,7 @@
 
 // Guards against connections to a process that is no more: a machine that vanished says nothing on them.
 #[test]
-fn a_new_start_under_the_same_id_and_address_gets_new_connections() {
+fn a_new_incarnation_at_the_same_name_and_address_gets_new_connections() {
     let gate = Gate::default();
     let server = gated("value", &gate);
     let discovery = Discovery::start(&[started_at(server.entry("s-1", "ready"), 1)]);
@@ -83,7 +83,7 @@
 // Guards against an attempt that reaches a server after its drain was told, whenever that comes, and against one that is
 // taken from a request that had it: between pick and dial, dial and first byte, and after the last byte.
 #[test]
-fn a_drain_or_end_at_any_moment_gets_nothing_new_and_loses_no_request() {
+fn a_drain_or_removal_at_any_moment_stops_new_requests_and_loses_none() {
     let gate = Gate::default();
     let servers = ["s-0", "s-1", "s-2"].map(|name| gated(name, &gate));
     gate.open();
@@ -148,7 +148,7 @@
 
 // Guards against a request that goes out on a connection which came up only after the drain was told.
 #[test]
-fn a_drain_told_while_a_connection_is_being_made_keeps_the_request_from_it() {
+fn a_drain_notified_while_a_connection_is_established_keeps_the_request_from_it() {
     let slow = SlowServer::start();
     let other = CacheServer::serving("value");
     let entries = |health: &str| {
@@ -184,7 +184,7 @@
 
 // Guards against an empty list that leaves requests waiting, and one that cannot be undone.
 #[test]
-fn an_empty_list_refuses_at_once_and_a_renamed_one_serves() {
+fn with_an_empty_list_requests_are_shed_at_once_and_a_renamed_endpoint_serves() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -240,7 +240,7 @@
 
 // Guards against a list of before that brings back what is gone.
 #[test]
-fn a_list_older_than_the_one_held_is_not_taken_and_the_whole_list_is_asked_for() {
+fn a_list_older_than_the_current_one_is_ignored_and_the_complete_list_is_requested() {
     let server = CacheServer::serving("value");
     let gone = CacheServer::serving("gone");
     let (address, asked) = scripted(vec![
@@ -264,7 +264,7 @@
 
 // Guards against a node that asks as fast as it can where a watch never waits, as the load of all other nodes' discovery.
 #[test]
-fn a_watch_that_is_answered_at_once_with_nothing_new_is_not_spun_on() {
+fn a_watch_answered_at_once_without_a_change_is_not_repeated_in_a_busy_loop() {
     let server = CacheServer::serving("value");
     let (address, asked) = scripted(vec![
         list(5, true, &[server.entry("s-1", "ready")]),
@@ -305,7 +305,7 @@
 // Guards against a node that has no watch where lists are pushed: nothing asks it to, and what the agent has counts as
 // told.
 #[test]
-fn pushed_lists_are_watched_and_a_drain_is_heeded() {
+fn pushed_lists_are_watched_and_a_drain_takes_effect() {
     let (leaving, staying) = (
         CacheServer::serving("leaving"),
         CacheServer::serving("staying"),
@@ -322,7 +322,7 @@
 // Guards against a new process that serves from an old list where lists are pushed: what the agent has counts as told
 // from its first moment. An agent that has nothing to say keeps it from service for a moment only.
 #[test]
-fn a_new_process_with_pushed_lists_is_ready_when_it_has_its_first_one() {
+fn a_node_with_pushed_lists_is_ready_once_it_has_its_first_list() {
     let (gone, staying) = (
         CacheServer::serving("gone"),
         CacheServer::serving("staying"),
@@ -365,7 +365,7 @@
 // Guards against a server that drains in a list that is not taken for its age, and that gets requests until the whole
 // list has come: what was written was told.
 #[test]
-fn a_list_that_is_too_old_is_heeded_where_it_tells_of_servers_that_leave() {
+fn an_outdated_list_takes_effect_for_the_endpoints_it_drains_or_removes() {
     let (leaving, staying) = (
         CacheServer::serving("leaving"),
         CacheServer::serving("staying"),
@@ -399,7 +399,7 @@
 // Guards against a bound anywhere between list, decision and sends that a fleet of this size meets: a list that is cut,
 // servers that are never picked, drains that are heeded in part.
 #[test]
-fn a_thousand_servers_at_one_of_a_thousand_nodes_are_listed_asked_and_left() {
+fn a_node_with_a_thousand_endpoints_among_a_thousand_nodes_uses_and_drops_them() {
     const SERVERS: usize = 1024;
     let servers: Vec<_> = (0..SERVERS)
         .map(|_| CacheServer::serving("value"))
--- a/crates/cli/tests/node_multiget.rs
+++ b/crates/cli/tests/node_multiget.rs
@@ -140,7 +140,7 @@
 
 // Guards against more than so many items out at once.
 #[test]
-fn no_more_than_parallel_items_are_out_at_once() {
+fn no_more_than_the_configured_number_of_items_are_in_flight_at_once() {
     let gate = Gate::default();
     let held = gate.clone();
     let server = CacheServer::start(move |asked| {
@@ -170,7 +170,7 @@
 // The operators' own check: two cache servers, one of which stops partway. What the other one has answered is
 // printed whole, the rest is partial once the time is up, and nothing is asked twice for it.
 #[test]
-fn with_one_of_two_servers_stopped_partway_the_rest_is_printed_as_partial_in_time() {
+fn with_one_of_two_endpoints_stopped_unfinished_keys_are_printed_as_partial_in_time() {
     let stopped = Arc::new(AtomicBool::new(false));
     let off = stopped.clone();
     let one = CacheServer::start(echo);
@@ -219,7 +219,7 @@
 
 // Guards against what is done being lost with a node that dies, and against a wait for one that is gone.
 #[test]
-fn what_is_done_is_printed_when_the_node_dies_and_the_rest_is_partial() {
+fn finished_keys_are_printed_when_the_node_dies_and_others_as_partial() {
     let server = CacheServer::start(|asked| match asked.start.contains("0003 ") {
         true => Reply::NoAnswer,
         false => echo(asked),
@@ -274,7 +274,7 @@
 
 // Guards against input that takes the side port down or reaches a cache server.
 #[test]
-fn bad_calls_are_answered_with_their_status_and_reach_no_cache_server() {
+fn invalid_calls_are_answered_with_their_status_and_reach_no_endpoint() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::with_features(&config(discovery.address), SIDE);
@@ -337,7 +337,7 @@
 
 // Guards against work that goes on for a client that has left, and against ids that two requests share.
 #[test]
-fn items_of_a_client_that_left_are_given_up_and_an_open_id_is_turned_away() {
+fn items_of_a_disconnected_client_are_cancelled_and_an_id_in_flight_is_rejected() {
     let server = CacheServer::start(|asked| match asked.header("req-id") {
         Some("held") => Reply::NoAnswer,
         _ => echo(asked),
@@ -381,7 +381,7 @@
 // Guards against items that have descriptors of their own past the node's limit, and against a side port that
 // takes the places of the usual clients.
 #[test]
-fn with_few_places_all_items_and_clients_are_still_served() {
+fn with_few_descriptors_all_items_and_clients_are_still_served() {
     let server = CacheServer::start(echo);
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut small = config(discovery.address);
@@ -417,7 +417,7 @@
 
 // Guards against a stop that loses the items it has taken.
 #[test]
-fn a_terminated_node_finishes_the_calls_it_took() {
+fn a_terminated_node_finishes_accepted_calls() {
     let gate = Gate::default();
     let held = gate.clone();
     let server = CacheServer::start(move |asked| {
@@ -445,7 +445,7 @@
 
 // Guards against a side port that is there unasked.
 #[test]
-fn without_a_port_there_is_none_and_one_in_use_is_a_failed_start() {
+fn without_a_configured_port_none_is_opened_and_one_in_use_is_a_failed_start() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let told = config(discovery.address);
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_node_keeps_the_rules_through_any_sequence() {
+fn a_node_keeps_the_rules_through_any_sequence_of_events() {
     check_once(0..6, 120, |_, steps| {
         let (got, asked, closed) = play(steps);
         let mut tries = BTreeMap::<&str, Vec<Status>>::new();
--- a/crates/cli/tests/node_servers.rs
+++ b/crates/cli/tests/node_servers.rs
@@ -8,7 +8,7 @@
 
 // Guards against new work to a server that the node was told to leave alone, also on kept connections.
 #[test]
-fn a_draining_server_gets_nothing_new_and_its_idle_connections_close() {
+fn a_draining_endpoint_gets_no_new_request_and_its_idle_connections_are_closed() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -29,7 +29,7 @@
 
 // Guards against work for a server that a whole list lacks: what is not in it is gone.
 #[test]
-fn a_whole_list_without_a_server_ends_work_to_it() {
+fn an_endpoint_missing_from_a_complete_list_gets_no_request() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -63,7 +63,7 @@
 // Guards against requests lost on idle connections that a server drops long before the time it states: one of an
 // unsafe class may not be sent again.
 #[test]
-fn connections_that_a_server_drops_when_idle_are_no_longer_kept_that_long() {
+fn idle_connections_are_kept_no_longer_than_their_endpoint_keeps_them() {
     let idle = std::time::Duration::from_millis(400);
     let server = CacheServer::closing_idle(idle / 2);
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -89,7 +89,7 @@
 
 // Guards against a new connection, and its handshake, for each request.
 #[test]
-fn a_connection_is_kept_for_the_next_request() {
+fn a_connection_is_reused_for_the_next_request() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -144,7 +144,7 @@
 
 // Guards against an outcome that is read wrong: what may have run must not run twice, what never ran may.
 #[test]
-fn an_unsafe_request_is_sent_again_only_after_an_end_that_proves_it_never_ran() {
+fn a_non_idempotent_request_is_retried_only_where_it_provably_never_ran() {
     let declined = || Reply::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
     assert_eq!(after_one(declined, "once"), (200, 2));
     let over = || Reply::Answer(answer("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
@@ -167,7 +167,7 @@
 
 // Guards against half an answer passed on as a whole one.
 #[test]
-fn a_safe_request_is_served_whole_after_an_answer_that_broke_off() {
+fn an_idempotent_request_is_retried_after_a_truncated_response() {
     let half =
         || Reply::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned());
     assert_eq!(after_one(half, "read"), (200, 2));
@@ -175,7 +175,7 @@
 
 // Guards against a refused connection that is taken for a request that may have run.
 #[test]
-fn an_unsafe_request_goes_on_after_a_refused_connection() {
+fn a_non_idempotent_request_is_retried_after_a_refused_connection() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -194,7 +194,7 @@
 
 // Guards against a list that cannot be read: the node goes on with what it has, and asks again.
 #[test]
-fn a_broken_list_is_a_failed_call_and_the_watch_comes_back() {
+fn a_malformed_list_is_a_failed_call_and_the_watch_is_opened_again() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -215,7 +215,7 @@
 
 // Guards against what a server sends behind an answer being read as the answer to the next request.
 #[test]
-fn what_follows_an_answer_is_never_the_next_ones() {
+fn bytes_after_a_response_are_never_part_of_the_next_one() {
     let server = CacheServer::start(|asked| {
         let own = answer("200 OK", "", asked.header("req-id").unwrap());
         let extra = answer("200 OK", "", "a copy");
@@ -236,7 +236,7 @@
 
 // Guards against waiting for an answer that is said to be larger than any may be: the time is the repeat's.
 #[test]
-fn an_answer_of_a_stated_length_over_the_limit_ends_its_attempt_at_once() {
+fn a_response_with_a_content_length_over_the_limit_fails_its_attempt_at_once() {
     let huge =
         || Reply::Answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
     assert_eq!(after_one(huge, "read"), (200, 2));
@@ -244,7 +244,7 @@
 
 // Guards against a head without end that fills memory, and against taking a 1xx answer for the final one.
 #[test]
-fn an_endless_head_fails_its_attempt_and_interim_answers_are_passed_over() {
+fn an_endless_response_head_fails_its_attempt_and_interim_responses_are_skipped() {
     let endless = || {
         Reply::Answer(format!(
             "HTTP/1.1 200 OK\r\n{}",
@@ -264,7 +264,7 @@
 // Guards against one class that a server turns away (a release that does not know it, say) costing that server
 // the keys of all classes: they would be missed elsewhere, and the misses of a whole fleet drown the origin.
 #[test]
-fn a_class_that_a_server_turns_away_leaves_its_other_keys_there() {
+fn a_class_that_an_endpoint_rejects_leaves_other_classes_keys_there() {
     let picky = CacheServer::start(|asked| match asked.header("idempotency-key") {
         Some(_) => Reply::Answer(answer(
             "503 Service Unavailable",
@@ -355,7 +355,7 @@
 // Guards against a day that stays down: an origin with too much to do fails the misses, their clients and the
 // node ask for the same again, and the servers never get to hold what they are asked for.
 #[test]
-fn likely_misses_are_limited_while_their_fetches_fail_and_hits_go_on() {
+fn likely_misses_are_limited_while_origin_fetches_fail_and_hits_are_served() {
     let gate = Arc::new(Gate::default());
     let down = Arc::new(AtomicBool::new(false));
     let server = || {
--- a/crates/cli/tests/node_stale_lists.rs
+++ b/crates/cli/tests/node_stale_lists.rs
@@ -18,7 +18,7 @@
 // Guards against a drain that the old discovery told while a node moved, and that the new one's whole list undoes though
 // it is of before: it was made, and is on its way, when the drain is told.
 #[test]
-fn a_whole_list_of_before_a_drain_that_comes_after_a_move_does_not_undo_it() {
+fn a_complete_list_older_than_a_drain_does_not_undo_it_after_a_move_of_discovery() {
     let pair = EndpointPair::start();
     let (old, new) = (ManualDiscovery::start(), ManualDiscovery::start());
     let config = config(old.address);
@@ -59,7 +59,7 @@
 // Guards against a list of before a drain or an end that undoes it: one of a lower version is followed by the whole list, and
 // that may be of before as well.
 #[test]
-fn a_list_of_before_a_drain_does_not_undo_it_at_the_same_discovery() {
+fn a_list_older_than_a_drain_does_not_undo_it_at_the_same_discovery() {
     let mut undone = Vec::new();
     for leaves in [Leaves::Draining, Leaves::Gone, Leaves::Absent] {
         // It leaves with version 6, and a whole list of this one comes after that.
@@ -111,7 +111,7 @@
 // Guards against a node that serves from the list it knew and whose first call is refused, or waits for its turn, as a drain is
 // told: the answer to that call, or to the next, is heeded, and the next one comes soon.
 #[test]
-fn a_drain_told_by_the_first_call_or_the_one_after_a_refusal_is_heeded() {
+fn a_drain_in_the_first_list_or_the_one_after_a_failed_call_takes_effect() {
     for refused in [false, true] {
         let pair = EndpointPair::start();
         let discovery = ManualDiscovery::start();
@@ -141,7 +141,7 @@
 
 // Guards against a ready server that is taken for one that leaves for good: a new start is heeded, whichever way it is told.
 #[test]
-fn a_server_that_started_anew_after_its_drain_is_used_again() {
+fn an_endpoint_with_a_new_incarnation_after_its_drain_is_used_again() {
     for (whole, gone_between) in [(false, false), (false, true), (true, false), (true, true)] {
         let pair = EndpointPair::start();
         let discovery = Discovery::start(&pair.entries("ready"));
--- a/crates/cli/tests/relay.rs
+++ b/crates/cli/tests/relay.rs
@@ -349,7 +349,7 @@
 
 // Guards against requests that are guessed at.
 #[test]
-fn requests_that_make_no_sense_are_refused_in_a_sentence() {
+fn invalid_calls_are_rejected_with_a_sentence() {
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &[]);
     let refused = |request: &str, status: u16, why: &str| {
@@ -457,7 +457,7 @@
 
 // Guards against an old list that is told as if it were new, and against a relay that does not come back.
 #[test]
-fn when_upstream_dies_callers_are_failed_after_the_lease_until_it_is_back() {
+fn callers_are_failed_after_the_lease_until_upstream_is_back() {
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &["--lease-ms", SHORT_LEASE]);
     let mut waiting = relay.watching(50);
@@ -482,7 +482,7 @@
 
 // Guards against a relay that waits for ever on an upstream that a cut keeps silent.
 #[test]
-fn when_upstream_falls_silent_the_next_one_is_asked() {
+fn when_upstream_stops_answering_the_next_one_is_called() {
     let hosts = two();
     let (first, second) = (
         Source::start(Mode::Serves, &hosts),
@@ -511,7 +511,7 @@
 
 // Guards against a relay that answers with an empty list, or by an earlier life's, before it has one.
 #[test]
-fn a_relay_that_starts_with_nothing_answers_nobody_until_it_has_a_list() {
+fn a_relay_answers_no_caller_before_its_first_list() {
     let source = Source::start(Mode::Silent, &two());
     let relay = Relay::start(&[source.address], &["--lease-ms", LONG_LEASE]);
     wait_for("its call", || source.asked("/v1/servers") > 0);
@@ -529,7 +529,7 @@
 
 // Guards against an older list for a caller that was at a source that is ahead of this relay.
 #[test]
-fn a_relay_that_lags_answers_a_newer_caller_only_once_upstream_has() {
+fn a_relay_behind_its_caller_answers_once_upstream_has_caught_up() {
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &["--lease-ms", LONG_LEASE]);
     wait_for("its watch", || source.asked("after=50&") == 1);
@@ -557,7 +557,7 @@
 
 // Guards against servers that are back by an old delta, and against callers that stay at versions of before.
 #[test]
-fn when_upstream_tells_something_old_callers_hear_nothing_until_the_whole_list_has_come() {
+fn after_an_older_version_from_upstream_callers_wait_for_the_snapshot() {
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &["--lease-ms", LONG_LEASE]);
     let mut waiting = relay.watching(50);
@@ -590,7 +590,7 @@
 
 // Guards against callers without bound, each of which takes a descriptor and an answer's memory.
 #[test]
-fn callers_past_the_bound_are_refused_and_a_place_that_is_free_is_given_again() {
+fn callers_over_the_bound_are_rejected_and_a_released_connection_is_available_again() {
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &["--callers", "3"]);
     // The connections that asked for its health may still be open there.
@@ -622,7 +622,7 @@
 
 // Guards against callers that are cut off without a word when a relay is stopped.
 #[test]
-fn on_sigterm_callers_that_wait_are_failed_and_the_relay_ends() {
+fn on_sigterm_waiting_callers_are_failed_and_the_relay_exits() {
     let source = Source::start(Mode::Serves, &two());
     let mut relay = Relay::ready(&[source.address], &["--lease-ms", LONG_LEASE]);
     let mut waiting = relay.watching(50);
@@ -643,7 +643,7 @@
 
 // Guards against a node that stops serving without its relay, and against one that never finds the next one.
 #[test]
-fn a_node_whose_relay_dies_serves_on_and_follows_the_next_one() {
+fn a_node_whose_relay_dies_keeps_serving_and_follows_the_next_relay() {
     let servers = [CacheServer::serving("one"), CacheServer::serving("two")];
     let hosts = [
         servers[0].entry("s-1", "ready"),
@@ -678,7 +678,7 @@
 // drain when its next watch has come to its relay; that is waited for, and no tier's lease or wait is in it: these are longer
 // than any wait of the test.
 #[test]
-fn a_drain_goes_through_two_tiers_to_a_real_node_at_once() {
+fn a_drain_reaches_a_real_node_through_two_relay_tiers_at_once() {
     let servers = [CacheServer::serving("one"), CacheServer::serving("two")];
     let hosts = [
         servers[0].entry("s-1", "ready"),
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -138,7 +138,7 @@
 // Guards against nodes that ask more often or for more than they need, and against counts that come by chance. Also that
 // the run ends what it started.
 #[test]
-fn a_step_wise_run_has_exact_counts_and_leaves_nothing() {
+fn a_step_wise_run_has_exact_message_counts_and_leaves_no_process() {
     let file = Report::new("exact");
     let arguments = [
         "--real=1",
@@ -184,7 +184,7 @@
 // Guards against relays that pass calls through, ask for more than one caller would, or change what an answer says; and
 // against counts of one place that go to another.
 #[test]
-fn relays_between_are_one_caller_each_and_nodes_get_what_discovery_would_say() {
+fn each_relay_is_one_caller_and_nodes_get_the_lists_of_discovery() {
     let file = Report::new("relays");
     let arguments = [
         "--real=0",
@@ -237,7 +237,7 @@
 
 // Guards against nodes behind relays that do not come back after discovery was away.
 #[test]
-fn all_nodes_behind_relays_are_up_to_date_after_discovery_was_away() {
+fn all_nodes_behind_relays_are_up_to_date_after_an_outage_of_discovery() {
     let file = Report::new("relays-discovery-down");
     let arguments = [
         "--real=0",
@@ -276,7 +276,7 @@
 
 // Guards against a restart or a new configuration that asks discovery more than once.
 #[test]
-fn a_new_configuration_is_one_whole_list_for_each_node() {
+fn a_new_configuration_is_one_complete_list_for_each_node() {
     let file = Report::new("configuration");
     let arguments = [
         "--real=1",
@@ -348,7 +348,7 @@
 
 // Guards against a fleet that does not come back after discovery was away.
 #[test]
-fn all_nodes_are_up_to_date_after_discovery_was_away() {
+fn all_nodes_are_up_to_date_after_an_outage_of_discovery() {
     let report = with_trouble("discovery-down", "1.5");
     assert!(recovered(&report), "{report}");
     // Each node's watch at least.
@@ -364,7 +364,7 @@
 
 // Guards against nodes that stay with what they had when they were cut off.
 #[test]
-fn all_nodes_are_up_to_date_after_a_split() {
+fn all_nodes_are_up_to_date_after_a_partition() {
     let report = with_trouble("split", "1.5");
     assert!(recovered(&report), "{report}");
     // Nodes 1, 3, 5, 7 and 9, whose watches come to nothing.
@@ -376,7 +376,7 @@
 
 // Guards against a lost zone that nodes learn of in part, or not of its return.
 #[test]
-fn all_nodes_hear_that_a_zone_is_lost_and_back() {
+fn all_nodes_are_notified_that_a_zone_is_lost_and_back() {
     let report = with_trouble("zone-lost", "1");
     assert!(recovered(&report), "{report}");
     assert!(
@@ -393,7 +393,7 @@
 
 // Guards against restarted nodes that come back without a list.
 #[test]
-fn a_restarted_tenth_gets_its_list_anew() {
+fn a_restarted_tenth_of_the_nodes_gets_its_list_again() {
     let report = with_trouble("restart-tenth", "0");
     let restarted = &report["trouble"]["restarted"];
     let count = |kind: &str| restarted[kind]["count"].as_u64().unwrap();
@@ -449,7 +449,7 @@
 
 // Guards against a run that takes more than the machine has.
 #[test]
-fn a_run_that_is_too_large_is_refused_before_it_starts() {
+fn a_run_over_the_machines_bounds_is_refused_before_it_starts() {
     refused(
         &["--simulated=90000", "--servers=90000"],
         "MiB of memory: half of this machine's is ",
@@ -462,7 +462,7 @@
 
 // Guards against figures that make no sense, and that would show as a run that measures nothing.
 #[test]
-fn arguments_that_make_no_sense_are_refused_in_a_sentence() {
+fn invalid_arguments_are_refused_with_a_sentence() {
     refused(&["--real=0", "--simulated=0"], "there are no nodes");
     refused(
         &["--servers=2", "--zones=3"],
