--- a/crates/cli/tests/node_common/node.rs
+++ b/crates/cli/tests/node_common/node.rs
@@ -51,6 +51,11 @@
     path
 }
 
+/// A path of this test's own in the temporary folder.
+pub fn temporary_path(name: &str) -> std::path::PathBuf {
+    std::env::temp_dir().join(format!("slatelink-{}-{name}", std::process::id()))
+}
+
 /// The node's command, without the platform's variables that the test may have inherited.
 pub fn command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_slatelink"));
