--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -13,35 +13,68 @@
 use std::time::{Duration, Instant};
 
 /// The platform's limit on sends after a drain, and as much again for a busy machine.
-const STOP: Duration = Duration::from_millis(500);
+const DRAIN_LIMIT: Duration = Duration::from_millis(500);
+/// An answer may come this much after its client's deadline, on a busy machine.
+const ANSWER_GRACE: Duration = Duration::from_secs(2);
 const CLASSES: [&str; 3] = ["read", "keyed", "once"];
+/// The longest that a step lets time pass, in milliseconds.
+const MAX_PAUSE_MS: u64 = 30;
 
-/// What reached a server.
-struct Asked {
+/// A request as a server received it.
+struct ReceivedRequest {
     server: usize,
     id: String,
     status: Status,
     at: Instant,
 }
 
-/// From when to when a server was not to get anything new.
-type Shut = (usize, Instant, Instant);
+/// A time in which a server was not to get any new request.
+struct ExclusionPeriod {
+    server: usize,
+    from: Instant,
+    to: Instant,
+}
 
-/// What a client got, and after how long.
-struct Got {
+/// How a client's request ended.
+struct ClientOutcome {
     class: &'static str,
     answer: Option<Message>,
     took: Duration,
-    patience: Duration,
-    left: bool,
+    deadline: Duration,
+    disconnected: bool,
 }
 
-struct Client {
-    left: std::net::TcpStream,
-    gone: bool,
-    thread: JoinHandle<(Option<Message>, Duration)>,
+/// A client whose request may be in flight.
+struct PendingClient {
+    id: String,
     class: &'static str,
-    patience: Duration,
+    deadline: Duration,
+    /// A handle to the connection, to disconnect it with.
+    stream: std::net::TcpStream,
+    disconnected: bool,
+    thread: JoinHandle<(Option<Message>, Duration)>,
+}
+
+impl PendingClient {
+    fn disconnect(&mut self) {
+        self.disconnected = true;
+        self.stream
+            .shutdown(std::net::Shutdown::Both)
+            .unwrap_or_default();
+    }
+
+    fn outcome(self) -> (String, ClientOutcome) {
+        // The thread of one that disconnected may have panicked.
+        let (answer, took) = self.thread.join().unwrap_or_default();
+        let outcome = ClientOutcome {
+            class: self.class,
+            answer,
+            took,
+            deadline: self.deadline,
+            disconnected: self.disconnected,
+        };
+        (self.id, outcome)
+    }
 }
 
 fn reply(status: Status) -> Reply {
@@ -54,237 +87,293 @@
     }
 }
 
-/// Plays the steps against a node; what each client got, what reached the servers, and from when to when each server was
-/// not to get anything new.
-fn play(steps: &[Step]) -> (BTreeMap<String, Got>, Vec<Asked>, Vec<Shut>) {
-    let script: VecDeque<_> = steps
-        .iter()
-        .filter_map(|step| {
-            if let Step::End { how, .. } = step {
-                Some(*how)
-            } else {
-                None
-            }
-        })
-        .collect();
-    let (script, asked) = (
-        Arc::new(Mutex::new(script)),
-        Arc::new(Mutex::new(Vec::new())),
-    );
-    let servers: Vec<_> = (0..SERVERS)
-        .map(|server| {
-            let (script, asked) = (script.clone(), asked.clone());
-            CacheServer::start(move |message| {
-                let status = script.lock().unwrap().pop_front().unwrap_or(Status::Ok);
-                let id = message.header("req-id").unwrap().to_owned();
-                asked.lock().unwrap().push(Asked {
-                    server,
-                    id,
-                    status,
-                    at: Instant::now(),
-                });
-                reply(status)
-            })
-        })
-        .collect();
-    let name = |i: usize| format!("s-{i}");
-    let mut states = [Some("ready"); SERVERS];
-    let entries: Vec<_> = (0..SERVERS)
-        .map(|i| servers[i].entry(&name(i), "ready"))
-        .collect();
-    let discovery = Discovery::start(&entries);
-    let node = Node::ready(&config(discovery.address));
-    discovery.wait_until_applied(1);
-    let mut clients: Vec<(String, Client)> = Vec::new();
-    let (mut seq, mut shut, mut closed) = (1, [None; SERVERS], Vec::new());
-    for step in steps {
+type Script = Arc<Mutex<VecDeque<Status>>>;
+type Received = Arc<Mutex<Vec<ReceivedRequest>>>;
+
+/// A server that answers by the script, which all servers share.
+fn scripted_server(server: usize, script: &Script, received: &Received) -> CacheServer {
+    let (script, received) = (script.clone(), received.clone());
+    CacheServer::start(move |message| {
+        let status = script.lock().unwrap().pop_front().unwrap_or(Status::Ok);
+        let id = message.header("req-id").unwrap().to_owned();
+        received.lock().unwrap().push(ReceivedRequest {
+            server,
+            id,
+            status,
+            at: Instant::now(),
+        });
+        reply(status)
+    })
+}
+
+fn name(server: usize) -> String {
+    format!("s-{server}")
+}
+
+/// What a sequence of steps came to.
+struct Played {
+    /// By request id.
+    outcomes: BTreeMap<String, ClientOutcome>,
+    received: Vec<ReceivedRequest>,
+    exclusions: Vec<ExclusionPeriod>,
+}
+
+/// A node with its servers, discovery and clients, while steps are played against it.
+struct Playback {
+    script: Script,
+    received: Received,
+    servers: Vec<CacheServer>,
+    discovery: Discovery,
+    node: Node,
+    clients: Vec<PendingClient>,
+    /// What discovery says of each server; `None` where it lists none.
+    states: [Option<&'static str>; SERVERS],
+    /// Version of the newest list.
+    version: u64,
+    /// Since when each server is not to get any new request.
+    excluded_since: [Option<Instant>; SERVERS],
+    exclusions: Vec<ExclusionPeriod>,
+}
+
+impl Playback {
+    fn start(steps: &[Step]) -> Self {
+        let ends = steps.iter().filter_map(|step| match step {
+            Step::End { how, .. } => Some(*how),
+            _ => None,
+        });
+        let script = Arc::new(Mutex::new(ends.collect()));
+        let received = Received::default();
+        let servers: Vec<_> = (0..SERVERS)
+            .map(|server| scripted_server(server, &script, &received))
+            .collect();
+        let discovery = Discovery::start(&all_ready(&servers));
+        let node = Node::ready(&config(discovery.address));
+        discovery.wait_until_applied(1);
+        Self {
+            script,
+            received,
+            servers,
+            discovery,
+            node,
+            clients: Vec::new(),
+            states: [Some("ready"); SERVERS],
+            version: 1,
+            excluded_since: [None; SERVERS],
+            exclusions: Vec::new(),
+        }
+    }
+
+    fn apply(&mut self, step: &Step) {
         match step {
             Step::Ask {
                 class,
                 key,
                 patience_ms,
                 ..
-            } => {
-                let (id, class) = (format!("{:x}", clients.len() + 1), CLASSES[class % 3]);
-                let patience = Duration::from_millis(2_000 + patience_ms);
-                let stream = std::net::TcpStream::connect(node.address).unwrap();
-                stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-                let left = stream.try_clone().unwrap();
-                let text = read(class, *key, patience.as_millis() as u64)
-                    .replace(&format!("Req-Id: {key:x}"), &format!("Req-Id: {id}"));
-                let at = Instant::now();
-                let thread = thread::spawn(move || {
-                    let answer = node_common::Client::on(stream).try_request(&text);
-                    (answer, at.elapsed())
-                });
-                clients.push((
-                    id,
-                    Client {
-                        left,
-                        gone: false,
-                        thread,
-                        class,
-                        patience,
-                    },
-                ));
+            } => self.request(CLASSES[class % 3], *key, *patience_ms),
+            Step::Leave { which } if !self.clients.is_empty() => {
+                let place = which % self.clients.len();
+                self.clients[place].disconnect();
             }
-            Step::Leave { which } if !clients.is_empty() => {
-                let place = which % clients.len();
-                let client = &mut clients[place].1;
-                client.gone = true;
-                client
-                    .left
-                    .shutdown(std::net::Shutdown::Both)
-                    .unwrap_or_default();
+            Step::Change { server, to } => {
+                self.states[*server] = match to {
+                    Change::Draining => Some("draining"),
+                    Change::Gone => None,
+                    _ => Some("ready"),
+                };
+                self.publish_states();
             }
-            Step::Change { .. } | Step::Whole { .. } => {
-                match step {
-                    Step::Change { server, to } => {
-                        states[*server] = match to {
-                            Change::Draining => Some("draining"),
-                            Change::Gone => None,
-                            _ => Some("ready"),
-                        };
-                    }
-                    Step::Whole { lacks } => {
-                        for (i, state) in states.iter_mut().enumerate() {
-                            *state = state.or(Some("ready")).filter(|_| lacks & 1 << i == 0);
-                        }
-                    }
-                    _ => {}
-                }
-                let listed =
-                    (0..SERVERS).filter_map(|i| Some(servers[i].entry(&name(i), states[i]?)));
-                // From before it is told, a server may be used again; from after it, one must not be.
-                let before = Instant::now();
-                discovery.publish(true, &listed.collect::<Vec<_>>());
-                seq += 1;
-                discovery.wait_until_applied(seq);
-                for i in 0..SERVERS {
-                    match (states[i], shut[i]) {
-                        (Some("ready"), Some(from)) => {
-                            closed.push((i, from, before));
-                            shut[i] = None;
-                        }
-                        (Some("ready"), None) | (_, Some(_)) => {}
-                        (_, None) => shut[i] = Some(Instant::now()),
-                    }
+            Step::Whole { lacks } => {
+                for (server, state) in self.states.iter_mut().enumerate() {
+                    *state = state.or(Some("ready")).filter(|_| lacks & 1 << server == 0);
                 }
+                self.publish_states();
             }
-            Step::Pass { ms } => thread::sleep(Duration::from_millis((*ms).min(30))),
+            Step::Pass { ms } => thread::sleep(Duration::from_millis((*ms).min(MAX_PAUSE_MS))),
             _ => {}
         }
     }
-    let got = clients.into_iter().map(|(id, client)| {
-        let Client {
+
+    /// Sends a request on a connection of its own.
+    fn request(&mut self, class: &'static str, key: u64, patience_ms: u64) {
+        let id = format!("{:x}", self.clients.len() + 1);
+        let deadline = Duration::from_millis(2_000 + patience_ms);
+        let stream = std::net::TcpStream::connect(self.node.address).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+        let handle = stream.try_clone().unwrap();
+        let text = read(class, key, deadline.as_millis() as u64)
+            .replace(&format!("Req-Id: {key:x}"), &format!("Req-Id: {id}"));
+        let at = Instant::now();
+        let thread = thread::spawn(move || {
+            let answer = Client::on(stream).try_request(&text);
+            (answer, at.elapsed())
+        });
+        self.clients.push(PendingClient {
+            id,
             class,
-            patience,
-            gone: left,
+            deadline,
+            stream: handle,
+            disconnected: false,
             thread,
-            ..
-        } = client;
-        // One that left may have broken off.
-        let (answer, took) = thread.join().unwrap_or_default();
-        (
-            id,
-            Got {
-                class,
-                answer,
-                took,
-                patience,
-                left,
-            },
-        )
+        });
+    }
+
+    /// Publishes the servers' states as a complete list, and notes which servers are excluded by it.
+    fn publish_states(&mut self) {
+        let listed =
+            (0..SERVERS).filter_map(|i| Some(self.servers[i].entry(&name(i), self.states[i]?)));
+        let listed: Vec<_> = listed.collect();
+        // From before the notice a server may be used again; from after it, one must not be.
+        let before = Instant::now();
+        self.discovery.publish(true, &listed);
+        self.version += 1;
+        self.discovery.wait_until_applied(self.version);
+        for server in 0..SERVERS {
+            match (self.states[server], self.excluded_since[server]) {
+                (Some("ready"), Some(from)) => {
+                    self.exclusions.push(ExclusionPeriod {
+                        server,
+                        from,
+                        to: before,
+                    });
+                    self.excluded_since[server] = None;
+                }
+                (Some("ready"), None) | (_, Some(_)) => {}
+                (_, None) => self.excluded_since[server] = Some(Instant::now()),
+            }
+        }
+    }
+
+    /// Waits for the clients, and checks that the node serves afterwards.
+    fn finish(mut self) -> Played {
+        let clients = std::mem::take(&mut self.clients);
+        let outcomes = clients.into_iter().map(PendingClient::outcome).collect();
+        let end = Instant::now();
+        self.discovery.publish(true, &all_ready(&self.servers));
+        self.discovery.wait_until_applied(self.version + 1);
+        self.script.lock().unwrap().clear();
+        wait_for("service", || self.node.read("read", 0xfff).status() == 200);
+        let still_excluded = self.excluded_since.iter().enumerate();
+        self.exclusions
+            .extend(still_excluded.filter_map(|(server, from)| {
+                Some(ExclusionPeriod {
+                    server,
+                    from: (*from)?,
+                    to: end,
+                })
+            }));
+        drop(self.node);
+        let received = std::mem::take(&mut *self.received.lock().unwrap());
+        Played {
+            outcomes,
+            received,
+            exclusions: self.exclusions,
+        }
+    }
+}
+
+fn all_ready(servers: &[CacheServer]) -> Vec<serde_json::Value> {
+    let entries = servers.iter().enumerate();
+    entries
+        .map(|(server, endpoint)| endpoint.entry(&name(server), "ready"))
+        .collect()
+}
+
+/// Plays the steps against a node.
+fn play(steps: &[Step]) -> Played {
+    let mut playback = Playback::start(steps);
+    for step in steps {
+        playback.apply(step);
+    }
+    playback.finish()
+}
+
+fn is_rejected(status: &Status) -> bool {
+    *status == Status::Rejected
+}
+
+/// A client that stayed has one final answer before its deadline, after attempts that its class allows.
+fn assert_answered(id: &str, outcome: &ClientOutcome, attempts: &[Status]) {
+    // A second answer would be the next one on its connection.
+    let answer = outcome
+        .answer
+        .as_ref()
+        .unwrap_or_else(|| panic!("no answer to {id}"));
+    assert!(
+        outcome.took <= outcome.deadline + ANSWER_GRACE,
+        "{id} is answered after {:?}",
+        outcome.took
+    );
+    // Retries only as the class allows.
+    let retried = attempts.len().max(1) - 1;
+    assert!(
+        outcome.class != "once" || attempts.iter().take(retried).all(is_rejected),
+        "{id}: {attempts:?}"
+    );
+    match answer.status() {
+        200 => assert_eq!(
+            (answer.body.as_slice(), attempts.is_empty()),
+            (&b"value"[..], false),
+            "{id}"
+        ),
+        503 => assert_shed(id, outcome.class, answer, attempts),
+        status => assert_eq!(status, 502, "{id}"),
+    }
+    // A request that is given up is answered at once: where no server was silent, none waits for its deadline.
+    let silent = attempts.contains(&Status::TimedOut);
+    assert!(
+        silent || outcome.took < outcome.deadline + Duration::from_millis(200),
+        "{id} waited {:?}",
+        outcome.took
+    );
+}
+
+/// A request that is shed is safe to send again, and its answer says when.
+fn assert_shed(id: &str, class: &str, answer: &Message, attempts: &[Status]) {
+    assert!(
+        class != "once" || attempts.iter().all(is_rejected),
+        "{id} refused after {attempts:?}"
+    );
+    let retry_after = answer.header("retry-after").unwrap();
+    assert!(retry_after.parse::<f64>().unwrap() > 0.0, "{answer:?}");
+}
+
+/// No request reached a server while its drain or removal was in effect.
+fn assert_excluded(period: &ExclusionPeriod, received: &[ReceivedRequest]) {
+    let ExclusionPeriod { server, from, to } = *period;
+    let late = received.iter().filter(|request| {
+        request.server == server && request.at > from + DRAIN_LIMIT && request.at < to
     });
-    let got = got.collect();
-    // It is as good as ever afterwards.
-    let end = Instant::now();
-    discovery.publish(true, &entries);
-    discovery.wait_until_applied(seq + 1);
-    script.lock().unwrap().clear();
-    wait_for("service", || node.read("read", 0xfff).status() == 200);
-    closed.extend(
-        shut.iter()
-            .enumerate()
-            .filter_map(|(i, from)| Some((i, (*from)?, end))),
+    let late: Vec<_> = late
+        .map(|request| (&request.id, request.at - from, to - request.at))
+        .collect();
+    assert!(
+        late.is_empty(),
+        "{late:?} reached s-{server} long after its end was told"
     );
-    drop(node);
-    let asked = std::mem::take(&mut *asked.lock().unwrap());
-    (got, asked, closed)
 }
 
 #[test]
 fn a_node_keeps_the_rules_through_any_sequence_of_events() {
     check_once(0..6, 120, |_, steps| {
-        let (got, asked, closed) = play(steps);
-        let mut tries = BTreeMap::<&str, Vec<Status>>::new();
-        asked
-            .iter()
-            .for_each(|one| tries.entry(&one.id).or_default().push(one.status));
-        for (id, got) in got.iter().filter(|(_, got)| !got.left) {
-            // One final answer, before the client gives up; a second one would be the next answer on its connection.
-            let answer = got
-                .answer
-                .as_ref()
-                .unwrap_or_else(|| panic!("no answer to {id}"));
-            let grace = Duration::from_secs(2);
-            assert!(
-                got.took <= got.patience + grace,
-                "{id} is answered after {:?}",
-                got.took
-            );
-            let tries = tries.get(id.as_str()).map_or(&[][..], Vec::as_slice);
-            let declined = |status: &Status| *status == Status::Rejected;
-            // Resends only as the class allows.
-            let again = tries.len().max(1) - 1;
-            assert!(
-                got.class != "once" || tries.iter().take(again).all(declined),
-                "{id}: {tries:?}"
-            );
-            match answer.status() {
-                200 => assert_eq!(
-                    (answer.body.as_slice(), tries.is_empty()),
-                    (&b"value"[..], false),
-                    "{id}"
-                ),
-                // A refusal is harmless, and says when to come back.
-                503 => {
-                    assert!(
-                        got.class != "once" || tries.iter().all(declined),
-                        "{id} refused after {tries:?}"
-                    );
-                    assert!(
-                        answer
-                            .header("retry-after")
-                            .unwrap()
-                            .parse::<f64>()
-                            .unwrap()
-                            > 0.0,
-                        "{answer:?}"
-                    );
-                }
-                status => assert_eq!(status, 502, "{id}"),
-            }
-            // Given up means answered at once: where no server was silent, none waits for its deadline.
-            let silent = tries.contains(&Status::TimedOut);
-            assert!(
-                silent || got.took < got.patience + Duration::from_millis(200),
-                "{id} waited {:?}",
-                got.took
-            );
+        let Played {
+            outcomes,
+            received,
+            exclusions,
+        } = play(steps);
+        let mut attempts = BTreeMap::<&str, Vec<Status>>::new();
+        for request in &received {
+            attempts
+                .entry(&request.id)
+                .or_default()
+                .push(request.status);
+        }
+        for (id, outcome) in outcomes.iter().filter(|(_, outcome)| !outcome.disconnected) {
+            let attempts = attempts.get(id.as_str()).map_or(&[][..], Vec::as_slice);
+            assert_answered(id, outcome, attempts);
         }
-        // A drain or end that was told.
-        for (server, from, to) in closed {
-            let late = asked
-                .iter()
-                .filter(|one| one.server == server && one.at > from + STOP && one.at < to);
-            let late: Vec<_> = late
-                .map(|one| (&one.id, one.at - from, to - one.at))
-                .collect();
-            assert!(
-                late.is_empty(),
-                "{late:?} reached s-{server} long after its end was told"
-            );
+        for period in &exclusions {
+            assert_excluded(period, &received);
         }
     });
 }
