--- a/crates/cli/tests/relay.rs
+++ b/crates/cli/tests/relay.rs
@@ -1,313 +1,12 @@
 //! A relay between stand-ins for discovery and callers, some of them real nodes, over loopback sockets.
 
 mod node_common;
+mod relay_common;
 
 use node_common::*;
-use serde_json::{json, Value};
-use std::collections::BTreeMap;
-use std::io::{BufRead, BufReader, Write};
-use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
-use std::process::{Child, Command, Stdio};
-use std::sync::{Arc, Condvar, Mutex, MutexGuard};
-use std::thread;
-use std::time::{Duration, Instant};
-
-/// Long enough that it runs out in no test that does not wait for it.
-const LONG_LEASE: &str = "60000";
-const SHORT_LEASE: &str = "1500";
-const FIRST_VERSION: u64 = 50;
-
-/// What a source does with calls.
-#[derive(Clone, Copy, PartialEq)]
-enum Mode {
-    Serves,
-    /// Calls are read and never answered, as where a cut is between.
-    Silent,
-    /// Calls for the whole list are never answered.
-    SilentOnWhole,
-    /// Connections are reset, as where the process is dead.
-    Dead,
-}
-
-struct Lists {
-    mode: Mode,
-    version: u64,
-    servers: BTreeMap<String, Value>,
-    /// By the version that has them, since the last start.
-    changes: Vec<(u64, Value)>,
-    open: Vec<TcpStream>,
-    asked: Vec<String>,
-}
-
-/// Discovery with versions, deltas, waits and faults. It answers a version that it does not know by a delta of its own.
-#[derive(Clone)]
-struct Source {
-    address: SocketAddr,
-    lists: Arc<(Mutex<Lists>, Condvar)>,
-}
-
-impl Source {
-    fn start(mode: Mode, hosts: &[Value]) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let address = listener.local_addr().unwrap();
-        let (open, asked, changes) = (Vec::new(), Vec::new(), Vec::new());
-        let lists = Lists {
-            mode,
-            version: FIRST_VERSION,
-            servers: by_name(hosts),
-            changes,
-            open,
-            asked,
-        };
-        let source = Self {
-            address,
-            lists: Arc::new((Mutex::new(lists), Condvar::new())),
-        };
-        let accepting = source.clone();
-        thread::spawn(move || {
-            for stream in listener.incoming().map_while(Result::ok) {
-                let source = accepting.clone();
-                source.lock().open.push(stream.try_clone().unwrap());
-                thread::spawn(move || source.serve(stream));
-            }
-        });
-        source
-    }
-
-    fn lock(&self) -> MutexGuard<'_, Lists> {
-        self.lists.0.lock().unwrap()
-    }
-
-    fn serve(&self, mut stream: TcpStream) {
-        let mut reader = BufReader::new(stream.try_clone().unwrap());
-        while let Ok(Some(message)) = Message::read(&mut reader) {
-            let path = message.start.split(' ').nth(1).unwrap().to_owned();
-            let Some(body) = self.answer(&path) else {
-                break;
-            };
-            if stream
-                .write_all(answer("200 OK", "", &body.to_string()).as_bytes())
-                .is_err()
-            {
-                break;
-            }
-        }
-        let _ = stream.shutdown(Shutdown::Both);
-    }
-
-    fn answer(&self, path: &str) -> Option<Value> {
-        let figure = |name: &str| {
-            let (_, rest) = path.split_once(&format!("{name}="))?;
-            rest.split('&').next()?.parse::<u64>().ok()
-        };
-        let after = figure("after");
-        let ends = Instant::now() + Duration::from_millis(figure("wait_ms").unwrap_or(0));
-        let mut lists = self.lock();
-        lists.asked.push(path.to_owned());
-        loop {
-            let left = ends.saturating_duration_since(Instant::now());
-            match lists.mode {
-                Mode::Dead => return None,
-                Mode::Silent => lists = self.lists.1.wait(lists).unwrap(),
-                Mode::SilentOnWhole if after.is_none() => lists = self.lists.1.wait(lists).unwrap(),
-                _ if after == Some(lists.version) && !left.is_zero() => {
-                    lists = self.lists.1.wait_timeout(lists, left).unwrap().0;
-                }
-                _ => return Some(lists.told(after)),
-            }
-        }
-    }
-
-    fn set(&self, mode: Mode) {
-        let mut lists = self.lock();
-        lists.mode = mode;
-        if mode == Mode::Dead {
-            for stream in lists.open.drain(..) {
-                let _ = stream.shutdown(Shutdown::Both);
-            }
-        }
-        self.lists.1.notify_all();
-    }
-
-    /// Changes an entry, in the next version.
-    fn publish(&self, host: Value) {
-        let mut lists = self.lock();
-        lists.version += 1;
-        let change = (lists.version, host.clone());
-        lists.changes.push(change);
-        let name = host["host"].as_str().unwrap().to_owned();
-        match host["health"] == "gone" {
-            true => lists.servers.remove(&name),
-            false => lists.servers.insert(name, host),
-        };
-        self.lists.1.notify_all();
-    }
-
-    /// Starts anew, with another version and other servers.
-    fn restart(&self, version: u64, hosts: &[Value]) {
-        let mut lists = self.lock();
-        (lists.version, lists.servers) = (version, by_name(hosts));
-        lists.changes.clear();
-        self.lists.1.notify_all();
-    }
-
-    fn asked(&self, text: &str) -> usize {
-        self.lock()
-            .asked
-            .iter()
-            .filter(|path| path.contains(text))
-            .count()
-    }
-}
-
-impl Lists {
-    fn told(&self, after: Option<u64>) -> Value {
-        let hosts: Vec<_> = match after {
-            None => self.servers.values().cloned().collect(),
-            Some(after) => self
-                .changes
-                .iter()
-                .filter(|(version, _)| *version > after)
-                .map(|(_, host)| host.clone())
-                .collect(),
-        };
-        json!({"seq": self.version, "whole": after.is_none(), "hosts": hosts})
-    }
-}
-
-fn by_name(hosts: &[Value]) -> BTreeMap<String, Value> {
-    hosts
-        .iter()
-        .map(|host| (host["host"].as_str().unwrap().to_owned(), host.clone()))
-        .collect()
-}
-
-fn entry(name: &str, health: &str) -> Value {
-    endpoint_entry(name, SocketAddr::from(([127, 0, 0, 1], 9)), health)
-}
-
-fn two() -> [Value; 2] {
-    [entry("s-1", "ready"), entry("s-2", "ready")]
-}
-
-/// A running relay; it is killed with the test.
-struct Relay {
-    address: SocketAddr,
-    child: Child,
-}
-
-impl Relay {
-    fn start(upstream: &[SocketAddr], more: &[&str]) -> Self {
-        Self::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), upstream, more)
-    }
-
-    fn start_at(listen: SocketAddr, upstream: &[SocketAddr], more: &[&str]) -> Self {
-        let mut command = command();
-        command.args(["relay", "--listen", &listen.to_string(), "--upstream"]);
-        Self::spawn(
-            command
-                .args(upstream.iter().map(SocketAddr::to_string))
-                .args(more),
-        )
-    }
-
-    fn spawn(command: &mut Command) -> Self {
-        let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-        let mut log = BufReader::new(child.stderr.take().unwrap());
-        let mut line = String::new();
-        log.read_line(&mut line).unwrap();
-        let address = line.trim_end().rsplit(' ').next().unwrap().parse();
-        let address = address.unwrap_or_else(|_| panic!("the relay's first line: {line}"));
-        // The rest of its log must not fill the pipe.
-        thread::spawn(move || log.lines().map_while(Result::ok).for_each(drop));
-        Self { address, child }
-    }
-
-    /// Starts one and waits until it has a list.
-    fn ready(upstream: &[SocketAddr], more: &[&str]) -> Self {
-        let relay = Self::start(upstream, more);
-        relay.until_answering();
-        relay
-    }
-
-    fn until_answering(&self) {
-        wait_for("the relay's list", || self.get("/healthz").status() == 200);
-    }
-
-    fn client(&self) -> Client {
-        let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-        Client::on(stream)
-    }
-
-    fn get(&self, path: &str) -> Message {
-        self.client().request(&request(path))
-    }
-
-    fn list(&self, path: &str) -> Value {
-        let message = self.get(path);
-        assert_eq!(message.status(), 200, "{path}: {}", text(&message));
-        body(&message)
-    }
-
-    fn status(&self) -> Value {
-        body(&self.get("/v1/relay"))
-    }
-
-    /// A caller that waits for something newer than a version, once the relay has it waiting.
-    fn watching(&self, after: u64) -> Client {
-        let waiting = || self.status()["waiting"].as_u64().unwrap();
-        let before = waiting();
-        let mut client = self.client();
-        client.send(&request(&format!(
-            "/v1/servers?after={after}&wait_ms=60000"
-        )));
-        wait_for("a caller that waits", || waiting() > before);
-        client
-    }
-}
-
-impl Drop for Relay {
-    fn drop(&mut self) {
-        // It may have exited by itself.
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
-}
-
-fn request(path: &str) -> String {
-    format!("GET {path} HTTP/1.1\r\nHost: relay\r\n\r\n")
-}
-
-fn body(message: &Message) -> Value {
-    serde_json::from_slice(&message.body).unwrap()
-}
-
-fn text(message: &Message) -> &str {
-    std::str::from_utf8(&message.body).unwrap()
-}
-
-fn health(list: &Value) -> Vec<(&str, &str)> {
-    let hosts = list["hosts"].as_array().unwrap().iter();
-    hosts
-        .map(|host| {
-            (
-                host["host"].as_str().unwrap(),
-                host["health"].as_str().unwrap(),
-            )
-        })
-        .collect()
-}
-
-fn fails(relay: &Relay, path: &str, why: &str) {
-    let message = relay.get(path);
-    assert!(
-        message.status() == 503 && text(&message).contains(why),
-        "{}: {}",
-        message.status(),
-        text(&message)
-    );
-}
+use relay_common::*;
+use serde_json::json;
+use std::process::Command;
 
 // Guards against answers that differ from discovery's, and against watchers that are left out of a change.
 #[test]
@@ -349,7 +48,7 @@
 
 // Guards against requests that are guessed at.
 #[test]
-fn requests_that_make_no_sense_are_refused_in_a_sentence() {
+fn invalid_calls_are_rejected_with_a_sentence() {
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &[]);
     let refused = |request: &str, status: u16, why: &str| {
@@ -457,7 +156,7 @@
 
 // Guards against an old list that is told as if it were new, and against a relay that does not come back.
 #[test]
-fn when_upstream_dies_callers_are_failed_after_the_lease_until_it_is_back() {
+fn callers_are_failed_after_the_lease_until_upstream_is_back() {
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &["--lease-ms", SHORT_LEASE]);
     let mut waiting = relay.watching(50);
@@ -482,7 +181,7 @@
 
 // Guards against a relay that waits for ever on an upstream that a cut keeps silent.
 #[test]
-fn when_upstream_falls_silent_the_next_one_is_asked() {
+fn when_upstream_stops_answering_the_next_one_is_called() {
     let hosts = two();
     let (first, second) = (
         Source::start(Mode::Serves, &hosts),
@@ -511,7 +210,7 @@
 
 // Guards against a relay that answers with an empty list, or by an earlier life's, before it has one.
 #[test]
-fn a_relay_that_starts_with_nothing_answers_nobody_until_it_has_a_list() {
+fn a_relay_answers_no_caller_before_its_first_list() {
     let source = Source::start(Mode::Silent, &two());
     let relay = Relay::start(&[source.address], &["--lease-ms", LONG_LEASE]);
     wait_for("its call", || source.asked("/v1/servers") > 0);
@@ -529,7 +228,7 @@
 
 // Guards against an older list for a caller that was at a source that is ahead of this relay.
 #[test]
-fn a_relay_that_lags_answers_a_newer_caller_only_once_upstream_has() {
+fn a_relay_behind_its_caller_answers_once_upstream_has_caught_up() {
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &["--lease-ms", LONG_LEASE]);
     wait_for("its watch", || source.asked("after=50&") == 1);
@@ -557,7 +256,7 @@
 
 // Guards against servers that are back by an old delta, and against callers that stay at versions of before.
 #[test]
-fn when_upstream_tells_something_old_callers_hear_nothing_until_the_whole_list_has_come() {
+fn after_an_older_version_from_upstream_callers_wait_for_the_snapshot() {
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &["--lease-ms", LONG_LEASE]);
     let mut waiting = relay.watching(50);
@@ -590,7 +289,7 @@
 
 // Guards against callers without bound, each of which takes a descriptor and an answer's memory.
 #[test]
-fn callers_past_the_bound_are_refused_and_a_place_that_is_free_is_given_again() {
+fn callers_over_the_bound_are_rejected_and_a_released_connection_is_available_again() {
     let source = Source::start(Mode::Serves, &two());
     let relay = Relay::ready(&[source.address], &["--callers", "3"]);
     // The connections that asked for its health may still be open there.
@@ -622,7 +321,7 @@
 
 // Guards against callers that are cut off without a word when a relay is stopped.
 #[test]
-fn on_sigterm_callers_that_wait_are_failed_and_the_relay_ends() {
+fn on_sigterm_waiting_callers_are_failed_and_the_relay_exits() {
     let source = Source::start(Mode::Serves, &two());
     let mut relay = Relay::ready(&[source.address], &["--lease-ms", LONG_LEASE]);
     let mut waiting = relay.watching(50);
@@ -643,7 +342,7 @@
 
 // Guards against a node that stops serving without its relay, and against one that never finds the next one.
 #[test]
-fn a_node_whose_relay_dies_serves_on_and_follows_the_next_one() {
+fn a_node_whose_relay_dies_keeps_serving_and_follows_the_next_relay() {
     let servers = [CacheServer::serving("one"), CacheServer::serving("two")];
     let hosts = [
         servers[0].entry("s-1", "ready"),
@@ -678,7 +377,7 @@
 // drain when its next watch has come to its relay; that is waited for, and no tier's lease or wait is in it: these are longer
 // than any wait of the test.
 #[test]
-fn a_drain_goes_through_two_tiers_to_a_real_node_at_once() {
+fn a_drain_reaches_a_real_node_through_two_relay_tiers_at_once() {
     let servers = [CacheServer::serving("one"), CacheServer::serving("two")];
     let hosts = [
         servers[0].entry("s-1", "ready"),
