--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -60,7 +60,7 @@
             upstream,
             listen,
             lease_ms,
-            callers,
+            max_connections: callers,
         };
         settings.validate()?;
         Ok(settings)
--- a/crates/config/src/relay.rs
+++ b/crates/config/src/relay.rs
@@ -16,7 +16,7 @@
 /// Sources that are tried in turn, at most.
 const MAX_UPSTREAMS: usize = 16;
 /// The largest limit on callers' connections that may be set.
-const MAX_CALLERS: usize = 1_000_000;
+const MAX_CONNECTIONS: usize = 1_000_000;
 
 /// Why a relay cannot start with its settings.
 #[derive(Debug, Error)]
@@ -31,8 +31,8 @@
     #[error("lease_ms is {0}: a number from {start} to {end} is wanted", start = LEASE_MS_RANGE.start(), end = LEASE_MS_RANGE.end())]
     Lease(u64),
     /// The limit on callers' connections is out of its range.
-    #[error("callers is {0}: a number from 1 to {MAX_CALLERS} is wanted")]
-    Callers(usize),
+    #[error("callers is {0}: a number from 1 to {MAX_CONNECTIONS} is wanted")]
+    Connections(usize),
 }
 
 /// A relay's settings.
@@ -47,7 +47,8 @@
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
     /// Connections of callers, at most; what the limit on descriptors allows where nothing is said.
-    pub callers: Option<usize>,
+    #[serde(rename = "callers")]
+    pub max_connections: Option<usize>,
 }
 
 fn default_lease_ms() -> u64 {
@@ -71,9 +72,9 @@
         if !LEASE_MS_RANGE.contains(&self.lease_ms) {
             return Err(RelayConfigError::Lease(self.lease_ms));
         }
-        match self.callers {
-            Some(callers) if !(1..=MAX_CALLERS).contains(&callers) => {
-                Err(RelayConfigError::Callers(callers))
+        match self.max_connections {
+            Some(connections) if !(1..=MAX_CONNECTIONS).contains(&connections) => {
+                Err(RelayConfigError::Connections(connections))
             }
             _ => Ok(()),
         }
--- a/crates/config/tests/formats.rs
+++ b/crates/config/tests/formats.rs
@@ -274,7 +274,7 @@
     let upstream = "upstream = [\"127.0.0.1:8\"]\n";
     let settings = load(&format!("{upstream}{listen}")).unwrap();
     assert_eq!(
-        (settings.lease(), settings.callers),
+        (settings.lease(), settings.max_connections),
         (Duration::from_secs(10), None)
     );
     for (rest, sentence) in [
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -76,7 +76,7 @@
     // Before anything else: a signal without a handler ends the process.
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let max_connections = max_connections(settings.callers)?;
+    let max_connections = max_connections(settings.max_connections)?;
     let listener = TcpListener::bind(settings.listen)
         .await
         .map_err(|error| RelayError::Listen(settings.listen, error))?;
