--- a/crates/config/src/relay.rs
+++ b/crates/config/src/relay.rs
@@ -1,4 +1,4 @@
-//! The settings of a relay of the endpoint list: a TOML file, or the same as arguments.
+//! Settings of a relay of the endpoint list, from a TOML file or from arguments.
 
 use crate::toml_file::{self, SettingsError};
 use serde::Deserialize;
@@ -8,14 +8,15 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Milliseconds that a relay answers for after it last heard from upstream, where nothing else is said. A third of it is the wait
-/// of a watch, so that a relay calls upstream once in 3.3 s where nothing changes.
+/// Default length of a relay's lease, in milliseconds. A watch waits a third of it, so that a relay calls upstream every 3.3 s
+/// while nothing changes.
 pub const DEFAULT_LEASE_MS: u64 = 10_000;
-/// Below this a lease would run out between two calls; above it nobody would notice that upstream is gone.
+/// Lengths of a lease that are accepted, in milliseconds. A shorter one would expire between two calls to upstream; with a longer
+/// one the loss of upstream would go unnoticed.
 const LEASE_MS_RANGE: RangeInclusive<u64> = 300..=3_600_000;
-/// Sources that are tried in turn, at most.
+/// Most upstreams of one relay.
 const MAX_UPSTREAMS: usize = 16;
-/// The largest limit on callers' connections that may be set.
+/// The largest bound on downstream connections that may be set.
 const MAX_CONNECTIONS: usize = 1_000_000;
 
 /// Why a relay cannot start with its settings.
@@ -24,13 +25,13 @@
     /// The file cannot be read, or is not of the expected form.
     #[error(transparent)]
     File(#[from] SettingsError),
-    /// The number of upstreams is out of its range.
+    /// The number of upstreams is not from 1 to the most that is allowed.
     #[error("a relay needs 1 to {MAX_UPSTREAMS} upstreams, and {0} are named")]
     Upstreams(usize),
-    /// The lease is out of its range.
+    /// The lease, in milliseconds, is out of its range.
     #[error("lease_ms is {0}: a number from {start} to {end} is wanted", start = LEASE_MS_RANGE.start(), end = LEASE_MS_RANGE.end())]
     Lease(u64),
-    /// The limit on callers' connections is out of its range.
+    /// The bound on downstream connections, key `callers`, is out of its range.
     #[error("callers is {0}: a number from 1 to {MAX_CONNECTIONS} is wanted")]
     Connections(usize),
 }
@@ -39,14 +40,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
-    /// Discovery, or other relays; the next one is tried when one fails.
+    /// Discovery or other relays, in the order in which they are tried when one fails; from 1 to 16.
     pub upstream: Vec<SocketAddr>,
-    /// Where callers are answered.
+    /// Address on which nodes and further relays are answered.
     pub listen: SocketAddr,
-    /// Callers are refused once nothing was heard from upstream for so many milliseconds.
+    /// Length of the lease in milliseconds: once it has passed without an answer from upstream, calls are rejected.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// Connections of callers, at most; what the limit on descriptors allows where nothing is said.
+    /// Most downstream connections at once; `None` stands for what the process's limit on descriptors allows. Key `callers`.
     #[serde(rename = "callers")]
     pub max_connections: Option<usize>,
 }
@@ -56,7 +57,11 @@
 }
 
 impl RelaySettings {
-    /// Reads them from a file and validates them.
+    /// Reads and validates the settings in a TOML file.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be read, is not of the expected form, or has a value out of its range.
     pub fn load(path: &Path) -> Result<Self, RelayConfigError> {
         let text = toml_file::read(path)?;
         let settings: Self = toml_file::parse(path, &text)?;
@@ -64,7 +69,11 @@
         Ok(settings)
     }
 
-    /// Fails where a value is out of its range.
+    /// Checks the values against their ranges.
+    ///
+    /// # Errors
+    ///
+    /// If a value is out of its range.
     pub fn validate(&self) -> Result<(), RelayConfigError> {
         if !(1..=MAX_UPSTREAMS).contains(&self.upstream.len()) {
             return Err(RelayConfigError::Upstreams(self.upstream.len()));
@@ -80,7 +89,7 @@
         }
     }
 
-    /// Callers are answered for so long after the relay last heard from upstream.
+    /// How long calls are answered after the last answer from upstream.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
