--- /dev/null
+++ b/crates/cli/tests/relay/settings.rs
@@ -0,0 +1,62 @@
+//! A relay's settings, from a file and from arguments.
+
+use crate::node_common::{command, write_config};
+use crate::relay_process::RelayProcess;
+use crate::versioned_discovery::{two_ready_entries, Fault, VersionedDiscovery};
+
+// Guards against settings of a file that are not read or are misread silently, and against a start on invalid ones.
+#[test]
+fn settings_are_read_from_a_file_and_invalid_ones_fail_the_start() {
+    let (down, discovery) = (
+        VersionedDiscovery::start(Fault::Down, &two_ready_entries()),
+        VersionedDiscovery::start(Fault::None, &two_ready_entries()),
+    );
+    let upstream = [down.address, discovery.address].map(|address| address.to_string());
+    let file = |last_line: &str| {
+        write_config(&format!(
+            "upstream = {upstream:?}\nlisten = \"127.0.0.1:0\"\ncallers = 7\n{last_line}"
+        ))
+    };
+    let (valid, misspelt) = (file("lease_ms = 700"), file("leese_ms = 700"));
+    let relay = RelayProcess::spawn(command().args(["relay", "--config"]).arg(&valid));
+    relay.wait_until_healthy();
+    assert_eq!(relay.status()["most_open"], 7);
+    assert!(relay.status()["lease_left_ms"].as_u64() <= Some(700));
+    let output = command()
+        .args(["relay", "--config"])
+        .arg(&misspelt)
+        .output()
+        .unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
+    assert!(
+        stderr.contains("line 4: unknown field `leese_ms`"),
+        "{stderr}"
+    );
+    [valid, misspelt]
+        .iter()
+        .for_each(|path| std::fs::remove_file(path).unwrap());
+    assert_invalid_arguments_fail_the_start();
+}
+
+fn assert_invalid_arguments_fail_the_start() {
+    let complete = ["--upstream", "127.0.0.1:1", "--listen", "127.0.0.1:0"];
+    let with =
+        |argument: &'static str, value: &'static str| [&complete[..], &[argument, value]].concat();
+    for (arguments, reason) in [
+        (vec!["--listen", "127.0.0.1:0"], "--upstream"),
+        (with("--lease-ms", "9"), "lease_ms is 9"),
+        (with("--callers", "0"), "callers is 0"),
+        (with("--callers", "999999"), "descriptors leaves no room"),
+        (
+            vec!["--config", "/nowhere/relay.toml"],
+            "cannot read /nowhere/relay.toml",
+        ),
+    ] {
+        let output = command().arg("relay").args(&arguments).output().unwrap();
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert!(
+            !output.status.success() && stderr.contains(reason),
+            "{arguments:?}: {stderr}"
+        );
+    }
+}
--- a/crates/node/src/relay/tests.rs
+++ b/crates/node/src/relay/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of a relay's parts that need no sockets. Those with sockets stand in `crates/cli/tests/relay.rs`.
+//! Tests of a relay's parts that need no sockets. Those with sockets stand in `crates/cli/tests/relay`.
 
 use super::backoff::{after_failed_rounds, after_rejections};
 use super::RelayStatus;
