--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -6,14 +6,14 @@
 
 /// Two servers and a key of the first of them.
 fn pair() -> (Node, EndpointId) {
-    let mut node = Node::with_servers(settings(), 2);
-    let own = node.call(7, Status::Ok).expect("served");
+    let mut node = Node::with_endpoints(settings(), 2);
+    let own = node.read(7, Status::Ok).expect("served");
     (node, own)
 }
 
 fn trip(node: &mut Node, own: &EndpointId) {
     for _ in 0..20 {
-        if node.call(7, Status::Failed).as_ref() != Some(own) {
+        if node.read(7, Status::Failed).as_ref() != Some(own) {
             return;
         }
     }
@@ -21,88 +21,88 @@
 }
 
 #[test]
-fn two_failures_are_too_few_to_trip() {
-    let mut node = Node::with_servers(settings(), 2);
-    let own = node.call(7, Status::Failed).expect("sent");
-    assert_eq!(node.call(7, Status::Failed), Some(own.clone()));
+fn two_failures_are_too_few_to_open_a_breaker() {
+    let mut node = Node::with_endpoints(settings(), 2);
+    let own = node.read(7, Status::Failed).expect("sent");
+    assert_eq!(node.read(7, Status::Failed), Some(own.clone()));
     assert_eq!(
-        node.call(7, Status::Failed),
+        node.read(7, Status::Failed),
         Some(own.clone()),
         "the third call still goes there"
     );
     assert_ne!(
-        node.call(7, Status::Ok),
+        node.read(7, Status::Ok),
         Some(own),
         "three failures of three trip"
     );
 }
 
 #[test]
-fn a_rate_under_the_threshold_does_not_trip() {
+fn a_failure_rate_under_the_threshold_opens_no_breaker() {
     let (mut node, own) = pair();
     for _ in 0..10 {
         // Failures stay at half of the calls.
-        assert_eq!(node.call(7, Status::Failed), Some(own.clone()));
-        assert_eq!(node.call(7, Status::Ok), Some(own.clone()));
+        assert_eq!(node.read(7, Status::Failed), Some(own.clone()));
+        assert_eq!(node.read(7, Status::Ok), Some(own.clone()));
     }
 }
 
 #[test]
-fn the_end_of_a_window_forgets_its_failures() {
+fn failures_of_an_earlier_window_do_not_count() {
     let (mut node, own) = pair();
-    node.call(7, Status::Failed);
-    node.pass(ms(5_000));
+    node.read(7, Status::Failed);
+    node.advance(ms(5_000));
     // With the calls of the last window this failure would trip at 2 of 3.
-    assert_eq!(node.call(7, Status::Failed), Some(own.clone()));
-    assert_eq!(node.call(7, Status::Ok), Some(own));
+    assert_eq!(node.read(7, Status::Failed), Some(own.clone()));
+    assert_eq!(node.read(7, Status::Ok), Some(own));
 }
 
 #[test]
 fn an_open_breaker_blocks_until_its_cooldown_ends_and_three_trials_close_it() {
     let (mut node, own) = pair();
     trip(&mut node, &own);
-    assert_ne!(node.call(7, Status::Ok), Some(own.clone()));
-    node.pass(ms(5_990));
+    assert_ne!(node.read(7, Status::Ok), Some(own.clone()));
+    node.advance(ms(5_990));
     assert_ne!(
-        node.call(7, Status::Ok),
+        node.read(7, Status::Ok),
         Some(own.clone()),
         "just before the end of the cooldown"
     );
-    node.pass(ms(10));
+    node.advance(ms(10));
     for _ in 0..4 {
-        assert_eq!(node.call(7, Status::Ok), Some(own.clone()));
+        assert_eq!(node.read(7, Status::Ok), Some(own.clone()));
     }
 }
 
 #[test]
-fn half_open_admits_three_trials_at_once_and_one_failure_reopens() {
+fn a_half_open_breaker_admits_three_trials_and_opens_again_when_one_fails() {
     let (mut node, own) = pair();
     trip(&mut node, &own);
-    node.pass(ms(6_000));
+    node.advance(ms(6_000));
     let ids: Vec<RequestId> = (0..4).map(|_| node.request(0, 7, ms(400))).collect();
     let at_own = ids
         .iter()
-        .filter(|id| node.out(id).expect("sent").1 == own)
+        .filter(|id| node.in_flight(id).expect("sent").1 == own)
         .count();
     assert_eq!(at_own, 3, "the fourth goes elsewhere");
-    node.answer(&ids[0], Status::Failed);
-    assert_ne!(node.call(7, Status::Ok), Some(own.clone()), "reopened");
+    node.end_attempt_in_flight(&ids[0], Status::Failed);
+    assert_ne!(node.read(7, Status::Ok), Some(own.clone()), "reopened");
     // Late successes of the trials say nothing of the reopened breaker.
-    node.answer(&ids[1], Status::Ok);
-    node.answer(&ids[2], Status::Ok);
-    assert_ne!(node.call(7, Status::Ok), Some(own));
+    node.end_attempt_in_flight(&ids[1], Status::Ok);
+    node.end_attempt_in_flight(&ids[2], Status::Ok);
+    assert_ne!(node.read(7, Status::Ok), Some(own));
 }
 
 #[test]
-fn a_trial_that_told_nothing_gives_its_place_back() {
+fn an_inconclusive_trial_may_be_made_again() {
     let (mut node, own) = pair();
     trip(&mut node, &own);
-    node.pass(ms(6_000));
+    node.advance(ms(6_000));
     let ids: Vec<RequestId> = (0..3).map(|_| node.request(0, 7, ms(400))).collect();
     for id in &ids {
-        node.answer(id, Status::Canceled);
+        node.end_attempt_in_flight(id, Status::Canceled);
     }
-    assert_eq!(node.call(7, Status::Ok), Some(own));
+    assert_eq!(node.read(7, Status::Ok), Some(own));
 }
 
 #[test]
@@ -110,36 +110,36 @@
     let (mut node, own) = pair();
     let late = node.request(0, 7, ms(30_000));
     trip(&mut node, &own);
-    node.pass(ms(6_000));
+    node.advance(ms(6_000));
     for _ in 0..3 {
-        node.call(7, Status::Ok);
+        node.read(7, Status::Ok);
     }
     // Sent while closed, before the trip: one more failure must not count against the closed breaker.
-    node.answer(&late, Status::Failed);
-    node.call(7, Status::Failed);
-    node.call(7, Status::Failed);
-    assert_eq!(node.call(7, Status::Ok), Some(own));
+    node.end_attempt_in_flight(&late, Status::Failed);
+    node.read(7, Status::Failed);
+    node.read(7, Status::Failed);
+    assert_eq!(node.read(7, Status::Ok), Some(own));
 }
 
 #[test]
-fn a_restarted_server_starts_with_a_fresh_breaker() {
+fn a_restarted_endpoint_has_a_closed_breaker() {
     let (mut node, own) = pair();
     trip(&mut node, &own);
     let long_ago = Timestamp::from_micros(node.now.as_micros() - 60_000_000);
-    node.changes(vec![Endpoint {
+    node.list_delta(vec![Endpoint {
         started: Some(long_ago),
         ..Endpoint::new(own.as_str())
     }]);
-    assert_eq!(node.call(7, Status::Ok), Some(own));
+    assert_eq!(node.read(7, Status::Ok), Some(own));
 }
 
 #[test]
-fn every_server_blocked_sends_to_the_keys_own() {
-    let mut node = Node::with_servers(settings(), 1);
-    let own = node.call(7, Status::Ok).expect("served");
+fn with_every_endpoint_blocked_the_first_one_of_the_key_is_used() {
+    let mut node = Node::with_endpoints(settings(), 1);
+    let own = node.read(7, Status::Ok).expect("served");
     for _ in 0..30 {
         assert_eq!(
-            node.call(7, Status::ConnectError),
+            node.read(7, Status::ConnectError),
             Some(own.clone()),
             "blocked or not, it is all there is"
         );
@@ -147,17 +147,17 @@
 }
 
 #[test]
-fn most_of_the_fleet_stays_in_however_many_fail() {
+fn most_endpoints_stay_in_use_however_many_fail() {
     // The danger: a cause in common opens every breaker, and the keys pile up on the last server.
-    let mut node = Node::with_servers(settings(), 10);
+    let mut node = Node::with_endpoints(settings(), 10);
     for key in 0..400 {
-        node.call(key, Status::Failed);
-        node.pass(ms(5));
+        node.read(key, Status::Failed);
+        node.advance(ms(5));
     }
     let mut met = std::collections::BTreeSet::new();
     for key in 0..400 {
-        met.extend(node.call(key, Status::Ok));
-        node.pass(ms(1));
+        met.extend(node.read(key, Status::Ok));
+        node.advance(ms(1));
     }
     assert!(
         met.len() >= 6,
@@ -168,13 +168,13 @@
 
 /// One server that fails while the others do well is the fault of that server; a breaker trips for it only.
 #[test]
-fn a_server_that_fails_like_all_the_others_is_not_ejected() {
+fn an_endpoint_that_fails_like_all_others_is_no_outlier() {
     let trips = |others: Status| {
-        let mut node = Node::with_servers(settings(), 10);
+        let mut node = Node::with_endpoints(settings(), 10);
         for key in 0..60 {
             let id = node.request(0, key, ms(400));
-            let (_, server) = node.out(&id).expect("sent");
-            node.answer(
+            let (_, server) = node.in_flight(&id).expect("sent");
+            node.end_attempt_in_flight(
                 &id,
                 if server.as_str() == "a" {
                     Status::Failed
@@ -182,13 +182,13 @@
                     others
                 },
             );
-            if node.out(&id).is_some() {
-                node.answer(&id, Status::Ok);
+            if node.in_flight(&id).is_some() {
+                node.end_attempt_in_flight(&id, Status::Ok);
             }
-            node.pass(ms(5));
+            node.advance(ms(5));
         }
         let tripped = |action: &&Action| matches!(action, Action::BreakerOpened(scope) if scope.to_string().contains(" a tripped"));
-        node.trace.iter().filter(tripped).count()
+        node.actions.iter().filter(tripped).count()
     };
     assert_eq!(trips(Status::Ok), 1);
     assert_eq!(trips(Status::Failed), 0);
@@ -197,25 +197,25 @@
 /// Fetches that fail at every server are the origin's failure. Its breaker keeps misses and writes off it until it
 /// has worked its queue down; what servers are known to hold is served meanwhile, and no server is ejected.
 #[test]
-fn failed_fetches_trip_the_origins_breaker_and_no_servers() {
-    let mut node = Node::with_servers(settings(), 4);
+fn failed_fetches_open_the_breaker_of_the_origin_and_of_no_endpoint() {
+    let mut node = Node::with_endpoints(settings(), 4);
     let read = |node: &mut Node, key, status, cache_result| {
         let id = node.request(0, key, ms(400));
-        while let Some((attempt, _)) = node.out(&id) {
-            node.end_attempt_noted(&id, attempt, status, Some(cache_result));
+        while let Some((attempt, _)) = node.in_flight(&id) {
+            node.end_attempt_with(&id, attempt, status, Some(cache_result));
         }
-        !node.requests[&id].sent.is_empty()
+        !node.requests[&id].attempts.is_empty()
     };
     for key in 0..8 {
         assert!(read(&mut node, key, Status::Ok, CacheResult::Hit));
     }
     for key in 100..108 {
         read(&mut node, key, Status::Failed, CacheResult::Miss);
-        node.pass(ms(10));
+        node.advance(ms(10));
     }
     let tripped = |node: &Node, of: &str| {
         let line = |action: &&Action| matches!(action, Action::BreakerOpened(scope) if scope.to_string().contains(of));
-        node.trace.iter().filter(line).count()
+        node.actions.iter().filter(line).count()
     };
     assert_eq!(
         (tripped(&node, "origin tripped"), tripped(&node, "tripped")),
@@ -235,8 +235,8 @@
         ..Request::new("w", node.now + ms(400))
     };
     let write = node.submit(write);
-    assert!(node.requests[&write].ended, "a write is refused");
-    node.pass(ms(9_000));
+    assert!(node.requests[&write].answered, "a write is refused");
+    node.advance(ms(9_000));
     for key in 300..303 {
         assert!(
             read(&mut node, key, Status::Ok, CacheResult::Miss),
@@ -251,50 +251,50 @@
 
 /// A half-open trial of the origin that times out tells nothing of it and gives its place back.
 #[test]
-fn a_lost_trial_of_the_origin_does_not_block_it_for_good() {
-    let mut node = Node::with_servers(settings(), 4);
+fn a_trial_of_the_origin_that_times_out_may_be_made_again() {
+    let mut node = Node::with_endpoints(settings(), 4);
     for key in 100..108 {
         let id = node.request(0, key, ms(400));
-        while let Some((attempt, _)) = node.out(&id) {
-            node.end_attempt_noted(&id, attempt, Status::Failed, Some(CacheResult::Miss));
+        while let Some((attempt, _)) = node.in_flight(&id) {
+            node.end_attempt_with(&id, attempt, Status::Failed, Some(CacheResult::Miss));
         }
     }
-    node.pass(ms(9_000));
+    node.advance(ms(9_000));
     for key in 0..9 {
         node.request(0, key, ms(400));
-        node.pass(ms(1_000));
+        node.advance(ms(1_000));
     }
     let id = node.request(0, 77, ms(400));
-    assert!(node.out(&id).is_some());
+    assert!(node.in_flight(&id).is_some());
 }
 
 #[test]
-fn a_busy_servers_first_calls_of_a_window_are_too_few_to_trip() {
+fn the_first_calls_of_a_window_are_too_few_to_open_the_breaker_of_a_busy_endpoint() {
     // The danger: with one call in eight broken, two of a window's first three are so every few windows, and the
     // server's keys are missed elsewhere for a whole cooldown.
     let (mut node, own) = pair();
     for _ in 0..100 {
-        assert_eq!(node.call(7, Status::Ok), Some(own.clone()));
+        assert_eq!(node.read(7, Status::Ok), Some(own.clone()));
     }
-    node.pass(ms(5_000));
+    node.advance(ms(5_000));
     for _ in 0..9 {
-        assert_eq!(node.call(7, Status::Reset), Some(own.clone()));
+        assert_eq!(node.read(7, Status::Reset), Some(own.clone()));
     }
-    node.call(7, Status::Reset);
+    node.read(7, Status::Reset);
     assert_ne!(
-        node.call(7, Status::Ok),
+        node.read(7, Status::Ok),
         Some(own),
         "a tenth of the usual calls is enough"
     );
 }
 
 #[test]
-fn a_server_that_is_busy_with_others_is_limited_and_not_blocked() {
+fn an_endpoint_that_rejects_for_load_is_limited_and_not_blocked() {
     // The danger: a few requests meet at a small queue, the breaker takes the whole server away for a cooldown, and
     // its load trips the next one's.
     let (mut node, own) = pair();
     let tripped = |node: &Node| {
-        node.trace
+        node.actions
             .iter()
             .any(|action| matches!(action, Action::BreakerOpened(_)))
     };
@@ -302,59 +302,59 @@
         // Of five at once the server takes one.
         let ids: Vec<RequestId> = (0..5).map(|_| node.request(0, 7, ms(400))).collect();
         for id in &ids[1..] {
-            assert_eq!(node.out(id).expect("sent").1, own);
-            node.answer(id, Status::Rejected);
+            assert_eq!(node.in_flight(id).expect("sent").1, own);
+            node.end_attempt_in_flight(id, Status::Rejected);
         }
-        node.pass(ms(50));
+        node.advance(ms(50));
         for id in &ids {
-            node.answer(id, Status::Ok);
+            node.end_attempt_in_flight(id, Status::Ok);
         }
-        node.pass(ms(1_000));
+        node.advance(ms(1_000));
     }
     assert!(!tripped(&node));
 }
 
 #[test]
-fn a_server_that_turns_all_away_is_blocked() {
+fn an_endpoint_that_rejects_everything_is_blocked() {
     let (mut node, own) = pair();
-    node.pass(ms(1_000));
+    node.advance(ms(1_000));
     let declined = (0..50)
-        .take_while(|_| node.call(7, Status::Rejected).as_ref() == Some(&own))
+        .take_while(|_| node.read(7, Status::Rejected).as_ref() == Some(&own))
         .count();
     assert_eq!(declined, 2, "two of three calls of the window");
 }
 
 #[test]
-fn a_half_open_trial_that_met_the_other_trials_gives_its_place_back() {
+fn a_trial_rejected_while_others_are_in_flight_may_be_made_again() {
     let (mut node, own) = pair();
     trip(&mut node, &own);
-    node.pass(ms(6_000));
+    node.advance(ms(6_000));
     let ids: Vec<RequestId> = (0..3).map(|_| node.request(0, 7, ms(400))).collect();
-    node.answer(&ids[1], Status::Rejected);
-    node.answer(&ids[2], Status::Rejected);
-    node.answer(&ids[0], Status::Ok);
-    assert_eq!(node.call(7, Status::Ok), Some(own), "not reopened");
+    node.end_attempt_in_flight(&ids[1], Status::Rejected);
+    node.end_attempt_in_flight(&ids[2], Status::Rejected);
+    node.end_attempt_in_flight(&ids[0], Status::Ok);
+    assert_eq!(node.read(7, Status::Ok), Some(own), "not reopened");
 }
 
 #[test]
-fn a_class_turned_away_where_nobody_waits_is_blocked_soon_and_alone() {
+fn a_class_rejected_by_an_endpoint_without_a_queue_is_blocked_soon_and_alone() {
     // The danger: each such request loses its time there, and what was served before hides it for a whole window;
     // or the server loses the keys of all classes for one.
     let (mut node, own) = pair();
     node.load.queue_length = Some(0.0);
     let ask = |node: &mut Node, status| {
         let id = node.request(1, 7, ms(400));
-        let (_, server) = node.out(&id).expect("sent");
-        node.answer(&id, if server == own { status } else { Status::Ok });
-        if !node.requests[&id].ended {
-            node.answer(&id, Status::Ok);
+        let (_, server) = node.in_flight(&id).expect("sent");
+        node.end_attempt_in_flight(&id, if server == own { status } else { Status::Ok });
+        if !node.requests[&id].answered {
+            node.end_attempt_in_flight(&id, Status::Ok);
         }
         server
     };
     for _ in 0..50 {
         assert_eq!(ask(&mut node, Status::Ok), own);
     }
-    node.pass(ms(1_000));
+    node.advance(ms(1_000));
     let declined = (0..50)
         .take_while(|_| ask(&mut node, Status::Rejected) == own)
         .count();
@@ -363,6 +363,6 @@
         "{declined} were turned away before the breaker opened"
     );
     for _ in 0..20 {
-        assert_eq!(node.call(7, Status::Ok), Some(own.clone()), "another class");
+        assert_eq!(node.read(7, Status::Ok), Some(own.clone()), "another class");
     }
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,95 +1,128 @@
-//! A node around a `Balancer`: it carries the actions out on paper and checks the rules from outside.
+//! A node around a [`Balancer`]: carries its actions out on paper and asserts the rules from
+//! outside with each of them.
 #![allow(dead_code)]
 
 use slatelink_policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// The clock's time at the start of a test.
+const START: Timestamp = Timestamp::from_micros(3_000_000_000);
+
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-pub struct Sent {
-    pub server: Endpoint,
-    pub at: Timestamp,
-    pub ends: Timestamp,
+/// An attempt that was sent.
+pub struct SentAttempt {
+    /// As it was listed then.
+    pub endpoint: Endpoint,
+    pub sent: Timestamp,
+    pub times_out: Timestamp,
+    /// `None` while the attempt is in flight.
     pub status: Option<Status>,
 }
 
-pub struct Open {
+impl SentAttempt {
+    fn may_have_run(&self) -> bool {
+        !self.status.is_some_and(Status::never_ran)
+    }
+}
+
+/// A request, from its arrival on.
+pub struct ClientRequest {
     pub request: Request,
-    pub sent: Vec<Sent>,
-    pub ended: bool,
+    pub attempts: Vec<SentAttempt>,
+    /// Whether it has its final answer.
+    pub answered: bool,
 }
 
+impl ClientRequest {
+    /// The number of the attempt in flight, if one is.
+    fn in_flight(&self) -> Option<usize> {
+        self.attempts
+            .iter()
+            .position(|attempt| attempt.status.is_none())
+    }
+}
+
+/// One node with its clients and its endpoints.
 pub struct Node {
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: Timestamp,
-    pub list: BTreeMap<EndpointId, Endpoint>,
-    pub requests: BTreeMap<RequestId, Open>,
+    /// All endpoints that were ever listed, as they were listed last.
+    pub listed: BTreeMap<EndpointId, Endpoint>,
+    pub requests: BTreeMap<RequestId, ClientRequest>,
     pub timers: BTreeSet<Timestamp>,
-    pub trace: Vec<Action>,
-    /// What servers report with each answer.
+    /// All actions so far.
+    pub actions: Vec<Action>,
+    /// What endpoints report with each answer.
     pub load: LoadReport,
+    /// Requests so far.
     count: u32,
 }
 
 impl Node {
+    /// A node that knows no endpoint.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let balancer = Balancer::new(settings.clone(), seed);
-        let now = Timestamp::from_micros(3_000_000_000);
-        let (list, requests) = (BTreeMap::new(), BTreeMap::new());
-        let (timers, trace, load) = (BTreeSet::new(), Vec::new(), LoadReport::default());
         Self {
-            balancer,
+            balancer: Balancer::new(settings.clone(), seed),
             settings,
-            now,
-            list,
-            requests,
-            timers,
-            trace,
-            load,
+            now: START,
+            listed: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            actions: Vec::new(),
+            load: LoadReport::default(),
             count: 0,
         }
     }
 
-    /// A node that knows `n` warm servers, named a, b, c and so on.
-    pub fn with_servers(settings: Settings, n: u8) -> Self {
+    /// A node that knows `n` endpoints with their full capacity, named a, b, c and so on.
+    pub fn with_endpoints(settings: Settings, n: u8) -> Self {
         let mut node = Self::new(settings, 1);
-        let entries = (0..n).map(|i| Endpoint::new(&char::from(b'a' + i).to_string()));
-        node.full_list(entries.collect());
+        let endpoints = (0..n).map(|i| Endpoint::new(&char::from(b'a' + i).to_string()));
+        node.list_snapshot(endpoints.collect());
         node
     }
 
-    pub fn full_list(&mut self, entries: Vec<Endpoint>) {
-        self.list.clear();
-        for entry in &entries {
-            self.list.insert(entry.id.clone(), entry.clone());
-        }
-        self.feed(Event::Endpoints(EndpointUpdate::Snapshot(entries.into())));
+    /// Discovery sends a complete list.
+    pub fn list_snapshot(&mut self, endpoints: Vec<Endpoint>) {
+        self.listed.clear();
+        self.record_listed(&endpoints);
+        let update = EndpointUpdate::Snapshot(endpoints.into());
+        self.handle(Event::Endpoints(update));
+    }
+
+    /// Discovery sends the endpoints that changed.
+    pub fn list_delta(&mut self, endpoints: Vec<Endpoint>) {
+        self.record_listed(&endpoints);
+        let update = EndpointUpdate::Delta(endpoints.into());
+        self.handle(Event::Endpoints(update));
     }
 
-    pub fn changes(&mut self, entries: Vec<Endpoint>) {
-        for entry in &entries {
-            self.list.insert(entry.id.clone(), entry.clone());
+    fn record_listed(&mut self, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            self.listed.insert(endpoint.id.clone(), endpoint.clone());
         }
-        self.feed(Event::Endpoints(EndpointUpdate::Delta(entries.into())));
     }
 
+    /// The class of a request; the default one for a request of none.
     pub fn class_of(&self, request: &Request) -> Class {
         request
             .class
             .map_or_else(Class::default, |id| self.settings.classes[id.0].clone())
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
+    /// Hands an event to the balancer, carries out what comes of it and returns that.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
             self.carry_out(action);
         }
-        self.trace.extend(actions.iter().cloned());
+        self.actions.extend(actions.iter().cloned());
         actions
     }
 
@@ -97,102 +130,15 @@
         match action {
             Action::Send {
                 id,
-                endpoint: server,
+                endpoint,
                 timeout,
                 begin_within,
-            } => {
-                let class = self.class_of(&self.requests[id].request);
-                let entry = self
-                    .list
-                    .get(server)
-                    .expect("a send to a server no list has named")
-                    .clone();
-                assert_eq!(
-                    entry.availability,
-                    Availability::Ready,
-                    "rule 3: a send to a leaving server"
-                );
-                let (now, limits) = (self.now, &self.settings);
-                let open = self
-                    .requests
-                    .get_mut(id)
-                    .expect("a send for an unknown request");
-                assert!(!open.ended, "rule 1: a send for an ended request");
-                assert!(
-                    open.sent.len() < limits.max_attempts as usize,
-                    "more attempts than allowed"
-                );
-                let out = open
-                    .sent
-                    .iter()
-                    .filter(|sent| sent.status.is_none())
-                    .count();
-                assert_eq!(out, 0, "two attempts out at once");
-                for earlier in open.sent.iter().filter(|sent| may_have_run(sent)) {
-                    match class.idempotency {
-                        Idempotency::Idempotent => {}
-                        Idempotency::NonIdempotent => {
-                            panic!("rule 2: an unsafe request sent again")
-                        }
-                        Idempotency::Keyed { scope, window } => {
-                            assert!(
-                                now < earlier.at + window,
-                                "rule 2: sent again after its window"
-                            );
-                            let near = match scope {
-                                DeduplicationScope::All => true,
-                                DeduplicationScope::Zone => earlier.server.zone == entry.zone,
-                                DeduplicationScope::Cell => earlier.server.cell == entry.cell,
-                            };
-                            assert!(near, "rule 2: sent again outside its scope");
-                            let last = now + *begin_within;
-                            assert!(
-                                last <= earlier.at + window,
-                                "rule 2: may begin after its window"
-                            );
-                        }
-                    }
-                }
-                let ends = (now + *timeout).min(open.request.deadline);
-                open.sent.push(Sent {
-                    server: entry,
-                    at: now,
-                    ends,
-                    status: None,
-                });
-            }
-            Action::Shed { id, .. } => {
-                let idempotency = self.class_of(&self.requests[id].request).idempotency;
-                let open = self
-                    .requests
-                    .get_mut(id)
-                    .expect("a refusal of an unknown request");
-                assert!(!open.ended, "rule 1: a second final answer");
-                let all = matches!(
-                    idempotency,
-                    Idempotency::Idempotent
-                        | Idempotency::Keyed {
-                            scope: DeduplicationScope::All,
-                            ..
-                        }
-                );
-                assert!(
-                    all || !open.sent.iter().any(may_have_run),
-                    "rule 2: refused, yet it may have run"
-                );
-                open.ended = true;
-            }
-            Action::Fail { id } => {
-                let open = self
-                    .requests
-                    .get_mut(id)
-                    .expect("a failure of an unknown request");
-                assert!(!open.ended, "rule 1: a second final answer");
-                open.ended = true;
-            }
+            } => self.send(id, endpoint, *timeout, *begin_within),
+            Action::Shed { id, .. } => self.shed(id),
+            Action::Fail { id } => self.record_answer(id),
             Action::Wake { after } => {
-                self.timers
-                    .insert(self.now + (*after).max(Duration::from_micros(1)));
+                let at = self.now + (*after).max(Duration::from_micros(1));
+                self.timers.insert(at);
             }
             Action::CloseIdleConnections { .. }
             | Action::PollDiscovery
@@ -200,10 +146,114 @@
         }
     }
 
-    /// A request of the class with this number, with this key, given up after `patience`.
-    pub fn request(&mut self, class: usize, key: u64, patience: Duration) -> RequestId {
+    fn send(
+        &mut self,
+        id: &RequestId,
+        endpoint: &EndpointId,
+        timeout: Duration,
+        begin_within: Duration,
+    ) {
+        let endpoint = self
+            .listed
+            .get(endpoint)
+            .expect("an attempt at an endpoint that was never listed")
+            .clone();
+        assert_eq!(
+            endpoint.availability,
+            Availability::Ready,
+            "rule 3: an attempt at a draining endpoint"
+        );
+        let request = self
+            .requests
+            .get(id)
+            .expect("an attempt of an unknown request");
+        assert!(!request.answered, "rule 1: an attempt after the answer");
+        assert!(
+            request.attempts.len() < self.settings.max_attempts as usize,
+            "more attempts than allowed"
+        );
+        assert_eq!(request.in_flight(), None, "two attempts in flight at once");
+        self.assert_repeat_allowed(request, &endpoint, begin_within);
+        let attempt = SentAttempt {
+            endpoint,
+            sent: self.now,
+            times_out: (self.now + timeout).min(request.request.deadline),
+            status: None,
+        };
+        let request = self.requests.get_mut(id).expect("known");
+        request.attempts.push(attempt);
+    }
+
+    /// Rule 2: a request that may have run is run again only as its class allows.
+    fn assert_repeat_allowed(
+        &self,
+        request: &ClientRequest,
+        endpoint: &Endpoint,
+        begin_within: Duration,
+    ) {
+        let now = self.now;
+        let idempotency = self.class_of(&request.request).idempotency;
+        let attempts = request.attempts.iter();
+        for earlier in attempts.filter(|attempt| attempt.may_have_run()) {
+            match idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => {
+                    panic!("rule 2: a non-idempotent request is retried")
+                }
+                Idempotency::Keyed { scope, window } => {
+                    let window_ends = earlier.sent + window;
+                    assert!(now < window_ends, "rule 2: retried after its window");
+                    let in_scope = match scope {
+                        DeduplicationScope::All => true,
+                        DeduplicationScope::Zone => earlier.endpoint.zone == endpoint.zone,
+                        DeduplicationScope::Cell => earlier.endpoint.cell == endpoint.cell,
+                    };
+                    assert!(in_scope, "rule 2: retried outside its scope");
+                    assert!(
+                        now + begin_within <= window_ends,
+                        "rule 2: may begin after its window"
+                    );
+                }
+            }
+        }
+    }
+
+    /// Rule 2: a request is shed only if its client may send it again.
+    fn shed(&mut self, id: &RequestId) {
+        let request = self
+            .requests
+            .get(id)
+            .expect("an answer to an unknown request");
+        let every_endpoint_discards_repeats = matches!(
+            self.class_of(&request.request).idempotency,
+            Idempotency::Idempotent
+                | Idempotency::Keyed {
+                    scope: DeduplicationScope::All,
+                    ..
+                }
+        );
+        assert!(
+            every_endpoint_discards_repeats
+                || !request.attempts.iter().any(SentAttempt::may_have_run),
+            "rule 2: shed, yet it may have run"
+        );
+        self.record_answer(id);
+    }
+
+    fn record_answer(&mut self, id: &RequestId) {
+        let request = self
+            .requests
+            .get_mut(id)
+            .expect("an answer to an unknown request");
+        assert!(!request.answered, "rule 1: a second final answer");
+        request.answered = true;
+    }
+
+    /// A client sends a request of the class with this number, with this key, and gives it up after
+    /// `time`.
+    pub fn request(&mut self, class: usize, key: u64, time: Duration) -> RequestId {
         self.count += 1;
-        let request = Request::new(&format!("r{}", self.count), self.now + patience);
+        let request = Request::new(&format!("r{}", self.count), self.now + time);
         self.submit(Request {
             class: Some(ClassId(class)),
             key: Some(key),
@@ -211,92 +261,97 @@
         })
     }
 
+    /// A client sends this request.
     pub fn submit(&mut self, request: Request) -> RequestId {
         let id = request.id.clone();
-        let open = Open {
+        let arrived = ClientRequest {
             request: request.clone(),
-            sent: Vec::new(),
-            ended: false,
+            attempts: Vec::new(),
+            answered: false,
         };
-        self.requests.insert(id.clone(), open);
-        self.feed(Event::Request(request));
+        self.requests.insert(id.clone(), arrived);
+        self.handle(Event::Request(request));
         id
     }
 
-    /// The server of the request's attempt that is out, if one is.
-    pub fn out(&self, id: &RequestId) -> Option<(u32, EndpointId)> {
-        let sent = &self.requests[id].sent;
-        let at = sent.iter().position(|sent| sent.status.is_none())?;
-        Some((at as u32, sent[at].server.id.clone()))
+    /// The number of the request's attempt in flight, if one is, and its endpoint.
+    pub fn in_flight(&self, id: &RequestId) -> Option<(u32, EndpointId)> {
+        let request = &self.requests[id];
+        let number = request.in_flight()?;
+        let endpoint = &request.attempts[number].endpoint;
+        Some((number as u32, endpoint.id.clone()))
     }
 
-    /// The requests that have an attempt out.
-    pub fn all_out(&self) -> Vec<RequestId> {
+    /// The requests that have an attempt in flight.
+    pub fn requests_in_flight(&self) -> Vec<RequestId> {
         self.requests
             .keys()
-            .filter(|id| self.out(id).is_some())
+            .filter(|id| self.in_flight(id).is_some())
             .cloned()
             .collect()
     }
 
+    /// The request's attempt with this number ends.
     pub fn end_attempt(&mut self, id: &RequestId, attempt: u32, status: Status) -> Vec<Action> {
-        self.end_attempt_noted(id, attempt, status, None)
+        self.end_attempt_with(id, attempt, status, None)
     }
 
-    pub fn end_attempt_noted(
+    /// The same, and the endpoint reports how it came by the answer.
+    pub fn end_attempt_with(
         &mut self,
         id: &RequestId,
         attempt: u32,
         status: Status,
         cache_result: Option<CacheResult>,
     ) -> Vec<Action> {
-        let now = self.now;
-        let open = self.requests.get_mut(id).expect("known");
-        let sent = &mut open.sent[attempt as usize];
-        sent.status = Some(status);
-        let (server, latency) = (sent.server.id.clone(), now.since(sent.at));
-        open.ended |= status == Status::Ok;
-        let (answered, load) = (open.ended, self.load);
-        self.feed(Event::AttemptEnded(Outcome {
+        let request = self.requests.get_mut(id).expect("known");
+        request.answered |= status == Status::Ok;
+        let ended = &mut request.attempts[attempt as usize];
+        ended.status = Some(status);
+        let outcome = Outcome {
             id: id.clone(),
             attempt,
-            endpoint: server,
+            endpoint: ended.endpoint.id.clone(),
             status,
             cache_result,
-            latency,
-            answered,
-            load,
-        }))
+            latency: self.now.since(ended.sent),
+            answered: request.answered,
+            load: self.load,
+        };
+        self.handle(Event::AttemptEnded(outcome))
     }
 
-    /// Ends the attempt that is out.
-    pub fn answer(&mut self, id: &RequestId, status: Status) -> Vec<Action> {
-        let (attempt, _) = self.out(id).expect("an attempt out");
+    /// The request's attempt in flight ends.
+    pub fn end_attempt_in_flight(&mut self, id: &RequestId, status: Status) -> Vec<Action> {
+        let (attempt, _) = self.in_flight(id).expect("an attempt in flight");
         self.end_attempt(id, attempt, status)
     }
 
-    /// One read of `key`, answered with `status` by whichever server is asked first.
-    pub fn call(&mut self, key: u64, status: Status) -> Option<EndpointId> {
+    /// One read of `key`, of which the first attempt ends with `status` and a retry is served.
+    /// Returns the endpoint of the first attempt.
+    pub fn read(&mut self, key: u64, status: Status) -> Option<EndpointId> {
         let id = self.request(0, key, ms(400));
-        let (attempt, server) = self.out(&id)?;
+        let (attempt, endpoint) = self.in_flight(&id)?;
         self.end_attempt(&id, attempt, status);
-        if !self.requests[&id].ended {
-            self.answer(&id, Status::Ok);
+        if !self.requests[&id].answered {
+            self.end_attempt_in_flight(&id, Status::Ok);
         }
-        Some(server)
+        Some(endpoint)
     }
 
-    /// Lets time pass: timers fire and attempts time out when due.
-    pub fn pass(&mut self, time: Duration) {
+    /// Time passes: timers fire and attempts time out when they are due.
+    pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
-            let attempts = self.requests.iter().flat_map(|(id, open)| {
-                let out = open
-                    .sent
+            let attempts = self.requests.iter().flat_map(|(id, request)| {
+                let in_flight = request
+                    .attempts
                     .iter()
                     .enumerate()
-                    .filter(|(_, sent)| sent.status.is_none());
-                out.map(move |(i, sent)| (sent.ends, Some((id.clone(), i as u32))))
+                    .filter(|(_, attempt)| attempt.status.is_none());
+                in_flight.map(move |(number, attempt)| {
+                    (attempt.times_out, Some((id.clone(), number as u32)))
+                })
             });
             let timer = self.timers.first().map(|&at| (at, None));
             let Some((at, what)) = attempts.chain(timer).min().filter(|(at, _)| *at <= end) else {
@@ -309,27 +364,25 @@
                 }
                 None => {
                     self.timers.remove(&at);
-                    self.feed(Event::Timer);
+                    self.handle(Event::Timer);
                 }
             }
         }
         self.now = end;
-        self.check_none_lost();
+        self.assert_answered_in_time();
     }
 
-    pub fn check_none_lost(&self) {
-        for (id, open) in &self.requests {
-            let overdue = !open.ended && self.now > open.request.deadline;
+    /// Rule 1: no request is without its final answer past its deadline.
+    pub fn assert_answered_in_time(&self) {
+        for (id, request) in &self.requests {
+            let overdue = !request.answered && self.now > request.request.deadline;
             assert!(!overdue, "rule 1: {id} has no final answer in time");
         }
     }
 }
 
-fn may_have_run(sent: &Sent) -> bool {
-    !sent.status.is_some_and(Status::never_ran)
-}
-
-/// Read, keyed for one second, and unsafe; aims of 150 ms.
+/// Classes of idempotent, keyed (for one second) and non-idempotent requests with a latency
+/// objective of 150 ms, in this order.
 pub fn settings() -> Settings {
     let class = |name: &str, idempotency| Class {
         name: name.into(),
@@ -353,8 +406,8 @@
     }
 }
 
-/// Settings of a fleet whose balancers fetch misses, with its origin entry.
-pub fn aside() -> (Settings, Endpoint) {
+/// Settings of a cache-aside fleet, and its origin.
+pub fn cache_aside() -> (Settings, Endpoint) {
     let mode = CacheMode::CacheAside {
         origin_kind: "origin".into(),
     };
--- a/crates/policy/tests/hashing.rs
+++ b/crates/policy/tests/hashing.rs
@@ -8,9 +8,9 @@
 fn owners(node: &mut Node) -> BTreeMap<u64, EndpointId> {
     let mut owners = BTreeMap::new();
     for key in 0..2_000u64 {
-        owners.insert(key, node.call(key, Status::Ok).expect("served"));
+        owners.insert(key, node.read(key, Status::Ok).expect("served"));
         node.requests.clear();
-        node.pass(ms(10));
+        node.advance(ms(10));
     }
     owners
 }
@@ -20,14 +20,14 @@
 }
 
 #[test]
-fn a_leaver_moves_its_own_keys_only_and_a_return_brings_them_back() {
-    let mut node = Node::with_servers(settings(), 8);
+fn a_removed_endpoint_moves_only_its_own_keys_and_gets_them_back_on_its_return() {
+    let mut node = Node::with_endpoints(settings(), 8);
     let before = owners(&mut node);
     let gone = Endpoint {
         availability: Availability::Removed,
         ..Endpoint::new("d")
     };
-    node.changes(vec![gone]);
+    node.list_delta(vec![gone]);
     let without = owners(&mut node);
     for (key, owner) in &before {
         if owner.as_str() != "d" {
@@ -40,18 +40,18 @@
             "the leaver's keys spread over all the others"
         );
     }
-    node.changes(vec![Endpoint::new("d")]);
+    node.list_delta(vec![Endpoint::new("d")]);
     assert_eq!(owners(&mut node), before);
 }
 
 #[test]
-fn shares_follow_weights() {
+fn endpoints_get_keys_in_proportion_to_their_weights() {
     let mut node = Node::new(settings(), 1);
     let weighted = |id: &str, weight| Endpoint {
         weight,
         ..Endpoint::new(id)
     };
-    node.full_list(vec![
+    node.list_snapshot(vec![
         weighted("a", 1.0),
         weighted("b", 1.0),
         weighted("c", 2.0),
@@ -62,38 +62,38 @@
 }
 
 #[test]
-fn nodes_with_other_seeds_and_lists_in_other_order_agree() {
-    let mut one = Node::with_servers(settings(), 5);
+fn nodes_rank_endpoints_alike_whatever_their_seed_and_the_order_of_the_list() {
+    let mut one = Node::with_endpoints(settings(), 5);
     let mut two = Node::new(settings(), 99);
-    two.full_list(["e", "c", "a", "b", "d"].map(Endpoint::new).to_vec());
+    two.list_snapshot(["e", "c", "a", "b", "d"].map(Endpoint::new).to_vec());
     assert_eq!(owners(&mut one), owners(&mut two));
 }
 
 // Guards against a cold server that gets as many keys as a warm one: what it may be sent is bounded elsewhere, but the
 // keys past that bound would miss at the servers that they spill to.
 #[test]
-fn a_cold_server_is_the_first_choice_for_its_present_part_of_the_keys() {
+fn an_endpoint_that_warms_up_comes_first_for_keys_in_proportion_to_its_present_capacity() {
     // So much may be sent to a cold server that nothing but the order keeps keys from it.
-    let mut node = Node::with_servers(
+    let mut node = Node::with_endpoints(
         Settings {
             slow_start_overload_factor: 1e6,
             ..settings()
         },
         4,
     );
-    (0..500).for_each(|key| drop(node.call(key, Status::Ok)));
+    (0..500).for_each(|key| drop(node.read(key, Status::Ok)));
     let first = |node: &mut Node| {
-        let to_cold = |key: &u64| node.call(*key, Status::Ok) == Some("a".into());
+        let to_cold = |key: &u64| node.read(*key, Status::Ok) == Some("a".into());
         (1_000..3_000).filter(to_cold).count()
     };
     let warm = first(&mut node);
     let started = Some(node.now);
-    node.changes(vec![Endpoint {
+    node.list_delta(vec![Endpoint {
         started,
         ..Endpoint::new("a")
     }]);
     // What it got in the present slot of time is spent.
-    node.pass(ms(1_000));
+    node.advance(ms(1_000));
     let cold = first(&mut node);
     // Warm, a quarter; a second after its start at 0.37 of itself, 0.37 of 3.37 parts.
     assert!(
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/large_deployment.rs
@@ -15,14 +15,14 @@
             u64::from(seed),
         );
         let entries = (0..servers).map(|i| Endpoint::new(&char::from(b'a' + i).to_string()));
-        node.full_list(entries.collect());
+        node.list_snapshot(entries.collect());
         node
     };
     (0..nodes).map(node).collect()
 }
 
 /// One of 300 nodes, which knows 100 servers in four zones.
-fn one_of_many(seed: u64) -> Node {
+fn node_of_a_large_deployment(seed: u64) -> Node {
     let mut node = Node::new(
         Settings {
             nodes: 300,
@@ -35,25 +35,25 @@
         zone: Some(zones[i % 4].into()),
         ..Endpoint::new(&format!("s{i}"))
     };
-    node.full_list((0..100).map(entry).collect());
+    node.list_snapshot((0..100).map(entry).collect());
     node
 }
 
 /// A server that starts while half of the traffic asks for one of its keys: with one send in hand for each node,
 /// a large fleet pushes it over at once.
 #[test]
-fn many_nodes_together_do_not_push_a_cold_server_over() {
+fn many_nodes_together_do_not_overload_an_endpoint_that_warms_up() {
     let (count, servers) = (200, 10);
     let mut nodes = fleet(count, servers);
     let mut rng = fastrand::Rng::with_seed(5);
     // A key that server a owns even at the size it has when it is cold.
     let mut probe = Node::new(settings(), 9);
-    let mut list: Vec<Endpoint> = nodes[0].list.values().cloned().collect();
+    let mut list: Vec<Endpoint> = nodes[0].listed.values().cloned().collect();
     list[0].weight = settings().slow_start_min_capacity;
-    probe.full_list(list);
+    probe.list_snapshot(list);
     let hot = (0..).find(|&key| {
         probe
-            .call(key, Status::Ok)
+            .read(key, Status::Ok)
             .is_some_and(|server| server.as_str() == "a")
     });
     let hot = hot.expect("some key is a's");
@@ -64,21 +64,21 @@
         let node = &mut nodes[rng.usize(0..count as usize)];
         let now = born + ms(step * 5 / 2);
         let now = Timestamp::from_micros(now.as_micros() - 6_000_000);
-        node.pass(now.since(node.now));
-        if now >= born && node.list.values().all(|entry| entry.started.is_none()) {
-            let mut list: Vec<Endpoint> = node.list.values().cloned().collect();
+        node.advance(now.since(node.now));
+        if now >= born && node.listed.values().all(|entry| entry.started.is_none()) {
+            let mut list: Vec<Endpoint> = node.listed.values().cloned().collect();
             list[0].started = Some(born);
-            node.changes(list);
+            node.list_delta(list);
         }
         let key = if rng.bool() { hot } else { rng.u64(..) };
         let id = node.request(0, key, ms(400));
-        if let Some((_, server)) = node.out(&id) {
+        if let Some((_, server)) = node.in_flight(&id) {
             all += 1;
             if now >= born && server.as_str() == "a" {
                 to_cold.push(now);
             }
-            node.pass(ms(1));
-            node.answer(&id, Status::Ok);
+            node.advance(ms(1));
+            node.end_attempt_in_flight(&id, Status::Ok);
         }
         node.requests.clear();
     }
@@ -116,55 +116,55 @@
 /// A server that was busy once, when this node asked, is asked by it every other second: read as odds, the least limit
 /// would have 19 of 20 requests refused, and no answer raise it again for minutes.
 #[test]
-fn one_of_many_nodes_asks_again_where_it_was_turned_away_once() {
+fn a_node_of_a_large_deployment_sends_again_to_endpoints_that_rejected_it() {
     let mut nodes = fleet(300, 3);
     let node = &mut nodes[0];
-    node.call(1, Status::Ok);
+    node.read(1, Status::Ok);
     for key in 0..12 {
-        node.pass(ms(700));
+        node.advance(ms(700));
         // Turned away by every server that it tries.
         let id = node.request(0, key, ms(400));
-        while node.out(&id).is_some() {
-            node.answer(&id, Status::Rejected);
+        while node.in_flight(&id).is_some() {
+            node.end_attempt_in_flight(&id, Status::Rejected);
         }
     }
     let mut sent = 0;
     for key in 0..60 {
-        node.pass(ms(4_000));
+        node.advance(ms(4_000));
         let id = node.request(0, key, ms(400));
-        sent += usize::from(node.out(&id).is_some());
-        if node.out(&id).is_some() {
-            node.pass(ms(140));
-            node.answer(&id, Status::Ok);
+        sent += usize::from(node.in_flight(&id).is_some());
+        if node.in_flight(&id).is_some() {
+            node.advance(ms(140));
+            node.end_attempt_in_flight(&id, Status::Ok);
         }
     }
     assert!(sent >= 55, "{sent} of 60 were sent");
     // Many at once are held to the limit all the same.
     (0..30).for_each(|key| drop(node.request(0, key, ms(400))));
-    let out = node.all_out().len();
+    let out = node.requests_in_flight().len();
     assert!(out <= 3, "{out} out at once at three servers");
 }
 
 /// Of very many nodes none can keep servers from being full for a moment. Where every second attempt is turned away and
 /// every request is served all the same, at the next server, nothing is jammed and nothing may be refused for it.
 #[test]
-fn one_of_many_nodes_refuses_nothing_while_the_next_server_takes_what_a_full_one_did_not() {
+fn a_node_of_a_large_deployment_sheds_nothing_while_the_next_endpoint_serves_what_one_rejected() {
     let mut rng = fastrand::Rng::with_seed(2);
     let (mut served, mut untried, mut jammed) = (0, 0, 0);
     // Each burst is within what the retry budget has saved up.
-    for mut node in (0..60).map(one_of_many) {
+    for mut node in (0..60).map(node_of_a_large_deployment) {
         for step in 0..30 {
             let id = node.request(0, rng.u64(..), ms(400));
-            untried += usize::from(node.requests[&id].ended);
-            if node.out(&id).is_some() && step % 2 == 0 {
-                node.answer(&id, Status::Rejected);
+            untried += usize::from(node.requests[&id].answered);
+            if node.in_flight(&id).is_some() && step % 2 == 0 {
+                node.end_attempt_in_flight(&id, Status::Rejected);
             }
-            node.pass(ms(20));
-            if node.out(&id).is_some() {
-                node.answer(&id, Status::Ok);
+            node.advance(ms(20));
+            if node.in_flight(&id).is_some() {
+                node.end_attempt_in_flight(&id, Status::Ok);
                 served += 1;
             }
-            node.pass(ms(20));
+            node.advance(ms(20));
             node.requests.clear();
         }
     }
@@ -172,15 +172,15 @@
         served >= 1_780 && untried <= 15,
         "{served} of 1,800 served, {untried} refused untried"
     );
-    let mut node = one_of_many(4);
+    let mut node = node_of_a_large_deployment(4);
     // Where most are turned away wherever they go, most of the excess is refused before it is sent.
     for _ in 0..600 {
         let id = node.request(0, rng.u64(..), ms(400));
-        jammed += usize::from(node.out(&id).is_none() && node.requests[&id].ended);
-        while node.out(&id).is_some() {
-            node.answer(&id, Status::Rejected);
+        jammed += usize::from(node.in_flight(&id).is_none() && node.requests[&id].answered);
+        while node.in_flight(&id).is_some() {
+            node.end_attempt_in_flight(&id, Status::Rejected);
         }
-        node.pass(ms(80));
+        node.advance(ms(80));
         node.requests.clear();
     }
     assert!(jammed >= 150, "{jammed} of 600 refused untried in a jam");
@@ -189,28 +189,28 @@
 /// Two of five requests meet a full server first, for as long as a busy day lasts: on a budget of one retry for five
 /// requests half of them would be refused, although the next server takes them.
 #[test]
-fn one_of_many_nodes_can_go_on_from_a_full_server_all_day() {
-    let mut node = one_of_many(6);
+fn a_node_of_a_large_deployment_can_retry_rejected_attempts_all_day() {
+    let mut node = node_of_a_large_deployment(6);
     let mut rng = fastrand::Rng::with_seed(8);
     let mut play = |first, sends: &mut usize| {
         let mut served = 0;
         for step in 0..500 {
             let id = node.request(0, rng.u64(..), ms(400));
-            if node.out(&id).is_some() && step % 5 < 2 {
-                node.answer(&id, first);
+            if node.in_flight(&id).is_some() && step % 5 < 2 {
+                node.end_attempt_in_flight(&id, first);
             }
-            node.pass(ms(40));
-            if node.out(&id).is_some() {
-                node.answer(&id, Status::Ok);
+            node.advance(ms(40));
+            if node.in_flight(&id).is_some() {
+                node.end_attempt_in_flight(&id, Status::Ok);
             }
             served += usize::from(
                 node.requests[&id]
-                    .sent
+                    .attempts
                     .iter()
-                    .any(|sent| sent.status == Some(Status::Ok)),
+                    .any(|attempt| attempt.status == Some(Status::Ok)),
             );
-            *sends += node.requests[&id].sent.len();
-            node.pass(ms(40));
+            *sends += node.requests[&id].attempts.len();
+            node.advance(ms(40));
             node.requests.clear();
         }
         served
@@ -229,32 +229,32 @@
 /// One of many nodes meets a server every few seconds: of a zone that is lost or cut off, none of the servers' breakers
 /// would learn in time, and a quarter of what each node is asked would wait there for the end of its time.
 #[test]
-fn a_silent_zone_is_left_alone_until_it_answers_again() {
+fn the_breaker_of_a_zone_blocks_it_until_it_answers_again() {
     // Twelve requests a second at one of 300 nodes, of which servers of the silent zones answer none; returns for each
     // half second how many went there.
     let play = |seed, silent: &dyn Fn(u64) -> &'static [&'static str]| {
-        let mut node = one_of_many(seed);
+        let mut node = node_of_a_large_deployment(seed);
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut there = [0; 40];
         for step in 0..240 {
             node.request(0, rng.u64(..), ms(400));
-            node.pass(ms(83));
-            for id in node.all_out() {
+            node.advance(ms(83));
+            for id in node.requests_in_flight() {
                 let zone = node.requests[&id]
-                    .sent
+                    .attempts
                     .last()
-                    .and_then(|sent| sent.server.zone.clone());
+                    .and_then(|attempt| attempt.endpoint.zone.clone());
                 if silent(step)
                     .iter()
                     .any(|name| zone.as_ref().is_some_and(|zone| zone.as_str() == *name))
                 {
                     there[step as usize / 6] += 1;
                 } else {
-                    node.answer(&id, Status::Ok);
+                    node.end_attempt_in_flight(&id, Status::Ok);
                 }
             }
             node.requests.retain(|_, open| {
-                !open.ended || open.sent.iter().any(|sent| sent.status.is_none())
+                !open.answered || open.attempts.iter().any(|attempt| attempt.status.is_none())
             });
         }
         (there, node)
@@ -273,12 +273,12 @@
     let again = (0..200).filter(|key| {
         let id = node.request(0, *key, ms(400));
         let zone = node
-            .out(&id)
-            .map(|_| node.requests[&id].sent[0].server.zone.clone());
-        if node.out(&id).is_some() {
-            node.answer(&id, Status::Ok);
+            .in_flight(&id)
+            .map(|_| node.requests[&id].attempts[0].endpoint.zone.clone());
+        if node.in_flight(&id).is_some() {
+            node.end_attempt_in_flight(&id, Status::Ok);
         }
-        node.pass(ms(83));
+        node.advance(ms(83));
         zone.flatten().is_some_and(|zone| zone.as_str() == "w")
     });
     assert!(
@@ -288,15 +288,15 @@
     // Where no zone answers none is worse than the others.
     let (_, node) = play(2, &|_| &["n", "e", "s", "w"]);
     let tripped = |action: &Action| matches!(action, Action::BreakerOpened(BreakerScope::Zone(_)));
-    assert!(!node.trace.iter().any(tripped));
+    assert!(!node.actions.iter().any(tripped));
 }
 
 /// Left open, the connections of many nodes fill a server's table: a node that meets a server now and then closes
 /// behind itself, a busy one or one of few keeps its connections.
 #[test]
-fn connections_seldom_used_by_one_of_many_nodes_are_closed() {
+fn a_node_of_a_large_deployment_closes_seldom_used_connections() {
     let closes = |nodes, gap| {
-        let mut node = Node::with_servers(
+        let mut node = Node::with_endpoints(
             Settings {
                 nodes,
                 ..settings()
@@ -304,10 +304,10 @@
             1,
         );
         for key in 0..20 {
-            node.call(key, Status::Ok);
-            node.pass(gap);
+            node.read(key, Status::Ok);
+            node.advance(gap);
         }
-        node.trace
+        node.actions
             .iter()
             .filter(|action| matches!(action, Action::CloseIdleConnections { .. }))
             .count()
@@ -321,7 +321,7 @@
 
 /// Where listed weights do not tell speeds, machines of a slow kind would get as many keys as fast ones and jam.
 #[test]
-fn a_slow_kind_gets_fewer_keys_where_weights_do_not_tell_speeds() {
+fn a_slow_kind_gets_fewer_keys_where_weights_do_not_include_speed() {
     let share = |weights_include_speed| {
         let mut node = Node::new(
             Settings {
@@ -334,16 +334,16 @@
             kind: Some(Name::from(if i < 5 { "x" } else { "y" })),
             ..Endpoint::new(&char::from(b'a' + i).to_string())
         };
-        node.full_list((0..10).map(entry).collect());
+        node.list_snapshot((0..10).map(entry).collect());
         let mut rng = fastrand::Rng::with_seed(3);
         let mut of_slow = 0;
         for step in 0..2_000 {
             let id = node.request(0, rng.u64(..), ms(400));
-            let (_, server) = node.out(&id).expect("sent");
+            let (_, server) = node.in_flight(&id).expect("sent");
             let slow = server.as_str() < "f";
             of_slow += u32::from(slow && step >= 1_000);
-            node.pass(ms(if slow { 60 } else { 20 }));
-            node.answer(&id, Status::Ok);
+            node.advance(ms(if slow { 60 } else { 20 }));
+            node.end_attempt_in_flight(&id, Status::Ok);
             node.requests.clear();
         }
         f64::from(of_slow) / 1_000.0
@@ -354,7 +354,7 @@
 
 /// Memory may not grow with what discovery says over time: servers come and go, each of a kind of its own.
 #[test]
-fn kinds_of_servers_that_are_gone_are_forgotten() {
+fn kinds_of_removed_endpoints_are_forgotten() {
     let mut node = Node::new(
         Settings {
             weights_include_speed: false,
@@ -364,14 +364,14 @@
     );
     let mut held = |round: u32| {
         let kind = Some(Name::from(format!("kind-{round}").as_str()));
-        node.full_list(vec![Endpoint {
+        node.list_snapshot(vec![Endpoint {
             kind,
             ..Endpoint::new(&format!("s{round}"))
         }]);
-        node.call(7, Status::Ok);
+        node.read(7, Status::Ok);
         node.requests.clear();
         // What else is remembered of servers fades within seconds.
-        node.pass(ms(50));
+        node.advance(ms(50));
         format!("{:?}", node.balancer).len()
     };
     let early = (0..600).map(&mut held).max().expect("some");
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -5,20 +5,20 @@
 use slatelink_policy::*;
 
 #[test]
-fn retries_stop_when_their_budget_is_spent() {
+fn retries_stop_when_the_retry_budget_is_spent() {
     // The danger: every request tried on every server multiplies the load just when there is too much of it.
-    let mut node = Node::with_servers(settings(), 8);
+    let mut node = Node::with_endpoints(settings(), 8);
     let mut sends = 0;
     for key in 0..300 {
         let id = node.request(0, key, ms(400));
         // Half of what is sent fails: too little for a breaker, and each request would have its second try.
         for status in [Status::Failed, Status::Ok] {
-            if node.out(&id).is_some() {
-                node.answer(&id, status);
+            if node.in_flight(&id).is_some() {
+                node.end_attempt_in_flight(&id, status);
             }
         }
-        sends += node.requests[&id].sent.len();
-        node.pass(ms(20));
+        sends += node.requests[&id].attempts.len();
+        node.advance(ms(20));
     }
     assert!(
         sends <= 300 + 300 / 5 + 10,
@@ -45,21 +45,29 @@
         if step % every == 0 {
             node.request(0, step % 300, ms(400));
         }
-        node.pass(ms(1));
+        node.advance(ms(1));
         let now = node.now;
         let answered = node.requests.iter().filter(|(_, open)| {
-            let out = open.sent.first().filter(|sent| sent.status.is_none());
+            let out = open
+                .attempts
+                .first()
+                .filter(|attempt| attempt.status.is_none());
             let takes = |server: &EndpointId| ms(if Some(server) == slow { 300 } else { latency });
-            out.is_some_and(|sent| sent.at + takes(&sent.server.id) <= now)
+            out.is_some_and(|attempt| attempt.sent + takes(&attempt.endpoint.id) <= now)
         });
         for id in answered.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
-            node.answer(&id, Status::Ok);
+            node.end_attempt_in_flight(&id, Status::Ok);
         }
         node.requests.retain(|_, open| {
-            let over = open.ended && open.sent.iter().all(|sent| sent.status.is_some());
-            sent += usize::from(over && !open.sent.is_empty());
-            to_slow +=
-                usize::from(over && open.sent.iter().any(|sent| Some(&sent.server.id) == slow));
+            let over =
+                open.answered && open.attempts.iter().all(|attempt| attempt.status.is_some());
+            sent += usize::from(over && !open.attempts.is_empty());
+            to_slow += usize::from(
+                over && open
+                    .attempts
+                    .iter()
+                    .any(|attempt| Some(&attempt.endpoint.id) == slow),
+            );
             !over
         });
     }
@@ -67,9 +75,9 @@
 }
 
 #[test]
-fn a_slow_server_is_sent_less() {
+fn a_slow_endpoint_is_sent_less() {
     // The danger: it answers inside its time-out, so its breaker stays closed and its keys are late for good.
-    let mut node = Node::with_servers(settings(), 6);
+    let mut node = Node::with_endpoints(settings(), 6);
     let slow = EndpointId::from("c");
     let (sent, before) = offer(&mut node, 10, None);
     assert!(sent > 2_900 && before == 0, "{sent} of 3000 were sent");
@@ -81,10 +89,10 @@
 }
 
 #[test]
-fn a_server_with_nothing_in_flight_gets_the_next_request() {
+fn an_endpoint_with_nothing_in_flight_gets_the_next_request() {
     // The danger: late answers cut its limit to a fraction of a request. It stands idle and is refused, and with
     // no answers from it nothing raises the limit again.
-    let mut node = Node::with_servers(
+    let mut node = Node::with_endpoints(
         Settings {
             nodes: 3,
             ..settings()
@@ -93,25 +101,25 @@
     );
     for _ in 0..40 {
         let id = node.request(0, 7, ms(400));
-        node.pass(ms(140));
-        if node.out(&id).is_some() {
-            node.answer(&id, Status::Ok);
+        node.advance(ms(140));
+        if node.in_flight(&id).is_some() {
+            node.end_attempt_in_flight(&id, Status::Ok);
         }
     }
-    node.pass(ms(5_000));
+    node.advance(ms(5_000));
     let sent = (0..100)
-        .filter(|_| node.call(7, Status::Ok).is_some())
+        .filter(|_| node.read(7, Status::Ok).is_some())
         .count();
     assert_eq!(sent, 100, "asked one at a time, an idle server has room");
 }
 
 #[test]
-fn an_overloaded_fleet_is_spared() {
+fn an_overloaded_fleet_is_sent_less_and_recovers() {
     // The danger: all answers late, none in time, because nothing is refused.
-    let mut node = Node::with_servers(settings(), 6);
+    let mut node = Node::with_endpoints(settings(), 6);
     let (sent, _) = offer(&mut node, 250, None);
     assert!(sent < 1_000, "{sent} of 3000 were sent");
-    node.pass(ms(1_000));
+    node.advance(ms(1_000));
     // And it comes back.
     offer(&mut node, 10, None);
     let (sent, _) = offer(&mut node, 10, None);
@@ -119,9 +127,9 @@
 }
 
 #[test]
-fn a_burst_is_held_for_room_and_refused_in_time_without_it() {
+fn a_burst_is_queued_for_capacity_and_shed_in_time_without_it() {
     // The danger: requests refused in a burst of milliseconds while their aim leaves them time to wait.
-    let mut node = Node::with_servers(
+    let mut node = Node::with_endpoints(
         Settings {
             nodes: 16,
             ..settings()
@@ -129,39 +137,39 @@
         1,
     );
     for _ in 0..200 {
-        node.call(7, Status::Ok);
-        node.pass(ms(1));
+        node.read(7, Status::Ok);
+        node.advance(ms(1));
     }
     let ids: Vec<RequestId> = (0..8).map(|_| node.request(0, 7, ms(400))).collect();
     let waiting = ids
         .iter()
-        .filter(|id| !node.requests[*id].ended && node.out(id).is_none())
+        .filter(|id| !node.requests[*id].answered && node.in_flight(id).is_none())
         .count();
     assert!(waiting >= 4, "{waiting} of 8 are held");
     for id in &ids {
-        if node.out(id).is_some() {
-            node.answer(id, Status::Ok);
+        if node.in_flight(id).is_some() {
+            node.end_attempt_in_flight(id, Status::Ok);
         }
     }
-    node.pass(ms(20));
+    node.advance(ms(20));
     let sent = ids
         .iter()
-        .filter(|id| !node.requests[*id].sent.is_empty())
+        .filter(|id| !node.requests[*id].attempts.is_empty())
         .count();
     assert!(sent > 8 - waiting, "room that came was used");
-    node.pass(ms(150));
+    node.advance(ms(150));
     assert!(
         ids.iter()
-            .all(|id| node.requests[id].ended || node.out(id).is_some()),
+            .all(|id| node.requests[id].answered || node.in_flight(id).is_some()),
         "none waits past its aim"
     );
 }
 
 #[test]
-fn heavy_requests_in_time_do_not_shut_a_server() {
+fn heavy_requests_in_time_do_not_lower_a_concurrency_limit() {
     // The danger: work that is long by itself reads as a queue, and an idle server is refused.
     let served = |heavy: u64| {
-        let mut node = Node::with_servers(settings(), 1);
+        let mut node = Node::with_endpoints(settings(), 1);
         let mut sent = 0;
         for step in 0..400u64 {
             // Every second request takes 120 of its 150 ms; `heavy` is what the hint says of it.
@@ -173,10 +181,10 @@
                 ..Request::new(&format!("h{step}"), node.now + ms(400))
             };
             let id = node.submit(request);
-            node.pass(ms(if long { 120 } else { 20 }));
-            if node.out(&id).is_some() {
+            node.advance(ms(if long { 120 } else { 20 }));
+            if node.in_flight(&id).is_some() {
                 sent += 1;
-                node.answer(&id, Status::Ok);
+                node.end_attempt_in_flight(&id, Status::Ok);
             }
         }
         sent
@@ -188,7 +196,7 @@
 /// When every server is jammed, what is sent joins queues longer than anyone waits and keeps them full: a node that
 /// gets nothing in time refuses nearly all of it, and takes it up again as answers come.
 #[test]
-fn a_fleet_jammed_as_a_whole_is_left_alone_until_it_answers() {
+fn load_is_shed_while_the_whole_fleet_rejects_and_until_it_serves_again() {
     // So many servers that it seldom meets one twice: limits for each alone could not learn.
     let mut node = Node::new(
         Settings {
@@ -197,7 +205,7 @@
         },
         1,
     );
-    node.full_list(
+    node.list_snapshot(
         (0..3_000)
             .map(|i| Endpoint::new(&format!("s{i}")))
             .collect(),
@@ -207,13 +215,13 @@
         let mut sent = 0;
         for _ in 0..count {
             let id = node.request(0, rng.u64(..), ms(400));
-            sent += usize::from(!node.requests[&id].sent.is_empty());
-            while node.out(&id).is_some() {
-                node.answer(&id, status);
+            sent += usize::from(!node.requests[&id].attempts.is_empty());
+            while node.in_flight(&id).is_some() {
+                node.end_attempt_in_flight(&id, status);
             }
-            node.pass(ms(10));
+            node.advance(ms(10));
         }
-        node.requests.retain(|_, open| !open.ended);
+        node.requests.retain(|_, open| !open.answered);
         sent
     };
     assert_eq!(sent(&mut node, Status::Ok, 100), 100);
@@ -226,10 +234,10 @@
 }
 
 #[test]
-fn late_answers_that_met_no_queue_hardly_lower_a_servers_limit() {
+fn late_answers_without_a_queue_hardly_lower_a_concurrency_limit() {
     // The danger: heavy requests are late by their own work, and a calm fleet's limits creep down until it refuses.
     let sent_at = |nodes, waiting| {
-        let mut node = Node::with_servers(
+        let mut node = Node::with_endpoints(
             Settings {
                 nodes,
                 ..settings()
@@ -258,11 +266,11 @@
 }
 
 #[test]
-fn time_outs_at_servers_that_tell_of_no_queue_neither_trip_nor_fill_them() {
+fn time_outs_at_endpoints_without_a_queue_neither_open_breakers_nor_lower_limits() {
     // The danger: misses time out at a slow origin, every server is blamed for its own, and a fleet that has
     // time to spare refuses hits and moves keys to servers that lack them.
     let sent_at = |waiting| {
-        let mut node = Node::with_servers(
+        let mut node = Node::with_endpoints(
             Settings {
                 nodes: 2,
                 ..settings()
@@ -273,21 +281,21 @@
         let mut sent = 0;
         for key in 0..900 {
             let id = node.request(0, key, ms(400));
-            sent += usize::from(node.out(&id).is_some());
-            node.pass(ms(10));
+            sent += usize::from(node.in_flight(&id).is_some());
+            node.advance(ms(10));
             // Three in ten are left to time out.
-            for id in node.all_out() {
+            for id in node.requests_in_flight() {
                 if node.requests[&id]
                     .request
                     .key
                     .is_some_and(|key| key % 10 > 2)
                 {
-                    node.answer(&id, Status::Ok);
+                    node.end_attempt_in_flight(&id, Status::Ok);
                 }
             }
         }
         let tripped = node
-            .trace
+            .actions
             .iter()
             .any(|action| matches!(action, Action::BreakerOpened(_)));
         (sent, tripped)
@@ -299,12 +307,12 @@
 
 /// A key that everybody wants must not turn the whole fleet's hits into misses: its first few servers take it or none.
 #[test]
-fn for_want_of_room_a_key_goes_to_three_servers_at_most() {
-    let mut node = Node::with_servers(settings(), 8);
+fn for_want_of_capacity_a_key_goes_to_three_endpoints_at_most() {
+    let mut node = Node::with_endpoints(settings(), 8);
     let mut servers = std::collections::BTreeSet::new();
     for _ in 0..200 {
         let id = node.request(0, 7, ms(400));
-        servers.extend(node.out(&id).map(|(_, server)| server));
+        servers.extend(node.in_flight(&id).map(|(_, server)| server));
     }
     assert_eq!(servers.len(), 3, "{servers:?}");
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 #[test]
-fn an_unsafe_request_is_sent_again_only_when_it_never_ran() {
-    let mut node = Node::with_servers(settings(), 3);
+fn a_non_idempotent_request_is_retried_only_if_it_never_ran() {
+    let mut node = Node::with_endpoints(settings(), 3);
     let id = node.request(2, 7, ms(400));
-    node.answer(&id, Status::Rejected);
-    let (attempt, _) = node.out(&id).expect("never ran: sent on");
+    node.end_attempt_in_flight(&id, Status::Rejected);
+    let (attempt, _) = node.in_flight(&id).expect("never ran: sent on");
     assert_eq!(attempt, 1);
-    let actions = node.answer(&id, Status::TimedOut);
+    let actions = node.end_attempt_in_flight(&id, Status::TimedOut);
     assert_eq!(
         actions,
         [Action::Fail { id }],
@@ -21,27 +21,27 @@
 }
 
 #[test]
-fn a_keyed_request_is_not_sent_again_after_its_window() {
-    let mut node = Node::with_servers(settings(), 3);
+fn a_keyed_request_is_not_retried_after_its_deduplication_window() {
+    let mut node = Node::with_endpoints(settings(), 3);
     let id = node.request(1, 7, ms(5_000));
-    node.pass(ms(500));
-    node.answer(&id, Status::Failed);
-    assert!(node.out(&id).is_some(), "within the window, sent on");
-    node.pass(ms(600));
-    node.answer(&id, Status::Failed);
-    assert!(node.out(&id).is_none(), "the first send is 1.1 s old");
-    assert!(node.requests[&id].ended);
+    node.advance(ms(500));
+    node.end_attempt_in_flight(&id, Status::Failed);
+    assert!(node.in_flight(&id).is_some(), "within the window, sent on");
+    node.advance(ms(600));
+    node.end_attempt_in_flight(&id, Status::Failed);
+    assert!(node.in_flight(&id).is_none(), "the first send is 1.1 s old");
+    assert!(node.requests[&id].answered);
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_cell() {
+fn a_keyed_request_is_retried_only_in_its_cell() {
     let mut settings = settings();
     settings.classes[1].idempotency = Idempotency::Keyed {
         scope: DeduplicationScope::Cell,
         window: ms(1000),
     };
     let mut node = Node::new(settings, 1);
-    node.full_list(
+    node.list_snapshot(
         (0..6u64)
             .map(|i| Endpoint {
                 cell: i % 3,
@@ -52,32 +52,32 @@
     let mut sent_on = 0;
     for key in 0..30 {
         let id = node.request(1, key, ms(400));
-        node.answer(&id, Status::Failed);
+        node.end_attempt_in_flight(&id, Status::Failed);
         // `Node` asserts the cell; here only that the rule is not kept by giving up.
-        sent_on += usize::from(node.out(&id).is_some());
-        if node.out(&id).is_some() {
-            node.answer(&id, Status::Ok);
+        sent_on += usize::from(node.in_flight(&id).is_some());
+        if node.in_flight(&id).is_some() {
+            node.end_attempt_in_flight(&id, Status::Ok);
         }
-        node.pass(ms(100));
+        node.advance(ms(100));
     }
     assert!(sent_on > 5, "{sent_on} of 30 were sent on");
 }
 
 #[test]
-fn a_draining_or_removed_server_gets_nothing_new() {
-    let mut node = Node::with_servers(settings(), 2);
-    let own = node.call(7, Status::Ok).expect("served");
+fn a_draining_or_removed_endpoint_is_sent_nothing_new() {
+    let mut node = Node::with_endpoints(settings(), 2);
+    let own = node.read(7, Status::Ok).expect("served");
     let entry = |availability| Endpoint {
         availability,
         ..Endpoint::new(own.as_str())
     };
-    node.changes(vec![entry(Availability::Draining)]);
-    assert_ne!(node.call(7, Status::Ok), Some(own.clone()));
-    node.changes(vec![entry(Availability::Removed)]);
-    assert_ne!(node.call(7, Status::Ok), Some(own.clone()));
-    node.changes(vec![entry(Availability::Ready)]);
+    node.list_delta(vec![entry(Availability::Draining)]);
+    assert_ne!(node.read(7, Status::Ok), Some(own.clone()));
+    node.list_delta(vec![entry(Availability::Removed)]);
+    assert_ne!(node.read(7, Status::Ok), Some(own.clone()));
+    node.list_delta(vec![entry(Availability::Ready)]);
     assert_eq!(
-        node.call(7, Status::Ok),
+        node.read(7, Status::Ok),
         Some(own),
         "an id that returns is used again"
     );
@@ -85,21 +85,21 @@
 
 // Guards against the last resort, the key's own server though it is blocked, that picks one told to leave.
 #[test]
-fn with_every_server_blocked_none_that_drains_is_picked() {
-    let mut node = Node::with_servers(settings(), 3);
+fn with_every_endpoint_blocked_no_draining_one_is_selected() {
+    let mut node = Node::with_endpoints(settings(), 3);
     let leaving: EndpointId = "b".into();
     let own: Vec<u64> = (0..60)
-        .filter(|key| node.call(*key, Status::Ok) == Some(leaving.clone()))
+        .filter(|key| node.read(*key, Status::Ok) == Some(leaving.clone()))
         .collect();
     assert!(own.len() > 5, "keys of the one that will leave");
-    node.changes(vec![Endpoint {
+    node.list_delta(vec![Endpoint {
         availability: Availability::Draining,
         ..Endpoint::new("b")
     }]);
     // One after the other: while most fail, none is blocked.
     let tripped = |node: &Node, server: &str| {
         let scope = BreakerScope::Endpoint(server.into());
-        node.trace.contains(&Action::BreakerOpened(scope))
+        node.actions.contains(&Action::BreakerOpened(scope))
     };
     for bad in ["a", "c"] {
         for key in 0..4_000 {
@@ -107,7 +107,7 @@
                 break;
             }
             let id = node.request(0, key, ms(400));
-            while let Some((attempt, server)) = node.out(&id) {
+            while let Some((attempt, server)) = node.in_flight(&id) {
                 let status = if server.as_str() == bad {
                     Status::Failed
                 } else {
@@ -115,58 +115,61 @@
                 };
                 node.end_attempt(&id, attempt, status);
             }
-            node.pass(ms(1));
+            node.advance(ms(1));
         }
         assert!(tripped(&node, bad), "{bad}");
     }
     let sent: Vec<_> = own
         .iter()
-        .filter_map(|key| node.call(*key, Status::Failed))
+        .filter_map(|key| node.read(*key, Status::Failed))
         .collect();
     assert!(!sent.is_empty() && !sent.contains(&leaving), "{sent:?}");
 }
 
 #[test]
-fn no_server_at_all_is_answered_at_once() {
+fn without_endpoints_a_request_is_answered_at_once() {
     let mut node = Node::new(settings(), 1);
     for class in 0..3 {
         let id = node.request(class, 7, ms(400));
-        assert!(node.requests[&id].ended);
+        assert!(node.requests[&id].answered);
     }
-    node.full_list(Vec::new());
+    node.list_snapshot(Vec::new());
     let id = node.request(0, 7, ms(400));
-    assert!(node.requests[&id].ended);
+    assert!(node.requests[&id].answered);
 }
 
 #[test]
-fn a_request_already_past_its_time_fails_at_once() {
-    let mut node = Node::with_servers(settings(), 2);
+fn a_request_past_its_deadline_fails_at_once() {
+    let mut node = Node::with_endpoints(settings(), 2);
     let id = node.request(0, 7, Duration::ZERO);
-    assert!(node.requests[&id].ended && node.requests[&id].sent.is_empty());
+    assert!(node.requests[&id].answered && node.requests[&id].attempts.is_empty());
 }
 
 #[test]
-fn a_request_of_no_known_class_is_treated_as_unsafe() {
-    let mut node = Node::with_servers(settings(), 2);
+fn a_request_of_no_known_class_is_treated_as_non_idempotent() {
+    let mut node = Node::with_endpoints(settings(), 2);
     let id = node.submit(Request::new("odd", node.now + ms(400)));
-    assert_eq!(node.answer(&id, Status::Failed), [Action::Fail { id }]);
+    assert_eq!(
+        node.end_attempt_in_flight(&id, Status::Failed),
+        [Action::Fail { id }]
+    );
 }
 
 #[test]
-fn what_is_no_longer_held_is_passed_over() {
-    let mut node = Node::with_servers(settings(), 2);
+fn events_of_requests_that_are_not_pending_are_ignored() {
+    let mut node = Node::with_endpoints(settings(), 2);
     let id = node.request(0, 7, ms(400));
-    node.requests.get_mut(&id).expect("known").ended = true;
-    assert_eq!(node.feed(Event::RequestCanceled(id.clone())), []);
-    assert_eq!(node.feed(Event::RequestCanceled(id.clone())), []);
+    node.requests.get_mut(&id).expect("known").answered = true;
+    assert_eq!(node.handle(Event::RequestCanceled(id.clone())), []);
+    assert_eq!(node.handle(Event::RequestCanceled(id.clone())), []);
     // The late outcome must not bring the request back to life.
-    assert_eq!(node.answer(&id, Status::Failed), []);
-    assert_eq!(node.feed(Event::Timer), []);
-    assert_eq!(node.feed(Event::RequestCanceled("unheard-of".into())), []);
+    assert_eq!(node.end_attempt_in_flight(&id, Status::Failed), []);
+    assert_eq!(node.handle(Event::Timer), []);
+    assert_eq!(node.handle(Event::RequestCanceled("unheard-of".into())), []);
 }
 
 #[test]
-fn a_failed_subscription_is_asked_for_again() {
+fn discovery_is_polled_again_after_a_call_that_failed() {
     let mut node = Node::new(
         Settings {
             polls_discovery: true,
@@ -175,17 +178,17 @@
         1,
     );
     assert!(node
-        .feed(Event::LastKnownEndpoints(Vec::new().into()))
+        .handle(Event::LastKnownEndpoints(Vec::new().into()))
         .contains(&Action::PollDiscovery));
-    assert_eq!(node.feed(Event::Timer), [], "once is enough");
-    let again = node.feed(Event::Endpoints(EndpointUpdate::Unavailable));
+    assert_eq!(node.handle(Event::Timer), [], "once is enough");
+    let again = node.handle(Event::Endpoints(EndpointUpdate::Unavailable));
     assert!(
         matches!(&again[..], [Action::Wake { .. }]),
         "after a while, not at once: {again:?}"
     );
-    node.pass(ms(5_000));
+    node.advance(ms(5_000));
     assert_eq!(
-        node.trace
+        node.actions
             .iter()
             .filter(|action| **action == Action::PollDiscovery)
             .count(),
@@ -196,7 +199,7 @@
 /// After a failed call each change counts as told 6 s after discovery had it: two calls more may fail, and one wait for
 /// its turn of 2 s, in that time. And nodes that lost discovery together must come back apart.
 #[test]
-fn failed_calls_are_made_again_in_time_and_apart() {
+fn failed_polls_are_retried_in_time_and_with_jitter() {
     let pauses = |seed, max_poll_interval| {
         let mut node = Node::new(
             Settings {
@@ -206,12 +209,12 @@
             },
             seed,
         );
-        node.feed(Event::LastKnownEndpoints(Vec::new().into()));
+        node.handle(Event::LastKnownEndpoints(Vec::new().into()));
         let pause = |_| {
-            let (failed, before) = (node.now, node.trace.len());
-            node.feed(Event::Endpoints(EndpointUpdate::Unavailable));
-            while !node.trace[before..].contains(&Action::PollDiscovery) {
-                node.pass(ms(5));
+            let (failed, before) = (node.now, node.actions.len());
+            node.handle(Event::Endpoints(EndpointUpdate::Unavailable));
+            while !node.actions[before..].contains(&Action::PollDiscovery) {
+                node.advance(ms(5));
             }
             node.now.since(failed)
         };
@@ -235,22 +238,22 @@
 /// The cold-server budget, counted from outside: what one node sends a fresh server in any span stays under the
 /// stated multiple of what that server can do, taking the rest of the fleet's use for its size.
 #[test]
-fn a_cold_server_is_not_pushed_over() {
-    let mut node = Node::with_servers(settings(), 10);
+fn an_endpoint_that_warms_up_is_not_overloaded() {
+    let mut node = Node::with_endpoints(settings(), 10);
     let born = node.now + ms(4_000);
     let (mut to_cold, mut all) = (Vec::new(), 0.0);
     let mut rng = fastrand::Rng::with_seed(11);
     for step in 0..20_000u64 {
         if step == 5_000 {
-            let mut list: Vec<Endpoint> = node.list.values().cloned().collect();
+            let mut list: Vec<Endpoint> = node.listed.values().cloned().collect();
             list[0].started = Some(born);
-            node.changes(list);
+            node.list_delta(list);
         }
         // One key in two is the same hot one; an eighth of the answers ask for another attempt.
         let key = if rng.bool() { 3 } else { rng.u64(..) };
         let id = node.request(0, key, ms(400));
         for status in [Status::Rejected, Status::Ok] {
-            if let Some((attempt, server)) = node.out(&id) {
+            if let Some((attempt, server)) = node.in_flight(&id) {
                 if step >= 5_000 {
                     all += 1.0;
                     if server.as_str() == "a" {
@@ -268,14 +271,14 @@
                 );
             }
         }
-        node.pass(ms(1));
-        for id in node.all_out() {
-            if step >= 5_000 && node.out(&id).expect("out").1.as_str() == "a" {
+        node.advance(ms(1));
+        for id in node.requests_in_flight() {
+            if step >= 5_000 && node.in_flight(&id).expect("out").1.as_str() == "a" {
                 to_cold.push(node.now);
             }
-            node.answer(&id, Status::Ok);
+            node.end_attempt_in_flight(&id, Status::Ok);
         }
-        node.requests.retain(|_, open| !open.ended);
+        node.requests.retain(|_, open| !open.answered);
     }
     assert!(
         to_cold.len() > 100,
@@ -303,13 +306,13 @@
 }
 
 #[test]
-fn a_cold_server_that_is_dropped_and_named_again_gets_no_second_budget() {
+fn an_endpoint_removed_and_listed_again_gets_no_second_slow_start_budget() {
     // A discovery that flaps must not push over what has just started.
     let sent = |flaps: bool| {
-        let mut node = Node::with_servers(settings(), 4);
+        let mut node = Node::with_endpoints(settings(), 4);
         for key in 0..1_000 {
-            node.call(key, Status::Ok);
-            node.pass(ms(2));
+            node.read(key, Status::Ok);
+            node.advance(ms(2));
         }
         let born = node.now;
         let entry = |availability| Endpoint {
@@ -317,18 +320,18 @@
             started: Some(born),
             ..Endpoint::new("a")
         };
-        node.changes(vec![entry(Availability::Ready)]);
+        node.list_delta(vec![entry(Availability::Ready)]);
         let mut sent = 0;
         for key in 0..1_000 {
             if flaps && key % 20 == 0 {
-                node.changes(vec![entry(Availability::Removed)]);
-                node.changes(vec![entry(Availability::Ready)]);
+                node.list_delta(vec![entry(Availability::Removed)]);
+                node.list_delta(vec![entry(Availability::Ready)]);
             }
             sent += u32::from(
-                node.call(key, Status::Ok)
+                node.read(key, Status::Ok)
                     .is_some_and(|server| server.as_str() == "a"),
             );
-            node.pass(ms(2));
+            node.advance(ms(2));
         }
         sent
     };
@@ -341,10 +344,10 @@
 }
 
 #[test]
-fn an_outcome_of_an_attempt_never_made_loses_no_request() {
-    let mut node = Node::with_servers(settings(), 2);
+fn an_outcome_of_an_attempt_never_sent_loses_no_request() {
+    let mut node = Node::with_endpoints(settings(), 2);
     let id = node.request(0, 7, ms(400));
-    let (_, server) = node.out(&id).expect("sent");
+    let (_, server) = node.in_flight(&id).expect("sent");
     let (cache_result, load) = (None, LoadReport::default());
     let (status, latency, answered) = (Status::Failed, ms(1), false);
     let stray = Outcome {
@@ -357,18 +360,18 @@
         answered,
         load,
     };
-    assert_eq!(node.feed(Event::AttemptEnded(stray)), []);
-    node.pass(ms(500));
-    assert!(node.requests[&id].ended);
+    assert_eq!(node.handle(Event::AttemptEnded(stray)), []);
+    node.advance(ms(500));
+    assert!(node.requests[&id].answered);
 }
 
 #[test]
-fn an_outcome_that_is_told_twice_counts_once() {
-    let mut node = Node::with_servers(settings(), 3);
+fn an_outcome_reported_twice_counts_once() {
+    let mut node = Node::with_endpoints(settings(), 3);
     let id = node.request(0, 7, ms(400));
-    let (attempt, server) = node.out(&id).expect("sent");
+    let (attempt, server) = node.in_flight(&id).expect("sent");
     node.end_attempt(&id, attempt, Status::Failed);
-    assert!(node.out(&id).is_some(), "sent on");
+    assert!(node.in_flight(&id).is_some(), "sent on");
     let (cache_result, load, latency, answered) = (None, LoadReport::default(), ms(1), false);
     let again = Outcome {
         id: id.clone(),
@@ -382,11 +385,11 @@
     };
     for _ in 0..20 {
         assert_eq!(
-            node.feed(Event::AttemptEnded(again.clone())),
+            node.handle(Event::AttemptEnded(again.clone())),
             [],
             "no breaker trips of it"
         );
     }
-    node.answer(&id, Status::Ok);
-    assert!(node.requests[&id].ended);
+    node.end_attempt_in_flight(&id, Status::Ok);
+    assert!(node.requests[&id].answered);
 }
