--- a/crates/cli/tests/node_audit_trail.rs
+++ b/crates/cli/tests/node_audit_trail.rs
@@ -3,15 +3,17 @@
 mod node_common;
 
 use node_common::*;
+use serde_json::Value;
+use std::path::Path;
 
-fn records(path: &std::path::Path) -> Vec<serde_json::Value> {
+fn records(path: &Path) -> Vec<Value> {
     let text = std::fs::read_to_string(path).unwrap();
     text.lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect()
 }
 
-fn verify(path: &std::path::Path) -> (String, Option<i32>) {
+fn verify(path: &Path) -> (String, Option<i32>) {
     let ended = command()
         .args(["audit", "verify"])
         .arg(path)
@@ -23,7 +25,7 @@
     )
 }
 
-fn sha256(path: &std::path::Path) -> String {
+fn sha256(path: &Path) -> String {
     let ended = std::process::Command::new("sha256sum")
         .arg(path)
         .output()
@@ -36,10 +38,25 @@
 #[test]
 fn the_audit_trail_verifies_over_restarts_and_any_edit_of_it_is_detected() {
     let server = CacheServer::serving("value");
-    let host = |health| server.entry("s-1", health);
     let path = temporary_path("trail");
+    let hashes = write_trail(&server, &path);
+    let all = records(&path);
+    assert_eq!(verify(&path), (format!("ok {}\n", all.len()), Some(0)));
+    for (i, record) in all.iter().enumerate() {
+        assert_eq!(record["seq"], i as u64 + 1);
+    }
+    assert_starts_and_stops(&all);
+    assert_switches(&all);
+    assert_configurations(&all, &hashes);
+    assert_every_edit_is_detected(&path, all.len());
+}
+
+/// Runs four nodes after one another on one trail, ended by four signals, the first with switches of an endpoint and
+/// two reloads. The hashes of the platform's configurations, in order.
+fn write_trail(server: &CacheServer, path: &Path) -> Vec<String> {
+    let host = |health| server.entry("s-1", health);
     let settings = format!("[audit]\npath = \"{}\"\n", path.display());
-    let mut shas = Vec::new();
+    let mut hashes = Vec::new();
     for (signal, code) in [
         ("-TERM", Some(0)),
         ("-INT", Some(130)),
@@ -49,7 +66,7 @@
         let discovery = Discovery::start(&[host("ready")]);
         let told = config(discovery.address);
         let node = Node::with_features(&told, &settings);
-        shas.push(sha256(node.config()));
+        hashes.push(sha256(node.config()));
         if signal == "-TERM" {
             discovery.publish(false, &[host("draining")]);
             discovery.wait_until_applied(2);
@@ -61,51 +78,60 @@
             discovery.wait_until_applied(5);
             node.reload(&format!("{told} "));
             wait_for("the reload", || {
-                records(&path)
+                records(path)
                     .iter()
                     .filter(|r| r["file"] == "platform")
                     .count()
                     == 2
             });
-            shas.push(sha256(node.config()));
+            hashes.push(sha256(node.config()));
             node.reload("not a configuration");
         }
         // Before it is killed, its records must be there.
         let loaded = || {
-            records(&path)
+            records(path)
                 .iter()
                 .filter(|record| record["file"] == "features")
                 .count()
         };
-        wait_for("the start's records", || loaded() == shas.len());
+        wait_for("the start's records", || loaded() == hashes.len());
         node.signal(signal);
         assert_eq!(node.exit().code(), code, "{signal}");
     }
-    let all = records(&path);
-    assert_eq!(verify(&path), (format!("ok {}\n", all.len()), Some(0)));
-    for (i, record) in all.iter().enumerate() {
-        assert_eq!(record["seq"], i as u64 + 1);
-    }
-    let of = |event: &str| {
-        all.iter()
-            .filter(|record| record["event"] == event)
-            .collect::<Vec<_>>()
-    };
-    assert_eq!(of("start").len(), 4);
-    assert_eq!(of("start")[0]["node"], "n0");
-    let signals: Vec<_> = of("stop")
+    hashes
+}
+
+/// The records of an event, in order.
+fn records_of<'a>(all: &'a [Value], event: &str) -> Vec<&'a Value> {
+    all.iter()
+        .filter(|record| record["event"] == event)
+        .collect()
+}
+
+fn assert_starts_and_stops(all: &[Value]) {
+    assert_eq!(records_of(all, "start").len(), 4);
+    assert_eq!(records_of(all, "start")[0]["node"], "n0");
+    let signals: Vec<_> = records_of(all, "stop")
         .iter()
         .map(|record| record["signal"].clone())
         .collect();
     assert_eq!(signals, ["SIGTERM", "SIGINT", "SIGUSR2"]);
     // What was killed shows as a start that no stop comes before.
-    let before =
-        |i: usize| &all[all.iter().rposition(|r| r == of("start")[i]).unwrap() - 1]["event"];
+    let before = |i: usize| {
+        &all[all
+            .iter()
+            .rposition(|r| r == records_of(all, "start")[i])
+            .unwrap()
+            - 1]["event"]
+    };
     assert_eq!(
         [before(1), before(2), before(3)].map(|event| event == "stop"),
         [true, true, false]
     );
-    let switches: Vec<_> = of("health")[..5]
+}
+
+fn assert_switches(all: &[Value]) {
+    let switches: Vec<_> = records_of(all, "health")[..5]
         .iter()
         .map(|r| {
             ["host", "from", "to"]
@@ -122,21 +148,28 @@
     ]
     .map(|s| format!("s-1 {s}"));
     assert_eq!(switches, expected);
-    let files = of("config");
+}
+
+/// Each configuration that a node took has a record, with its hash for the platform's.
+fn assert_configurations(all: &[Value], hashes: &[String]) {
+    let files = records_of(all, "config");
     let platform: Vec<_> = files.iter().filter(|r| r["file"] == "platform").collect();
     assert_eq!(platform.len(), 5);
     assert!(
         platform
             .iter()
-            .zip(&shas)
+            .zip(hashes)
             .all(|(record, sha)| record["sha256"] == **sha),
-        "{platform:?} {shas:?}"
+        "{platform:?} {hashes:?}"
     );
     assert_eq!(files.iter().filter(|r| r["file"] == "features").count(), 5);
+}
 
-    let text = std::fs::read(&path).unwrap();
+/// `audit verify` finds a flipped bit in any line, a torn last line, and a trail that is not there.
+fn assert_every_edit_is_detected(path: &Path, records: usize) {
+    let text = std::fs::read(path).unwrap();
     let mut start = 0;
-    for line in 1..=all.len() {
+    for line in 1..=records {
         let end = start
             + text[start..]
                 .iter()
@@ -144,17 +177,17 @@
                 .unwrap();
         let mut edited = text.clone();
         edited[(start + end) / 2] ^= 1;
-        std::fs::write(&path, &edited).unwrap();
-        assert_eq!(verify(&path), (format!("broken at line {line}\n"), Some(1)));
+        std::fs::write(path, &edited).unwrap();
+        assert_eq!(verify(path), (format!("broken at line {line}\n"), Some(1)));
         start = end + 1;
     }
-    std::fs::write(&path, &text[..text.len() - 1]).unwrap();
+    std::fs::write(path, &text[..text.len() - 1]).unwrap();
     assert_eq!(
-        verify(&path),
-        (format!("torn at line {}\n", all.len()), Some(1))
+        verify(path),
+        (format!("torn at line {}\n", records), Some(1))
     );
-    std::fs::remove_file(&path).unwrap();
-    assert_eq!(verify(&path), (String::new(), Some(2)));
+    std::fs::remove_file(path).unwrap();
+    assert_eq!(verify(path), (String::new(), Some(2)));
 }
 
 // Guards against two nodes in one trail.
--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -85,6 +85,24 @@
     }
 }
 
+/// The ids of the requests that a server has received.
+fn received_ids(server: &CacheServer) -> Vec<String> {
+    let received = server.received.lock().unwrap();
+    let id = |request: &Message| request.header("req-id").unwrap().to_owned();
+    received.iter().map(id).collect()
+}
+
+/// None of these requests, as they were received, has one of these ids.
+fn assert_none_contains(requests: &[String], ids: &[String]) {
+    for id in ids {
+        let header = format!("req-id: {id}\r\n");
+        assert!(
+            !requests.iter().any(|request| request.contains(&header)),
+            "{id}: {requests:?}"
+        );
+    }
+}
+
 // Guards against a repeat that was decided within its window and begins after it: servers know it for one no more.
 #[test]
 fn a_retry_whose_connection_is_established_after_its_repeat_window_is_not_sent() {
@@ -115,13 +133,7 @@
         slow.pending_connections() + broken.count() >= clients.len()
     });
     let first_at_slow = slow.pending_connections();
-    let repeated: Vec<_> = broken
-        .received
-        .lock()
-        .unwrap()
-        .iter()
-        .map(|asked| asked.header("req-id").unwrap().to_owned())
-        .collect();
+    let repeated = received_ids(&broken);
     assert!(
         !repeated.is_empty() && first_at_slow > 0,
         "{repeated:?} at the broken one, {first_at_slow} at the slow one"
@@ -149,14 +161,7 @@
     }
     let asked = slow.received();
     assert_eq!(asked.len(), first_at_slow, "{asked:?}");
-    for id in &repeated {
-        assert!(
-            !asked
-                .iter()
-                .any(|asked| asked.contains(&format!("req-id: {id}\r\n"))),
-            "{id}: {asked:?}"
-        );
-    }
+    assert_none_contains(&asked, &repeated);
     assert_eq!(
         broken.count(),
         repeated.len(),
@@ -332,50 +337,61 @@
         ("", Ends::Reset, 502),
     ];
     for (text, ends, status) in cases {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (address, runs) = (listener.local_addr().unwrap(), Arc::new(AtomicU32::new(0)));
-        let counted = runs.clone();
-        std::thread::spawn(move || {
-            for mut stream in listener.incoming().map_while(Result::ok) {
-                let mut reader = BufReader::new(stream.try_clone().unwrap());
-                if !matches!(Message::read(&mut reader), Ok(Some(_))) {
-                    continue;
-                }
-                counted.fetch_add(1, Ordering::SeqCst);
-                stream.write_all(text.as_bytes()).unwrap();
-                match ends {
-                    Ends::Closed => {}
-                    Ends::Reset => SockRef::from(&stream)
-                        .set_linger(Some(Duration::ZERO))
-                        .unwrap(),
-                    // Until the node gives it up.
-                    Ends::Never => {
-                        while stream.write_all(b"v").is_ok() {
-                            std::thread::sleep(Duration::from_millis(5));
-                        }
+        assert_one_attempt(text, ends, status);
+    }
+}
+
+/// An endpoint that writes this text and then ends its connection so; where it listens, and the requests it has read.
+fn ending_endpoint(text: &'static str, ends: Ends) -> (SocketAddr, Arc<AtomicU32>) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (address, runs) = (listener.local_addr().unwrap(), Arc::new(AtomicU32::new(0)));
+    let counted = runs.clone();
+    std::thread::spawn(move || {
+        for mut stream in listener.incoming().map_while(Result::ok) {
+            let mut reader = BufReader::new(stream.try_clone().unwrap());
+            if !matches!(Message::read(&mut reader), Ok(Some(_))) {
+                continue;
+            }
+            counted.fetch_add(1, Ordering::SeqCst);
+            stream.write_all(text.as_bytes()).unwrap();
+            match ends {
+                Ends::Closed => {}
+                Ends::Reset => SockRef::from(&stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap(),
+                // Until the node gives it up.
+                Ends::Never => {
+                    while stream.write_all(b"v").is_ok() {
+                        std::thread::sleep(Duration::from_millis(5));
                     }
                 }
             }
-        });
-        let discovery = Discovery::start(&[endpoint_entry("s-1", address, "ready")]);
-        let node = Node::ready(&config(discovery.address));
-        let patience = Duration::from_millis(600);
-        let asked = Instant::now();
-        let served = node
-            .client()
-            .request(&read("once", 1, patience.as_millis() as u64));
-        assert_eq!(served.status(), status, "{text:?} {ends:?}");
-        if status == 200 {
-            assert_eq!(served.body, b"value", "{text:?}");
         }
-        // The node answers by itself; the rest is for a machine that does other things too.
-        assert!(
-            asked.elapsed() < patience * 5,
-            "{text:?} {ends:?}: {:?}",
-            asked.elapsed()
-        );
-        assert_eq!(runs.load(Ordering::SeqCst), 1, "{text:?} {ends:?}");
+    });
+    (address, runs)
+}
+
+/// A request to an endpoint whose response ends so has this status, in time and after one attempt.
+fn assert_one_attempt(text: &'static str, ends: Ends, status: u16) {
+    let (address, runs) = ending_endpoint(text, ends);
+    let discovery = Discovery::start(&[endpoint_entry("s-1", address, "ready")]);
+    let node = Node::ready(&config(discovery.address));
+    let deadline = Duration::from_millis(600);
+    let sent = Instant::now();
+    let served = node
+        .client()
+        .request(&read("once", 1, deadline.as_millis() as u64));
+    assert_eq!(served.status(), status, "{text:?} {ends:?}");
+    if status == 200 {
+        assert_eq!(served.body, b"value", "{text:?}");
     }
+    // The node answers by itself; the rest is for a machine that does other things too.
+    assert!(
+        sent.elapsed() < deadline * 5,
+        "{text:?} {ends:?}: {:?}",
+        sent.elapsed()
+    );
+    assert_eq!(runs.load(Ordering::SeqCst), 1, "{text:?} {ends:?}");
 }
 
 // Guards against what a server wrote on a connection that has carried nothing yet, and was kept since its client had left:
--- a/crates/cli/tests/relay.rs
+++ b/crates/cli/tests/relay.rs
@@ -75,6 +75,11 @@
         405,
         "GET is expected",
     );
+}
+
+// Guards against a relay that starts on settings that make no sense.
+#[test]
+fn invalid_arguments_are_refused_with_a_sentence() {
     for (arguments, why) in [
         (&["--listen", "127.0.0.1:0"][..], "--upstream"),
         (
