--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -6,7 +6,7 @@
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use slatelink_lab::client::Live;
 use slatelink_lab::report::Report;
-use slatelink_lab::run::{play, Options, Started};
+use slatelink_lab::run::{play, Options, StartedNode};
 use slatelink_lab::scenario::{Scenario, ScenarioError};
 use std::io::{self, IsTerminal, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -104,13 +104,13 @@
     }
 
     /// Prints where the nodes answer, and how to ask one.
-    fn introduce(&self, nodes: &[Started]) -> io::Result<()> {
+    fn introduce(&self, nodes: &[StartedNode]) -> io::Result<()> {
         let mut out = io::stdout().lock();
-        for (place, (address, pid)) in nodes.iter().enumerate() {
+        for (place, StartedNode { address, pid }) in nodes.iter().enumerate() {
             let pid = pid.map_or_else(String::new, |pid| format!(", process {pid}"));
             writeln!(out, "node n{place} answers at http://{address}{pid}")?;
         }
-        if let Some((address, _)) = nodes.first() {
+        if let Some(StartedNode { address, .. }) = nodes.first() {
             writeln!(out, "ask it yourself:\n  curl -i -H 'Req-Id: by-hand-1' -H 'Req-Kind: lookup' -H 'Req-Deadline-Ms: 500' http://{address}/api/7f3a9c21e0b4d655")?;
         }
         writeln!(
--- a/crates/lab/src/idle.rs
+++ b/crates/lab/src/idle.rs
@@ -3,7 +3,7 @@
 use crate::client::percentiles;
 use crate::http::{Conn, ReadError};
 use crate::nodes::Program;
-use crate::run::{play, Options, RunError};
+use crate::run::{play, Options, RunError, StartedNode};
 use crate::scenario::Scenario;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -90,11 +90,11 @@
         .recv()
         .ok()
         .and_then(|nodes| nodes.first().copied())
-        .map(|(address, pid)| {
+        .map(|node| {
             let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()?;
-            LocalSet::new().block_on(&runtime, measure_node(address, pid, sizes, batch.max(1)))
+            LocalSet::new().block_on(&runtime, measure_node(node, sizes, batch.max(1)))
         });
     stop.store(true, Ordering::Relaxed);
     let played = playing.join().map_err(|_| RunError::Thread("run"))?;
@@ -105,13 +105,11 @@
     }
 }
 
-async fn measure_node(
-    address: SocketAddr,
-    pid: Option<i32>,
-    sizes: &[usize],
-    batch: usize,
-) -> io::Result<Idle> {
-    let pid = pid.ok_or_else(|| io::Error::other("the node is no process of its own"))?;
+async fn measure_node(node: StartedNode, sizes: &[usize], batch: usize) -> io::Result<Idle> {
+    let address = node.address;
+    let pid = node
+        .pid
+        .ok_or_else(|| io::Error::other("the node is no process of its own"))?;
     let mut idle = Idle::default();
     // What the node takes for its first look-ups is not the crowd's.
     lookups(address).await?;
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -37,8 +37,14 @@
     Node(#[from] NodeError),
 }
 
-/// Where a node answers, and its process.
-pub type Started = (SocketAddr, Option<i32>);
+/// A node that is ready for clients.
+#[derive(Clone, Copy, Debug)]
+pub struct StartedNode {
+    /// Where it answers.
+    pub address: SocketAddr,
+    /// Its process; `None` for one inside this process.
+    pub pid: Option<i32>,
+}
 
 /// How to play.
 #[derive(Clone)]
@@ -53,8 +59,8 @@
     pub live: Arc<Live>,
     /// Set to end early; what was asked by then is finished.
     pub stop: Arc<AtomicBool>,
-    /// Gets each node's address and process id once all are ready.
-    pub ready: Option<mpsc::Sender<Vec<Started>>>,
+    /// Gets all nodes once they are ready.
+    pub ready: Option<mpsc::Sender<Vec<StartedNode>>>,
 }
 
 impl Options {
--- a/crates/lab/src/run/nodes.rs
+++ b/crates/lab/src/run/nodes.rs
@@ -1,7 +1,9 @@
 //! The nodes' and clients' side of a run: starts them, plays the faults of nodes, and waits for the load's end.
 
 use super::faults::faults_by_target;
-use super::{join_thread, spawn_thread, Addresses, Command, Folder, Options, RunError};
+use super::{
+    join_thread, spawn_thread, Addresses, Command, Folder, Options, RunError, StartedNode,
+};
 use crate::client::{Clients, Table};
 use crate::nodes::{Node, NodeEnvironment, NodeError, NodeEvents, Program};
 use crate::plan::Plan;
@@ -112,7 +114,10 @@
     for (index, discovery) in discovery.into_iter().enumerate() {
         let mut node = Node::new(index, discovery, environment);
         let address = node.start().await?;
-        started.push((address, node.pid()));
+        started.push(StartedNode {
+            address,
+            pid: node.pid(),
+        });
         nodes.push(node);
     }
     if let Some(ready) = &options.ready {
--- a/crates/lab/src/scale/directory.rs
+++ b/crates/lab/src/scale/directory.rs
@@ -29,7 +29,7 @@
     changed: u64,
 }
 
-/// An answer, whole.
+/// A complete answer to a call.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The HTTP message.
@@ -40,7 +40,17 @@
     pub whole: bool,
 }
 
-/// The list.
+/// An answer that may be given again.
+#[derive(Debug)]
+struct CachedAnswer {
+    /// The list's version then.
+    version: u64,
+    /// The version that the caller has; `None` for a call of the complete list.
+    after: Option<u64>,
+    answer: Answer,
+}
+
+/// The endpoint list of discovery's stand-in.
 #[derive(Debug)]
 pub struct Directory {
     version: u64,
@@ -48,7 +58,7 @@
     /// Where each server listens.
     address: SocketAddr,
     /// The latest answer, and to whom: many nodes ask alike.
-    latest: Option<(u64, Option<u64>, Answer)>,
+    latest: Option<CachedAnswer>,
 }
 
 impl Directory {
@@ -90,11 +100,9 @@
 
     /// The answer for a node that has this version.
     pub fn answer(&mut self, after: Option<u64>) -> serde_json::Result<Answer> {
-        let fits = |(version, to, _): &&(u64, Option<u64>, Answer)| {
-            (*version, *to) == (self.version, after)
-        };
-        if let Some((_, _, answer)) = self.latest.as_ref().filter(fits) {
-            return Ok(answer.clone());
+        let fits = |cached: &&CachedAnswer| cached.version == self.version && cached.after == after;
+        if let Some(cached) = self.latest.as_ref().filter(fits) {
+            return Ok(cached.answer.clone());
         }
         // A version that was never given out has no changes after it.
         let after = after.filter(|after| *after <= self.version);
@@ -117,7 +125,11 @@
             .message()?
             .into(),
         };
-        self.latest = Some((self.version, after, answer.clone()));
+        self.latest = Some(CachedAnswer {
+            version: self.version,
+            after,
+            answer: answer.clone(),
+        });
         Ok(answer)
     }
 }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,5 +1,6 @@
 //! A day of the lab, as a TOML file: fleet, load, faults on a time line, and what is expected of it.
 
+mod check;
 mod fault;
 mod fleet;
 mod load;
@@ -8,7 +9,7 @@
 pub use fault::{Fault, Kind};
 pub use fleet::{Database, Fleet};
 pub use load::{default_classes, Change, Class, Effect, Load};
-pub use number::{Bounded, Factor, Milliseconds, Seconds, Share};
+pub use number::{Bounded, Factor, Milliseconds, OutOfRange, Seconds, Share};
 
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -111,80 +112,9 @@
         })?;
         scenario
             .check()
-            .map_err(|(offset, what)| malformed(offset, what))?;
+            .map_err(|error| malformed(error.offset, error.problem.to_string()))?;
         Ok(scenario)
     }
-
-    /// What types alone do not say; where it is wrong, at which byte and why.
-    fn check(&self) -> Result<(), (usize, String)> {
-        let Fleet {
-            nodes,
-            servers,
-            cores,
-            zones,
-            ..
-        } = &self.fleet;
-        if !(1..=64).contains(nodes) || !(1..=512).contains(servers) || !(1..=64).contains(cores) {
-            let what = "a fleet has 1 to 64 nodes, 1 to 512 servers and 1 to 64 cores each";
-            return Err((0, format!("{what}, not {nodes}, {servers} and {cores}")));
-        }
-        if zones.is_empty() || self.database.workers == 0 || self.load.keys == 0 {
-            return Err((0, "zones, database workers and keys cannot be none".into()));
-        }
-        let shares: f64 = self.classes.iter().map(|class| class.share.get()).sum();
-        if (shares - 1.0).abs() > 1e-6 {
-            return Err((
-                0,
-                format!("the classes' shares add up to {shares}, not to 1"),
-            ));
-        }
-        for fault in &self.faults {
-            self.check_fault(fault.get_ref())
-                .map_err(|what| (fault.span().start, what))?;
-        }
-        Ok(())
-    }
-
-    fn check_fault(&self, fault: &Fault) -> Result<(), String> {
-        let kind = serde_json::to_string(&fault.kind).unwrap_or_default();
-        let end = self.seconds.get();
-        if fault.at_s.get() > end {
-            return Err(format!(
-                "at_s {} lies past the scenario's {end} s",
-                fault.at_s.get()
-            ));
-        }
-        if let Some(zone) = fault
-            .zone
-            .as_ref()
-            .filter(|zone| !self.fleet.zones.contains(zone))
-        {
-            return Err(format!("zone {zone:?} is none of {:?}", self.fleet.zones));
-        }
-        let targets = fault.target_servers(&self.fleet);
-        if let Some(server) = targets.iter().find(|&&server| server >= self.fleet.servers) {
-            return Err(format!(
-                "server {server} is none of 0 to {}",
-                self.fleet.servers - 1
-            ));
-        }
-        if let Some(node) = fault.nodes.iter().find(|&&node| node >= self.fleet.nodes) {
-            return Err(format!(
-                "node {node} is none of 0 to {}",
-                self.fleet.nodes - 1
-            ));
-        }
-        if fault.kind.targets_servers() && targets.is_empty() {
-            return Err(format!("a fault of kind {kind} needs servers or a zone"));
-        }
-        if fault.kind.targets_nodes() && fault.nodes.is_empty() {
-            return Err(format!("a fault of kind {kind} needs nodes"));
-        }
-        if matches!(fault.kind, Kind::Slow | Kind::DiscoveryLate) && fault.by.is_none() {
-            return Err(format!("a fault of kind {kind} needs by"));
-        }
-        Ok(())
-    }
 }
 
 #[cfg(test)]
--- a/crates/lab/src/scenario/number.rs
+++ b/crates/lab/src/scenario/number.rs
@@ -1,6 +1,19 @@
 //! Numbers with a stated range, checked as they are read.
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
+
+/// A number that is not in its range.
+#[derive(Clone, Copy, Debug, PartialEq, Error)]
+#[error("{value} is not a number from {min} to {max}")]
+pub struct OutOfRange {
+    /// What was read.
+    pub value: f64,
+    /// The least that is allowed.
+    pub min: f64,
+    /// The most that is allowed.
+    pub max: f64,
+}
 
 /// A number from `MIN` to `MAX`, both in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -15,14 +28,14 @@
 }
 
 impl<const MIN: u64, const MAX: u64> TryFrom<f64> for Bounded<MIN, MAX> {
-    type Error = String;
-    fn try_from(value: f64) -> Result<Self, String> {
+    type Error = OutOfRange;
+    fn try_from(value: f64) -> Result<Self, OutOfRange> {
         let (min, max) = (MIN as f64 / 1e3, MAX as f64 / 1e3);
         // Not a number is in no range.
         if value >= min && value <= max {
             Ok(Self(value))
         } else {
-            Err(format!("{value} is not a number from {min} to {max}"))
+            Err(OutOfRange { value, min, max })
         }
     }
 }
