--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -4,20 +4,20 @@
 use common::*;
 use slatelink_policy::*;
 
-/// Two servers and a key of the first of them.
+/// Two endpoints and a key of the first of them.
 fn pair() -> (Node, EndpointId) {
     let mut node = Node::with_endpoints(settings(), 2);
     let own = node.read(7, Status::Ok).expect("served");
     (node, own)
 }
 
-fn trip(node: &mut Node, own: &EndpointId) {
+fn open_breaker(node: &mut Node, own: &EndpointId) {
     for _ in 0..20 {
         if node.read(7, Status::Failed).as_ref() != Some(own) {
             return;
         }
     }
-    panic!("twenty failures did not trip the breaker");
+    panic!("twenty failures did not open the breaker");
 }
 
 #[test]
@@ -33,7 +33,7 @@
     assert_ne!(
         node.read(7, Status::Ok),
         Some(own),
-        "three failures of three trip"
+        "three failures of three open it"
     );
 }
 
@@ -52,7 +52,7 @@
     let (mut node, own) = pair();
     node.read(7, Status::Failed);
     node.advance(ms(5_000));
-    // With the calls of the last window this failure would trip at 2 of 3.
+    // With the calls of the last window this failure would open it at 2 of 3.
     assert_eq!(node.read(7, Status::Failed), Some(own.clone()));
     assert_eq!(node.read(7, Status::Ok), Some(own));
 }
@@ -60,7 +60,7 @@
 #[test]
 fn an_open_breaker_blocks_until_its_cooldown_ends_and_three_trials_close_it() {
     let (mut node, own) = pair();
-    trip(&mut node, &own);
+    open_breaker(&mut node, &own);
     assert_ne!(node.read(7, Status::Ok), Some(own.clone()));
     node.advance(ms(5_990));
     assert_ne!(
@@ -77,7 +77,7 @@
 #[test]
 fn a_half_open_breaker_admits_three_trials_and_opens_again_when_one_fails() {
     let (mut node, own) = pair();
-    trip(&mut node, &own);
+    open_breaker(&mut node, &own);
     node.advance(ms(6_000));
     let ids: Vec<RequestId> = (0..4).map(|_| node.request(0, 7, ms(400))).collect();
     let at_own = ids
@@ -96,7 +96,7 @@
 #[test]
 fn an_inconclusive_trial_may_be_made_again() {
     let (mut node, own) = pair();
-    trip(&mut node, &own);
+    open_breaker(&mut node, &own);
     node.advance(ms(6_000));
     let ids: Vec<RequestId> = (0..3).map(|_| node.request(0, 7, ms(400))).collect();
     for id in &ids {
@@ -109,12 +109,12 @@
 fn outcomes_of_an_earlier_state_do_not_count() {
     let (mut node, own) = pair();
     let late = node.request(0, 7, ms(30_000));
-    trip(&mut node, &own);
+    open_breaker(&mut node, &own);
     node.advance(ms(6_000));
     for _ in 0..3 {
         node.read(7, Status::Ok);
     }
-    // Sent while closed, before the trip: one more failure must not count against the closed breaker.
+    // Sent while closed, before the breaker opened: one more failure must not count against the closed breaker.
     node.end_attempt_in_flight(&late, Status::Failed);
     node.read(7, Status::Failed);
     node.read(7, Status::Failed);
@@ -124,7 +124,7 @@
 #[test]
 fn a_restarted_endpoint_has_a_closed_breaker() {
     let (mut node, own) = pair();
-    trip(&mut node, &own);
+    open_breaker(&mut node, &own);
     let long_ago = Timestamp::from_micros(node.now.as_micros() - 60_000_000);
     node.list_delta(vec![Endpoint {
         started: Some(long_ago),
@@ -148,7 +148,7 @@
 
 #[test]
 fn most_endpoints_stay_in_use_however_many_fail() {
-    // The danger: a cause in common opens every breaker, and the keys pile up on the last server.
+    // Guards against this: a cause in common opens every breaker, and the keys pile up on the last endpoint.
     let mut node = Node::with_endpoints(settings(), 10);
     for key in 0..400 {
         node.read(key, Status::Failed);
@@ -161,22 +161,22 @@
     }
     assert!(
         met.len() >= 6,
-        "only {} of 10 servers are in use",
+        "only {} of 10 endpoints are in use",
         met.len()
     );
 }
 
-/// One server that fails while the others do well is the fault of that server; a breaker trips for it only.
+/// The breaker of an endpoint that fails while the others do well opens, and no other one.
 #[test]
 fn an_endpoint_that_fails_like_all_others_is_no_outlier() {
-    let trips = |others: Status| {
+    let opened = |others: Status| {
         let mut node = Node::with_endpoints(settings(), 10);
         for key in 0..60 {
             let id = node.request(0, key, ms(400));
-            let (_, server) = node.in_flight(&id).expect("sent");
+            let (_, endpoint) = node.in_flight(&id).expect("sent");
             node.end_attempt_in_flight(
                 &id,
-                if server.as_str() == "a" {
+                if endpoint.as_str() == "a" {
                     Status::Failed
                 } else {
                     others
@@ -187,15 +187,15 @@
             }
             node.advance(ms(5));
         }
-        let tripped = |action: &&Action| matches!(action, Action::BreakerOpened(scope) if scope.to_string().contains(" a tripped"));
-        node.actions.iter().filter(tripped).count()
+        let opened = |action: &&Action| matches!(action, Action::BreakerOpened(scope) if scope.to_string().contains(" a tripped"));
+        node.actions.iter().filter(opened).count()
     };
-    assert_eq!(trips(Status::Ok), 1);
-    assert_eq!(trips(Status::Failed), 0);
+    assert_eq!(opened(Status::Ok), 1);
+    assert_eq!(opened(Status::Failed), 0);
 }
 
-/// Fetches that fail at every server are the origin's failure. Its breaker keeps misses and writes off it until it
-/// has worked its queue down; what servers are known to hold is served meanwhile, and no server is ejected.
+/// Fetches that fail at every endpoint are the origin's failure. Its breaker keeps misses and writes off it until it
+/// has worked its queue down; what endpoints are known to hold is served meanwhile, and no endpoint is ejected.
 #[test]
 fn failed_fetches_open_the_breaker_of_the_origin_and_of_no_endpoint() {
     let mut node = Node::with_endpoints(settings(), 4);
@@ -213,21 +213,21 @@
         read(&mut node, key, Status::Failed, CacheResult::Miss);
         node.advance(ms(10));
     }
-    let tripped = |node: &Node, of: &str| {
+    let opened = |node: &Node, of: &str| {
         let line = |action: &&Action| matches!(action, Action::BreakerOpened(scope) if scope.to_string().contains(of));
         node.actions.iter().filter(line).count()
     };
     assert_eq!(
-        (tripped(&node, "origin tripped"), tripped(&node, "tripped")),
+        (opened(&node, "origin tripped"), opened(&node, "tripped")),
         (1, 1)
     );
     assert!(
         !read(&mut node, 200, Status::Ok, CacheResult::Miss),
-        "a likely miss is refused"
+        "a likely miss is shed"
     );
     assert!(
         read(&mut node, 3, Status::Ok, CacheResult::Hit),
-        "a key that is held is served"
+        "a key that is cached is served"
     );
     let write = Request {
         write: true,
@@ -235,7 +235,7 @@
         ..Request::new("w", node.now + ms(400))
     };
     let write = node.submit(write);
-    assert!(node.requests[&write].answered, "a write is refused");
+    assert!(node.requests[&write].answered, "a write is shed");
     node.advance(ms(9_000));
     for key in 300..303 {
         assert!(
@@ -270,8 +270,8 @@
 
 #[test]
 fn the_first_calls_of_a_window_are_too_few_to_open_the_breaker_of_a_busy_endpoint() {
-    // The danger: with one call in eight broken, two of a window's first three are so every few windows, and the
-    // server's keys are missed elsewhere for a whole cooldown.
+    // Guards against this: with one call in eight broken, two of a window's first three are so every few windows, and
+    // the endpoint's keys are missed elsewhere for a whole cooldown.
     let (mut node, own) = pair();
     for _ in 0..100 {
         assert_eq!(node.read(7, Status::Ok), Some(own.clone()));
@@ -290,16 +290,16 @@
 
 #[test]
 fn an_endpoint_that_rejects_for_load_is_limited_and_not_blocked() {
-    // The danger: a few requests meet at a small queue, the breaker takes the whole server away for a cooldown, and
-    // its load trips the next one's.
+    // Guards against this: a few requests meet at a small queue, the breaker takes the whole endpoint away for a
+    // cooldown, and its load opens the breaker of the next one.
     let (mut node, own) = pair();
-    let tripped = |node: &Node| {
+    let opened = |node: &Node| {
         node.actions
             .iter()
             .any(|action| matches!(action, Action::BreakerOpened(_)))
     };
     for _ in 0..2 {
-        // Of five at once the server takes one.
+        // Of five at once the endpoint takes one.
         let ids: Vec<RequestId> = (0..5).map(|_| node.request(0, 7, ms(400))).collect();
         for id in &ids[1..] {
             assert_eq!(node.in_flight(id).expect("sent").1, own);
@@ -311,7 +311,7 @@
         }
         node.advance(ms(1_000));
     }
-    assert!(!tripped(&node));
+    assert!(!opened(&node));
 }
 
 #[test]
@@ -327,7 +327,7 @@
 #[test]
 fn a_trial_rejected_while_others_are_in_flight_may_be_made_again() {
     let (mut node, own) = pair();
-    trip(&mut node, &own);
+    open_breaker(&mut node, &own);
     node.advance(ms(6_000));
     let ids: Vec<RequestId> = (0..3).map(|_| node.request(0, 7, ms(400))).collect();
     node.end_attempt_in_flight(&ids[1], Status::Rejected);
@@ -338,18 +338,18 @@
 
 #[test]
 fn a_class_rejected_by_an_endpoint_without_a_queue_is_blocked_soon_and_alone() {
-    // The danger: each such request loses its time there, and what was served before hides it for a whole window;
-    // or the server loses the keys of all classes for one.
+    // Guards against this: each such request loses its time there, and what was served before hides it for a whole
+    // window; or the endpoint loses the keys of all classes for one.
     let (mut node, own) = pair();
     node.load.queue_length = Some(0.0);
     let ask = |node: &mut Node, status| {
         let id = node.request(1, 7, ms(400));
-        let (_, server) = node.in_flight(&id).expect("sent");
-        node.end_attempt_in_flight(&id, if server == own { status } else { Status::Ok });
+        let (_, endpoint) = node.in_flight(&id).expect("sent");
+        node.end_attempt_in_flight(&id, if endpoint == own { status } else { Status::Ok });
         if !node.requests[&id].answered {
             node.end_attempt_in_flight(&id, Status::Ok);
         }
-        server
+        endpoint
     };
     for _ in 0..50 {
         assert_eq!(ask(&mut node, Status::Ok), own);
@@ -360,7 +360,7 @@
         .count();
     assert!(
         (3..=6).contains(&declined),
-        "{declined} were turned away before the breaker opened"
+        "{declined} were rejected before the breaker opened"
     );
     for _ in 0..20 {
         assert_eq!(node.read(7, Status::Ok), Some(own.clone()), "another class");
--- a/crates/policy/tests/cache_aside.rs
+++ b/crates/policy/tests/cache_aside.rs
@@ -18,7 +18,7 @@
     assert_ne!(node.in_flight(&id).expect("sent").1.as_str(), "zz-origin");
     node.end_attempt_in_flight(&id, Status::Miss);
     assert_eq!(
-        node.in_flight(&id).expect("sent on").1.as_str(),
+        node.in_flight(&id).expect("retried").1.as_str(),
         "zz-origin"
     );
     node.end_attempt_in_flight(&id, Status::Ok);
@@ -50,10 +50,10 @@
         node.end_attempt_in_flight(&id, Status::Failed);
     }
     let miss = node.request(0, 7, ms(400));
-    let refused = node.end_attempt_in_flight(&miss, Status::Miss);
+    let shed = node.end_attempt_in_flight(&miss, Status::Miss);
     assert!(
-        matches!(&refused[..], [Action::Shed { retry_after, .. }] if *retry_after == ms(1000)),
-        "{refused:?}"
+        matches!(&shed[..], [Action::Shed { retry_after, .. }] if *retry_after == ms(1000)),
+        "{shed:?}"
     );
     assert!(
         node.read(8, Status::Ok).is_some(),
--- a/crates/policy/tests/hashing.rs
+++ b/crates/policy/tests/hashing.rs
@@ -1,4 +1,4 @@
-//! How keys spread over servers, and what moves when the list changes.
+//! How keys spread over endpoints, and what moves when the list changes.
 
 mod common;
 use common::*;
@@ -15,8 +15,8 @@
     owners
 }
 
-fn share(owners: &BTreeMap<u64, EndpointId>, server: &str) -> f64 {
-    owners.values().filter(|id| id.as_str() == server).count() as f64 / owners.len() as f64
+fn share(owners: &BTreeMap<u64, EndpointId>, endpoint: &str) -> f64 {
+    owners.values().filter(|id| id.as_str() == endpoint).count() as f64 / owners.len() as f64
 }
 
 #[test]
@@ -37,7 +37,7 @@
     for other in ["a", "h"] {
         assert!(
             share(&without, other) > share(&before, other),
-            "the leaver's keys spread over all the others"
+            "its keys spread over all the others"
         );
     }
     node.list_delta(vec![Endpoint::new("d")]);
@@ -69,11 +69,11 @@
     assert_eq!(owners(&mut one), owners(&mut two));
 }
 
-// Guards against a cold server that gets as many keys as a warm one: what it may be sent is bounded elsewhere, but the
-// keys past that bound would miss at the servers that they spill to.
+// Guards against an endpoint that warms up that gets as many keys as one of full capacity: what it may be sent is
+// bounded elsewhere, but the keys past that bound would miss at the endpoints that they spill to.
 #[test]
 fn an_endpoint_that_warms_up_comes_first_for_keys_in_proportion_to_its_present_capacity() {
-    // So much may be sent to a cold server that nothing but the order keeps keys from it.
+    // So much may be sent to an endpoint that warms up that nothing but the order keeps keys from it.
     let mut node = Node::with_endpoints(
         Settings {
             slow_start_overload_factor: 1e6,
@@ -83,10 +83,10 @@
     );
     (0..500).for_each(|key| drop(node.read(key, Status::Ok)));
     let first = |node: &mut Node| {
-        let to_cold = |key: &u64| node.read(*key, Status::Ok) == Some("a".into());
-        (1_000..3_000).filter(to_cold).count()
+        let to_starting = |key: &u64| node.read(*key, Status::Ok) == Some("a".into());
+        (1_000..3_000).filter(to_starting).count()
     };
-    let warm = first(&mut node);
+    let full = first(&mut node);
     let started = Some(node.now);
     node.list_delta(vec![Endpoint {
         started,
@@ -94,14 +94,14 @@
     }]);
     // What it got in the present slot of time is spent.
     node.advance(ms(1_000));
-    let cold = first(&mut node);
-    // Warm, a quarter; a second after its start at 0.37 of itself, 0.37 of 3.37 parts.
+    let warming = first(&mut node);
+    // At its full capacity, a quarter; a second after its start at 0.37 of itself, 0.37 of 3.37 parts.
     assert!(
-        (400..600).contains(&warm),
-        "{warm} of 2000 while it is warm"
+        (400..600).contains(&full),
+        "{full} of 2000 at its full capacity"
     );
     assert!(
-        (150..300).contains(&cold),
-        "{cold} of 2000 while it is cold"
+        (150..300).contains(&warming),
+        "{warming} of 2000 while it warms up"
     );
 }
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Overload: retries are budgeted, slow servers are sent less, and the excess is refused early.
+//! Overload: retries are budgeted, slow endpoints are sent less, and the excess is shed early.
 
 mod common;
 use common::*;
@@ -6,12 +6,12 @@
 
 #[test]
 fn retries_stop_when_the_retry_budget_is_spent() {
-    // The danger: every request tried on every server multiplies the load just when there is too much of it.
+    // Guards against this: every request tried on every endpoint multiplies the load just when there is too much of it.
     let mut node = Node::with_endpoints(settings(), 8);
     let mut sends = 0;
     for key in 0..300 {
         let id = node.request(0, key, ms(400));
-        // Half of what is sent fails: too little for a breaker, and each request would have its second try.
+        // Half of what is sent fails: too little for a breaker, and each request would have its retry.
         for status in [Status::Failed, Status::Ok] {
             if node.in_flight(&id).is_some() {
                 node.end_attempt_in_flight(&id, status);
@@ -26,8 +26,8 @@
     );
 }
 
-/// Offers a request a millisecond of 300 keys, each attempt answered after `took`, or 300 ms by the slow server;
-/// returns how many were sent, and how many to the slow one.
+/// Offers a request a millisecond of 300 keys, each attempt answered after `latency` ms, or 300 ms by the slow
+/// endpoint; returns how many were sent, and how many to the slow one.
 fn offer(node: &mut Node, latency: u64, slow: Option<&EndpointId>) -> (usize, usize) {
     offer_every(node, 1, latency, slow)
 }
@@ -52,7 +52,8 @@
                 .attempts
                 .first()
                 .filter(|attempt| attempt.status.is_none());
-            let takes = |server: &EndpointId| ms(if Some(server) == slow { 300 } else { latency });
+            let takes =
+                |endpoint: &EndpointId| ms(if Some(endpoint) == slow { 300 } else { latency });
             out.is_some_and(|attempt| attempt.sent + takes(&attempt.endpoint.id) <= now)
         });
         for id in answered.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
@@ -76,7 +77,7 @@
 
 #[test]
 fn a_slow_endpoint_is_sent_less() {
-    // The danger: it answers inside its time-out, so its breaker stays closed and its keys are late for good.
+    // Guards against this: it answers inside its time-out, so its breaker stays closed and its keys are late for good.
     let mut node = Node::with_endpoints(settings(), 6);
     let slow = EndpointId::from("c");
     let (sent, before) = offer(&mut node, 10, None);
@@ -84,14 +85,14 @@
     let (_, to_slow) = offer(&mut node, 10, Some(&slow));
     assert!(
         to_slow < 100,
-        "{to_slow} of 3000 went to the slow server, 500 would be its share"
+        "{to_slow} of 3000 went to the slow endpoint, 500 would be its share"
     );
 }
 
 #[test]
 fn an_endpoint_with_nothing_in_flight_gets_the_next_request() {
-    // The danger: late answers cut its limit to a fraction of a request. It stands idle and is refused, and with
-    // no answers from it nothing raises the limit again.
+    // Guards against this: late answers cut its limit to a fraction of a request. It stands idle and is sent nothing,
+    // and with no answers from it nothing raises the limit again.
     let mut node = Node::with_endpoints(
         Settings {
             nodes: 3,
@@ -110,12 +111,15 @@
     let sent = (0..100)
         .filter(|_| node.read(7, Status::Ok).is_some())
         .count();
-    assert_eq!(sent, 100, "asked one at a time, an idle server has room");
+    assert_eq!(
+        sent, 100,
+        "sent one at a time, an idle endpoint has capacity"
+    );
 }
 
 #[test]
 fn an_overloaded_fleet_is_sent_less_and_recovers() {
-    // The danger: all answers late, none in time, because nothing is refused.
+    // Guards against this: all answers late, none in time, because nothing is shed.
     let mut node = Node::with_endpoints(settings(), 6);
     let (sent, _) = offer(&mut node, 250, None);
     assert!(sent < 1_000, "{sent} of 3000 were sent");
@@ -128,7 +132,8 @@
 
 #[test]
 fn a_burst_is_queued_for_capacity_and_shed_in_time_without_it() {
-    // The danger: requests refused in a burst of milliseconds while their aim leaves them time to wait.
+    // Guards against this: requests shed in a burst of milliseconds while their latency objective leaves them time to
+    // wait.
     let mut node = Node::with_endpoints(
         Settings {
             nodes: 16,
@@ -145,7 +150,7 @@
         .iter()
         .filter(|id| !node.requests[*id].answered && node.in_flight(id).is_none())
         .count();
-    assert!(waiting >= 4, "{waiting} of 8 are held");
+    assert!(waiting >= 4, "{waiting} of 8 are queued");
     for id in &ids {
         if node.in_flight(id).is_some() {
             node.end_attempt_in_flight(id, Status::Ok);
@@ -156,18 +161,18 @@
         .iter()
         .filter(|id| !node.requests[*id].attempts.is_empty())
         .count();
-    assert!(sent > 8 - waiting, "room that came was used");
+    assert!(sent > 8 - waiting, "capacity that came was used");
     node.advance(ms(150));
     assert!(
         ids.iter()
             .all(|id| node.requests[id].answered || node.in_flight(id).is_some()),
-        "none waits past its aim"
+        "none waits past its latency objective"
     );
 }
 
 #[test]
 fn heavy_requests_in_time_do_not_lower_a_concurrency_limit() {
-    // The danger: work that is long by itself reads as a queue, and an idle server is refused.
+    // Guards against this: work that is long by itself reads as a queue, and an idle endpoint is sent nothing.
     let served = |heavy: u64| {
         let mut node = Node::with_endpoints(settings(), 1);
         let mut sent = 0;
@@ -193,11 +198,11 @@
     assert!(served(20) < 350, "without that it is a queue");
 }
 
-/// When every server is jammed, what is sent joins queues longer than anyone waits and keeps them full: a node that
-/// gets nothing in time refuses nearly all of it, and takes it up again as answers come.
+/// When every endpoint is overloaded, what is sent joins queues longer than anyone waits and keeps them full: a node
+/// that gets nothing in time sheds nearly all of it, and takes it up again as answers come.
 #[test]
 fn load_is_shed_while_the_whole_fleet_rejects_and_until_it_serves_again() {
-    // So many servers that it seldom meets one twice: limits for each alone could not learn.
+    // So many endpoints that it seldom meets one twice: limits for each alone could not learn.
     let mut node = Node::new(
         Settings {
             nodes: 300,
@@ -226,8 +231,8 @@
     };
     assert_eq!(sent(&mut node, Status::Ok, 100), 100);
     sent(&mut node, Status::Rejected, 300);
-    let jammed = sent(&mut node, Status::Rejected, 100);
-    assert!(jammed < 60, "{jammed} of 100 sent into the jam");
+    let still_sent = sent(&mut node, Status::Rejected, 100);
+    assert!(still_sent < 60, "{still_sent} of 100 sent while all reject");
     sent(&mut node, Status::Ok, 500);
     let after = sent(&mut node, Status::Ok, 100);
     assert!(after > 80, "{after} of 100 sent once it answers");
@@ -235,7 +240,8 @@
 
 #[test]
 fn late_answers_without_a_queue_hardly_lower_a_concurrency_limit() {
-    // The danger: heavy requests are late by their own work, and a calm fleet's limits creep down until it refuses.
+    // Guards against this: heavy requests are late by their own work, and a calm fleet's limits creep down until
+    // requests are shed.
     let sent_at = |nodes, waiting| {
         let mut node = Node::with_endpoints(
             Settings {
@@ -267,8 +273,8 @@
 
 #[test]
 fn time_outs_at_endpoints_without_a_queue_neither_open_breakers_nor_lower_limits() {
-    // The danger: misses time out at a slow origin, every server is blamed for its own, and a fleet that has
-    // time to spare refuses hits and moves keys to servers that lack them.
+    // Guards against this: misses time out at a slow origin, every endpoint is blamed for its own, and a fleet that has
+    // time to spare sheds hits and moves keys to endpoints that lack them.
     let sent_at = |waiting| {
         let mut node = Node::with_endpoints(
             Settings {
@@ -294,25 +300,26 @@
                 }
             }
         }
-        let tripped = node
+        let opened = node
             .actions
             .iter()
             .any(|action| matches!(action, Action::BreakerOpened(_)));
-        (sent, tripped)
+        (sent, opened)
     };
     assert_eq!(sent_at(0.0), (900, false));
     let (sent, _) = sent_at(4.0);
     assert!(sent < 800, "{sent} of 900 were sent past a queue");
 }
 
-/// A key that everybody wants must not turn the whole fleet's hits into misses: its first few servers take it or none.
+/// A key that everybody wants must not turn the whole fleet's hits into misses: its first few endpoints take it or
+/// none.
 #[test]
 fn for_want_of_capacity_a_key_goes_to_three_endpoints_at_most() {
     let mut node = Node::with_endpoints(settings(), 8);
-    let mut servers = std::collections::BTreeSet::new();
+    let mut endpoints = std::collections::BTreeSet::new();
     for _ in 0..200 {
         let id = node.request(0, 7, ms(400));
-        servers.extend(node.in_flight(&id).map(|(_, server)| server));
+        endpoints.extend(node.in_flight(&id).map(|(_, endpoint)| endpoint));
     }
-    assert_eq!(servers.len(), 3, "{servers:?}");
+    assert_eq!(endpoints.len(), 3, "{endpoints:?}");
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -10,13 +10,13 @@
     let mut node = Node::with_endpoints(settings(), 3);
     let id = node.request(2, 7, ms(400));
     node.end_attempt_in_flight(&id, Status::Rejected);
-    let (attempt, _) = node.in_flight(&id).expect("never ran: sent on");
+    let (attempt, _) = node.in_flight(&id).expect("never ran: retried");
     assert_eq!(attempt, 1);
     let actions = node.end_attempt_in_flight(&id, Status::TimedOut);
     assert_eq!(
         actions,
         [Action::Fail { id }],
-        "it may have run: neither sent on nor refused"
+        "it may have run: neither retried nor shed"
     );
 }
 
@@ -26,7 +26,7 @@
     let id = node.request(1, 7, ms(5_000));
     node.advance(ms(500));
     node.end_attempt_in_flight(&id, Status::Failed);
-    assert!(node.in_flight(&id).is_some(), "within the window, sent on");
+    assert!(node.in_flight(&id).is_some(), "within the window, retried");
     node.advance(ms(600));
     node.end_attempt_in_flight(&id, Status::Failed);
     assert!(node.in_flight(&id).is_none(), "the first send is 1.1 s old");
@@ -49,18 +49,18 @@
             })
             .collect(),
     );
-    let mut sent_on = 0;
+    let mut retried = 0;
     for key in 0..30 {
         let id = node.request(1, key, ms(400));
         node.end_attempt_in_flight(&id, Status::Failed);
         // `Node` asserts the cell; here only that the rule is not kept by giving up.
-        sent_on += usize::from(node.in_flight(&id).is_some());
+        retried += usize::from(node.in_flight(&id).is_some());
         if node.in_flight(&id).is_some() {
             node.end_attempt_in_flight(&id, Status::Ok);
         }
         node.advance(ms(100));
     }
-    assert!(sent_on > 5, "{sent_on} of 30 were sent on");
+    assert!(retried > 5, "{retried} of 30 were retried");
 }
 
 #[test]
@@ -83,32 +83,32 @@
     );
 }
 
-// Guards against the last resort, the key's own server though it is blocked, that picks one told to leave.
+// Guards against the last resort, the key's own endpoint though it is blocked, that picks a draining one.
 #[test]
 fn with_every_endpoint_blocked_no_draining_one_is_selected() {
     let mut node = Node::with_endpoints(settings(), 3);
-    let leaving: EndpointId = "b".into();
+    let draining: EndpointId = "b".into();
     let own: Vec<u64> = (0..60)
-        .filter(|key| node.read(*key, Status::Ok) == Some(leaving.clone()))
+        .filter(|key| node.read(*key, Status::Ok) == Some(draining.clone()))
         .collect();
-    assert!(own.len() > 5, "keys of the one that will leave");
+    assert!(own.len() > 5, "keys of the one that will drain");
     node.list_delta(vec![Endpoint {
         availability: Availability::Draining,
         ..Endpoint::new("b")
     }]);
     // One after the other: while most fail, none is blocked.
-    let tripped = |node: &Node, server: &str| {
-        let scope = BreakerScope::Endpoint(server.into());
+    let opened = |node: &Node, endpoint: &str| {
+        let scope = BreakerScope::Endpoint(endpoint.into());
         node.actions.contains(&Action::BreakerOpened(scope))
     };
     for bad in ["a", "c"] {
         for key in 0..4_000 {
-            if tripped(&node, bad) {
+            if opened(&node, bad) {
                 break;
             }
             let id = node.request(0, key, ms(400));
-            while let Some((attempt, server)) = node.in_flight(&id) {
-                let status = if server.as_str() == bad {
+            while let Some((attempt, endpoint)) = node.in_flight(&id) {
+                let status = if endpoint.as_str() == bad {
                     Status::Failed
                 } else {
                     Status::Ok
@@ -117,13 +117,13 @@
             }
             node.advance(ms(1));
         }
-        assert!(tripped(&node, bad), "{bad}");
+        assert!(opened(&node, bad), "{bad}");
     }
     let sent: Vec<_> = own
         .iter()
         .filter_map(|key| node.read(*key, Status::Failed))
         .collect();
-    assert!(!sent.is_empty() && !sent.contains(&leaving), "{sent:?}");
+    assert!(!sent.is_empty() && !sent.contains(&draining), "{sent:?}");
 }
 
 #[test]
@@ -196,8 +196,8 @@
     );
 }
 
-/// After a failed call each change counts as told 6 s after discovery had it: two calls more may fail, and one wait for
-/// its turn of 2 s, in that time. And nodes that lost discovery together must come back apart.
+/// After a failed call each change counts as notified 6 s after discovery had it: two calls more may fail, and one wait
+/// for its turn of 2 s, in that time. And nodes that lost discovery together must come back apart.
 #[test]
 fn failed_polls_are_retried_in_time_and_with_jitter() {
     let pauses = |seed, max_poll_interval| {
@@ -235,29 +235,29 @@
     assert!(pauses(1, ms(800)).iter().all(|pause| *pause < ms(400)));
 }
 
-/// The cold-server budget, counted from outside: what one node sends a fresh server in any span stays under the
-/// stated multiple of what that server can do, taking the rest of the fleet's use for its size.
+/// The slow start budget, counted from outside: what one node sends a new endpoint in any span stays under the
+/// stated multiple of what that endpoint can do, taking the rest of the fleet's use for its size.
 #[test]
 fn an_endpoint_that_warms_up_is_not_overloaded() {
     let mut node = Node::with_endpoints(settings(), 10);
-    let born = node.now + ms(4_000);
-    let (mut to_cold, mut all) = (Vec::new(), 0.0);
+    let started_at = node.now + ms(4_000);
+    let (mut to_starting, mut all) = (Vec::new(), 0.0);
     let mut rng = fastrand::Rng::with_seed(11);
     for step in 0..20_000u64 {
         if step == 5_000 {
             let mut list: Vec<Endpoint> = node.listed.values().cloned().collect();
-            list[0].started = Some(born);
+            list[0].started = Some(started_at);
             node.list_delta(list);
         }
         // One key in two is the same hot one; an eighth of the answers ask for another attempt.
         let key = if rng.bool() { 3 } else { rng.u64(..) };
         let id = node.request(0, key, ms(400));
         for status in [Status::Rejected, Status::Ok] {
-            if let Some((attempt, server)) = node.in_flight(&id) {
+            if let Some((attempt, endpoint)) = node.in_flight(&id) {
                 if step >= 5_000 {
                     all += 1.0;
-                    if server.as_str() == "a" {
-                        to_cold.push(node.now);
+                    if endpoint.as_str() == "a" {
+                        to_starting.push(node.now);
                     }
                 }
                 node.end_attempt(
@@ -274,24 +274,25 @@
         node.advance(ms(1));
         for id in node.requests_in_flight() {
             if step >= 5_000 && node.in_flight(&id).expect("out").1.as_str() == "a" {
-                to_cold.push(node.now);
+                to_starting.push(node.now);
             }
             node.end_attempt_in_flight(&id, Status::Ok);
         }
         node.requests.retain(|_, open| !open.answered);
     }
     assert!(
-        to_cold.len() > 100,
+        to_starting.len() > 100,
         "it must get some work: {}",
-        to_cold.len()
+        to_starting.len()
     );
     let per_server = all / 15.0 / 10.0;
-    for (i, at) in to_cold.iter().enumerate() {
-        let within = to_cold[i..]
+    for (i, at) in to_starting.iter().enumerate() {
+        let within = to_starting[i..]
             .iter()
             .take_while(|later| later.since(*at) <= node.settings.slow_start_overload_window)
             .count();
-        let age = at.since(born).as_secs_f64() / node.settings.slow_start_duration.as_secs_f64();
+        let age =
+            at.since(started_at).as_secs_f64() / node.settings.slow_start_duration.as_secs_f64();
         if age < 0.9 {
             let capacity = per_server
                 * (node.settings.slow_start_min_capacity
@@ -307,17 +308,17 @@
 
 #[test]
 fn an_endpoint_removed_and_listed_again_gets_no_second_slow_start_budget() {
-    // A discovery that flaps must not push over what has just started.
+    // A discovery that flaps must not overload what has just started.
     let sent = |flaps: bool| {
         let mut node = Node::with_endpoints(settings(), 4);
         for key in 0..1_000 {
             node.read(key, Status::Ok);
             node.advance(ms(2));
         }
-        let born = node.now;
+        let started_at = node.now;
         let entry = |availability| Endpoint {
             availability,
-            started: Some(born),
+            started: Some(started_at),
             ..Endpoint::new("a")
         };
         node.list_delta(vec![entry(Availability::Ready)]);
@@ -329,7 +330,7 @@
             }
             sent += u32::from(
                 node.read(key, Status::Ok)
-                    .is_some_and(|server| server.as_str() == "a"),
+                    .is_some_and(|endpoint| endpoint.as_str() == "a"),
             );
             node.advance(ms(2));
         }
@@ -347,13 +348,13 @@
 fn an_outcome_of_an_attempt_never_sent_loses_no_request() {
     let mut node = Node::with_endpoints(settings(), 2);
     let id = node.request(0, 7, ms(400));
-    let (_, server) = node.in_flight(&id).expect("sent");
+    let (_, endpoint) = node.in_flight(&id).expect("sent");
     let (cache_result, load) = (None, LoadReport::default());
     let (status, latency, answered) = (Status::Failed, ms(1), false);
     let stray = Outcome {
         id: id.clone(),
         attempt: 9,
-        endpoint: server,
+        endpoint,
         status,
         cache_result,
         latency,
@@ -369,14 +370,14 @@
 fn an_outcome_reported_twice_counts_once() {
     let mut node = Node::with_endpoints(settings(), 3);
     let id = node.request(0, 7, ms(400));
-    let (attempt, server) = node.in_flight(&id).expect("sent");
+    let (attempt, endpoint) = node.in_flight(&id).expect("sent");
     node.end_attempt(&id, attempt, Status::Failed);
-    assert!(node.in_flight(&id).is_some(), "sent on");
+    assert!(node.in_flight(&id).is_some(), "retried");
     let (cache_result, load, latency, answered) = (None, LoadReport::default(), ms(1), false);
     let again = Outcome {
         id: id.clone(),
         attempt,
-        endpoint: server,
+        endpoint,
         status: Status::Failed,
         cache_result,
         latency,
@@ -387,7 +388,7 @@
         assert_eq!(
             node.handle(Event::AttemptEnded(again.clone())),
             [],
-            "no breaker trips of it"
+            "no breaker opens of it"
         );
     }
     node.end_attempt_in_flight(&id, Status::Ok);
