--- a/crates/node/src/upstream/checkout.rs
+++ b/crates/node/src/upstream/checkout.rs
@@ -55,7 +55,7 @@
             };
             let may_wait =
                 shortage == LeaseError::OtherKind(ConnectionKind::Client) && polls_left > 1;
-            if may_wait && (evicting || self.clients.evict_for_server()) {
+            if may_wait && (evicting || self.clients.evict_for_upstream()) {
                 evicting = true;
                 sleep(EVICTION_POLL_INTERVAL).await;
             } else if !self.close_oldest_idle() {
