--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -28,6 +28,16 @@
 /// connections are closed after their response.
 const UNCONNECTED_CLIENTS_DIVISOR: usize = 5;
 
+/// Of the process's descriptors, one in this many is reserved for clients: as many as they use where nothing else is set.
+/// What is reserved for endpoints and the side port goes before.
+const CLIENT_RESERVE_DIVISOR: usize = 3;
+/// No more than one in this many of the descriptors that connections may use is reserved for clients.
+const MAX_CLIENT_RESERVE_DIVISOR: usize = 2;
+/// Of the memory, one in this many parts is left to the allocator's fragmentation.
+const FRAGMENTATION_DIVISOR: u64 = 4;
+/// Of the connections' memory, one in this many parts is for connections to endpoints.
+const UPSTREAM_MEMORY_DIVISOR: usize = 3;
+
 /// Why no budget can be made.
 #[derive(Debug, Error)]
 pub enum BudgetError {
@@ -110,7 +120,9 @@
     let side_port = side_port_quota(settings);
     let unreserved = available.saturating_sub(upstream.reserved + side_port.reserved);
     let clients = Quota {
-        reserved: (limits.descriptors / 3).min(available / 2).min(unreserved),
+        reserved: (limits.descriptors / CLIENT_RESERVE_DIVISOR)
+            .min(available / MAX_CLIENT_RESERVE_DIVISOR)
+            .min(unreserved),
         limit: available,
     };
     let quotas = [clients, upstream, side_port];
@@ -140,17 +152,19 @@
     upstream: usize,
 }
 
-/// Divides three quarters of the memory, less the program's own: the allocator's fragmentation takes the rest. A third
-/// is for connections to endpoints.
+/// Divides what the program itself and the allocator's fragmentation leave of the memory.
 fn connection_memory(memory_bytes: Option<u64>) -> ConnectionMemory {
     let total = memory_bytes.map_or(usize::MAX, |memory| {
-        usize::try_from((memory / 4 * 3).saturating_sub(PROGRAM_BYTES))
-            .unwrap_or(usize::MAX)
-            .max(ACTIVE_CONNECTION_BYTES * MIN_ACTIVE_CONNECTIONS)
+        usize::try_from(
+            (memory / FRAGMENTATION_DIVISOR * (FRAGMENTATION_DIVISOR - 1))
+                .saturating_sub(PROGRAM_BYTES),
+        )
+        .unwrap_or(usize::MAX)
+        .max(ACTIVE_CONNECTION_BYTES * MIN_ACTIVE_CONNECTIONS)
     });
     ConnectionMemory {
-        clients: total / 3 * 2,
-        upstream: total / 3,
+        clients: total / UPSTREAM_MEMORY_DIVISOR * (UPSTREAM_MEMORY_DIVISOR - 1),
+        upstream: total / UPSTREAM_MEMORY_DIVISOR,
     }
 }
 
