--- a/crates/node/src/discovery/renewal.rs
+++ b/crates/node/src/discovery/renewal.rs
@@ -9,9 +9,9 @@
     SUPERSEDED_READ_TIME, VERIFICATION_HEDGE_DELAY, WATCH_RENEWAL_INTERVAL,
     WATCH_VERIFICATION_DELAY, WATCH_WAIT,
 };
+use super::watch::WatchSession;
 use super::watches::Watches;
 use crate::list_client::{DiscoveryError, ListRequest};
-use std::net::SocketAddr;
 use std::ops::Range;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
@@ -28,67 +28,57 @@
 
 impl DiscoveryClient {
     /// Finds out by a poll whether a watch that was opened after a failed call has missed a change.
-    pub(super) async fn verify_watch(
-        &mut self,
-        address: SocketAddr,
-        version: u64,
-        watches: &mut Watches,
-    ) -> CheckOutcome {
+    pub(super) async fn verify_watch(&mut self, session: &mut WatchSession) -> CheckOutcome {
         let poll = Poll {
-            address,
+            address: session.address,
             request: ListRequest::ChangesAfter {
-                version,
+                version: session.version,
                 wait: CATCH_UP_WAIT,
             },
             connection: None,
             hedge_delay: Some(VERIFICATION_HEDGE_DELAY),
         };
-        match self.poll(poll, watches).await {
+        match self.poll(poll, &mut session.watches).await {
             PollOutcome::Answered(CallOutcome {
                 result: Ok(list), ..
-            }) if list.version == version && !watches.newest_failed() => {
+            }) if list.version == session.version && !session.watches.newest_failed() => {
                 self.failing = false;
                 self.failed_late = false;
                 self.last_answer = Some(Instant::now());
                 CheckOutcome::WatchesStand
             }
-            outcome => self.check_outcome(outcome, watches),
+            outcome => self.check_outcome(outcome, &mut session.watches),
         }
     }
 
     /// Renews the newest watch. After a failed renewal, or where the complete list is due, a poll stands in for that: its
     /// answer shows what the watch has missed, and a new one is opened.
-    pub(super) async fn renew_watch(
-        &mut self,
-        address: SocketAddr,
-        version: u64,
-        watches: &mut Watches,
-    ) -> CheckOutcome {
+    pub(super) async fn renew_watch(&mut self, session: &mut WatchSession) -> CheckOutcome {
         let needs_complete_list = self
             .complete_list_due
             .is_some_and(|due| Instant::now() >= due);
         if !needs_complete_list && !self.failing {
-            return self.open_renewal(address, version, watches).await;
+            return self.open_renewal(session).await;
         }
         let request = if needs_complete_list {
             ListRequest::Complete
         } else {
             ListRequest::ChangesAfter {
-                version,
+                version: session.version,
                 wait: CATCH_UP_WAIT,
             }
         };
         let poll = Poll {
-            address,
+            address: session.address,
             request,
             connection: None,
             hedge_delay: None,
         };
-        let outcome = self.poll(poll, watches).await;
+        let outcome = self.poll(poll, &mut session.watches).await;
         if needs_complete_list && matches!(outcome, PollOutcome::Answered(_)) {
             self.complete_list_due = None;
         }
-        self.check_outcome(outcome, watches)
+        self.check_outcome(outcome, &mut session.watches)
     }
 
     /// What follows for the watches from a poll beside them: an answer supersedes them, and a failure is theirs where the
@@ -109,39 +99,38 @@
 
     /// Opens a watch beside the open ones. It takes the newest one's place unless a call is answered, or it fails, within
     /// `RENEWAL_OVERLAP`.
-    async fn open_renewal(
-        &mut self,
-        address: SocketAddr,
-        version: u64,
-        watches: &mut Watches,
-    ) -> CheckOutcome {
+    async fn open_renewal(&mut self, session: &mut WatchSession) -> CheckOutcome {
         let request = ListRequest::ChangesAfter {
-            version,
+            version: session.version,
             wait: WATCH_WAIT,
         };
-        let renewal = self.start(address, request, None);
+        let renewal = self.start(session.address, request, None);
         let deadline = Instant::now() + RENEWAL_OVERLAP;
         loop {
-            let awaited: Vec<_> = watches.open().chain([renewal]).collect();
+            let awaited: Vec<_> = session.watches.open().chain([renewal]).collect();
             let completed = timeout_at(deadline, self.first_completed(&awaited)).await;
             let Ok(CompletedCall { id, outcome, .. }) = completed else {
-                watches.renew(renewal, &mut self.in_flight);
+                session.watches.renew(renewal, &mut self.in_flight);
                 return CheckOutcome::WatchesStand;
             };
             match outcome.result {
                 Ok(_) => {
-                    watches.remove(id);
-                    watches.supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
+                    session.watches.remove(id);
+                    session
+                        .watches
+                        .supersede(&mut self.in_flight, SUPERSEDED_READ_TIME);
                     if id == renewal {
-                        self.log_missed_change(&outcome, version);
+                        self.log_missed_change(&outcome, session.version);
                     } else {
                         self.in_flight.supersede([renewal], SUPERSEDED_READ_TIME);
                     }
                     return CheckOutcome::WatchesEnded(outcome);
                 }
                 // The renewal may still take the place of a watch that has failed.
-                Err(_) if id != renewal => watches.remove(id),
-                Err(_) if watches.newest_failed() => return CheckOutcome::WatchesEnded(outcome),
+                Err(_) if id != renewal => session.watches.remove(id),
+                Err(_) if session.watches.newest_failed() => {
+                    return CheckOutcome::WatchesEnded(outcome)
+                }
                 Err(error) => return CheckOutcome::Failed(error),
             }
         }
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -10,9 +10,33 @@
 use super::watches::Watches;
 use crate::list_client::{DiscoveryError, ListRequest};
 use std::net::SocketAddr;
+use std::ops::ControlFlow;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
+/// A watch and its renewals, up to an answer.
+pub(super) struct WatchSession {
+    /// Discovery's address.
+    pub(super) address: SocketAddr,
+    /// The version after which they wait for changes.
+    pub(super) version: u64,
+    /// The open ones.
+    pub(super) watches: Watches,
+    /// When the newest of them was opened.
+    opened_at: Instant,
+    /// Opened after a failed call, and not verified since.
+    unverified: bool,
+    /// When to verify or renew it.
+    next_check: Instant,
+}
+
+impl WatchSession {
+    /// When the watches have failed if there is no answer.
+    fn deadline(&self) -> Instant {
+        self.opened_at + WATCH_WAIT + WATCH_ANSWER_GRACE
+    }
+}
+
 impl DiscoveryClient {
     /// Waits for discovery's next list: the complete one where none is held, otherwise what a watch brings.
     pub(super) async fn next_list(
@@ -26,66 +50,91 @@
         }
     }
 
-    /// Opens a watch and waits for its answer, or that of one of its renewals. Meanwhile it is checked at intervals: by a
-    /// verification after a failed call, otherwise by a renewal.
+    /// Opens a watch and waits for its answer, or that of one of its renewals. Meanwhile it is checked at intervals.
     async fn watch(
         &mut self,
         address: SocketAddr,
         version: u64,
         connection: Option<DiscoveryConnection>,
     ) -> CallOutcome {
-        let mut opened_at = Instant::now();
-        let mut unverified = self.failing;
-        let mut next_check = opened_at + self.first_check_delay();
-        let request = ListRequest::ChangesAfter {
-            version,
-            wait: WATCH_WAIT,
-        };
-        let mut watches = Watches::new(self.start(address, request, connection));
+        let mut session = self.open_watch(address, version, connection);
         loop {
-            let deadline = opened_at + WATCH_WAIT + WATCH_ANSWER_GRACE;
-            let answer = self.watch_outcome(&mut watches);
-            if let Ok(outcome) = timeout_at(next_check.min(deadline), answer).await {
-                let waited = opened_at.elapsed();
-                self.failed_late = unverified
+            let deadline = session.deadline();
+            let answer = self.watch_outcome(&mut session.watches);
+            if let Ok(outcome) = timeout_at(session.next_check.min(deadline), answer).await {
+                let waited = session.opened_at.elapsed();
+                self.failed_late = session.unverified
                     && outcome.result.is_err()
                     && (LATE_FAILURE_THRESHOLD..POLL_TIMEOUT).contains(&waited);
                 return outcome;
             }
-            if deadline <= next_check {
-                watches.supersede(&mut self.in_flight, Duration::ZERO);
+            if deadline <= session.next_check {
+                session
+                    .watches
+                    .supersede(&mut self.in_flight, Duration::ZERO);
                 return CallOutcome::failed(DiscoveryError::AnswerTimedOut);
             }
-            let checked_at = Instant::now();
-            let check = if unverified {
-                self.verify_watch(address, version, &mut watches).await
-            } else {
-                self.renew_watch(address, version, &mut watches).await
-            };
-            match check {
-                CheckOutcome::WatchesEnded(outcome) => return outcome,
-                CheckOutcome::WatchesStand => {
-                    if !unverified {
-                        opened_at = checked_at;
-                    }
-                    unverified = false;
-                    next_check = checked_at + self.renewal_delay();
-                }
-                CheckOutcome::Failed(error) if checked_at.elapsed() >= LATE_FAILURE_THRESHOLD => {
-                    // The next call can't wait. The open watches are read until their wait would be over.
-                    self.failed_late = true;
-                    let remaining = deadline.saturating_duration_since(Instant::now());
-                    watches.supersede(&mut self.in_flight, remaining);
-                    return CallOutcome::failed(error);
-                }
-                CheckOutcome::Failed(error) => {
-                    let text = format!("discovery: watch not renewed: {error}");
-                    self.log.rate_limited("discovery", &text);
-                    self.failing = true;
-                    next_check = Instant::now() + RENEWAL_BACKOFF.draw(&mut self.random);
+            if let ControlFlow::Break(outcome) = self.check(&mut session).await {
+                return outcome;
+            }
+        }
+    }
+
+    fn open_watch(
+        &mut self,
+        address: SocketAddr,
+        version: u64,
+        connection: Option<DiscoveryConnection>,
+    ) -> WatchSession {
+        let opened_at = Instant::now();
+        let next_check = opened_at + self.first_check_delay();
+        let request = ListRequest::ChangesAfter {
+            version,
+            wait: WATCH_WAIT,
+        };
+        WatchSession {
+            address,
+            version,
+            opened_at,
+            unverified: self.failing,
+            next_check,
+            watches: Watches::new(self.start(address, request, connection)),
+        }
+    }
+
+    /// Checks the watches: by a verification after a failed call, otherwise by a renewal. Breaks where they have ended.
+    async fn check(&mut self, session: &mut WatchSession) -> ControlFlow<CallOutcome> {
+        let checked_at = Instant::now();
+        let outcome = if session.unverified {
+            self.verify_watch(session).await
+        } else {
+            self.renew_watch(session).await
+        };
+        match outcome {
+            CheckOutcome::WatchesEnded(outcome) => return ControlFlow::Break(outcome),
+            CheckOutcome::WatchesStand => {
+                // A verification opens no watch.
+                if !session.unverified {
+                    session.opened_at = checked_at;
                 }
+                session.unverified = false;
+                session.next_check = checked_at + self.renewal_delay();
+            }
+            CheckOutcome::Failed(error) if checked_at.elapsed() >= LATE_FAILURE_THRESHOLD => {
+                // The next call can't wait. The open watches are read until their wait would be over.
+                self.failed_late = true;
+                let remaining = session.deadline().saturating_duration_since(Instant::now());
+                session.watches.supersede(&mut self.in_flight, remaining);
+                return ControlFlow::Break(CallOutcome::failed(error));
+            }
+            CheckOutcome::Failed(error) => {
+                let text = format!("discovery: watch not renewed: {error}");
+                self.log.rate_limited("discovery", &text);
+                self.failing = true;
+                session.next_check = Instant::now() + RENEWAL_BACKOFF.draw(&mut self.random);
             }
         }
+        ControlFlow::Continue(())
     }
 
     /// Waits for the answer to one of the watches, or the failure of the newest one. The others are superseded then.
