--- a/crates/node/src/discovery/tests/address_change.rs
+++ b/crates/node/src/discovery/tests/address_change.rs
@@ -47,7 +47,7 @@
 // Guards against an answer that the old discovery writes while the address changes, and that nobody reads: the node is
 // notified of it, and the new discovery's list may be a queue away.
 #[test]
-fn drains_told_by_the_old_discovery_are_forwarded_until_the_new_one_has_answered() {
+fn drains_announced_by_the_old_discovery_are_forwarded_until_the_new_one_has_answered() {
     run_in_virtual_time(async |log| {
         let old = ScriptedDiscovery::start(|call, _| match call {
             0 => Reply::ListAfter {
@@ -98,7 +98,7 @@
 // Guards against an answer of the old discovery that is dropped with its watch, because the new one's list comes in that
 // moment.
 #[test]
-fn a_drain_told_by_the_old_discovery_beside_the_new_ones_list_is_forwarded_at_once() {
+fn a_drain_announced_by_the_old_discovery_beside_the_new_ones_list_is_forwarded_at_once() {
     run_in_virtual_time(async |log| {
         let mut old = ManualDiscovery::start().await;
         let mut new = ManualDiscovery::start().await;
--- a/crates/node/src/discovery/tests/concurrent_answers.rs
+++ b/crates/node/src/discovery/tests/concurrent_answers.rs
@@ -42,11 +42,11 @@
     }
     assert!(
         missed.is_empty(),
-        "the drain told by the later answer is missed where that is on {missed:?}"
+        "the drain announced by the later answer is missed where that is on {missed:?}"
     );
 }
 
-// Guards against the older of two answers that undoes what the later one told.
+// Guards against the older of two answers that undoes what the later one announced.
 #[test]
 fn an_older_answer_on_the_other_watch_does_not_undo_a_drain() {
     for (later_on, written_first) in [
--- a/crates/node/src/discovery/tests/failures.rs
+++ b/crates/node/src/discovery/tests/failures.rs
@@ -30,7 +30,7 @@
 #[test]
 fn after_failed_calls_a_change_arrives_before_the_node_is_notified_of_it() {
     // The first failure is that of the open watch, or of a renewal beside one that has fallen silent.
-    let days: [&[Failure]; 9] = [
+    let sequences: [&[Failure]; 9] = [
         &[Reset],
         &[Reset, Refused],
         &[Reset, Refused, Refused],
@@ -41,7 +41,7 @@
         &[Lost, Refused, Lost],
         &[Lost, Reset, Refused],
     ];
-    for failures in days {
+    for failures in sequences {
         let first_failed = usize::from(failures[0] == Lost);
         for seed in 0..3 {
             run_in_virtual_time(async |log| {
@@ -166,7 +166,7 @@
 fn after_two_late_failures_in_a_row_a_change_arrives_before_the_node_is_notified_of_it() {
     let mut late = Vec::new();
     // An open watch that is reset, or a renewal beside a silent one that is refused, and two more.
-    let days: [(usize, &[Failure]); 6] = [
+    let sequences: [(usize, &[Failure]); 6] = [
         (0, &[Reset, RefusedAfterQueue, RefusedAfterQueue]),
         (0, &[Reset, Lost, Lost]),
         (0, &[Reset, RefusedAfterQueue, Lost]),
@@ -174,7 +174,7 @@
         (1, &[Lost, RefusedAfterQueue, RefusedAfterQueue]),
         (1, &[Lost, Refused, Lost, Lost]),
     ];
-    for (first_failed, failures) in days {
+    for (first_failed, failures) in sequences {
         let took = (0..2)
             .map(|seed| change_after_failures(first_failed, failures, seed))
             .max()
