--- /dev/null
+++ b/crates/cli/tests/node_features/audit_trail.rs
@@ -0,0 +1,244 @@
+//! The audit trail: its records over restarts, its verification, and targets that cannot be written.
+
+use crate::node_common::{command, config, wait_for, write_config, CacheServer, Discovery, Node};
+use crate::{log_has, run_until_exit, temporary_path};
+use serde_json::Value;
+use std::path::Path;
+use std::process::Command;
+
+/// Settings for a trail in a file.
+fn trail_at(path: &Path) -> String {
+    format!("[audit]\npath = \"{}\"\n", path.display())
+}
+
+/// The records of a trail.
+fn read_records(path: &Path) -> Vec<Value> {
+    let text = std::fs::read_to_string(path).unwrap();
+    text.lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect()
+}
+
+/// Runs `slatelink audit verify`. Returns what it prints and its exit code.
+fn verify(path: &Path) -> (String, Option<i32>) {
+    let output = command()
+        .args(["audit", "verify"])
+        .arg(path)
+        .output()
+        .unwrap();
+    (
+        String::from_utf8(output.stdout).unwrap(),
+        output.status.code(),
+    )
+}
+
+/// A file's SHA-256 in hexadecimal, by another implementation.
+fn sha256(path: &Path) -> String {
+    let output = Command::new("sha256sum").arg(path).output().unwrap();
+    String::from_utf8(output.stdout).unwrap()[..64].to_owned()
+}
+
+/// The records whose field has this value.
+fn records_with<'a>(records: &'a [Value], field: &str, value: &str) -> Vec<&'a Value> {
+    records
+        .iter()
+        .filter(|record| record[field] == value)
+        .collect()
+}
+
+// Guards against a start, stop, configuration or change of health that the trail lacks, and against a hash chain that a restart
+// breaks. The operators' own check stands at the end.
+#[test]
+fn the_trail_continues_over_restarts_and_any_edit_of_it_is_found() {
+    let server = CacheServer::serving("value");
+    let path = temporary_path("trail");
+    let mut config_hashes = Vec::new();
+    for (signal, exit_code) in [
+        ("-TERM", Some(0)),
+        ("-INT", Some(130)),
+        ("-KILL", None),
+        ("-USR2", Some(140)),
+    ] {
+        let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+        let platform = config(discovery.address);
+        let node = Node::with_features(&platform, &trail_at(&path));
+        config_hashes.push(sha256(node.config()));
+        if signal == "-TERM" {
+            change_health(&discovery, &server);
+            node.reload(&format!("{platform} "));
+            wait_for("the reload", || {
+                records_with(&read_records(&path), "file", "platform").len() == 2
+            });
+            config_hashes.push(sha256(node.config()));
+            node.reload("not a configuration");
+        }
+        // Before it is killed, its records must be there.
+        let loaded = || records_with(&read_records(&path), "file", "features").len();
+        wait_for("the start's records", || loaded() == config_hashes.len());
+        node.signal(signal);
+        assert_eq!(node.exit().code(), exit_code, "{signal}");
+    }
+    let records = read_records(&path);
+    assert_eq!(verify(&path), (format!("ok {}\n", records.len()), Some(0)));
+    for (i, record) in records.iter().enumerate() {
+        assert_eq!(record["seq"], i as u64 + 1);
+    }
+    assert_starts_and_stops(&records);
+    assert_health_changes(&records);
+    assert_configurations(&records, &config_hashes);
+    assert_edits_are_found(&path, records.len());
+    std::fs::remove_file(&path).unwrap();
+    assert_eq!(verify(&path), (String::new(), Some(2)));
+}
+
+/// Takes the endpoint through all kinds of change of its health, one version each.
+fn change_health(discovery: &Discovery, server: &CacheServer) {
+    discovery.publish(false, &[server.entry("s-1", "draining")]);
+    discovery.wait_until_applied(2);
+    discovery.publish(true, &[]);
+    discovery.wait_until_applied(3);
+    discovery.publish(false, &[server.entry("s-1", "strange")]);
+    discovery.wait_until_applied(4);
+    discovery.publish(false, &[server.entry("s-1", "gone")]);
+    discovery.wait_until_applied(5);
+}
+
+/// Asserts a start of each of the four nodes, and a stop of all but the third, which was killed.
+fn assert_starts_and_stops(records: &[Value]) {
+    let starts = records_with(records, "event", "start");
+    assert_eq!(starts.len(), 4);
+    assert_eq!(starts[0]["node"], "n0");
+    let signals: Vec<_> = records_with(records, "event", "stop")
+        .iter()
+        .map(|record| record["signal"].clone())
+        .collect();
+    assert_eq!(signals, ["SIGTERM", "SIGINT", "SIGUSR2"]);
+    // A node that was killed shows as a start without a stop before it.
+    let event_before = |start: usize| {
+        let position = records.iter().rposition(|record| record == starts[start]);
+        &records[position.unwrap() - 1]["event"]
+    };
+    assert_eq!(
+        [event_before(1), event_before(2), event_before(3)].map(|event| event == "stop"),
+        [true, true, false]
+    );
+}
+
+/// Asserts the first node's start and [`change_health`].
+fn assert_health_changes(records: &[Value]) {
+    let changes: Vec<_> = records_with(records, "event", "health")[..5]
+        .iter()
+        .map(|record| {
+            ["host", "from", "to"]
+                .map(|field| record[field].as_str().unwrap().to_owned())
+                .join(" ")
+        })
+        .collect();
+    let expected = [
+        "absent ready",
+        "ready draining",
+        "draining absent",
+        "absent strange",
+        "strange gone",
+    ]
+    .map(|change| format!("s-1 {change}"));
+    assert_eq!(changes, expected);
+}
+
+/// Asserts a record of each configuration that was loaded, with its hash; a rejected one has none.
+fn assert_configurations(records: &[Value], hashes: &[String]) {
+    let configurations = records_with(records, "event", "config");
+    let of_file = |file: &str| -> Vec<&Value> {
+        let records = configurations.iter().copied();
+        records.filter(|record| record["file"] == file).collect()
+    };
+    let platform = of_file("platform");
+    assert_eq!(platform.len(), 5);
+    assert!(
+        platform
+            .iter()
+            .zip(hashes)
+            .all(|(record, hash)| record["sha256"] == **hash),
+        "{platform:?} {hashes:?}"
+    );
+    assert_eq!(of_file("features").len(), 5);
+}
+
+/// Asserts that a flipped bit in any line and a missing last byte are found.
+fn assert_edits_are_found(path: &Path, lines: usize) {
+    let text = std::fs::read(path).unwrap();
+    let mut start = 0;
+    for line in 1..=lines {
+        let length = text[start..].iter().position(|&byte| byte == b'\n');
+        let end = start + length.unwrap();
+        let mut edited = text.clone();
+        edited[(start + end) / 2] ^= 1;
+        std::fs::write(path, &edited).unwrap();
+        assert_eq!(verify(path), (format!("broken at line {line}\n"), Some(1)));
+        start = end + 1;
+    }
+    std::fs::write(path, &text[..text.len() - 1]).unwrap();
+    assert_eq!(verify(path), (format!("torn at line {lines}\n"), Some(1)));
+}
+
+// Guards against two nodes that write one trail.
+#[test]
+fn a_trail_that_another_node_writes_fails_the_start() {
+    let server = CacheServer::serving("value");
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let path = temporary_path("shared");
+    let settings = trail_at(&path);
+    let node = Node::with_features(&config(discovery.address), &settings);
+    let platform = write_config(&config(discovery.address).to_string());
+    let second = run_until_exit(&platform, &write_config(&settings));
+    let error = String::from_utf8(second.stderr).unwrap();
+    assert_eq!(
+        (second.status.code(), error.lines().count()),
+        (Some(1), 1),
+        "{error}"
+    );
+    assert!(error.contains("another node writes there"), "{error}");
+    assert_eq!(node.read("read", 1).status(), 200);
+    std::fs::remove_file(path).unwrap();
+}
+
+// Guards against a full disk that stops service.
+#[test]
+fn a_trail_that_cannot_be_written_is_reported_and_requests_are_served() {
+    let server = CacheServer::serving("value");
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let features = trail_at("/dev/full".as_ref());
+    let node = Node::with_features(&config(discovery.address), &features);
+    wait_for("a log line of the error", || {
+        log_has(&node, |line| {
+            line.starts_with("audit: a record is not written")
+        })
+    });
+    assert_eq!(node.read("read", 1).status(), 200);
+    node.terminate();
+    assert!(node.exit().success());
+}
+
+// Guards against records that are lost where no path is set.
+#[test]
+fn a_trail_without_a_path_goes_to_standard_error() {
+    let server = CacheServer::serving("value");
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let node = Node::with_features(&config(discovery.address), "[audit]\n");
+    let records = || {
+        let log = node.log.lock().unwrap();
+        log.iter()
+            .filter(|line| line.starts_with("{\"seq\":"))
+            .map(|line| line.clone() + "\n")
+            .collect::<String>()
+    };
+    wait_for("a change of health", || {
+        records().contains("\"event\":\"health\"")
+    });
+    let path = write_config(&records());
+    assert_eq!(
+        verify(&path),
+        (format!("ok {}\n", records().lines().count()), Some(0))
+    );
+    std::fs::remove_file(path).unwrap();
+}
--- /dev/null
+++ b/crates/cli/tests/node_features/hot_list.rs
@@ -0,0 +1,141 @@
+//! The hot list, which the node prints on SIGUSR1.
+
+use crate::node_common::{config, read, wait_for, write_config, CacheServer, Discovery, Node};
+use crate::{log_has, run_until_exit};
+use std::collections::HashMap;
+
+/// Requests that the clients send in the test of the counts.
+const REQUESTS: u64 = 600;
+/// Keys that the hot list holds in that test.
+const CAPACITY: u64 = 8;
+
+/// A line of the hot list.
+#[derive(Debug)]
+struct HotKey {
+    key: String,
+    /// Requests a second.
+    rate: f64,
+    count: u64,
+    /// By how much the count may be too large.
+    error_bound: u64,
+}
+
+impl HotKey {
+    /// Reads a line without its class: `KEY rate=NUMBER/s count=NUMBER err<=NUMBER`.
+    fn parse(line: &str) -> Self {
+        let words: Vec<_> = line.split(' ').collect();
+        let [key, rate, count, error_bound] = words[..] else {
+            panic!("{line}")
+        };
+        let rate = rate.strip_prefix("rate=").unwrap();
+        let count = count.strip_prefix("count=").unwrap();
+        let error_bound = error_bound.strip_prefix("err<=").unwrap();
+        Self {
+            key: key.to_owned(),
+            rate: rate.strip_suffix("/s").unwrap().parse().unwrap(),
+            count: count.parse().unwrap(),
+            error_bound: error_bound.parse().unwrap(),
+        }
+    }
+}
+
+/// The hot list's lines of a class, in their order.
+fn hot_keys(node: &Node, class: &str) -> Vec<HotKey> {
+    let log = node.log.lock().unwrap();
+    let start = format!("hot {class} ");
+    log.iter()
+        .filter_map(|line| line.strip_prefix(&start))
+        .filter(|line| *line != "none")
+        .map(HotKey::parse)
+        .collect()
+}
+
+/// Sends reads of which a third is of one key. Returns how often each key was sent.
+fn send_skewed_reads(node: &Node) -> HashMap<String, u64> {
+    let mut client = node.client();
+    let mut sent = HashMap::<String, u64>::new();
+    for i in 0..REQUESTS {
+        let key = if i % 3 == 0 { 7 } else { i * 40_503 % 100 };
+        let text = read("read", i, 20_000)
+            .replace(&format!("/api/{i:016x}"), &format!("/api/x/key{key}?v={i}"));
+        assert_eq!(client.request(&text).status(), 200);
+        *sent.entry(format!("key{key}")).or_default() += 1;
+    }
+    sent
+}
+
+// The operators' own check: a skewed load, and its clients' counts against the printed ones.
+#[test]
+fn the_hot_list_agrees_with_the_clients_counts_within_its_error_bound() {
+    let server = CacheServer::serving("value");
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let features = format!("[hotlist]\ncapacity = {CAPACITY}\n");
+    let node = Node::with_features(&config(discovery.address), &features);
+    let sent = send_skewed_reads(&node);
+    // A request that is shed is counted too; an invalid one is not.
+    discovery.publish(false, &[server.entry("s-1", "draining")]);
+    discovery.wait_until_applied(2);
+    assert_eq!(node.read("once", 0xabc).status(), 503);
+    assert_eq!(node.read("no such class", 1).status(), 400);
+    node.signal("-USR1");
+    wait_for("the list", || {
+        log_has(&node, |line| line.starts_with("hot keyed "))
+    });
+    let reads = hot_keys(&node, "read");
+    assert_eq!((reads.len(), &*reads[0].key), (CAPACITY as usize, "key7"));
+    assert!(reads.is_sorted_by(|a, b| a.count >= b.count), "{reads:?}");
+    for hot in &reads {
+        let real = sent[&hot.key];
+        assert_eq!(hot.error_bound, REQUESTS / CAPACITY);
+        assert!(
+            real <= hot.count && hot.count - real <= hot.error_bound,
+            "{}: {real} and {}",
+            hot.key,
+            hot.count
+        );
+        assert!(hot.rate > 0.0);
+    }
+    let once = hot_keys(&node, "once");
+    assert_eq!(
+        (
+            once.len(),
+            &*once[0].key,
+            once[0].count,
+            once[0].error_bound
+        ),
+        (1, "0000000000000abc", 1, 0)
+    );
+    assert!(log_has(&node, |line| line == "hot keyed none"));
+    assert_eq!(
+        node.read("once", 1).status(),
+        503,
+        "the node runs on after the signal"
+    );
+}
+
+// Guards against a signal that is caught although the feature is off, and against a capacity that takes too much memory.
+#[test]
+fn a_capacity_of_zero_turns_the_hot_list_off_and_one_too_large_fails_the_start() {
+    let server = CacheServer::serving("value");
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let platform = config(discovery.address);
+    let node = Node::with_features(&platform, "[hotlist]\ncapacity = 0\n");
+    node.signal("-USR1");
+    assert_eq!(
+        node.exit().code(),
+        None,
+        "the signal ends a process that does not catch it"
+    );
+    let (platform, features) = (
+        write_config(&platform.to_string()),
+        write_config("[hotlist]\ncapacity = 100000\n"),
+    );
+    let output = run_until_exit(&platform, &features);
+    let error = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(
+        (output.status.code(), error.lines().count()),
+        (Some(1), 1),
+        "{error}"
+    );
+    assert!(error.contains("over 1 MB"), "{error}");
+}
--- /dev/null
+++ b/crates/cli/tests/node_features/metrics_targets.rs
@@ -0,0 +1,156 @@
+//! Targets that take no metrics, or take them late: service must not wait for them.
+
+use crate::metrics::{counter_sum, file_target};
+use crate::node_common::{
+    command, config, read, wait_for, write_config, CacheServer, Client, Discovery, Node,
+    WAIT_TIMEOUT,
+};
+use crate::temporary_path;
+use std::fs::File;
+use std::io::{BufRead, BufReader, Read};
+use std::net::{SocketAddr, TcpStream};
+use std::process::{Command, Stdio};
+
+/// The totals of dropped batches, in the order in which the node's log has them.
+fn dropped_batches(node: &Node) -> Vec<u64> {
+    let log = node.log.lock().unwrap();
+    let totals = log
+        .iter()
+        .filter_map(|line| line.strip_prefix("slatelink.figures.dropped: "));
+    totals
+        .map(|rest| {
+            rest.strip_suffix(" batches so far")
+                .unwrap()
+                .parse()
+                .unwrap()
+        })
+        .collect()
+}
+
+// The operators' own check: every write to this target fails, requests are served and the count rises.
+#[test]
+fn metrics_to_a_full_device_are_dropped_and_counted_while_requests_are_served() {
+    let server = CacheServer::serving("value");
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let features = file_target("/dev/full".as_ref(), 20);
+    let node = Node::with_features(&config(discovery.address), &features);
+    let mut client = node.client();
+    let mut key = 0;
+    wait_for("a count that rises", || {
+        key += 1;
+        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
+        dropped_batches(&node).len() > 3
+    });
+    assert!(
+        dropped_batches(&node)
+            .windows(2)
+            .all(|pair| pair[0] < pair[1]),
+        "{:?}",
+        dropped_batches(&node)
+    );
+}
+
+/// The reading end of a FIFO of metrics, and what was read from it.
+struct FifoReader {
+    fifo: File,
+    text: String,
+}
+
+impl FifoReader {
+    /// Reads up to 1 KiB more. Returns how many dropped batches the complete lines so far report.
+    fn read_more(&mut self) -> u64 {
+        let mut bytes = [0; 1024];
+        let count = self.fifo.read(&mut bytes).unwrap();
+        self.text
+            .push_str(std::str::from_utf8(&bytes[..count]).unwrap());
+        let end = self.text.rfind('\n').map_or(0, |newline| newline + 1);
+        let complete = &self.text[..end];
+        assert!(
+            complete.lines().all(|line| line.starts_with("slatelink.")),
+            "complete lines only"
+        );
+        counter_sum(complete, "slatelink.figures.dropped", "")
+    }
+}
+
+// Guards against a FIFO that stalls the node: without a reader, with one that reads nothing, and with one that reads late.
+#[test]
+fn metrics_to_a_fifo_never_wait_for_its_reader() {
+    let server = CacheServer::serving("value");
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let path = temporary_path("fifo");
+    assert!(Command::new("mkfifo")
+        .arg(&path)
+        .status()
+        .unwrap()
+        .success());
+    let node = Node::with_features(&config(discovery.address), &file_target(&path, 10));
+    let dropped = || dropped_batches(&node).last().copied().unwrap_or(0);
+    wait_for("dropped batches", || dropped() > 0);
+    let mut reader = FifoReader {
+        fifo: File::open(&path).unwrap(),
+        text: String::new(),
+    };
+    let mut reported = 0;
+    wait_for("the count of dropped batches", || {
+        reported = reader.read_more();
+        reported > 0
+    });
+    // Once the FIFO is full, writes to it fail.
+    let (mut client, mut key) = (node.client(), 0);
+    wait_for("dropped batches again", || {
+        key += 1;
+        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
+        dropped() > reported
+    });
+    wait_for("the count of those", || reader.read_more() > reported);
+    std::fs::remove_file(path).unwrap();
+}
+
+// Guards against a pipe that nobody reads, and that stalls the node once it is full.
+#[test]
+fn a_node_whose_standard_error_is_not_read_serves_and_stops() {
+    let server = CacheServer::serving("value");
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let platform = write_config(&config(discovery.address).to_string());
+    let features = write_config("[figures]\nflush_ms = 20\n");
+    let mut child = command()
+        .env("LB_CONFIG", &platform)
+        .arg("--features")
+        .arg(&features)
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap();
+    // The small buffer leaves the rest in the pipe.
+    let mut log = BufReader::with_capacity(64, child.stderr.take().unwrap());
+    let mut line = String::new();
+    log.read_line(&mut line).unwrap();
+    let address: SocketAddr = line.trim_end().rsplit(' ').next().unwrap().parse().unwrap();
+    let stream = TcpStream::connect(address).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+    let mut client = Client::on(stream);
+    wait_for("readiness", || {
+        client
+            .request("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n")
+            .status()
+            == 200
+    });
+    // Well over what a pipe of 64 KiB and the buffer of 256 KiB hold.
+    for key in 0..4_000 {
+        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
+    }
+    let killed = Command::new("kill")
+        .arg(child.id().to_string())
+        .status()
+        .unwrap();
+    assert!(killed.success());
+    let mut exit = None;
+    wait_for("the node's exit", || {
+        exit = child.try_wait().unwrap();
+        exit.is_some()
+    });
+    assert!(exit.unwrap().success());
+    for path in [platform, features] {
+        std::fs::remove_file(path).unwrap();
+    }
+}
