--- /dev/null
+++ b/crates/cli/tests/node_multiget/items.rs
@@ -0,0 +1,99 @@
+//! Items as requests of their own, and what is printed of them.
+
+use crate::multi_get::{
+    echo, keys, metrics_to, multi_get, multi_get_address, printed_lines, temporary_path, MULTI_GET,
+};
+use crate::node_common::{answer, config, wait_for, CacheServer, Discovery, Node, Reply};
+use serde_json::{json, Value};
+use std::collections::HashSet;
+use std::path::Path;
+use std::process::Output;
+
+/// Index of the item that the cache server fails.
+const FAILED_ITEM: usize = 2;
+
+// Guards against items that are handled differently from single requests, and against lines out of order.
+#[test]
+fn each_item_is_a_request_of_its_own_and_lines_are_in_the_order_of_the_keys() {
+    let server = CacheServer::start(|request| match request.start.contains("0003 ") {
+        true => Reply::Answer(answer("500 No", "", "")),
+        false => echo(request),
+    });
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let path = temporary_path("multi");
+    let features = format!("{MULTI_GET}{}[hotlist]\n", metrics_to(&path));
+    let node = Node::with_features(&config(discovery.address), &features);
+    let keys = keys(32);
+    let output = multi_get(multi_get_address(&node), 20_000, &keys)
+        .output()
+        .unwrap();
+    assert_printed_in_order(&output, &keys);
+    assert_single_requests(&server);
+    wait_for("metrics of each item", || read_requests(&path) == 32);
+    node.signal("-USR1");
+    wait_for("the hot list", || {
+        let log = node.log.lock().unwrap();
+        log.iter()
+            .filter(|line| line.starts_with("hot read 0"))
+            .count()
+            == 32
+    });
+    std::fs::remove_file(path).unwrap();
+}
+
+/// Asserts a line of each key in order, served but for the one that the cache server fails.
+fn assert_printed_in_order(output: &Output, keys: &[String]) {
+    assert_eq!(output.status.code(), Some(0), "{output:?}");
+    let text = String::from_utf8(output.stdout.clone()).unwrap();
+    assert_eq!(
+        text.lines().next().unwrap(),
+        format!(
+            "{{\"i\":0,\"key\":\"{0}\",\"status\":200,\"body\":\"/api/{0}\"}}",
+            keys[0]
+        )
+    );
+    let lines = printed_lines(output);
+    for (i, (line, key)) in lines.iter().zip(keys).enumerate() {
+        // Its status depends on whether the request may be retried; here there is no other endpoint.
+        let expected = match i {
+            FAILED_ITEM => json!({"i": i, "key": key, "status": line["status"]}),
+            _ => json!({"i": i, "key": key, "status": 200, "body": format!("/api/{key}")}),
+        };
+        assert_eq!(*line, expected);
+    }
+    assert!(
+        [502, 503]
+            .map(Value::from)
+            .contains(&lines[FAILED_ITEM]["status"]),
+        "{:?}",
+        lines[FAILED_ITEM]
+    );
+    assert_eq!(lines.len(), 32);
+}
+
+/// Asserts that the cache server got GET requests with an id each and what is left of the deadline.
+fn assert_single_requests(server: &CacheServer) {
+    let requests = server.received.lock().unwrap();
+    assert!(requests
+        .iter()
+        .all(|request| request.start.starts_with("GET /api/")));
+    let ids: HashSet<_> = requests
+        .iter()
+        .map(|request| request.header("req-id").unwrap().to_owned())
+        .collect();
+    assert_eq!(ids.len(), 32, "a new id each");
+    let deadline_ms = |header: Option<&str>| header.unwrap().parse::<u64>().unwrap();
+    assert!(requests
+        .iter()
+        .all(|request| deadline_ms(request.header("req-deadline-ms")) < 20_000));
+}
+
+/// How many reads the metrics in a file have counted.
+fn read_requests(path: &Path) -> u64 {
+    let text = std::fs::read_to_string(path).unwrap();
+    let counts = text
+        .lines()
+        .filter_map(|line| line.strip_prefix("slatelink.req.count:"));
+    let reads = counts.filter_map(|rest| rest.split_once("|c|#kind:read,"));
+    reads.map(|(count, _)| count.parse::<u64>().unwrap()).sum()
+}
--- /dev/null
+++ b/crates/cli/tests/node_multiget/lifecycle.rs
@@ -0,0 +1,66 @@
+//! The start and the graceful shutdown of a node with a multi-get port.
+
+use crate::multi_get::{all_served, echo, keys, multi_get, multi_get_address, MULTI_GET};
+use crate::node_common::{
+    command, config, wait_for, write_config, CacheServer, Discovery, Gate, Node,
+};
+use std::net::{TcpListener, TcpStream};
+
+// Guards against a shutdown that loses items that were accepted.
+#[test]
+fn a_terminated_node_finishes_the_calls_that_it_accepted() {
+    let gate = Gate::default();
+    let server_gate = gate.clone();
+    let server = CacheServer::start(move |request| {
+        server_gate.wait_until_open();
+        echo(request)
+    });
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let node = Node::with_features(&config(discovery.address), MULTI_GET);
+    let address = multi_get_address(&node);
+    let mut call = multi_get(address, 20_000, &keys(12));
+    let call = std::thread::spawn(move || call.output().unwrap());
+    wait_for("the first items", || server.count() == 8);
+    node.terminate();
+    wait_for("a closed multi-get port", || {
+        TcpStream::connect(address).is_err()
+    });
+    gate.open();
+    let output = call.join().unwrap();
+    assert!(all_served(&output), "{output:?}");
+    assert!(node.exit().success());
+}
+
+// Guards against a multi-get port that no setting asks for.
+#[test]
+fn without_a_port_there_is_no_multi_get_and_a_port_in_use_fails_the_start() {
+    let server = CacheServer::serving("value");
+    let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
+    let platform = config(discovery.address);
+    let node = Node::with_features(&platform, "[multiget]\nparallel = 2\n");
+    assert!(!node
+        .log
+        .lock()
+        .unwrap()
+        .iter()
+        .any(|line| line.contains("multi-get")));
+    let in_use = TcpListener::bind("127.0.0.1:0").unwrap();
+    let features = write_config(&format!(
+        "[multiget]\nport = {}\n",
+        in_use.local_addr().unwrap().port()
+    ));
+    let platform = write_config(&platform.to_string());
+    let output = command()
+        .env("LB_CONFIG", platform)
+        .arg("--features")
+        .arg(features)
+        .output()
+        .unwrap();
+    let error = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(
+        (output.status.code(), error.lines().count()),
+        (Some(1), 1),
+        "{error}"
+    );
+    assert!(error.starts_with("slatelink: multiget: "), "{error}");
+}
