--- a/crates/cli/tests/node_features/audit_trail.rs
+++ b/crates/cli/tests/node_features/audit_trail.rs
@@ -1,7 +1,9 @@
 //! The audit trail: its records over restarts, its verification, and targets that cannot be written.
 
-use crate::node_common::{command, config, wait_for, write_config, CacheServer, Discovery, Node};
-use crate::{log_has, run_until_exit, temporary_path};
+use crate::node_common::{
+    command, config, temporary_path, wait_for, write_config, CacheServer, Discovery, Node,
+};
+use crate::{log_has, run_until_exit};
 use serde_json::Value;
 use std::path::Path;
 use std::process::Command;
--- a/crates/cli/tests/node_features/main.rs
+++ b/crates/cli/tests/node_features/main.rs
@@ -10,14 +10,9 @@
 mod settings;
 
 use node_common::{command, Node};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::process::Output;
 
-/// A path for a file of one test.
-fn temporary_path(name: &str) -> PathBuf {
-    std::env::temp_dir().join(format!("slatelink-{}-{name}", std::process::id()))
-}
-
 /// Runs a node on these files until it exits, as it does where it cannot start.
 fn run_until_exit(config: &Path, features: &Path) -> Output {
     command()
--- a/crates/cli/tests/node_features/metrics.rs
+++ b/crates/cli/tests/node_features/metrics.rs
@@ -1,7 +1,9 @@
 //! What metrics say of requests, attempts and endpoints.
 
-use crate::node_common::{answer, config, wait_for, CacheServer, Discovery, Node, Reply};
-use crate::{log_has, temporary_path};
+use crate::log_has;
+use crate::node_common::{
+    answer, config, temporary_path, wait_for, CacheServer, Discovery, Node, Reply,
+};
 use std::path::Path;
 
 /// Settings for metrics that are written to a file, flushed at this interval.
--- a/crates/cli/tests/node_features/metrics_targets.rs
+++ b/crates/cli/tests/node_features/metrics_targets.rs
@@ -2,10 +2,9 @@
 
 use crate::metrics::{counter_sum, file_target};
 use crate::node_common::{
-    command, config, read, wait_for, write_config, CacheServer, Client, Discovery, Node,
-    WAIT_TIMEOUT,
+    command, config, read, temporary_path, wait_for, write_config, CacheServer, Client, Discovery,
+    Node, WAIT_TIMEOUT,
 };
-use crate::temporary_path;
 use std::fs::File;
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/cli/tests/node_multiget/items.rs
+++ b/crates/cli/tests/node_multiget/items.rs
@@ -1,9 +1,11 @@
 //! Items as requests of their own, and what is printed of them.
 
 use crate::multi_get::{
-    echo, keys, metrics_to, multi_get, multi_get_address, printed_lines, temporary_path, MULTI_GET,
+    echo, keys, metrics_to, multi_get, multi_get_address, printed_lines, MULTI_GET,
+};
+use crate::node_common::{
+    answer, config, temporary_path, wait_for, CacheServer, Discovery, Node, Reply,
 };
-use crate::node_common::{answer, config, wait_for, CacheServer, Discovery, Node, Reply};
 use serde_json::{json, Value};
 use std::collections::HashSet;
 use std::path::Path;
--- a/crates/cli/tests/node_multiget/multi_get.rs
+++ b/crates/cli/tests/node_multiget/multi_get.rs
@@ -3,7 +3,7 @@
 use crate::node_common::{answer, command, wait_for, Client, Message, Node, Reply, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::process::{Command, Output};
 
 /// Features that turn the multi-get port on, at a free port.
@@ -17,11 +17,6 @@
     )
 }
 
-/// A path for a file of one test.
-pub fn temporary_path(name: &str) -> PathBuf {
-    std::env::temp_dir().join(format!("slatelink-{}-{name}", std::process::id()))
-}
-
 /// The address of a node's multi-get port, once the node's log states it.
 pub fn multi_get_address(node: &Node) -> SocketAddr {
     let address = || {
--- a/crates/cli/tests/node_multiget/partial_results.rs
+++ b/crates/cli/tests/node_multiget/partial_results.rs
@@ -2,9 +2,11 @@
 
 use crate::multi_get::{
     connect, echo, item, keys, metrics_to, multi_get, multi_get_address, post, printed_lines,
-    temporary_path, MULTI_GET,
+    MULTI_GET,
+};
+use crate::node_common::{
+    config, temporary_path, wait_for, CacheServer, Discovery, Node, Reply, WAIT_TIMEOUT,
 };
-use crate::node_common::{config, wait_for, CacheServer, Discovery, Node, Reply, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Read};
