--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -36,18 +36,25 @@
     settings: Settings,
     random: Random,
     endpoints: EndpointTable,
+    /// Empty in a small deployment.
     zones: ZoneBreakers,
     origin: OriginProtection,
+    /// Of the concurrency limits of all endpoints.
     concurrency: ConcurrencyBounds,
+    /// Empty where weights include speeds.
     kind_speeds: KindSpeeds,
     latencies: LatencyTracker,
     load_shedder: LoadShedder,
+    /// Of the counts in `load_shedder` and `origin`.
     decay: Decay,
     retry_budget: RetryBudget,
+    /// Tells reads that need no origin, where endpoints report cache results.
     cached_keys: CachedKeys,
+    /// Tells likely misses.
     recent_answers: RecentAnswers,
     /// Looked up by id only, never walked: its order differs from run to run.
     pending: HashMap<RequestId, PendingRequest>,
+    /// Those of `pending` that wait for capacity.
     queue: RequestQueue,
     poll_schedule: PollSchedule,
     /// When the earliest [`Action::Wake`] that was asked for is due.
--- a/crates/policy/src/balancer/outcome.rs
+++ b/crates/policy/src/balancer/outcome.rs
@@ -28,6 +28,7 @@
 /// What the end of an attempt shows, as judged once for all mechanisms.
 #[derive(Debug)]
 struct Evaluation {
+    /// How the attempt ended.
     status: Status,
     /// What it shows of the endpoint.
     result: CallResult,
@@ -35,13 +36,14 @@
     fetched: bool,
     /// Position of the request's class.
     class: usize,
+    /// Of the breakers, when the attempt was sent.
     epochs: BreakerEpochs,
     /// The endpoint had no queue just before.
     had_no_queue: bool,
     /// A time-out that was not the endpoint's load. A time-out brings no report, but where answers
     /// of late met no queue something else took long (a miss waits for the origin, say): less load
     /// and a breaker for that endpoint help nobody, and its keys would be missed elsewhere.
-    excused: bool,
+    timed_out_without_load: bool,
     /// It ended early enough for the endpoint's load to be in order.
     in_time: bool,
     /// The endpoint has cores to spare, as it reported.
@@ -61,7 +63,8 @@
         self.result == CallResult::Failure
     }
 
-    /// Late, and not for want of spare cores at a heavy request.
+    /// Answered late by an endpoint without cores to spare: one that has them took long for the
+    /// work itself.
     fn is_late(&self) -> bool {
         self.succeeded() && !self.in_time && !self.has_spare_cores
     }
@@ -74,7 +77,7 @@
     /// Rejected or timed out for load.
     fn is_overloaded(&self) -> bool {
         let refused = matches!(self.status, Status::Rejected | Status::TimedOut);
-        self.excused || self.failed() && !self.is_rejected_without_load() && refused
+        self.timed_out_without_load || self.failed() && !self.is_rejected_without_load() && refused
     }
 }
 
@@ -144,7 +147,7 @@
         let status = outcome.status;
         let had_no_queue =
             position.is_some_and(|index| self.has_no_queue(&self.endpoints[index], now));
-        let excused = had_no_queue && status == Status::TimedOut;
+        let timed_out_without_load = had_no_queue && status == Status::TimedOut;
         let fetched = outcome.cache_result == Some(CacheResult::Miss)
             && self.settings.mode == CacheMode::ReadThrough;
         let origin_at_fault = self.origin.on_attempt_ended(attempt, status, now) || fetched;
@@ -161,16 +164,16 @@
         let report_counts = self.settings.nodes <= MAX_NODES_FOR_QUEUE_REPORTS;
         Evaluation {
             status,
-            result: call_result(status, excused, origin_at_fault),
+            result: call_result(status, timed_out_without_load, origin_at_fault),
             fetched,
             class: self.class_index(request),
             epochs: attempt.epochs,
             had_no_queue,
-            excused,
+            timed_out_without_load,
             in_time: outcome.latency <= time_allowed,
             has_spare_cores: utilization.is_some_and(|busy| busy < BUSY_UTILIZATION),
             reports_no_queue,
-            nobody_waits: excused || report_counts && reports_no_queue == Some(true),
+            nobody_waits: timed_out_without_load || report_counts && reports_no_queue == Some(true),
         }
     }
 
@@ -271,7 +274,7 @@
         } else if is_late && evaluation.nobody_waits {
             limit.decrease_without_queue(self.concurrency);
         } else if is_late || evaluation.is_overloaded() {
-            if !evaluation.excused && !retries_elsewhere {
+            if !evaluation.timed_out_without_load && !retries_elsewhere {
                 self.load_shedder.record_bad();
             }
             limit.decrease(self.concurrency);
@@ -358,11 +361,11 @@
 
 /// What an attempt's end shows of its endpoint. A fetch that failed is the origin's failure:
 /// another endpoint would ask the same origin.
-fn call_result(status: Status, excused: bool, origin_at_fault: bool) -> CallResult {
+fn call_result(status: Status, timed_out_without_load: bool, origin_at_fault: bool) -> CallResult {
     match status {
         Status::Ok | Status::Miss => CallResult::Success,
         Status::Canceled | Status::NotSent => CallResult::Inconclusive,
-        _ if excused || origin_at_fault => CallResult::Inconclusive,
+        _ if timed_out_without_load || origin_at_fault => CallResult::Inconclusive,
         _ => CallResult::Failure,
     }
 }
--- a/crates/policy/src/breaker.rs
+++ b/crates/policy/src/breaker.rs
@@ -56,7 +56,9 @@
 /// Calls and failures of a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct WindowCounts {
+    /// Ended calls that were conclusive.
     pub(crate) calls: u32,
+    /// Those of them that failed.
     pub(crate) failures: u32,
 }
 
@@ -79,8 +81,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// Calls are admitted and counted.
     Closed,
+    /// No call is admitted before `until`.
     Open { until: Timestamp },
+    /// Of the trials, `admitted` were sent and not given back, and `succeeded` of those ended well.
     HalfOpen { admitted: u32, succeeded: u32 },
 }
 
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,9 +1,10 @@
 //! Adaptive concurrency limit: how many attempts a node may have in flight at an endpoint.
 //!
-//! Additive increase for an answer in time that used at least half of the limit, decrease by a
-//! fixed step for one that was late or refused. The textbook's limit (AIMD) halves instead; here
-//! all nodes that share an endpoint step down together, so that a step is much larger for the
-//! endpoint than for each of them.
+//! Additive increase for an answer in time while at least half of the limit is in use, decrease for
+//! one that was late and for an attempt that was rejected or timed out. The textbook's limit (AIMD)
+//! decreases by a factor; this one by a fixed step, a smaller one where the endpoint reports that
+//! it has no queue. Its start and minimum are stated for all nodes together and divided by their
+//! number, so that a limit may be under one.
 
 use std::time::Duration;
 
@@ -20,16 +21,16 @@
 /// Step down for a late answer from an endpoint with no queue: most often the work itself took
 /// long.
 const DECREASE_WITHOUT_QUEUE: f64 = 0.3;
-/// The part of a limit from which on an answer in time raises it, as its inverse.
-const RAISED_FROM_INVERSE_PART: f64 = 2.0;
+/// An answer in time raises the limit only if the attempts in flight, times this, reach it.
+const IN_USE_FACTOR: f64 = 2.0;
 
 /// Bounds of the limits, which follow from the number of nodes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConcurrencyBounds {
     /// Limit of an endpoint that nothing is known of.
     pub(crate) start: f64,
-    /// An endpoint with nothing of a node's in flight must get its next request: refused for want
-    /// of capacity there, no answer would ever raise the limit again.
+    /// Least limit of an endpoint. One with nothing of a node's in flight must get its next
+    /// request: refused for want of capacity there, no answer would ever raise the limit again.
     pub(crate) min: f64,
 }
 
@@ -103,7 +104,7 @@
 
     /// Whether answers in time raise the limit: not while little of it is used.
     pub(crate) fn is_in_use(&self) -> bool {
-        f64::from(self.in_flight) * RAISED_FROM_INVERSE_PART >= self.limit
+        f64::from(self.in_flight) * IN_USE_FACTOR >= self.limit
     }
 
     /// A step up.
--- a/crates/policy/src/decay.rs
+++ b/crates/policy/src/decay.rs
@@ -9,7 +9,9 @@
 /// A count of ended attempts and of those that failed, decayed with [`Decay`].
 #[derive(Debug, Default)]
 pub(crate) struct DecayedCounts {
+    /// Attempts that ended.
     pub(crate) ended: f64,
+    /// Those of them that failed.
     pub(crate) failed: f64,
 }
 
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -35,17 +35,22 @@
     pub(crate) incarnation: u64,
     /// Of its id, for rendezvous hashing.
     pub(crate) hash: u64,
+    /// The breaker of all requests to it.
     pub(crate) breaker: CircuitBreaker,
     /// By class: an endpoint may reject one class and serve the others (a release that does not
     /// know it, a quota of that class's own). Blocked as a whole, it would lose the keys of all
     /// classes to endpoints that lack them. It does harm if the class is rejected for a moment
     /// only: its keys are missed elsewhere meanwhile.
     pub(crate) class_breakers: Vec<CircuitBreaker>,
+    /// What it was sent in the present slot of slow start.
     pub(crate) slow_start: SlotUsage,
+    /// How many attempts may be in flight there, and how many are.
     pub(crate) concurrency: ConcurrencyLimit,
+    /// When it was last sent to; when it was listed, before the first send.
     last_sent: Timestamp,
     /// Time between the last two sends; the longest time before the second one.
     send_interval: Duration,
+    /// When it last answered, in this incarnation.
     last_answer: Option<Timestamp>,
     /// When it last reported that it has no queue, unless it has reported one since.
     no_queue_reported: Option<Timestamp>,
@@ -111,6 +116,7 @@
 pub(crate) struct NewEndpoint {
     /// Number of classes, each with a breaker of its own.
     pub(crate) classes: usize,
+    /// Where its concurrency limit starts.
     pub(crate) concurrency: ConcurrencyBounds,
     /// The present slot of slow start.
     pub(crate) slot: u64,
--- a/crates/policy/src/origin_protection.rs
+++ b/crates/policy/src/origin_protection.rs
@@ -23,8 +23,8 @@
 const DECREASE_FACTOR: f64 = 0.7;
 /// Step up of the limit for each likely miss that is served while the limit is used.
 const INCREASE: f64 = 0.1;
-/// The limit is used while this many times the likely misses in flight reach it.
-const USED_FROM_INVERSE_PART: f64 = 4.0;
+/// A likely miss that is served raises the limit only if those in flight, times this, reach it.
+const IN_USE_FACTOR: f64 = 4.0;
 /// Least limit, for all nodes together.
 const MIN_LIMIT_FOR_ALL: f64 = 1.0;
 /// Part of the limit that a further likely miss of a request may use after a failed one: it is made
@@ -36,10 +36,12 @@
 pub(crate) struct OriginProtection {
     /// The breaker of what endpoints fetch misses from, where they tell of misses.
     pub(crate) breaker: CircuitBreaker,
+    /// Likely misses in flight.
     in_flight: u32,
-    /// Infinite until the origin is overloaded for the first time.
+    /// Most likely misses in flight. Infinite until the origin is overloaded for the first time.
     limit: f64,
     min_limit: f64,
+    /// When the limit was last decreased.
     last_decrease: Timestamp,
     likely_misses: DecayedCounts,
     other_attempts: DecayedCounts,
@@ -104,7 +106,7 @@
         let used = f64::from(self.in_flight);
         self.in_flight -= 1;
         let overloaded = !self.is_large_deployment && self.is_overloaded();
-        if status == Status::Ok && used * USED_FROM_INVERSE_PART >= self.limit {
+        if status == Status::Ok && used * IN_USE_FACTOR >= self.limit {
             self.limit += INCREASE;
         } else if failed && overloaded && sent_under_limit {
             self.limit = (self.limit.min(used) * DECREASE_FACTOR).max(self.min_limit);
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -5,11 +5,14 @@
 /// Epochs of the breakers that guarded an attempt, when it was sent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BreakerEpochs {
+    /// Of the endpoint's breaker.
     pub(crate) endpoint: u32,
+    /// Of the breaker of the request's class at the endpoint.
     pub(crate) class: u32,
     /// `None` for an attempt that no trial of the origin's breaker was counted for: its end tells
     /// that breaker nothing.
     pub(crate) origin: Option<u32>,
+    /// Of the breaker of the endpoint's zone; 0 where none is kept.
     pub(crate) zone: u32,
 }
 
@@ -20,22 +23,27 @@
     pub(crate) endpoint: Endpoint,
     /// The endpoint's [incarnation](crate::endpoint_table::EndpointState::incarnation) then.
     pub(crate) incarnation: u64,
+    /// When it was sent.
     pub(crate) sent: Timestamp,
+    /// Which states of the breakers its end tells of.
     pub(crate) epochs: BreakerEpochs,
     /// Whether it was expected to be fetched from the origin.
     pub(crate) likely_miss: bool,
-    /// `None` while it is in flight.
+    /// How it ended; `None` while it is in flight.
     pub(crate) status: Option<Status>,
 }
 
 /// A request that has no final answer yet, or has an attempt in flight.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
+    /// As the client sent it.
     pub(crate) request: Request,
+    /// In the order of sending; one at most, the last, is in flight.
     pub(crate) attempts: Vec<Attempt>,
     /// Uniform between 0 and 1, drawn once: rounds the fractional limits that the request meets up
     /// or down at random (dithering) and decides whether it is among those that are shed.
     pub(crate) dither: f64,
+    /// When it arrived at this node.
     pub(crate) arrived: Timestamp,
     /// Whether nothing more is owed: it has its final answer, or its client has left.
     pub(crate) finished: bool,
--- a/crates/policy/tests/common/events.rs
+++ b/crates/policy/tests/common/events.rs
@@ -1,4 +1,4 @@
-//! Sequences of events for the rules as properties: one generator for the module, the front and the node.
+//! Generated sequences of events for property tests, shared by the tests of the policy, of admission and of the node.
 #![allow(dead_code)]
 
 use proptest::collection::vec;
@@ -7,13 +7,13 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestError, TestRng, TestRunner};
 use slatelink_policy::{CacheResult, Status};
 
-/// Cache servers that discovery may name.
+/// Number of cache servers that discovery may list.
 pub const SERVERS: usize = 5;
 
-/// One thing that happens. Where it picks one of several, `which` counts on from the oldest, round and round.
+/// One thing that happens. Where it picks one of several, `which` modulo their number is the index from the oldest on.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// A client asks.
+    /// A client sends a request and gives it up after `patience_ms`.
     Ask {
         class: usize,
         key: u64,
@@ -21,19 +21,19 @@
         write: bool,
         over_quota: bool,
     },
-    /// An attempt that is out ends so.
+    /// An attempt in flight ends with this status.
     End {
         which: usize,
         how: Status,
         cache_result: Option<CacheResult>,
     },
-    /// An outcome comes that belongs to no attempt that is out.
+    /// An outcome is reported that belongs to no attempt in flight.
     Stray { which: usize, how: Status },
-    /// A client leaves.
+    /// A client disconnects before its answer.
     Leave { which: usize },
-    /// Discovery tells of one server.
+    /// Discovery reports a change of one cache server.
     Change { server: usize, to: Change },
-    /// Discovery's whole list lacks the servers whose bit stands here.
+    /// Discovery sends a complete list without the cache servers whose bit is set in `lacks`.
     Whole { lacks: u8 },
     /// A call to discovery failed.
     NoList,
@@ -41,7 +41,7 @@
     Pass { ms: u64 },
 }
 
-/// What discovery says of a server.
+/// What discovery reports of a cache server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
     Ready,
