--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -21,7 +21,7 @@
 
 // Guards against work for nobody: a request that lies in the socket, or waits unaccepted, with its client's end behind it.
 #[test]
-fn a_request_that_is_read_after_its_client_left_reaches_no_server() {
+fn a_request_read_after_its_client_disconnected_reaches_no_endpoint() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -41,7 +41,7 @@
 
 // Guards against an attempt that was begun for a client, whose connection comes up once that has gone.
 #[test]
-fn a_connection_that_comes_up_after_its_client_left_carries_nothing() {
+fn a_connection_established_after_its_client_disconnected_carries_no_request() {
     let slow = SlowServer::start();
     let discovery = Discovery::start(&[endpoint_entry("s-1", slow.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -61,7 +61,7 @@
 
 // Guards against a client's end that stands behind bytes which nobody has asked for yet, few or many, and is not seen.
 #[test]
-fn a_client_that_leaves_behind_further_bytes_gets_no_second_attempt() {
+fn a_client_that_disconnects_behind_further_bytes_gets_no_second_attempt() {
     for further in [read("read", 2, 20_000), "\r\n".into(), "x".repeat(300_000)] {
         let gate = Gate::default();
         let server = || CacheServer::delaying_first(&gate, || Reply::AnswerAndClose(String::new()));
@@ -85,9 +85,27 @@
     }
 }
 
+/// The ids of the requests that a server has received.
+fn received_ids(server: &CacheServer) -> Vec<String> {
+    let received = server.received.lock().unwrap();
+    let id = |request: &Message| request.header("req-id").unwrap().to_owned();
+    received.iter().map(id).collect()
+}
+
+/// None of these requests, as they were received, has one of these ids.
+fn assert_none_contains(requests: &[String], ids: &[String]) {
+    for id in ids {
+        let header = format!("req-id: {id}\r\n");
+        assert!(
+            !requests.iter().any(|request| request.contains(&header)),
+            "{id}: {requests:?}"
+        );
+    }
+}
+
 // Guards against a repeat that was decided within its window and begins after it: servers know it for one no more.
 #[test]
-fn a_repeat_whose_connection_comes_up_after_its_window_is_not_begun() {
+fn a_retry_whose_connection_is_established_after_its_repeat_window_is_not_sent() {
     const REQUESTS: u64 = 11;
     let slow = SlowServer::start();
     let gate = Gate::default();
@@ -115,13 +133,7 @@
         slow.pending_connections() + broken.count() >= clients.len()
     });
     let first_at_slow = slow.pending_connections();
-    let repeated: Vec<_> = broken
-        .received
-        .lock()
-        .unwrap()
-        .iter()
-        .map(|asked| asked.header("req-id").unwrap().to_owned())
-        .collect();
+    let repeated = received_ids(&broken);
     assert!(
         !repeated.is_empty() && first_at_slow > 0,
         "{repeated:?} at the broken one, {first_at_slow} at the slow one"
@@ -149,14 +161,7 @@
     }
     let asked = slow.received();
     assert_eq!(asked.len(), first_at_slow, "{asked:?}");
-    for id in &repeated {
-        assert!(
-            !asked
-                .iter()
-                .any(|asked| asked.contains(&format!("req-id: {id}\r\n"))),
-            "{id}: {asked:?}"
-        );
-    }
+    assert_none_contains(&asked, &repeated);
     assert_eq!(
         broken.count(),
         repeated.len(),
@@ -170,7 +175,7 @@
 
 // Guards against half a request that is dropped as if nothing had come, when the node closes at that moment.
 #[test]
-fn half_a_request_that_crosses_the_nodes_end_is_read_and_answered() {
+fn a_partly_read_request_is_completed_and_answered_during_shutdown() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -199,7 +204,7 @@
 
 // Guards against an answer that is reset on its way, since its connection was closed over bytes that nobody read.
 #[test]
-fn an_answer_that_closes_its_connection_is_whole_though_more_was_sent() {
+fn a_response_that_closes_its_connection_is_complete_though_the_client_sent_more() {
     let gate = Gate::default();
     let held = gate.clone();
     let body: &'static str = Box::leak("v".repeat(60_000).into_boxed_str());
@@ -235,7 +240,7 @@
 // Guards against a second copy of an answer that comes some milliseconds late and meets the next request on its way: that
 // would be served with another one's answer.
 #[test]
-fn a_late_second_copy_of_an_answer_is_never_the_next_requests() {
+fn a_late_duplicate_response_is_never_given_to_the_next_request() {
     let answered: Arc<Mutex<HashMap<SocketAddr, (Instant, String)>>> = Arc::default();
     let server = CacheServer::start_with_peers(move |asked, peer| {
         let own = answer("200 OK", "", asked.header("req-id").unwrap());
@@ -279,7 +284,7 @@
 // Guards against an answer that broke off and is passed on as whole, or run again where that is not allowed; a reset is no
 // end. And against one that never ends and keeps its client past its time.
 #[test]
-fn an_answer_that_breaks_off_or_never_ends_is_one_failure_and_one_run() {
+fn a_response_that_is_truncated_or_never_ends_is_one_failure_and_one_attempt() {
     let cases = [
         (
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue",
@@ -332,56 +337,67 @@
         ("", Ends::Reset, 502),
     ];
     for (text, ends, status) in cases {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        let (address, runs) = (listener.local_addr().unwrap(), Arc::new(AtomicU32::new(0)));
-        let counted = runs.clone();
-        std::thread::spawn(move || {
-            for mut stream in listener.incoming().map_while(Result::ok) {
-                let mut reader = BufReader::new(stream.try_clone().unwrap());
-                if !matches!(Message::read(&mut reader), Ok(Some(_))) {
-                    continue;
-                }
-                counted.fetch_add(1, Ordering::SeqCst);
-                stream.write_all(text.as_bytes()).unwrap();
-                match ends {
-                    Ends::Closed => {}
-                    Ends::Reset => SockRef::from(&stream)
-                        .set_linger(Some(Duration::ZERO))
-                        .unwrap(),
-                    // Until the node gives it up.
-                    Ends::Never => {
-                        while stream.write_all(b"v").is_ok() {
-                            std::thread::sleep(Duration::from_millis(5));
-                        }
+        assert_one_attempt(text, ends, status);
+    }
+}
+
+/// An endpoint that writes this text and then ends its connection so; where it listens, and the requests it has read.
+fn ending_endpoint(text: &'static str, ends: Ends) -> (SocketAddr, Arc<AtomicU32>) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (address, runs) = (listener.local_addr().unwrap(), Arc::new(AtomicU32::new(0)));
+    let counted = runs.clone();
+    std::thread::spawn(move || {
+        for mut stream in listener.incoming().map_while(Result::ok) {
+            let mut reader = BufReader::new(stream.try_clone().unwrap());
+            if !matches!(Message::read(&mut reader), Ok(Some(_))) {
+                continue;
+            }
+            counted.fetch_add(1, Ordering::SeqCst);
+            stream.write_all(text.as_bytes()).unwrap();
+            match ends {
+                Ends::Closed => {}
+                Ends::Reset => SockRef::from(&stream)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap(),
+                // Until the node gives it up.
+                Ends::Never => {
+                    while stream.write_all(b"v").is_ok() {
+                        std::thread::sleep(Duration::from_millis(5));
                     }
                 }
             }
-        });
-        let discovery = Discovery::start(&[endpoint_entry("s-1", address, "ready")]);
-        let node = Node::ready(&config(discovery.address));
-        let patience = Duration::from_millis(600);
-        let asked = Instant::now();
-        let served = node
-            .client()
-            .request(&read("once", 1, patience.as_millis() as u64));
-        assert_eq!(served.status(), status, "{text:?} {ends:?}");
-        if status == 200 {
-            assert_eq!(served.body, b"value", "{text:?}");
         }
-        // The node answers by itself; the rest is for a machine that does other things too.
-        assert!(
-            asked.elapsed() < patience * 5,
-            "{text:?} {ends:?}: {:?}",
-            asked.elapsed()
-        );
-        assert_eq!(runs.load(Ordering::SeqCst), 1, "{text:?} {ends:?}");
+    });
+    (address, runs)
+}
+
+/// A request to an endpoint whose response ends so has this status, in time and after one attempt.
+fn assert_one_attempt(text: &'static str, ends: Ends, status: u16) {
+    let (address, runs) = ending_endpoint(text, ends);
+    let discovery = Discovery::start(&[endpoint_entry("s-1", address, "ready")]);
+    let node = Node::ready(&config(discovery.address));
+    let deadline = Duration::from_millis(600);
+    let sent = Instant::now();
+    let served = node
+        .client()
+        .request(&read("once", 1, deadline.as_millis() as u64));
+    assert_eq!(served.status(), status, "{text:?} {ends:?}");
+    if status == 200 {
+        assert_eq!(served.body, b"value", "{text:?}");
     }
+    // The node answers by itself; the rest is for a machine that does other things too.
+    assert!(
+        sent.elapsed() < deadline * 5,
+        "{text:?} {ends:?}: {:?}",
+        sent.elapsed()
+    );
+    assert_eq!(runs.load(Ordering::SeqCst), 1, "{text:?} {ends:?}");
 }
 
 // Guards against what a server wrote on a connection that has carried nothing yet, and was kept since its client had left:
 // it is no answer to the request that is sent there next.
 #[test]
-fn what_lies_in_a_connection_kept_unused_is_nobodys_answer() {
+fn bytes_received_on_an_idle_connection_are_never_a_response() {
     let slow = SlowServer::start();
     let discovery = Discovery::start(&[endpoint_entry("s-1", slow.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
