--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -151,13 +151,13 @@
             match end {
                 End::Served | End::Twice | End::Foreign => {
                     let took = first_due.elapsed();
-                    let late = took.as_secs_f64() * 1e3 > class.aim_ms.get();
+                    let late = took.as_secs_f64() * 1e3 > class.latency_objective_ms.get();
                     self.live.served(took, late);
                     return;
                 }
                 End::Refused {
                     retry_after: Some(ms),
-                } if arrival.heeds => {
+                } if arrival.honours_retry_after => {
                     sleep(Duration::from_millis(ms.into())).await;
                 }
                 _ => sleep(Duration::from_secs_f64(self.load.retry_wait_ms.get() / 1e3)).await,
@@ -178,8 +178,8 @@
         due: Instant,
         deadline: Instant,
     ) -> End {
-        let patience = class.deadline_ms.get() / 1e3 * self.load.patience.get();
-        let give_up_at = (Instant::now() + Duration::from_secs_f64(patience)).min(deadline);
+        let give_up_share = class.deadline_ms.get() / 1e3 * self.load.give_up_share.get();
+        let give_up_at = (Instant::now() + Duration::from_secs_f64(give_up_share)).min(deadline);
         let exchange = Exchange {
             id,
             arrival,
--- a/crates/lab/src/nodes.rs
+++ b/crates/lab/src/nodes.rs
@@ -6,7 +6,7 @@
 
 use crate::client::{healthy, Live, Table};
 use crate::record::{NodeEvent, ProcessEvent};
-use crate::scenario::{Fault, Kind, Scenario};
+use crate::scenario::{Fault, FaultKind, Scenario};
 pub(crate) use config::config;
 use log::{listening_address, LogTail};
 use nix::sys::signal::{kill, Signal};
@@ -256,7 +256,7 @@
     /// Plays a fault on this node. After SIGHUP: which discovery address it followed before.
     pub async fn inject_fault(&mut self, fault: &Fault) -> Result<Option<usize>, NodeError> {
         match fault.kind {
-            Kind::NodeKill => {
+            FaultKind::NodeKill => {
                 self.record_event(ProcessEvent::Killed, "");
                 self.signal(Signal::SIGKILL);
                 self.wait().await;
@@ -268,11 +268,11 @@
                     self.start().await?;
                 }
             }
-            Kind::NodeTerm => {
+            FaultKind::NodeTerm => {
                 self.stop().await;
                 self.start().await?;
             }
-            Kind::NodeHup => return self.move_discovery().map(Some),
+            FaultKind::NodeHup => return self.move_discovery().map(Some),
             _ => {}
         }
         Ok(None)
--- a/crates/lab/src/nodes/config.rs
+++ b/crates/lab/src/nodes/config.rs
@@ -1,6 +1,6 @@
 //! A node's configuration file, as the platform writes it.
 
-use crate::scenario::{Effect, Scenario};
+use crate::scenario::{Idempotency, Scenario};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
@@ -15,15 +15,15 @@
         .classes
         .iter()
         .map(|class| {
-            let effect = match class.effect {
-                Effect::Safe => "safe",
-                Effect::Keyed => "keyed",
-                Effect::Unsafe => "unsafe",
+            let idempotency = match class.idempotency {
+                Idempotency::Idempotent => "safe",
+                Idempotency::Keyed => "keyed",
+                Idempotency::NonIdempotent => "unsafe",
             };
             json!({
-                "name": class.name, "effect": effect, "dedup_scope": "all", "worth": class.worth.get(),
-                "promise_us": us(class.aim_ms.get() / 1e3), "hard_limit_us": us(class.deadline_ms.get() / 1e3),
-                "repeat_window_us": us(class.window_s.get()), "late_value": 0.0,
+                "name": class.name, "effect": idempotency, "dedup_scope": "all", "worth": class.priority_weight.get(),
+                "promise_us": us(class.latency_objective_ms.get() / 1e3), "hard_limit_us": us(class.deadline_ms.get() / 1e3),
+                "repeat_window_us": us(class.repeat_window_s.get()), "late_value": 0.0,
             })
         })
         .collect();
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -26,8 +26,8 @@
     pub key: u64,
     /// Its work on a standard core.
     pub work: Duration,
-    /// Whether its client heeds `Retry-After`.
-    pub heeds: bool,
+    /// Whether its client honours `Retry-After`.
+    pub honours_retry_after: bool,
 }
 
 /// All of them, in the order they are due.
@@ -105,7 +105,7 @@
                 work: Duration::from_secs_f64(
                     scenario.classes[class].work_ms.get() / 1e3 * work_factor,
                 ),
-                heeds: random.random::<f64>() < load.heed.get(),
+                honours_retry_after: random.random::<f64>() < load.honours_retry_after.get(),
             });
         }
         Self { arrivals, seed }
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -1,6 +1,6 @@
 //! What stand-ins and clients saw of a run. Times are microseconds from its start.
 
-use crate::scenario::Kind;
+use crate::scenario::FaultKind;
 
 /// A try of a request: the arrival's place in the plan, and which of its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -187,7 +187,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct AppliedFault {
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// From when.
     pub from: u64,
     /// Until when; `None` for one without an end of its own.
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -6,7 +6,7 @@
 use crate::record::{AppliedFault, Record};
 use crate::rules::Breach;
 use crate::run::Played;
-use crate::scenario::{Kind, Scenario};
+use crate::scenario::{FaultKind, Scenario};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use tally::{rig_late_ms, Tallies};
@@ -200,7 +200,7 @@
 }
 
 fn fault_spans(scenario: &Scenario, record: &Record, seconds: f64) -> Vec<FaultSpan> {
-    let name = |kind: &Kind| {
+    let name = |kind: &FaultKind| {
         serde_json::to_value(kind)
             .ok()
             .and_then(|kind| Some(kind.as_str()?.to_owned()))
--- a/crates/lab/src/report/tally.rs
+++ b/crates/lab/src/report/tally.rs
@@ -28,9 +28,9 @@
 pub(super) struct Tally {
     figures: Figures,
     /// Priority weight of the requests that were served in time.
-    worth_in_time: f64,
+    priority_weight_in_time: f64,
     /// Priority weight of all requests.
-    worth: f64,
+    priority_weight: f64,
     /// Microseconds from when the first try was due to the answer.
     times: Histogram<u64>,
 }
@@ -42,23 +42,23 @@
             .expect("three digits are in the crate's range");
         Self {
             figures: Figures::default(),
-            worth_in_time: 0.0,
-            worth: 0.0,
+            priority_weight_in_time: 0.0,
+            priority_weight: 0.0,
             times,
         }
     }
 
     /// Counts a request of this priority weight, served after `took` microseconds or never; `objective` is its latency
     /// objective in microseconds.
-    fn add(&mut self, worth: f64, took: Option<u64>, objective: u64) {
+    fn add(&mut self, priority_weight: f64, took: Option<u64>, objective: u64) {
         self.figures.asked += 1;
-        self.worth += worth;
+        self.priority_weight += priority_weight;
         match took {
             Some(took) => {
                 self.times.saturating_record(took.max(1));
                 if took <= objective {
                     self.figures.in_time += 1;
-                    self.worth_in_time += worth;
+                    self.priority_weight_in_time += priority_weight;
                 } else {
                     self.figures.late += 1;
                 }
@@ -78,8 +78,8 @@
 
     /// Share of the priority weight that was served in time; 1 where there is none.
     fn served(&self) -> f64 {
-        if self.worth > 0.0 {
-            self.worth_in_time / self.worth
+        if self.priority_weight > 0.0 {
+            self.priority_weight_in_time / self.priority_weight
         } else {
             1.0
         }
@@ -160,14 +160,14 @@
             let class = &scenario.classes[arrival.class];
             let due = arrival.due.as_micros() as u64;
             let took = served.get(&(index as u32)).map(|at| at.saturating_sub(due));
-            let objective = (class.aim_ms.get() * 1e3) as u64;
-            let worth = class.worth.get();
-            self.all.add(worth, took, objective);
+            let objective = (class.latency_objective_ms.get() * 1e3) as u64;
+            let priority_weight = class.priority_weight.get();
+            self.all.add(priority_weight, took, objective);
             if let Some(tally) = self.classes.get_mut(arrival.class) {
-                tally.add(worth, took, objective);
+                tally.add(priority_weight, took, objective);
             }
             if let Some(second) = self.seconds.get_mut(arrival.due.as_secs() as usize) {
-                second.requests.add(worth, took, objective);
+                second.requests.add(priority_weight, took, objective);
             }
         }
     }
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -4,7 +4,7 @@
     Attempt, AttemptOutcome, AvailabilityChange, End, NodeEvent, ProcessEvent, Record, Try, TryId,
     UnknownRequest,
 };
-use crate::scenario::{Class, Effect};
+use crate::scenario::{Class, Idempotency};
 use serde::Serialize;
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -191,7 +191,7 @@
     let ran = attempts.iter().find(|attempt| {
         attempt.outcome == AttemptOutcome::Ran && attempt.received_at <= tried.ended
     });
-    if let Some(ran) = ran.filter(|_| class.effect == Effect::Unsafe) {
+    if let Some(ran) = ran.filter(|_| class.idempotency == Idempotency::NonIdempotent) {
         let what = format!(
             "request {} of class {} was refused at {}, but server {} had it from {} on",
             tried.id.text(),
@@ -239,10 +239,10 @@
         .iter()
         .filter(|attempt| attempt.received_at > ran.received_at || attempt.server != ran.server);
     for again in again.filter(|again| again.outcome != AttemptOutcome::Declined) {
-        let limit = match class.effect {
-            Effect::Safe => continue,
-            Effect::Unsafe => 0,
-            Effect::Keyed => (class.window_s.get() * 1e6) as u64 + CLOCK_TOLERANCE,
+        let limit = match class.idempotency {
+            Idempotency::Idempotent => continue,
+            Idempotency::NonIdempotent => 0,
+            Idempotency::Keyed => (class.repeat_window_s.get() * 1e6) as u64 + CLOCK_TOLERANCE,
         };
         if again.received_at.saturating_sub(ran.first_byte_at) >= limit {
             broken(format!(
--- a/crates/lab/src/run/faults.rs
+++ b/crates/lab/src/run/faults.rs
@@ -3,7 +3,7 @@
 use crate::discovery::Directory;
 use crate::list_protocol::Availability;
 use crate::record::AppliedFault;
-use crate::scenario::{Fault, Kind, Scenario};
+use crate::scenario::{Fault, FaultKind, Scenario};
 use crate::servers::{CacheServers, ServerMode};
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -48,7 +48,7 @@
     let mut spare = scenario.fleet.servers;
     for (fault, server, at) in faults_by_target(scenario) {
         let replacement = spare;
-        spare += usize::from(fault.kind == Kind::Replace);
+        spare += usize::from(fault.kind == FaultKind::Replace);
         let duration = fault
             .for_s
             .map(|seconds| Duration::from_secs_f64(seconds.get()));
@@ -76,7 +76,7 @@
                 tracing::info!(kind = ?fault.kind, whom = server, "a fault ends");
                 revert(&fault, server, &cache_servers, &directory);
             }
-            if let Some(back) = fault.back_s.filter(|_| fault.kind == Kind::Drain) {
+            if let Some(back) = fault.back_s.filter(|_| fault.kind == FaultKind::Drain) {
                 sleep(Duration::from_secs_f64(back.get())).await;
                 cache_servers.set_mode(server, ServerMode::Healthy);
                 directory.change(server, Availability::Ready, unix_ms());
@@ -100,32 +100,32 @@
 ) {
     let by = fault.by.map_or(1.0, |by| by.get());
     match fault.kind {
-        Kind::Kill => {
+        FaultKind::Kill => {
             cache_servers.set_mode(server, ServerMode::Down);
             directory.change(server, Availability::Removed, 0);
         }
-        Kind::Hang => cache_servers.set_mode(server, ServerMode::Hang),
-        Kind::Slow => cache_servers.cluster.borrow_mut().set_slowdown(server, by),
-        Kind::Reset => cache_servers.set_mode(server, ServerMode::Reset),
-        Kind::Half => cache_servers.set_mode(server, ServerMode::Truncate),
-        Kind::Garbage => cache_servers.set_mode(server, ServerMode::Garbage),
-        Kind::Refuse => cache_servers.set_mode(server, ServerMode::Refuse),
-        Kind::Cut => cache_servers.set_mode(server, ServerMode::Partitioned),
-        Kind::Drain => directory.change(server, Availability::Draining, 0),
-        Kind::Replace => {
+        FaultKind::Hang => cache_servers.set_mode(server, ServerMode::Hang),
+        FaultKind::Slow => cache_servers.cluster.borrow_mut().set_slowdown(server, by),
+        FaultKind::Reset => cache_servers.set_mode(server, ServerMode::Reset),
+        FaultKind::Truncate => cache_servers.set_mode(server, ServerMode::Truncate),
+        FaultKind::Garbage => cache_servers.set_mode(server, ServerMode::Garbage),
+        FaultKind::Refuse => cache_servers.set_mode(server, ServerMode::Refuse),
+        FaultKind::Partition => cache_servers.set_mode(server, ServerMode::Partitioned),
+        FaultKind::Drain => directory.change(server, Availability::Draining, 0),
+        FaultKind::Replace => {
             cache_servers.set_mode(server, ServerMode::Down);
             cache_servers.set_mode(replacement, ServerMode::Down);
             cache_servers.set_mode(replacement, ServerMode::Healthy);
             directory.change(server, Availability::Removed, 0);
             directory.change(replacement, Availability::Ready, unix_ms());
         }
-        Kind::DiscoveryDown => directory.set_down(true),
-        Kind::DiscoveryRefuses => directory.refuses.set(true),
-        Kind::DiscoveryLate => directory
+        FaultKind::DiscoveryDown => directory.set_down(true),
+        FaultKind::DiscoveryRefuses => directory.refuses.set(true),
+        FaultKind::DiscoveryLate => directory
             .late
             .set(directory.late.get() + Duration::from_secs_f64(by)),
-        Kind::DiscoveryReportsAllReady => directory.set_reports_all_ready(true),
-        Kind::NodeKill | Kind::NodeTerm | Kind::NodeHup => {}
+        FaultKind::DiscoveryReportsAllReady => directory.set_reports_all_ready(true),
+        FaultKind::NodeKill | FaultKind::NodeTerm | FaultKind::NodeHup => {}
     }
 }
 
@@ -137,21 +137,26 @@
 ) {
     let by = fault.by.map_or(1.0, |by| by.get());
     match fault.kind {
-        Kind::Kill => {
+        FaultKind::Kill => {
             cache_servers.set_mode(server, ServerMode::Healthy);
             directory.change(server, Availability::Ready, unix_ms());
         }
-        Kind::Slow => cache_servers.cluster.borrow_mut().set_slowdown(server, 1.0),
-        Kind::Hang | Kind::Reset | Kind::Half | Kind::Garbage | Kind::Refuse | Kind::Cut => {
+        FaultKind::Slow => cache_servers.cluster.borrow_mut().set_slowdown(server, 1.0),
+        FaultKind::Hang
+        | FaultKind::Reset
+        | FaultKind::Truncate
+        | FaultKind::Garbage
+        | FaultKind::Refuse
+        | FaultKind::Partition => {
             cache_servers.set_mode(server, ServerMode::Healthy);
         }
-        Kind::Drain => {
+        FaultKind::Drain => {
             cache_servers.set_mode(server, ServerMode::Down);
             directory.change(server, Availability::Removed, 0);
         }
-        Kind::DiscoveryDown => directory.set_down(false),
-        Kind::DiscoveryRefuses => directory.refuses.set(false),
-        Kind::DiscoveryLate => {
+        FaultKind::DiscoveryDown => directory.set_down(false),
+        FaultKind::DiscoveryRefuses => directory.refuses.set(false),
+        FaultKind::DiscoveryLate => {
             directory.late.set(
                 directory
                     .late
@@ -159,7 +164,7 @@
                     .saturating_sub(Duration::from_secs_f64(by)),
             );
         }
-        Kind::DiscoveryReportsAllReady => directory.set_reports_all_ready(false),
-        Kind::Replace | Kind::NodeKill | Kind::NodeTerm | Kind::NodeHup => {}
+        FaultKind::DiscoveryReportsAllReady => directory.set_reports_all_ready(false),
+        FaultKind::Replace | FaultKind::NodeKill | FaultKind::NodeTerm | FaultKind::NodeHup => {}
     }
 }
--- a/crates/lab/src/run/stand_ins.rs
+++ b/crates/lab/src/run/stand_ins.rs
@@ -6,7 +6,7 @@
 use crate::model::{Cluster, DatabaseSettings, ServerSettings};
 use crate::plan::{mix, Plan};
 use crate::record::Record;
-use crate::scenario::{Kind, Scenario};
+use crate::scenario::{FaultKind, Scenario};
 use crate::servers::CacheServers;
 use std::io;
 use std::rc::Rc;
@@ -33,7 +33,7 @@
         let fleet = &scenario.fleet;
         // Machines that replace others stand ready, unknown to discovery.
         let spares: usize = faults_by_target(&scenario)
-            .filter(|(fault, ..)| fault.kind == Kind::Replace)
+            .filter(|(fault, ..)| fault.kind == FaultKind::Replace)
             .count();
         let server_count = fleet.servers + spares;
         let cache_servers = CacheServers::new(
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -6,9 +6,9 @@
 mod load;
 mod number;
 
-pub use fault::{Fault, Kind};
+pub use fault::{Fault, FaultKind};
 pub use fleet::{Database, Fleet};
-pub use load::{default_classes, Change, Class, Effect, Load};
+pub use load::{default_classes, Change, Class, Idempotency, Load};
 pub use number::{Bounded, Factor, Milliseconds, OutOfRange, Seconds, Share};
 
 use serde::{Deserialize, Serialize};
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -1,6 +1,6 @@
 //! What a scenario must hold beyond the types of its fields.
 
-use super::{Fault, Fleet, Kind, Scenario};
+use super::{Fault, FaultKind, Fleet, Scenario};
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
@@ -103,7 +103,7 @@
         if fault.kind.targets_nodes() && fault.nodes.is_empty() {
             return needs("nodes");
         }
-        if matches!(fault.kind, Kind::Slow | Kind::DiscoveryLate) && fault.by.is_none() {
+        if matches!(fault.kind, FaultKind::Slow | FaultKind::DiscoveryLate) && fault.by.is_none() {
             return needs("by");
         }
         Ok(())
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -13,7 +13,7 @@
     /// For how long; to the end where nothing stands here.
     pub for_s: Option<Seconds>,
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Which servers, by place from 0.
     #[serde(default)]
     pub servers: Vec<usize>,
@@ -50,7 +50,7 @@
 /// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// A server's process dies: connections are reset and new ones too. After `for_s` it is back, cold and empty.
     Kill,
     /// A server accepts and never answers.
@@ -60,7 +60,8 @@
     /// A server runs each request and resets its connection.
     Reset,
     /// A server sends half of each answer and closes.
-    Half,
+    #[serde(rename = "half")]
+    Truncate,
     /// A server answers with what is no HTTP.
     Garbage,
     /// A server resets new connections and serves those it has.
@@ -70,7 +71,8 @@
     /// A server leaves and a new one, cold and with another id, takes its place in the list.
     Replace,
     /// A server is cut off: nothing comes through, nothing is said. After `for_s` old connections are reset.
-    Cut,
+    #[serde(rename = "cut")]
+    Partition,
     /// Discovery is down: calls are reset.
     DiscoveryDown,
     /// Discovery answers every call 503.
@@ -88,7 +90,7 @@
     NodeHup,
 }
 
-impl Kind {
+impl FaultKind {
     /// Whether it targets servers.
     pub fn targets_servers(self) -> bool {
         !self.targets_nodes() && !self.targets_discovery()
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -21,12 +21,12 @@
     /// It waits so long before each.
     #[serde(default = "Load::default_wait")]
     pub retry_wait_ms: Milliseconds,
-    /// A try is given up after this share of its class's deadline.
-    #[serde(default = "Load::default_patience")]
-    pub patience: Share,
-    /// Share of the clients that heed `Retry-After`.
-    #[serde(default = "Load::default_heed")]
-    pub heed: Share,
+    /// A client gives a try up after this share of its class's deadline.
+    #[serde(rename = "patience", default = "Load::default_patience")]
+    pub give_up_share: Share,
+    /// Share of the clients that honour `Retry-After`.
+    #[serde(rename = "heed", default = "Load::default_heed")]
+    pub honours_retry_after: Share,
     /// Changes of the load on the time line.
     #[serde(default, rename = "change")]
     pub changes: Vec<Change>,
@@ -115,13 +115,15 @@
 /// What a repeat of a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Effect {
-    /// No harm.
-    Safe,
-    /// No harm within the window: servers drop repeats.
+pub enum Idempotency {
+    /// Nothing: it may be repeated at any time.
+    #[serde(rename = "safe")]
+    Idempotent,
+    /// Nothing within the repeat window: servers drop duplicates by their key.
     Keyed,
-    /// Harm.
-    Unsafe,
+    /// It runs again: it must not be repeated.
+    #[serde(rename = "unsafe")]
+    NonIdempotent,
 }
 
 /// A class of requests.
@@ -132,22 +134,25 @@
     pub name: String,
     /// Of all requests.
     pub share: Share,
-    /// What a repeat does.
-    pub effect: Effect,
+    /// What a repeat of a request does.
+    #[serde(rename = "effect")]
+    pub idempotency: Idempotency,
     /// For a keyed class: servers drop repeats for so many seconds.
-    #[serde(default = "Class::default_window")]
-    pub window_s: Seconds,
+    #[serde(rename = "window_s", default = "Class::default_window")]
+    pub repeat_window_s: Seconds,
     /// Whether it goes on to the database and voids kept copies.
     #[serde(default)]
     pub write: bool,
     /// Mean work on a standard core.
     pub work_ms: Bounded<1, 60_000_000>,
-    /// Answers within this time count.
-    pub aim_ms: Bounded<1_000, 60_000_000>,
-    /// The client's last word.
+    /// Answers within this time after the first try was due count as in time.
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: Bounded<1_000, 60_000_000>,
+    /// The client gives a request up after this time.
     pub deadline_ms: Bounded<1_000, 60_000_000>,
-    /// What one is worth.
-    pub worth: Bounded<0, 1_000_000>,
+    /// Weight of a request in the share that is served in time.
+    #[serde(rename = "worth")]
+    pub priority_weight: Bounded<0, 1_000_000>,
 }
 
 impl Class {
@@ -158,23 +163,33 @@
 
 /// Lookups, queue-joins and entry fees, as the operators' fleet has them, a quarter of the times.
 pub fn default_classes() -> Vec<Class> {
-    let class = |name: &str, class_share, effect, write, work, aim, deadline, worth| Class {
-        name: name.into(),
-        share: share(class_share),
-        effect,
-        window_s: Bounded(4.0),
-        write,
-        work_ms: Bounded(work),
-        aim_ms: Bounded(aim),
-        deadline_ms: Bounded(deadline),
-        worth: Bounded(worth),
-    };
+    let class =
+        |name: &str, class_share, idempotency, write, work, aim, deadline, priority_weight| Class {
+            name: name.into(),
+            share: share(class_share),
+            idempotency,
+            repeat_window_s: Bounded(4.0),
+            write,
+            work_ms: Bounded(work),
+            latency_objective_ms: Bounded(aim),
+            deadline_ms: Bounded(deadline),
+            priority_weight: Bounded(priority_weight),
+        };
     vec![
-        class("lookup", 0.95, Effect::Safe, false, 6.0, 250.0, 625.0, 1.0),
+        class(
+            "lookup",
+            0.95,
+            Idempotency::Idempotent,
+            false,
+            6.0,
+            250.0,
+            625.0,
+            1.0,
+        ),
         class(
             "queue-join",
             0.027,
-            Effect::Keyed,
+            Idempotency::Keyed,
             true,
             5.0,
             200.0,
@@ -184,7 +199,7 @@
         class(
             "entry-fee",
             0.023,
-            Effect::Unsafe,
+            Idempotency::NonIdempotent,
             true,
             2.0,
             250.0,
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -11,7 +11,7 @@
 use crate::model::{CacheResult, Cluster, Job, JobId, JobResult, ServerLoad};
 use crate::plan::{mix, Plan};
 use crate::record::{Record, Sample, TryId};
-use crate::scenario::{Class, Effect, Scenario};
+use crate::scenario::{Class, Idempotency, Scenario};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -174,10 +174,13 @@
     /// Whether a keyed request has begun elsewhere within the window: servers share that memory, and drop it.
     fn is_duplicate(&self, id: TryId) -> bool {
         let class = &self.classes[self.plan.arrivals[id.arrival as usize].class];
-        if class.effect != Effect::Keyed {
+        if class.idempotency != Idempotency::Keyed {
             return false;
         }
-        let (now, window) = (self.now(), Duration::from_secs_f64(class.window_s.get()));
+        let (now, window) = (
+            self.now(),
+            Duration::from_secs_f64(class.repeat_window_s.get()),
+        );
         let mut first_runs = self.first_runs.borrow_mut();
         let at = *first_runs.entry(id.arrival).or_insert(now);
         if at + window < now {
