--- a/crates/lab/src/idle.rs
+++ b/crates/lab/src/idle.rs
@@ -114,51 +114,85 @@
     // What the node takes for its first look-ups is not the crowd's.
     lookups(address).await?;
     sleep(IDLE_TIME).await;
-    let before = process_memory_kib(pid, "VmRSS:")?;
+    let empty_kib = process_memory_kib(pid, "VmRSS:")?;
     let mut held = Vec::new();
     for &size in sizes {
-        while held.len() + idle.closed < size {
-            let count = batch.min(size - held.len() - idle.closed);
-            let made = connect(address, held.len(), count).await?;
-            idle.closed += count - made.len();
-            held.extend(made);
-            sleep(BATCH_INTERVAL).await;
-        }
+        grow(address, &mut held, &mut idle.closed, size, batch).await?;
         sleep(IDLE_TIME).await;
-        let resident_kib = process_memory_kib(pid, "VmRSS:")?;
-        let bytes_each =
-            (resident_kib.saturating_sub(before) << 10) as f64 / held.len().max(1) as f64;
-        let (p50_ms, p99_ms) = lookups(address).await?;
-        idle.crowds.push(Crowd {
-            held: held.len(),
-            resident_kib,
-            bytes_each,
-            p50_ms,
-            p99_ms,
-        });
-    }
-    let started = Instant::now();
-    let mut speaking = JoinSet::new();
-    for (i, mut conn) in held.into_iter().enumerate() {
-        speaking.spawn_local(async move {
-            let answered = send_lookup(&mut conn, i).await.is_ok();
-            (
-                answered.then_some(conn),
-                started.elapsed().as_secs_f64() * 1e3,
-            )
-        });
-    }
-    let mut held = Vec::new();
-    while let Some(spoken) = speaking.join_next().await {
-        let (answered, at) = spoken.map_err(io::Error::other)?;
-        held.extend(answered);
-        idle.burst_ms = idle.burst_ms.max(at);
+        let crowd = measure_crowd(address, pid, held.len(), empty_kib).await?;
+        idle.crowds.push(crowd);
     }
+    let (held, burst_ms) = send_at_once(held).await?;
     idle.answered = held.len();
+    idle.burst_ms = burst_ms;
     idle.peak_kib = process_memory_kib(pid, "VmHWM:")?;
     sleep(IDLE_TIME).await;
     kill(Pid::from_raw(pid), Signal::SIGTERM)?;
     let started = Instant::now();
+    idle.stopped = count_closed(held).await?;
+    idle.stop_ms = started.elapsed().as_secs_f64() * 1e3;
+    Ok(idle)
+}
+
+/// Makes connections in batches, until so many were made; `closed` counts those that the node did not keep.
+async fn grow(
+    address: SocketAddr,
+    held: &mut Vec<Conn>,
+    closed: &mut usize,
+    size: usize,
+    batch: usize,
+) -> io::Result<()> {
+    while held.len() + *closed < size {
+        let count = batch.min(size - held.len() - *closed);
+        let made = connect(address, held.len(), count).await?;
+        *closed += count - made.len();
+        held.extend(made);
+        sleep(BATCH_INTERVAL).await;
+    }
+    Ok(())
+}
+
+/// Measures the node's memory, over what it took before any connection, and look-ups on other connections.
+async fn measure_crowd(
+    address: SocketAddr,
+    pid: i32,
+    held: usize,
+    empty_kib: u64,
+) -> io::Result<Crowd> {
+    let resident_kib = process_memory_kib(pid, "VmRSS:")?;
+    let grown_bytes = resident_kib.saturating_sub(empty_kib) << 10;
+    let (p50_ms, p99_ms) = lookups(address).await?;
+    Ok(Crowd {
+        held,
+        resident_kib,
+        bytes_each: grown_bytes as f64 / held.max(1) as f64,
+        p50_ms,
+        p99_ms,
+    })
+}
+
+/// Sends a request on every connection at once; those that were answered, and milliseconds to the last answer.
+async fn send_at_once(held: Vec<Conn>) -> io::Result<(Vec<Conn>, f64)> {
+    let started = Instant::now();
+    let mut sending = JoinSet::new();
+    for (number, mut conn) in held.into_iter().enumerate() {
+        sending.spawn_local(async move {
+            let answered = send_lookup(&mut conn, number).await.is_ok();
+            let took_ms = started.elapsed().as_secs_f64() * 1e3;
+            (answered.then_some(conn), took_ms)
+        });
+    }
+    let (mut answered, mut last_ms) = (Vec::new(), 0.0_f64);
+    while let Some(sent) = sending.join_next().await {
+        let (conn, took_ms) = sent.map_err(io::Error::other)?;
+        answered.extend(conn);
+        last_ms = last_ms.max(took_ms);
+    }
+    Ok((answered, last_ms))
+}
+
+/// Waits until the connections end; how many of them the node closed in order, with nothing sent.
+async fn count_closed(held: Vec<Conn>) -> io::Result<usize> {
     let mut closing = JoinSet::new();
     for mut conn in held {
         closing.spawn_local(async move {
@@ -166,11 +200,11 @@
             matches!(ended, Ok(Err(ReadError::Ended { begun: false })))
         });
     }
-    while let Some(closed) = closing.join_next().await {
-        idle.stopped += usize::from(closed.map_err(io::Error::other)?);
+    let mut closed = 0;
+    while let Some(ended) = closing.join_next().await {
+        closed += usize::from(ended.map_err(io::Error::other)?);
     }
-    idle.stop_ms = started.elapsed().as_secs_f64() * 1e3;
-    Ok(idle)
+    Ok(closed)
 }
 
 /// Connections that have asked once, and were kept.
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -63,7 +63,7 @@
 /// Attempts of a request, at most.
 const MAX_ATTEMPTS: usize = 6;
 
-/// Checks a record. `name` words a try for the people who read the breaches.
+/// Checks a record. `class_of` gives the position of a try's class in `classes`.
 pub fn check(record: &Record, classes: &[Class], class_of: impl Fn(TryId) -> usize) -> Vec<Breach> {
     let mut breaches = Vec::new();
     let mut attempts: HashMap<TryId, Vec<&Attempt>> = HashMap::new();
@@ -86,6 +86,15 @@
     for id in ids {
         repeats(id, attempts_of(id), class_by_id(id), &mut breaches);
     }
+    unknown_requests(record, &mut breaches);
+    drains(record, &mut breaches);
+    overloads(record, &mut breaches);
+    deaths(record, &mut breaches);
+    breaches
+}
+
+/// Requests with an id that no client sent.
+fn unknown_requests(record: &Record, breaches: &mut Vec<Breach>) {
     for UnknownRequest { server, id, at } in &record.unknown_requests {
         let what = format!(
             "server {server} got a request with id {id:?} at {}, which no client sent",
@@ -96,22 +105,34 @@
             what,
         });
     }
-    drains(record, &mut breaches);
+}
+
+/// Overloads that the nodes could have avoided: of a cold server, or of the database by misses at cold servers.
+fn overloads(record: &Record, breaches: &mut Vec<Breach>) {
     for overload in &record.overloads {
+        let avoidable = overload.server.is_some() || overload.cold_share > COLD_SHARE;
+        if !avoidable {
+            continue;
+        }
         let who = overload.server.map_or("the database".to_owned(), |server| {
             format!("cold server {server}")
         });
-        if overload.server.is_some() || overload.cold_share > COLD_SHARE {
-            let what = format!(
-                "{who} fell over at {}: sent {:.2} s of work where it can do {:.2} s, {:.0} % of it misses at cold servers",
-                milliseconds(overload.at), overload.sent, overload.capacity, overload.cold_share * 100.0
-            );
-            breaches.push(Breach {
-                rule: Rule::PushedOver,
-                what,
-            });
-        }
+        let what = format!(
+            "{who} fell over at {}: sent {:.2} s of work where it can do {:.2} s, {:.0} % of it misses at cold servers",
+            milliseconds(overload.at),
+            overload.sent,
+            overload.capacity,
+            overload.cold_share * 100.0
+        );
+        breaches.push(Breach {
+            rule: Rule::PushedOver,
+            what,
+        });
     }
+}
+
+/// Nodes that ended by themselves.
+fn deaths(record: &Record, breaches: &mut Vec<Breach>) {
     for NodeEvent {
         node,
         event,
@@ -126,9 +147,9 @@
             });
         }
     }
-    breaches
 }
 
+/// A try of a request that a running node has taken has exactly one final answer.
 fn answers(record: &Record, tried: &Try, attempts: &[&Attempt], breaches: &mut Vec<Breach>) {
     let mut lost = |why: &str| {
         let what = format!(
