--- a/crates/membership/src/replica.rs
+++ b/crates/membership/src/replica.rs
@@ -46,7 +46,7 @@
 struct UnknownVersion {
     version: Version,
     /// When the call was sent whose answer showed it.
-    asked_at: Duration,
+    call_sent_at: Duration,
 }
 
 /// A copy of the endpoint list with its recent changes.
--- a/crates/membership/src/replica/answer.rs
+++ b/crates/membership/src/replica/answer.rs
@@ -72,7 +72,7 @@
     fn answer_newer(&mut self, after: Version, received_at: Duration) -> Answer {
         let is_unknown_upstream = self
             .unknown
-            .is_some_and(|unknown| after <= unknown.version && received_at <= unknown.asked_at);
+            .is_some_and(|unknown| after <= unknown.version && received_at <= unknown.call_sent_at);
         if is_unknown_upstream {
             return Answer::Snapshot;
         }
--- a/crates/membership/src/replica/apply.rs
+++ b/crates/membership/src/replica/apply.rs
@@ -53,7 +53,7 @@
         if update.version < version {
             self.unknown = Some(UnknownVersion {
                 version,
-                asked_at: sent_at,
+                call_sent_at: sent_at,
             });
         }
     }
--- a/crates/node/src/connections/handle.rs
+++ b/crates/node/src/connections/handle.rs
@@ -102,13 +102,13 @@
     }
 
     /// Whether the client has closed its side, also where that stands behind bytes that nobody has asked for.
-    pub fn client_has_left(&self) -> bool {
+    pub fn client_has_disconnected(&self) -> bool {
         self.socket.fill_read_ahead();
         self.socket.read_closed.get()
     }
 
     /// The same; the task is woken when there is more to be read.
-    fn poll_client_has_left(&self, cx: &mut Context<'_>) -> bool {
+    fn poll_client_has_disconnected(&self, cx: &mut Context<'_>) -> bool {
         while !self.socket.read_closed.get() {
             match self.socket.stream.poll_read_ready(cx) {
                 Poll::Pending => return false,
@@ -196,7 +196,7 @@
                     return Poll::Ready(DriveOutcome::Closed);
                 }
                 // hyper looks for the client's end only while it has read nothing more of it.
-                if self.is_in_phase(Phase::Processing) && self.poll_client_has_left(cx) {
+                if self.is_in_phase(Phase::Processing) && self.poll_client_has_disconnected(cx) {
                     return Poll::Ready(DriveOutcome::Closed);
                 }
                 match self.directive() {
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -68,7 +68,7 @@
     let headers = RequestHeaders::parse(context, &head.headers)?;
     let body = receive_body(connection, body).await?;
     // Its client may have gone before it was read: nothing is begun for nobody.
-    if connection.client_has_left() {
+    if connection.client_has_disconnected() {
         return Err(RequestError::ClientDisconnected);
     }
     // Forwarded, it would be a duplicate of another client's request.
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -91,8 +91,8 @@
         let unready = list
             .endpoints
             .iter()
-            .filter(|host| host.availability() != Availability::Ready);
-        for pool in unready.filter_map(|host| pools.get(&EndpointId::from(host.id()))) {
+            .filter(|endpoint| endpoint.availability() != Availability::Ready);
+        for pool in unready.filter_map(|endpoint| pools.get(&EndpointId::from(endpoint.id()))) {
             pool.stop_accepting();
         }
     }
--- a/crates/node/src/upstream/idle_history.rs
+++ b/crates/node/src/upstream/idle_history.rs
@@ -7,7 +7,7 @@
 /// drop connections silently after that time.
 const MIN_DROPS: u32 = 3;
 /// The share that goes with [`MIN_DROPS`].
-const MIN_DROP_SHARE: f64 = 0.2;
+const MIN_DROP_RATE: f64 = 0.2;
 /// Connections break for other causes as well, whatever their idle time: only losses above this multiple of that rate
 /// count as drops.
 const MIN_DROP_EXCESS: f64 = 3.0;
@@ -68,7 +68,7 @@
     pub(super) fn idle_timeout(&self) -> Duration {
         let mut shorter = Bucket::default();
         for (index, bucket) in self.buckets.iter().enumerate() {
-            let min_rate = MIN_DROP_SHARE.max(shorter.loss_rate() * MIN_DROP_EXCESS);
+            let min_rate = MIN_DROP_RATE.max(shorter.loss_rate() * MIN_DROP_EXCESS);
             let drops = bucket.lost >= MIN_DROPS && bucket.loss_rate() >= min_rate;
             if drops && shorter.requests > 0 {
                 return min_idle_time(index).min(self.max_idle_timeout);
