--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -47,7 +47,7 @@
     class: Option<u16>,
     /// Bytes arrived before the last response was written: the next request has begun.
     next_request_begun: bool,
-    /// Its owner is to be told to park it.
+    /// [`Directive::Park`] is to be passed to its owner.
     park_requested: bool,
     /// Set once it is decided that it closes.
     closing: Option<Closing>,
--- a/crates/admission/src/connections/closing.rs
+++ b/crates/admission/src/connections/closing.rs
@@ -2,7 +2,7 @@
 
 use super::{ConnectionId, ConnectionTable, Phase};
 
-/// Why a connection was closed or refused, or a request refused.
+/// Why a connection was closed or refused, or a request shed.
 ///
 /// The discriminants are the positions of [`ConnectionStats::closed`](super::ConnectionStats::closed) and
 /// [`ConnectionStats::refused`](super::ConnectionStats::refused).
@@ -23,13 +23,13 @@
     /// Its response closed it, since [`ConnectionLimits::keep_alive_limit`](super::ConnectionLimits::keep_alive_limit)
     /// or more connections were in use or connections waited for a descriptor.
     KeepAliveLimit,
-    /// Its address has as many connections as one address may.
+    /// Its address has reached its connection quota.
     AddressQuota,
     /// There was no memory to read what it sent.
     MemoryLimit,
     /// The node shuts down.
     Shutdown,
-    /// The class of a request has as many in flight as it may: the request is refused, the connection stays open.
+    /// The class of a request has reached its quota of requests in flight: the request is shed, the connection stays open.
     ClassQuota,
 }
 
@@ -85,7 +85,8 @@
 pub(super) struct Closing {
     /// The first cause that was given.
     pub(super) cause: CloseCause,
-    /// [`Directive::Abort`] once that was given, until a complete request takes it back; else the last one given.
+    /// The last directive given. [`Directive::Abort`] takes precedence over later ones, but becomes [`Directive::Finish`] if
+    /// a request is read to its end first.
     pub(super) directive: Directive,
 }
 
--- a/crates/admission/src/connections/events.rs
+++ b/crates/admission/src/connections/events.rs
@@ -36,7 +36,7 @@
     }
 
     /// A request of this class was read to its end. Whether the class now exceeds its quota of requests in flight,
-    /// which the decision module has to be told.
+    /// which has to be reported to the decision module.
     pub fn on_request(&mut self, now: Duration, id: ConnectionId, class: usize) -> bool {
         self.enter_phase(now, id, Phase::Processing);
         if let Some(entry) = self.entry_mut(id) {
--- a/crates/admission/src/connections/limits.rs
+++ b/crates/admission/src/connections/limits.rs
@@ -31,6 +31,6 @@
     pub waiting: usize,
     /// Connections closed since the start, in the order of [`CloseCause::ALL`].
     pub closed: [u64; CloseCause::ALL.len()],
-    /// Connections and requests refused since the start, in the order of [`CloseCause::ALL`].
+    /// Connections refused and requests shed since the start, in the order of [`CloseCause::ALL`].
     pub refused: [u64; CloseCause::ALL.len()],
 }
--- a/crates/admission/src/connections/memory.rs
+++ b/crates/admission/src/connections/memory.rs
@@ -8,7 +8,8 @@
 /// There is no memory to read from a connection; it waits until some is given back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryShortage {
-    /// The idle connection that is told to give up its buffers, and has to be woken; `None` where none can.
+    /// The idle connection that is to give up its buffers by [`Directive::Park`](super::Directive::Park), and has to be
+    /// woken; `None` where none can.
     pub parking: Option<ConnectionId>,
 }
 
@@ -42,7 +43,7 @@
         Err(MemoryShortage { parking })
     }
 
-    /// Requests that the longest idle connection other than `id` is parked, if any is idle and not told so already.
+    /// Requests that the longest idle connection other than `id` is parked, if one is idle whose parking is not requested yet.
     fn request_parking(&mut self, id: ConnectionId) -> Option<ConnectionId> {
         let found = self
             .phases
@@ -58,7 +59,7 @@
 
     /// Reserves this many bytes for a request, beside those of a connection in use, until its response.
     ///
-    /// `false` where there is no memory for them; the request is then to be refused.
+    /// `false` where there is no memory for them; the request is then to be shed.
     pub fn reserve_request_bytes(&mut self, id: ConnectionId, bytes: usize) -> bool {
         let bytes = self.limits.active_bytes.saturating_add(bytes);
         let reserved = self
--- a/crates/admission/src/connections/quotas.rs
+++ b/crates/admission/src/connections/quotas.rs
@@ -13,7 +13,7 @@
     pub(super) idle_list: usize,
 }
 
-/// An address has as many connections as one may have.
+/// The address has reached its connection quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressQuotaExceeded {
     /// The connection of the address that closes for this: idle for longest, and to be woken. `None` where all of them
--- a/crates/admission/src/connections/timeouts.rs
+++ b/crates/admission/src/connections/timeouts.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// A request must be complete this long after its first byte, and the first one this long after its connection was
-/// accepted. A client is owed an error or a close within 3 s, whatever it sends or leaves out.
+/// accepted. A client must get an error or a close within 3 s, whatever it sends or leaves out.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// A response must be written to its end this long after it was ready; its client may not read it.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
--- a/crates/membership/src/history.rs
+++ b/crates/membership/src/history.rs
@@ -18,8 +18,8 @@
     changes: BTreeMap<(Version, Arc<str>), EndpointRecord>,
     /// Each endpoint's version in the keys of `changes`.
     changed_at: HashMap<Arc<str>, Version>,
-    /// Versions that this replica itself held, which are those from which a delta is known. A version that was skipped
-    /// may have had a state that an endpoint took and left again.
+    /// Versions that this replica itself held, which are those from which a delta is known. A skipped
+    /// version may contain intermediate states that this history never saw.
     held: BTreeSet<Version>,
     /// Memory of the records in `changes`.
     bytes: usize,
--- a/crates/membership/src/replica.rs
+++ b/crates/membership/src/replica.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 struct UnknownVersion {
     version: Version,
-    /// When the call was sent whose answer showed it.
+    /// Send time of the call that revealed it.
     call_sent_at: Duration,
 }
 
--- a/crates/membership/src/replica/answer.rs
+++ b/crates/membership/src/replica/answer.rs
@@ -7,7 +7,7 @@
 /// A client's query for the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListQuery {
-    /// The version that the client has; `None` if it asks for a snapshot.
+    /// The version that the client has; `None` if it requests a snapshot.
     pub after: Option<Version>,
     /// When the query was received.
     pub received_at: Duration,
@@ -24,13 +24,13 @@
     DeltaSince(Version),
     /// None yet: there is nothing newer.
     Wait,
-    /// None yet: the client has a version that this replica has not, and upstream has to be asked for it first.
+    /// None yet: the client has a version that this replica has not, and a call upstream has to confirm it first.
     Confirm,
 }
 
 impl Replica {
     /// Decides how a query is answered at `now`. If the answer is [`Answer::Confirm`], the version is remembered and
-    /// [`Replica::next_call`] asks upstream for it.
+    /// [`Replica::next_call`] calls upstream for it.
     ///
     /// # Errors
     ///
--- a/crates/membership/src/replica/apply.rs
+++ b/crates/membership/src/replica/apply.rs
@@ -46,8 +46,8 @@
         })
     }
 
-    /// Notes that upstream was asked for a client's version, also if its update is then rejected: a client that needs
-    /// another confirmation asks for it again.
+    /// Notes that upstream was called to confirm a client's version, also if its update is then rejected: a client that
+    /// needs another confirmation queries again.
     fn note_confirmation(&mut self, version: Version, update: &ListUpdate, sent_at: Duration) {
         self.unconfirmed = None;
         if update.version < version {
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -2,7 +2,7 @@
 //!
 //! Admission's [`ConnectionTable`] decides and holds no socket: it knows the phase of each connection and its timeouts,
 //! and says by a directive whether one goes on, is parked, finishes or is aborted, and which one is evicted for another.
-//! Here the table is told what happens on the sockets, with the time, and what it says is carried out:
+//! Here what happens on the sockets is reported to the table, with the time, and its directives are carried out:
 //!
 //! - [`ConnectionManager`] owns the table of a port. It waits for descriptors, wakes connections that have a new directive
 //!   and has the table advance its timers.
--- a/crates/node/src/connections/handle.rs
+++ b/crates/node/src/connections/handle.rs
@@ -191,7 +191,7 @@
         poll_fn(|cx| {
             self.register_waker(cx);
             loop {
-                // An error here is a client that left or spoke no HTTP: hyper has answered what can be.
+                // An error here is a client that disconnected or spoke no HTTP: hyper has answered what can be.
                 if Pin::new(&mut *http_connection).poll(cx).is_ready() {
                     return Poll::Ready(DriveOutcome::Closed);
                 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! A node on sockets: carries out what the decision module says, and reports to it what happens.
 //!
 //! Owns the sockets, tasks and signals of one node. It chooses no endpoint, retries nothing and sheds nothing by itself:
-//! events go to the decision module, and its actions are carried out in order. Telemetry is told through an `Observer`.
+//! events go to the decision module, and its actions are carried out in order. Events are reported to telemetry through an `Observer`.
 //!
 //! A request's way leads from `server` (client connections) to `driver` (open requests and the decision module, run by
 //! `policy_runner`) and `upstream` (connections to endpoints), and back as events. `discovery` brings endpoint lists.
--- a/crates/node/src/multiget/items.rs
+++ b/crates/node/src/multiget/items.rs
@@ -26,8 +26,8 @@
 }
 
 impl Items {
-    /// Runs the items, and sends a line for each as it ends. Dropped, it cancels those in flight; so does a receiver
-    /// that is gone.
+    /// Runs the items, and sends a line for each as it ends. Dropped, it cancels those in flight; so does a
+    /// receiver that is dropped because its client disconnected.
     pub async fn run(self, items: Vec<Item>, lines: Sender<Bytes>) {
         let mut pending = items.into_iter().enumerate();
         let mut in_flight = JoinSet::new();
--- a/crates/node/src/multiget/request.rs
+++ b/crates/node/src/multiget/request.rs
@@ -47,7 +47,8 @@
     if head.method != Method::POST {
         return Err(RequestError::MethodNotAllowed { allowed: "POST" });
     }
-    // hyper drops a length that stands beside it, and what the two disagree on may hide another request.
+    // hyper ignores a Content-Length beside it, and another parser may not: where the two disagree on the end of the body,
+    // it may hide another request (request smuggling).
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::LengthRequired);
     }
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -1,7 +1,7 @@
 //! The client side of HTTP.
 //!
 //! Connections are accepted ([`accept`], [`descriptors`]) and served until they end ([`connection`]); a request is read and checked
-//! ([`request`], [`parameters`]) and handed to the driver, which gives the final answer ([`submit`]). Nothing is decided
+//! ([`request`], [`parameters`]) and handed to the driver, which gives the final response ([`submit`]). Nothing is decided
 //! here: what cannot be used is answered at once, and everything else goes to the driver.
 
 mod accept;
--- a/crates/node/src/server/accept.rs
+++ b/crates/node/src/server/accept.rs
@@ -33,7 +33,7 @@
             _ = &mut closing => break,
         };
         let admitted = match accepted {
-            // Not to be given up at the end: its first request may be on its way.
+            // Not cancelled at shutdown: its first request may be on its way.
             Ok((stream, address)) => descriptors.admit(stream, address.ip()).await,
             Err(error) => Err(error),
         };
--- a/crates/node/src/server/connection.rs
+++ b/crates/node/src/server/connection.rs
@@ -14,7 +14,7 @@
 /// A client connection, which ends with this future. Between requests it holds nothing but its socket: hyper's part, with
 /// buffers and parser, is in a box of its own, made when the client sends something and dropped a while after its response.
 pub struct ClientConnection {
-    /// Its socket, and its place in the connection table.
+    /// Its socket, and its entry in the connection table.
     handle: Rc<ConnectionHandle>,
     /// Shared by all client connections.
     context: Rc<ServerContext>,
--- a/crates/node/src/server/descriptors.rs
+++ b/crates/node/src/server/descriptors.rs
@@ -22,7 +22,7 @@
         kind == ConnectionKind::Upstream && self.upstream.close_oldest_idle()
     }
 
-    /// Waits for a descriptor without a connection, for what counts as one.
+    /// Waits for a descriptor and leases it for a multi-get item, which counts as a client connection.
     pub async fn lease(&self) -> Lease {
         self.connections
             .lease(|kind| self.evict_other_kind(kind))
--- a/crates/node/src/server/error.rs
+++ b/crates/node/src/server/error.rs
@@ -30,7 +30,7 @@
     /// Its body could not be read.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// Its client has left before it was read.
+    /// Its client disconnected before it was read.
     #[error("its client has gone")]
     ClientDisconnected,
     /// A request of the same id is open.
--- a/crates/node/src/server/parameters.rs
+++ b/crates/node/src/server/parameters.rs
@@ -56,7 +56,7 @@
     pub(super) id: HeaderValue,
     /// `Idempotency-Key`, if the client sent one.
     pub(super) idempotency_key: Option<HeaderValue>,
-    /// All that the decision module is told.
+    /// Everything that is passed to the decision module.
     pub(super) parameters: RequestParameters,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// What the decision module is told of a request beside its key.
+/// What is passed to the decision module about a request, beside its key.
 #[derive(Clone, Copy)]
 pub struct RequestParameters {
     /// How long the client waits for the response.
@@ -90,7 +90,7 @@
     pub over_quota: bool,
 }
 
-/// Reads the parameters of a request, within its quota as far as the headers tell.
+/// Reads the parameters of a request, within its quota as far as the headers show.
 pub fn parse_parameters(
     context: &ServerContext,
     headers: &HeaderMap,
@@ -135,7 +135,8 @@
     }
 }
 
-/// The value of a header that must not stand twice: the two ends could each go by another one.
+/// The value of a header that must not stand twice: the parsers on the client side and at the endpoint could pick
+/// different values (request smuggling).
 fn single_value<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -31,10 +31,10 @@
         Ok(response) => (response, true),
         Err(error) => (HttpResponse::from(error), false),
     };
-    // A client that sends what cannot be used comes again at once: not on this connection, where it would cost the others
-    // the least of waits between two.
-    // Where descriptors run out an answered connection releases its own at once: kept, it would stand idle for its time
-    // while others wait unaccepted, or cannot connect at all.
+    // Closes after an invalid request: its client probably repeats it at once, and on an open connection it could do so at
+    // the expense of other clients without the delay of a reconnect.
+    // Closes where descriptors run out, too: kept open, the connection would hold its descriptor while idle, and others
+    // would wait unaccepted or could not connect at all.
     if !usable
         || connection.closes_with_response()
         || connection.read_ahead_exceeded()
@@ -47,7 +47,7 @@
     response
 }
 
-/// Checks a request step by step, and has the driver give its final answer.
+/// Checks a request step by step, and has the driver give its final response.
 async fn respond(
     context: &ServerContext,
     connection: &ConnectionHandle,
@@ -67,7 +67,7 @@
     check_framing(&head)?;
     let headers = RequestHeaders::parse(context, &head.headers)?;
     let body = receive_body(connection, body).await?;
-    // Its client may have gone before it was read: nothing is begun for nobody.
+    // Its client may have disconnected before it was read: nobody waits for a response.
     if connection.client_has_disconnected() {
         return Err(RequestError::ClientDisconnected);
     }
@@ -128,7 +128,8 @@
             allowed: "GET, PUT",
         });
     }
-    // hyper drops a length that stands beside it, and what the two disagree on may hide another request.
+    // hyper ignores a Content-Length beside it, and another parser may not: where the two disagree on the end of the body,
+    // it may hide another request (request smuggling).
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::LengthRequired);
     }
--- a/crates/node/src/server/response.rs
+++ b/crates/node/src/server/response.rs
@@ -9,7 +9,7 @@
 /// A response with its complete body.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// The response that gives a request's final answer.
+/// The HTTP response that carries a request's final response.
 pub(super) fn client_response(answer: FinalResponse) -> HttpResponse {
     let status = answer.status();
     match answer {
--- a/crates/node/src/server/submit.rs
+++ b/crates/node/src/server/submit.rs
@@ -8,7 +8,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Hands a request to the driver and waits for its final answer. Dropped before that, its client has left.
+/// Hands a request to the driver and waits for its final response. Dropped before that, its client has disconnected.
 pub async fn submit_request(
     context: &ServerContext,
     received_at: Instant,
@@ -44,13 +44,13 @@
     answer
 }
 
-/// Tells the driver of a client that left: hyper drops the future of the response with its connection.
+/// Notifies the driver of a client that disconnected: hyper drops the future of the response with its connection.
 struct DisconnectGuard<'a> {
     /// Of the request.
     number: u64,
     /// Where the driver takes its events.
     events: &'a UnboundedSender<DriverEvent>,
-    /// Its final answer has come: its client cannot leave without it any more.
+    /// Its final response has come: a disconnect does not cancel it any more.
     answered: bool,
 }
 
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -17,7 +17,7 @@
     pub start_deadline: Instant,
     /// The response is waited for until then.
     pub deadline: Instant,
-    /// Set once the request has its final answer, or its client has gone: nothing more starts for it.
+    /// Set once the request has its final response, or its client has disconnected: nothing more starts for it.
     pub canceled: Rc<Cell<bool>>,
 }
 
@@ -112,7 +112,7 @@
         if connection.incarnation != pool.incarnation.get() {
             return Err(AttemptError::StaleConnection);
         }
-        // For a client that has gone nothing starts, nor does a repeat once endpoints no longer recognise it as one.
+        // For a client that has disconnected nothing starts, nor does a repeat once endpoints no longer recognise it as one.
         if limits.canceled.get() {
             pool.put_idle(connection);
             return Err(AttemptError::Ended(Status::NotSent));
@@ -129,7 +129,7 @@
         if !progress.started.get() {
             return;
         }
-        // On a new connection idleness is no cause: what breaks there shows how often connections do break.
+        // New connections give the baseline loss rate (idle time 0).
         let idle_time = if progress.reused.get() {
             idle_time
         } else {
--- a/crates/node/src/upstream/checkout.rs
+++ b/crates/node/src/upstream/checkout.rs
@@ -42,10 +42,9 @@
         }
     }
 
-    /// A descriptor for a new connection. Where all are in use, the connection that has been idle for longest closes: unused
-    /// connections to other endpoints must not keep a node from the one it needs. Nor may those of clients, which need a
-    /// moment to close; clients that wait may take every descriptor that these release, so the wait ends with an idle
-    /// connection to an endpoint.
+    /// A descriptor for a new connection. Where clients hold the one that is missing, an unused client connection is evicted
+    /// and its descriptor polled for. Otherwise, and as a last resort (clients that wait may take every descriptor that is
+    /// released), the upstream connection that has been idle for longest closes.
     async fn lease(&self) -> io::Result<Lease> {
         let mut evicting = false;
         for polls_left in (0..=EVICTION_POLLS).rev() {
--- a/crates/node/src/upstream/idle_history.rs
+++ b/crates/node/src/upstream/idle_history.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// This many requests lost on connections of about the same idle time, and this share of all of them, show that endpoints
-/// drop connections silently after that time.
+/// Fewest requests lost on connections of about the same idle time that show that endpoints drop connections silently after
+/// that time.
 const MIN_DROPS: u32 = 3;
-/// The share that goes with [`MIN_DROPS`].
+/// Least rate of requests lost among all on connections of about the same idle time that shows the same; both must be met.
 const MIN_DROP_RATE: f64 = 0.2;
 /// Connections break for other causes as well, whatever their idle time: only losses above this multiple of that rate
 /// count as drops.
@@ -26,7 +26,7 @@
 }
 
 impl Bucket {
-    /// The share of the requests that were lost; 0 without requests.
+    /// Requests lost among all, from 0 to 1; 0 without requests.
     fn loss_rate(self) -> f64 {
         f64::from(self.lost) / f64::from(self.requests.max(1))
     }
--- a/crates/node/src/upstream/request_ids.rs
+++ b/crates/node/src/upstream/request_ids.rs
@@ -5,7 +5,7 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// The ids of the requests that have no final answer yet, or an attempt in flight. Clones are the same set.
+/// The ids of the requests that have no final response yet, or an attempt in flight. Clones are the same set.
 #[derive(Clone, Debug, Default)]
 pub struct OpenRequestIds(Rc<RefCell<HashSet<HeaderValue>>>);
 
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -29,7 +29,7 @@
 /// The state of an endpoint before discovery names it, and once a complete list lacks it.
 const ABSENT: &str = "absent";
 
-/// The node's side of the trail. Records are made here and written by the writer's thread.
+/// Records events in the audit trail. Records are made on the node's thread and written by the writer's thread.
 pub struct Audit {
     sender: BoundedSender,
     trail: Arc<Mutex<Trail>>,
--- a/crates/telemetry/src/audit/record.rs
+++ b/crates/telemetry/src/audit/record.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use slatelink_config::sha256_hex;
 
-/// A line is longer than this in no trail, and at a start no more is read to find the last ones.
+/// Longest line of a trail. It bounds what is read at the end of a file to find the last record.
 pub(super) const MAX_LINE_BYTES: usize = 64 << 10;
 /// What the first record names in place of the hash of one before it.
 pub(super) const FIRST_PREVIOUS_HASH: &str =
--- a/crates/telemetry/src/audit/signals.rs
+++ b/crates/telemetry/src/audit/signals.rs
@@ -14,7 +14,7 @@
 }
 
 impl StopSignal {
-    /// The platform's own way: it drains the node.
+    /// Sent by the platform for a graceful shutdown.
     pub const TERMINATE: Self = Self::new("SIGTERM", libc::SIGTERM);
 
     /// `number` is one of Linux's signals, 1 to 64, and so fits a byte.
--- a/crates/telemetry/src/audit/trail.rs
+++ b/crates/telemetry/src/audit/trail.rs
@@ -60,7 +60,7 @@
     /// Continues where the file ends, or begins at its first line. A last line that broke off is cut off.
     pub(super) fn open(path: &Path) -> Result<OpenedTrail, TrailError> {
         let mut file = open_or_create(path)?;
-        // A FIFO or device holds no trail that two could break.
+        // A FIFO or device needs no lock: it holds no chain that a second writer could break.
         if !file.metadata()?.is_file() {
             let unwritten = Vec::new();
             let trail = Self {
--- a/crates/telemetry/src/hotlist.rs
+++ b/crates/telemetry/src/hotlist.rs
@@ -17,7 +17,7 @@
 
 /// All lists, and the copy of them that is being printed.
 const MAX_MEMORY_BYTES: usize = 1_000_000;
-/// A list is held, and copied to be printed.
+/// Copies of each list in memory: the live one and the one being printed.
 const COPIES: usize = 2;
 
 /// The list of one class.
@@ -91,8 +91,8 @@
     MAX_MEMORY_BYTES / (COPIES * MAX_ENTRY_BYTES * classes.max(1))
 }
 
-/// The seconds that a decayed count stands for, so long after the start: at one request a second, the count would be this. It tends
-/// to the window, and is less before since only the time that has passed can be averaged over.
+/// Effective averaging time in seconds at `elapsed`, the time since the start: divide a decayed count by it to get requests per
+/// second. It tends to the window, and is less before, since only the time that has passed can be averaged over.
 fn averaged_seconds(elapsed: Duration, window: Duration) -> f64 {
     let elapsed = elapsed.as_secs_f64().max(1.0);
     let window = window.as_secs_f64();
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -160,7 +160,7 @@
     classes: &[Name],
     writer: &Writer,
 ) -> Result<Rc<HotList>, TelemetryError> {
-    // Caught before it is known to be on: uncaught, it ends the process.
+    // The SIGUSR1 handler is installed first: without one the signal terminates the process.
     let print_signals = install_handler("SIGUSR1", SignalKind::user_defined1())?;
     let hotlist = Rc::new(HotList::new(
         settings.capacity,
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,6 +1,6 @@
 //! The node's own log: lines of text, or JSON objects, on standard error.
 //!
-//! They go through the bounded writer: by itself, a line would stall the node where nobody reads. What may come often goes by
+//! They go through the bounded writer: a direct write would block the node if stderr is not read. What may come often goes by
 //! topic, a few lines whole and the rest counted: under overload the log must not become the load.
 
 mod sink;
--- a/crates/telemetry/src/metrics/buffer.rs
+++ b/crates/telemetry/src/metrics/buffer.rs
@@ -8,7 +8,7 @@
 /// Of these, kept free for the counters of what was lost, which a batch gets as it goes out.
 pub(super) const LOSS_COUNTER_BYTES: usize = 256;
 
-/// Losses that no batch which was written has counted.
+/// Losses not yet reported in a written batch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Losses {
     /// Batches that could not be written.
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Whether so much waits that what can still be merged is better left where it is.
+    /// Whether so much waits that counters are to be kept merged and no lines emitted for them.
     pub(super) fn is_half_full(&self) -> bool {
         self.lines.len() >= MAX_BUFFERED_BYTES / 2
     }
--- a/crates/telemetry/src/observer.rs
+++ b/crates/telemetry/src/observer.rs
@@ -14,7 +14,7 @@
     Shed,
     /// Not done, or not known to be done.
     Failed,
-    /// Its client left first.
+    /// Its client disconnected first.
     ClientDisconnected,
 }
 
@@ -35,8 +35,8 @@
     /// A request of this class, for this path, has come in.
     fn request_received(&self, _class: ClassId, _path: &str) {}
 
-    /// A request has its final answer, or its client has left. `endpoint` served it or was tried last; `None` where none was
-    /// picked. `latency` counts from the request's receipt.
+    /// A request has its final response, or its client has disconnected. `endpoint` served it or was attempted last; `None`
+    /// where none was picked. `latency` counts from the request's receipt.
     fn request_completed(
         &self,
         _class: ClassId,
--- a/crates/telemetry/src/writer.rs
+++ b/crates/telemetry/src/writer.rs
@@ -1,5 +1,5 @@
 //! The one thread that writes files and standard error for the log and the features. The node is one thread too: a pipe that
-//! nobody reads, a slow disk or a FIFO must stall this one and never that.
+//! nobody reads, a slow disk or a FIFO may block the writer thread, never the node's thread.
 
 use std::fs::{File, Metadata};
 use std::io::{self, Write};
@@ -27,7 +27,7 @@
 }
 
 impl Writer {
-    /// Descriptors that it holds: its own one of standard error, whose lock would else bind two threads.
+    /// Descriptors that it holds: a duplicate of the stderr descriptor, so that threads don't contend for its lock.
     pub const DESCRIPTORS: usize = 1;
 
     /// Starts the thread. Fails where it cannot be had, or a descriptor for it.
