--- a/crates/node/src/discovery/lists.rs
+++ b/crates/node/src/discovery/lists.rs
@@ -34,7 +34,7 @@
             );
             self.log.rate_limited("discovery", &text);
             self.version = None;
-            self.forward_unavailable(list, self.generation);
+            self.forward_unready_endpoints(list, self.generation);
             return Ok(ListStatus::Outdated);
         }
         self.version = Some(list.version);
@@ -55,7 +55,7 @@
             return;
         };
         if generation != self.generation || self.version.is_none() {
-            self.forward_unavailable(list, generation);
+            self.forward_unready_endpoints(list, generation);
         } else if self.version.is_some_and(|held| list.version > held) {
             // Whether the driver has stopped shows at the next list.
             let _ = self.accept_list(list);
@@ -63,7 +63,7 @@
     }
 
     /// Forwards what a list that isn't accepted says of draining and removed endpoints: that holds whatever its version is.
-    fn forward_unavailable(&mut self, mut list: EndpointList, generation: AddressGeneration) {
+    fn forward_unready_endpoints(&mut self, mut list: EndpointList, generation: AddressGeneration) {
         list.complete = false;
         list.endpoints
             .retain(|endpoint| endpoint.availability() != Availability::Ready);
--- a/crates/node/src/discovery/stale_lists.rs
+++ b/crates/node/src/discovery/stale_lists.rs
@@ -65,7 +65,7 @@
                     announced_at: now,
                 };
                 self.record(endpoint.id(), announcement);
-            } else if self.is_outweighed(endpoint, generation, version, newest) {
+            } else if self.known_state_takes_precedence(endpoint, generation, version, newest) {
                 endpoint.set_draining();
                 marked_any = true;
             } else {
@@ -77,7 +77,7 @@
 
     /// Whether what is known of an endpoint outweighs a list that calls it ready. `newest` says that no list before was
     /// newer.
-    fn is_outweighed(
+    fn known_state_takes_precedence(
         &self,
         endpoint: &EndpointRecord,
         generation: AddressGeneration,
