--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// The part of its latency objective after which the client of a shed request is told to come back.
-const RETRY_AFTER_PART: f64 = 0.02;
+const RETRY_AFTER_FRACTION: f64 = 0.02;
 
 impl Balancer {
     /// Sends the request, queues it or gives it up.
@@ -35,8 +35,8 @@
         if let Some(index) = self.select_endpoint(&pending, origin_is_full, now) {
             return self.send(pending, index, now, actions);
         }
-        let next_try = self.next_try(&pending, now);
-        match next_try.filter(|_| !origin_is_full) {
+        let next_dispatch = self.next_dispatch(&pending, now);
+        match next_dispatch.filter(|_| !origin_is_full) {
             Some(at) => {
                 self.queue.push(at, pending.request.id.clone());
                 self.keep(pending);
@@ -73,7 +73,7 @@
     }
 
     /// When a request that found no capacity is to be tried again; `None` if it must not wait.
-    fn next_try(&self, pending: &PendingRequest, now: Timestamp) -> Option<Timestamp> {
+    fn next_dispatch(&self, pending: &PendingRequest, now: Timestamp) -> Option<Timestamp> {
         let is_new = pending.attempts.is_empty();
         let mut endpoints = self.endpoints.iter();
         if !is_new || !endpoints.any(|state| self.is_ready_cache(&state.endpoint)) {
@@ -83,7 +83,7 @@
         let objective = self.class(request).latency_objective;
         let usual = self.latencies.usual(self.class_index(request));
         let give_up = (pending.arrived + objective).min(request.deadline);
-        queue::next_try(now, objective, Duration::from_secs_f64(usual), give_up)
+        queue::next_dispatch(now, objective, Duration::from_secs_f64(usual), give_up)
     }
 
     fn send(
@@ -187,7 +187,7 @@
         let origin = endpoints.find(|state| self.is_origin(&state.endpoint));
         let breaker = origin.map_or(&self.origin.breaker, |state| &state.breaker);
         let objective = self.class(request).latency_objective;
-        let short = objective.mul_f64(RETRY_AFTER_PART);
+        let short = objective.mul_f64(RETRY_AFTER_FRACTION);
         let open_for = breaker.open_until().map(|until| until.since(now));
         open_for
             .map_or(short, |time| time.max(short))
--- a/crates/policy/src/balancer/outcome.rs
+++ b/crates/policy/src/balancer/outcome.rs
@@ -37,19 +37,19 @@
     class: usize,
     epochs: BreakerEpochs,
     /// The endpoint had no queue just before.
-    had_no_queue: bool,
+    recent_queue_was_empty: bool,
     /// A time-out that was not the endpoint's load. A time-out brings no report, but where answers
     /// of late met no queue something else took long (a miss waits for the origin, say): less load
     /// and a breaker for that endpoint help nobody, and its keys would be missed elsewhere.
-    excused: bool,
+    timeout_without_queue: bool,
     /// It ended early enough for the endpoint's load to be in order.
     in_time: bool,
     /// The endpoint has cores to spare, as it reported.
     has_spare_cores: bool,
     /// Whether the endpoint has no queue, where it reported.
-    reports_no_queue: Option<bool>,
+    reported_queue_empty: Option<bool>,
     /// The endpoint's queue, where it tells of this node's load, shows that nobody waits there.
-    nobody_waits: bool,
+    queue_is_empty: bool,
 }
 
 impl Evaluation {
@@ -68,13 +68,16 @@
 
     /// Rejected where nobody waits: how much is sent there changes nothing.
     fn is_rejected_without_load(&self) -> bool {
-        self.status == Status::Rejected && self.had_no_queue && self.reports_no_queue != Some(false)
+        self.status == Status::Rejected
+            && self.recent_queue_was_empty
+            && self.reported_queue_empty != Some(false)
     }
 
     /// Rejected or timed out for load.
     fn is_overloaded(&self) -> bool {
-        let refused = matches!(self.status, Status::Rejected | Status::TimedOut);
-        self.excused || self.failed() && !self.is_rejected_without_load() && refused
+        let rejected_or_timed_out = matches!(self.status, Status::Rejected | Status::TimedOut);
+        self.timeout_without_queue
+            || self.failed() && !self.is_rejected_without_load() && rejected_or_timed_out
     }
 }
 
@@ -142,9 +145,9 @@
         now: Timestamp,
     ) -> Evaluation {
         let status = outcome.status;
-        let had_no_queue =
+        let recent_queue_was_empty =
             position.is_some_and(|index| self.has_no_queue(&self.endpoints[index], now));
-        let excused = had_no_queue && status == Status::TimedOut;
+        let timeout_without_queue = recent_queue_was_empty && status == Status::TimedOut;
         let fetched = outcome.cache_result == Some(CacheResult::Miss)
             && self.settings.mode == CacheMode::ReadThrough;
         let origin_at_fault = self.origin.on_attempt_ended(attempt, status, now) || fetched;
@@ -157,20 +160,21 @@
             queue_length,
             ..
         } = outcome.load;
-        let reports_no_queue = queue_length.map(|waiting| waiting < QUEUE_LENGTH_OF_NONE);
+        let reported_queue_empty = queue_length.map(|waiting| waiting < QUEUE_LENGTH_OF_NONE);
         let report_counts = self.settings.nodes <= MAX_NODES_FOR_QUEUE_REPORTS;
         Evaluation {
             status,
-            result: call_result(status, excused, origin_at_fault),
+            result: call_result(status, timeout_without_queue, origin_at_fault),
             fetched,
             class: self.class_index(request),
             epochs: attempt.epochs,
-            had_no_queue,
-            excused,
+            recent_queue_was_empty,
+            timeout_without_queue,
             in_time: outcome.latency <= time_allowed,
             has_spare_cores: utilization.is_some_and(|busy| busy < BUSY_UTILIZATION),
-            reports_no_queue,
-            nobody_waits: excused || report_counts && reports_no_queue == Some(true),
+            reported_queue_empty,
+            queue_is_empty: timeout_without_queue
+                || report_counts && reported_queue_empty == Some(true),
         }
     }
 
@@ -258,20 +262,20 @@
         // the request goes on to another one nothing is lost.
         let retries_elsewhere = self.is_large_deployment() && evaluation.status == Status::Rejected;
         let state = &mut self.endpoints[index];
-        if let Some(has_no_queue) = evaluation.reports_no_queue {
-            state.record_queue_report(has_no_queue, now);
+        if let Some(queue_is_empty) = evaluation.reported_queue_empty {
+            state.record_queue_report(queue_is_empty, now);
         }
         let is_late = evaluation.is_late();
-        if evaluation.succeeded() && (!is_late || evaluation.nobody_waits) {
+        if evaluation.succeeded() && (!is_late || evaluation.queue_is_empty) {
             self.load_shedder.record_good();
         }
         let limit = &mut state.concurrency;
         if evaluation.succeeded() && evaluation.in_time && limit.is_in_use() {
             limit.increase();
-        } else if is_late && evaluation.nobody_waits {
+        } else if is_late && evaluation.queue_is_empty {
             limit.decrease_without_queue(self.concurrency);
         } else if is_late || evaluation.is_overloaded() {
-            if !evaluation.excused && !retries_elsewhere {
+            if !evaluation.timeout_without_queue && !retries_elsewhere {
                 self.load_shedder.record_bad();
             }
             limit.decrease(self.concurrency);
@@ -358,11 +362,11 @@
 
 /// What an attempt's end shows of its endpoint. A fetch that failed is the origin's failure:
 /// another endpoint would ask the same origin.
-fn call_result(status: Status, excused: bool, origin_at_fault: bool) -> CallResult {
+fn call_result(status: Status, timeout_without_queue: bool, origin_at_fault: bool) -> CallResult {
     match status {
         Status::Ok | Status::Miss => CallResult::Success,
         Status::Canceled | Status::NotSent => CallResult::Inconclusive,
-        _ if excused || origin_at_fault => CallResult::Inconclusive,
+        _ if timeout_without_queue || origin_at_fault => CallResult::Inconclusive,
         _ => CallResult::Failure,
     }
 }
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -15,7 +15,7 @@
 const MAX_CANDIDATES: usize = 3;
 /// The part of its concurrency limit that an endpoint gives to keys that it does not come first
 /// for.
-const OVERFLOW_PART: f64 = 0.5;
+const OVERFLOW_FRACTION: f64 = 0.5;
 
 impl Balancer {
     /// The endpoint that the request is to be sent to, if one can take it now. Where
@@ -74,7 +74,7 @@
             && state.class_breakers[class].admits(now)
             && self.zones.admits(&endpoint.zone, now)
             && self.has_slow_start_budget(index, now)
-            && !pending.tried(endpoint)
+            && !pending.was_attempted_at(endpoint)
     }
 
     /// Where every endpoint is blocked, a new request goes to the first one of its key, rather than
@@ -96,10 +96,10 @@
         pending: &PendingRequest,
         now: Timestamp,
     ) -> Option<usize> {
-        let part = |rank| if rank == 0 { 1.0 } else { OVERFLOW_PART };
+        let fraction = |rank| if rank == 0 { 1.0 } else { OVERFLOW_FRACTION };
         let mut ranked = candidates.iter().copied().enumerate();
         ranked
-            .find(|(rank, index)| self.has_capacity(*index, part(*rank), pending, now))
+            .find(|(rank, index)| self.has_capacity(*index, fraction(*rank), pending, now))
             .map(|(_, index)| index)
     }
 
@@ -120,18 +120,20 @@
     fn has_capacity(
         &self,
         index: usize,
-        part: f64,
+        fraction: f64,
         pending: &PendingRequest,
         now: Timestamp,
     ) -> bool {
         let state = &self.endpoints[index];
-        let has_share_of_time = || {
+        let fractional_limit_allows = || {
             let idle = now.since(state.last_sent());
             let usual = self.latencies.usual(self.class_index(&pending.request));
-            state.concurrency.has_share_of_time(part, idle, usual)
+            state
+                .concurrency
+                .fractional_limit_allows(fraction, idle, usual)
         };
-        state.concurrency.has_capacity(part, pending.dither)
-            || self.is_large_deployment() && has_share_of_time()
+        state.concurrency.has_capacity(fraction, pending.dither)
+            || self.is_large_deployment() && fractional_limit_allows()
     }
 
     /// The ready cache servers in the order of this key.
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -21,7 +21,7 @@
 /// long.
 const DECREASE_WITHOUT_QUEUE: f64 = 0.3;
 /// The part of a limit from which on an answer in time raises it, as its inverse.
-const RAISED_FROM_INVERSE_PART: f64 = 2.0;
+const RAISED_FROM_INVERSE_FRACTION: f64 = 2.0;
 
 /// Bounds of the limits, which follow from the number of nodes.
 #[derive(Clone, Copy, Debug)]
@@ -89,21 +89,26 @@
 
     /// Whether one more fits into this part of the limit. `dither`, uniform between 0 and 1, rounds
     /// the limit.
-    pub(crate) fn has_capacity(&self, part: f64, dither: f64) -> bool {
-        f64::from(self.in_flight) + dither < self.limit * part
+    pub(crate) fn has_capacity(&self, fraction: f64, dither: f64) -> bool {
+        f64::from(self.in_flight) + dither < self.limit * fraction
     }
 
     /// The same for a limit under one, taken as a share of time: whether an idle endpoint has been
     /// left alone for long enough that one attempt of the usual latency (in seconds) keeps to the
     /// limit on average. Taken as odds of sending at all, such a limit would keep the endpoint from
     /// its next answers, which alone raise it again.
-    pub(crate) fn has_share_of_time(&self, part: f64, idle: Duration, usual_latency: f64) -> bool {
-        self.in_flight == 0 && idle.as_secs_f64() * (self.limit * part) >= usual_latency
+    pub(crate) fn fractional_limit_allows(
+        &self,
+        fraction: f64,
+        idle: Duration,
+        usual_latency: f64,
+    ) -> bool {
+        self.in_flight == 0 && idle.as_secs_f64() * (self.limit * fraction) >= usual_latency
     }
 
     /// Whether answers in time raise the limit: not while little of it is used.
     pub(crate) fn is_in_use(&self) -> bool {
-        f64::from(self.in_flight) * RAISED_FROM_INVERSE_PART >= self.limit
+        f64::from(self.in_flight) * RAISED_FROM_INVERSE_FRACTION >= self.limit
     }
 
     /// A step up.
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -74,8 +74,8 @@
     }
 
     /// Notes what it reports of its queue.
-    pub(crate) fn record_queue_report(&mut self, has_no_queue: bool, now: Timestamp) {
-        self.no_queue_reported = has_no_queue.then_some(now);
+    pub(crate) fn record_queue_report(&mut self, queue_is_empty: bool, now: Timestamp) {
+        self.no_queue_reported = queue_is_empty.then_some(now);
     }
 
     /// Whether it reported of late that it has no queue.
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -6,7 +6,7 @@
 
 /// An answer is late past this part of its latency objective, so that load is lowered before
 /// objectives are missed.
-const LATE_FROM_PART: f64 = 0.7;
+const LATE_FROM_FRACTION: f64 = 0.7;
 /// Answers over which the latency of a class is averaged.
 const AVERAGED_LATENCIES: f64 = 20.0;
 /// Attempts over which the expected work of requests is averaged.
@@ -48,8 +48,8 @@
     /// objective, a larger one for work beyond the mean. Takes the work into the mean.
     pub(crate) fn time_allowed(&mut self, work: Option<Duration>, objective: Duration) -> Duration {
         let work = work.map_or(0.0, |work| work.as_secs_f64());
-        let part = LATE_FROM_PART * work / self.mean_work.max(MIN_MEAN_WORK);
+        let fraction = LATE_FROM_FRACTION * work / self.mean_work.max(MIN_MEAN_WORK);
         self.mean_work += (work - self.mean_work) / AVERAGED_WORK;
-        objective.mul_f64(part.clamp(LATE_FROM_PART, 1.0))
+        objective.mul_f64(fraction.clamp(LATE_FROM_FRACTION, 1.0))
     }
 }
--- a/crates/policy/src/origin_protection.rs
+++ b/crates/policy/src/origin_protection.rs
@@ -24,12 +24,12 @@
 /// Step up of the limit for each likely miss that is served while the limit is used.
 const INCREASE: f64 = 0.1;
 /// The limit is used while this many times the likely misses in flight reach it.
-const USED_FROM_INVERSE_PART: f64 = 4.0;
+const USED_FROM_INVERSE_FRACTION: f64 = 4.0;
 /// Least limit, for all nodes together.
 const MIN_LIMIT_FOR_ALL: f64 = 1.0;
 /// Part of the limit that a further likely miss of a request may use after a failed one: it is made
 /// only if the origin has plenty of capacity.
-const PART_AFTER_FAILURE: f64 = 0.5;
+const FRACTION_AFTER_FAILURE: f64 = 0.5;
 
 /// Limit of likely misses and circuit breaker of the origin.
 #[derive(Debug)]
@@ -70,12 +70,12 @@
 
     /// Whether the limit leaves no likely miss to this request.
     pub(crate) fn is_full_for(&self, pending: &PendingRequest) -> bool {
-        let part = if pending.likely_miss_failed() {
-            PART_AFTER_FAILURE
+        let fraction = if pending.likely_miss_failed() {
+            FRACTION_AFTER_FAILURE
         } else {
             1.0
         };
-        f64::from(self.in_flight) + pending.dither >= self.limit * part
+        f64::from(self.in_flight) + pending.dither >= self.limit * fraction
     }
 
     /// Counts a likely miss as in flight.
@@ -104,7 +104,7 @@
         let used = f64::from(self.in_flight);
         self.in_flight -= 1;
         let overloaded = !self.is_large_deployment && self.is_overloaded();
-        if status == Status::Ok && used * USED_FROM_INVERSE_PART >= self.limit {
+        if status == Status::Ok && used * USED_FROM_INVERSE_FRACTION >= self.limit {
             self.limit += INCREASE;
         } else if failed && overloaded && sent_under_limit {
             self.limit = (self.limit.min(used) * DECREASE_FACTOR).max(self.min_limit);
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -96,7 +96,7 @@
     }
 
     /// Whether an attempt has been made at this endpoint.
-    pub(crate) fn tried(&self, endpoint: &Endpoint) -> bool {
+    pub(crate) fn was_attempted_at(&self, endpoint: &Endpoint) -> bool {
         let mut attempts = self.attempts.iter();
         attempts.any(|attempt| attempt.endpoint.id == endpoint.id)
     }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -17,7 +17,7 @@
 /// When a request can wait until: `None` where an answer after that would probably be too late.
 /// `usual_latency` is that of its class and `give_up` the end of its latency objective or its
 /// deadline, whichever is first.
-pub(crate) fn next_try(
+pub(crate) fn next_dispatch(
     now: Timestamp,
     latency_objective: Duration,
     usual_latency: Duration,
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -12,7 +12,7 @@
 
 /// Part of the stated overload factor that is used: a window can touch three slots of half a
 /// window.
-const OVERLOAD_FACTOR_PART: f64 = 0.7;
+const OVERLOAD_FACTOR_FRACTION: f64 = 0.7;
 /// Slots that a window is divided into.
 const SLOTS_PER_WINDOW: u64 = 2;
 /// Least warm-up time, in seconds: it is divided by.
@@ -74,5 +74,5 @@
     good_answers * windows / SLOTS_PER_WINDOW as f64
         * share
         * settings.slow_start_overload_factor
-        * OVERLOAD_FACTOR_PART
+        * OVERLOAD_FACTOR_FRACTION
 }
