--- a/crates/policy/src/api/request.rs
+++ b/crates/policy/src/api/request.rs
@@ -3,7 +3,7 @@
 use super::{ClassId, EndpointId, RequestId, Timestamp};
 use std::time::Duration;
 
-/// A request from a client. It gets exactly one final answer.
+/// A request from a client. It gets exactly one final response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Its identifier.
@@ -45,7 +45,7 @@
     Ok,
     /// The endpoint answered with an error; the request may have run.
     Failed,
-    /// The endpoint refused it for want of capacity; it never ran.
+    /// The endpoint rejected it for want of capacity; it never ran.
     Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
@@ -106,7 +106,7 @@
     pub cache_result: Option<CacheResult>,
     /// Time from its send to its end.
     pub latency: Duration,
-    /// Whether the request has its final answer.
+    /// Whether the request has its final response.
     pub answered: bool,
     /// The endpoint's load.
     pub load: LoadReport,
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -49,7 +49,7 @@
 }
 
 impl Default for Class {
-    /// The most careful class, for requests of none: never repeated.
+    /// The class of requests without one: treated as non-idempotent, never repeated.
     fn default() -> Self {
         Self {
             name: "".into(),
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,9 +1,9 @@
 //! The balancer: the way of an event through the mechanisms. Its interface is `src/api.rs`.
 //!
-//! A request that arrives is dispatched (`balancer/dispatch.rs`): refused, queued or sent to the
+//! A request that arrives is dispatched (`balancer/dispatch.rs`): shed, queued or sent to the
 //! endpoint that `balancer/selection.rs` finds. The end of an attempt is evaluated for each
 //! mechanism (`balancer/outcome.rs`), then the request is dispatched again if it has no final
-//! answer. Updates of the endpoint list go to the endpoint table.
+//! response. Updates of the endpoint list go to the endpoint table.
 
 mod dispatch;
 mod outcome;
@@ -57,7 +57,7 @@
 impl Balancer {
     /// A balancer that knows no endpoint yet. `seed` should differ between nodes.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // The last class is for requests of none: the most careful one.
+        // The last class is that of requests without one: treated as non-idempotent.
         settings.classes.push(Class::default());
         let concurrency = ConcurrencyBounds::new(settings.nodes);
         Self {
@@ -228,9 +228,9 @@
         (endpoint.weight * speed * warmth).max(MIN_CAPACITY)
     }
 
-    /// Whether the endpoint has no queue, as it reported of late. Only a node with a real part of
-    /// an endpoint's load can tell: in a large deployment the report is older than the bursts of
-    /// the other nodes.
+    /// Whether the endpoint recently reported an empty queue. Only meaningful where this node sends
+    /// a substantial fraction of the endpoint's load: in a large deployment the report is older
+    /// than the bursts of the other nodes.
     fn has_no_queue(&self, state: &EndpointState, now: Timestamp) -> bool {
         !self.is_large_deployment() && state.reported_no_queue(now)
     }
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -1,5 +1,5 @@
-//! What becomes of a request that has no final answer and no attempt in flight: it is sent, queued
-//! or given up.
+//! What becomes of a request that has no final response and no attempt in flight: it is sent,
+//! queued or given up.
 
 use super::Balancer;
 use crate::api::{Action, Request, Timestamp};
@@ -11,7 +11,7 @@
 use crate::slow_start;
 use std::time::Duration;
 
-/// The part of its latency objective after which the client of a shed request is told to come back.
+/// The `Retry-After` of a shed request, as a fraction of its latency objective.
 const RETRY_AFTER_FRACTION: f64 = 0.02;
 
 impl Balancer {
@@ -49,8 +49,8 @@
         let is_new = pending.attempts.is_empty();
         let shed = is_new && self.load_shedder.sheds(pending.dither);
         let cost = self.retry_cost(pending);
-        // An origin with a queue longer than anyone waits serves nobody until likely misses leave
-        // it alone.
+        // While the origin's breaker is open, only reads known to be cached are sent: with a queue
+        // longer than anyone waits the origin would serve nobody.
         let origin_admits = || self.is_cached(&pending.request) || self.origin.breaker.admits(now);
         shed || cost.is_some_and(|cost| !self.retry_budget.affords(cost))
             || now >= pending.request.deadline
@@ -72,7 +72,7 @@
         !request.write && self.cached_keys.contains(routing_key(request))
     }
 
-    /// When a request that found no capacity is to be tried again; `None` if it must not wait.
+    /// When a request that found no capacity is to be dispatched again; `None` if it must not wait.
     fn next_dispatch(&self, pending: &PendingRequest, now: Timestamp) -> Option<Timestamp> {
         let is_new = pending.attempts.is_empty();
         let mut endpoints = self.endpoints.iter();
@@ -112,7 +112,7 @@
         self.keep(pending);
     }
 
-    /// Tells each mechanism of an attempt at the endpoint at `index`.
+    /// Reports an attempt at the endpoint at `index` to each mechanism.
     fn begin_attempt(&mut self, request: &Request, index: usize, now: Timestamp) -> Attempt {
         let class = self.class_index(request);
         let likely_miss = self.is_likely_miss(request, &self.endpoints[index]);
@@ -143,9 +143,9 @@
         }
     }
 
-    /// Tells the origin's breaker of an attempt that may need the origin; returns the epoch of the
-    /// breaker. One that needs no origin is no trial: its end tells a breaker nothing that is not
-    /// closed.
+    /// Reports an attempt that may need the origin to the origin's breaker; returns the epoch of
+    /// the breaker if the attempt's result is to count there. A cached read is not counted as a
+    /// trial; its result counts only while the breaker is closed.
     fn note_origin_send(&mut self, request: &Request, now: Timestamp) -> Option<u32> {
         let cached = self.is_cached(request);
         let breaker = &mut self.origin.breaker;
@@ -155,7 +155,7 @@
         (!cached || breaker.is_closed()).then_some(breaker.epoch())
     }
 
-    /// Gives the request its final answer: shed where the client may send it again, else failed.
+    /// Gives the request its final response: shed where the client may send it again, else failed.
     pub(super) fn give_up(
         &mut self,
         pending: PendingRequest,
--- a/crates/policy/src/balancer/outcome.rs
+++ b/crates/policy/src/balancer/outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells each mechanism.
+//! Evaluates the end of an attempt and reports it to each mechanism.
 
 use super::Balancer;
 use crate::api::{
@@ -13,14 +13,14 @@
 
 /// Utilization from which on an endpoint has no cores to spare.
 const BUSY_UTILIZATION: f64 = 0.8;
-/// Up to so many nodes, each meets an endpoint often enough for the queue that it reports to tell
-/// of this node's load.
+/// Up to this many nodes, each sends to an endpoint often enough for the queue length that it
+/// reports to reflect this node's load.
 const MAX_NODES_FOR_QUEUE_REPORTS: u32 = 100;
 /// Mean number of waiting requests under which an endpoint has no queue.
 const QUEUE_LENGTH_OF_NONE: f64 = 1.0;
-/// A node keeps a connection open if it sends to its endpoint again within this time, divided by
-/// the number of nodes: 13 s for one of 300. A handshake is work for the endpoint and costs time,
-/// and an open connection takes one of its places.
+/// Longest interval between two sends to an endpoint at which idle connections to it are kept open:
+/// this time divided by the number of nodes, 13 s for one of 300. A handshake is work for the
+/// endpoint and costs time, and an idle connection uses up part of its connection limit.
 const CONNECTION_KEPT_OPEN: Duration = Duration::from_secs(4_000);
 /// Least expected work, in seconds: it is divided by.
 const MIN_EXPECTED_WORK: f64 = 1e-6;
@@ -36,19 +36,20 @@
     /// Position of the request's class.
     class: usize,
     epochs: BreakerEpochs,
-    /// The endpoint had no queue just before.
+    /// The endpoint had recently reported an empty queue, before this attempt ended.
     recent_queue_was_empty: bool,
-    /// A time-out that was not the endpoint's load. A time-out brings no report, but where answers
-    /// of late met no queue something else took long (a miss waits for the origin, say): less load
-    /// and a breaker for that endpoint help nobody, and its keys would be missed elsewhere.
+    /// A time-out at an endpoint that recently reported an empty queue: something else took long (a
+    /// miss that waits for the origin, say). Not counted by the endpoint's breaker nor by load
+    /// shedding, since its keys would be missed elsewhere; the concurrency limit still decreases.
     timeout_without_queue: bool,
-    /// It ended early enough for the endpoint's load to be in order.
+    /// Its latency is within the time allowed for its expected work and latency objective.
     in_time: bool,
     /// The endpoint has cores to spare, as it reported.
     has_spare_cores: bool,
-    /// Whether the endpoint has no queue, where it reported.
+    /// Whether the endpoint reported an empty queue at this end; `None` without a report.
     reported_queue_empty: Option<bool>,
-    /// The endpoint's queue, where it tells of this node's load, shows that nobody waits there.
+    /// Whether the endpoint's queue counts as empty: it was reported empty, in a deployment small
+    /// enough for the report to reflect this node's load, or this is a `timeout_without_queue`.
     queue_is_empty: bool,
 }
 
@@ -61,19 +62,19 @@
         self.result == CallResult::Failure
     }
 
-    /// Late, and not for want of spare cores at a heavy request.
+    /// Served late by an endpoint that did not report spare cores.
     fn is_late(&self) -> bool {
         self.succeeded() && !self.in_time && !self.has_spare_cores
     }
 
-    /// Rejected where nobody waits: how much is sent there changes nothing.
+    /// Rejected with an empty queue, so overload is not the cause.
     fn is_rejected_without_load(&self) -> bool {
         self.status == Status::Rejected
             && self.recent_queue_was_empty
             && self.reported_queue_empty != Some(false)
     }
 
-    /// Rejected or timed out for load.
+    /// Rejected because of load, or timed out.
     fn is_overloaded(&self) -> bool {
         let rejected_or_timed_out = matches!(self.status, Status::Rejected | Status::TimedOut);
         self.timeout_without_queue
@@ -82,7 +83,7 @@
 }
 
 impl Balancer {
-    /// Takes in the end of an attempt; one that is not in flight is passed over.
+    /// Handles the end of an attempt; one that is not in flight is ignored.
     pub(super) fn on_attempt_ended(
         &mut self,
         outcome: &Outcome,
@@ -106,7 +107,7 @@
         self.dispatch(pending, now, actions);
     }
 
-    /// Tells each mechanism of the end of an attempt.
+    /// Reports the end of an attempt to each mechanism.
     fn learn_from(
         &mut self,
         request: &Request,
@@ -219,7 +220,7 @@
         };
         let result = match evaluation.result {
             _ if !evaluation.fetched => CallResult::Inconclusive,
-            // A fetch that failed tells nothing of the endpoint, but of the origin.
+            // A failed fetch is evidence about the origin, not about the endpoint.
             CallResult::Inconclusive => CallResult::Failure,
             CallResult::Success | CallResult::Failure => CallResult::Success,
         };
@@ -286,8 +287,9 @@
         }
     }
 
-    /// Each node of a large deployment meets an endpoint now and then: left open, their connections
-    /// fill its table.
+    /// Closes idle connections to an endpoint that is seldom sent to. A node of a large deployment
+    /// sends to an endpoint rarely; idle connections from all nodes would exhaust the endpoint's
+    /// connection limit.
     fn close_seldom_used_connections(&self, index: usize, actions: &mut Vec<Action>) {
         let state = &self.endpoints[index];
         let kept_open = CONNECTION_KEPT_OPEN / self.settings.nodes.max(1);
@@ -361,7 +363,7 @@
 }
 
 /// What an attempt's end shows of its endpoint. A fetch that failed is the origin's failure:
-/// another endpoint would ask the same origin.
+/// another endpoint would fetch from the same origin.
 fn call_result(status: Status, timeout_without_queue: bool, origin_at_fault: bool) -> CallResult {
     match status {
         Status::Ok | Status::Miss => CallResult::Success,
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -1,7 +1,7 @@
 //! Which endpoint an attempt goes to.
 //!
 //! The endpoints that are ready rank by weighted rendezvous hashing of the request's key. The first
-//! few of them that no rule, breaker or budget bars are tried in that order for capacity.
+//! few of them that no rule, breaker or budget bars are checked in that order for capacity.
 
 use super::Balancer;
 use crate::api::{Availability, CacheMode, Timestamp};
@@ -13,8 +13,8 @@
 /// Endpoints of a key's order that may take a request for want of capacity at those before. No
 /// more: over a slow fleet, hits would turn to misses.
 const MAX_CANDIDATES: usize = 3;
-/// The part of its concurrency limit that an endpoint gives to keys that it does not come first
-/// for.
+/// Fraction of an endpoint's concurrency limit that is usable by keys whose first eligible endpoint
+/// is another one.
 const OVERFLOW_FRACTION: f64 = 0.5;
 
 impl Balancer {
@@ -47,7 +47,7 @@
             .or_else(|| self.first_with_spare_cores(&candidates, now))
     }
 
-    /// Whether the node itself asks the origin for this request (cache-aside).
+    /// Whether the node itself sends this request to the origin (cache-aside).
     fn needs_origin(&self, pending: &PendingRequest) -> bool {
         matches!(self.settings.mode, CacheMode::CacheAside { .. })
             && (pending.request.write || pending.has_missed())
@@ -103,10 +103,9 @@
             .map(|(_, index)| index)
     }
 
-    /// Limits steer away from endpoints that answer late, and all of them do where misses wait for
-    /// a slow origin. An endpoint that reports no queue takes what none of the others has capacity
-    /// for, up to where limits start: its cores may be shared by many requests although none of
-    /// them waits.
+    /// Concurrency limits shrink at all endpoints when misses wait for a slow origin. Then an
+    /// endpoint with an empty queue may exceed its limit, up to the initial one and no further: its
+    /// cores may be shared by many requests although none of them waits.
     fn first_with_spare_cores(&self, candidates: &[usize], now: Timestamp) -> Option<usize> {
         let has_spare_cores = |index: &usize| {
             let state = &self.endpoints[*index];
@@ -116,7 +115,7 @@
         candidates.iter().copied().find(has_spare_cores)
     }
 
-    /// Whether this part of the endpoint's concurrency limit leaves a place for the request.
+    /// Whether this fraction of the endpoint's concurrency limit leaves capacity for the request.
     fn has_capacity(
         &self,
         index: usize,
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! Adaptive concurrency limit: how many attempts a node may have in flight at an endpoint.
 //!
 //! Additive increase for an answer in time that used at least half of the limit, decrease by a
-//! fixed step for one that was late or refused. The textbook's limit (AIMD) halves instead; here
+//! fixed step for one that was late or rejected. The textbook's limit (AIMD) halves instead; here
 //! all nodes that share an endpoint step down together, so that a step is much larger for the
 //! endpoint than for each of them.
 
@@ -20,7 +20,7 @@
 /// Step down for a late answer from an endpoint with no queue: most often the work itself took
 /// long.
 const DECREASE_WITHOUT_QUEUE: f64 = 0.3;
-/// The part of a limit from which on an answer in time raises it, as its inverse.
+/// Inverse of the fraction of a limit that must be in use for an answer in time to raise it.
 const RAISED_FROM_INVERSE_FRACTION: f64 = 2.0;
 
 /// Bounds of the limits, which follow from the number of nodes.
@@ -28,8 +28,8 @@
 pub(crate) struct ConcurrencyBounds {
     /// Limit of an endpoint that nothing is known of.
     pub(crate) start: f64,
-    /// An endpoint with nothing of a node's in flight must get its next request: refused for want
-    /// of capacity there, no answer would ever raise the limit again.
+    /// Least limit. An endpoint with nothing in flight must still get its next request: if the node
+    /// never sent there for want of capacity, no answer would ever raise the limit again.
     pub(crate) min: f64,
 }
 
@@ -87,15 +87,15 @@
         self.in_flight = 0;
     }
 
-    /// Whether one more fits into this part of the limit. `dither`, uniform between 0 and 1, rounds
-    /// the limit.
+    /// Whether one more fits into this fraction of the limit. `dither`, uniform between 0 and 1,
+    /// rounds the limit.
     pub(crate) fn has_capacity(&self, fraction: f64, dither: f64) -> bool {
         f64::from(self.in_flight) + dither < self.limit * fraction
     }
 
-    /// The same for a limit under one, taken as a share of time: whether an idle endpoint has been
-    /// left alone for long enough that one attempt of the usual latency (in seconds) keeps to the
-    /// limit on average. Taken as odds of sending at all, such a limit would keep the endpoint from
+    /// The same for a limit below 1, which is a duty cycle: whether an idle endpoint was last sent
+    /// to long enough ago that one attempt of the usual latency (in seconds) keeps to the limit on
+    /// average. Taken as the probability of sending, such a limit would keep the endpoint from
     /// its next answers, which alone raise it again.
     pub(crate) fn fractional_limit_allows(
         &self,
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -4,7 +4,7 @@
 use crate::api::Class;
 use std::time::Duration;
 
-/// An answer is late past this part of its latency objective, so that load is lowered before
+/// An answer is late past this fraction of its latency objective, so that load is lowered before
 /// objectives are missed.
 const LATE_FROM_FRACTION: f64 = 0.7;
 /// Answers over which the latency of a class is averaged.
@@ -44,7 +44,7 @@
         *usual += (latency.as_secs_f64() - *usual) / AVERAGED_LATENCIES;
     }
 
-    /// How long an attempt of this expected work may take to be in time: a part of its latency
+    /// How long an attempt of this expected work may take to be in time: a fraction of its latency
     /// objective, a larger one for work beyond the mean. Takes the work into the mean.
     pub(crate) fn time_allowed(&mut self, work: Option<Duration>, objective: Duration) -> Duration {
         let work = work.map_or(0.0, |work| work.as_secs_f64());
--- a/crates/policy/src/origin_protection.rs
+++ b/crates/policy/src/origin_protection.rs
@@ -15,7 +15,7 @@
 use crate::decay::{DecayedCounts, DECAY_TIME};
 use crate::pending::{Attempt, PendingRequest};
 
-/// The origin is overloaded while this part of the likely misses fails.
+/// The origin is overloaded while this fraction of the likely misses fails.
 const OVERLOAD_FAILURE_RATE: f64 = 0.4;
 /// And their failure rate is at least this many times that of all other attempts.
 const OVERLOAD_RATE_RATIO: f64 = 2.0;
@@ -27,8 +27,8 @@
 const USED_FROM_INVERSE_FRACTION: f64 = 4.0;
 /// Least limit, for all nodes together.
 const MIN_LIMIT_FOR_ALL: f64 = 1.0;
-/// Part of the limit that a further likely miss of a request may use after a failed one: it is made
-/// only if the origin has plenty of capacity.
+/// Fraction of the limit that a further likely miss of a request may use after a failed one: it is
+/// made only if the origin has plenty of capacity.
 const FRACTION_AFTER_FAILURE: f64 = 0.5;
 
 /// Limit of likely misses and circuit breaker of the origin.
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -7,8 +7,7 @@
 pub(crate) struct BreakerEpochs {
     pub(crate) endpoint: u32,
     pub(crate) class: u32,
-    /// `None` for an attempt that no trial of the origin's breaker was counted for: its end tells
-    /// that breaker nothing.
+    /// `None` for an attempt whose result does not count at the origin's breaker.
     pub(crate) origin: Option<u32>,
     pub(crate) zone: u32,
 }
@@ -28,7 +27,7 @@
     pub(crate) status: Option<Status>,
 }
 
-/// A request that has no final answer yet, or has an attempt in flight.
+/// A request that has no final response yet, or has an attempt in flight.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
@@ -37,7 +36,7 @@
     /// or down at random (dithering) and decides whether it is among those that are shed.
     pub(crate) dither: f64,
     pub(crate) arrived: Timestamp,
-    /// Whether nothing more is owed: it has its final answer, or its client has left.
+    /// Whether no response is due any more: it has its final response, or its client disconnected.
     pub(crate) finished: bool,
 }
 
@@ -70,8 +69,8 @@
         self.attempts.iter().any(|attempt| attempt.status.is_none())
     }
 
-    /// Whether its next attempt is a retry. To ask the origin after a cache miss is the ordinary
-    /// way on.
+    /// Whether its next attempt is a retry. A send to the origin after a cache miss is the
+    /// ordinary next step.
     pub(crate) fn next_is_retry(&self) -> bool {
         let last = self.attempts.last();
         last.is_some_and(|attempt| attempt.status != Some(Status::Miss))
@@ -89,7 +88,7 @@
         last.is_some_and(|attempt| attempt.status == Some(Status::Rejected))
     }
 
-    /// Whether a cache server told that it lacks the value.
+    /// Whether a cache server reported that it lacks the value.
     pub(crate) fn has_missed(&self) -> bool {
         let mut attempts = self.attempts.iter();
         attempts.any(|attempt| attempt.status == Some(Status::Miss))
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,14 +1,14 @@
 //! Requests that wait at the node for capacity at an endpoint.
 //!
-//! A burst passes: a request that finds no capacity waits and is tried again at short steps, while
-//! an answer would probably still meet its latency objective. The queue has no order of its own and
-//! no bound but that time.
+//! A burst passes: a request that finds no capacity waits and is dispatched again at short steps,
+//! while an answer would probably still meet its latency objective. The queue has no order of its
+//! own and no bound but that time.
 
 use crate::api::{RequestId, Timestamp};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A queued request is tried again after this part of its latency objective.
+/// A queued request is dispatched again after this fraction of its latency objective.
 const RETRY_STEP: f64 = 0.1;
 /// A request is queued only while there is time left for this many times the usual latency of its
 /// class.
@@ -27,14 +27,14 @@
     (next + usual_latency * LATENCIES_LEFT <= give_up).then_some(next)
 }
 
-/// The queued requests by the time of their next try.
+/// The queued requests by the time of their next dispatch.
 #[derive(Debug, Default)]
 pub(crate) struct RequestQueue {
     by_time: BTreeSet<(Timestamp, RequestId)>,
 }
 
 impl RequestQueue {
-    /// Adds a request that is to be tried at `at`.
+    /// Adds a request that is to be dispatched at `at`.
     pub(crate) fn push(&mut self, at: Timestamp, id: RequestId) {
         self.by_time.insert((at, id));
     }
@@ -47,7 +47,7 @@
         self.by_time.pop_first().map(|(_, id)| id)
     }
 
-    /// When the next request is to be tried.
+    /// When the next request is to be dispatched.
     pub(crate) fn next(&self) -> Option<Timestamp> {
         self.by_time.first().map(|(at, _)| *at)
     }
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -10,7 +10,7 @@
 use crate::api::{Endpoint, Settings, Timestamp};
 use crate::decay::DECAY_TIME;
 
-/// Part of the stated overload factor that is used: a window can touch three slots of half a
+/// Fraction of the stated overload factor that is used: a window can touch three slots of half a
 /// window.
 const OVERLOAD_FACTOR_FRACTION: f64 = 0.7;
 /// Slots that a window is divided into.
@@ -51,7 +51,8 @@
     }
 }
 
-/// The part of its full capacity that the endpoint has by now, up to 1.
+/// The slow-start factor, from 0 to 1: the fraction of its full capacity that the endpoint has by
+/// now.
 pub(crate) fn warmth(settings: &Settings, endpoint: &Endpoint, now: Timestamp) -> f64 {
     let duration = settings.slow_start_duration.as_secs_f64().max(MIN_WARM_UP);
     let age = endpoint
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -33,7 +33,7 @@
 pub struct ClientRequest {
     pub request: Request,
     pub attempts: Vec<SentAttempt>,
-    /// Whether it has its final answer.
+    /// Whether it has its final response.
     pub answered: bool,
 }
 
@@ -372,7 +372,7 @@
         self.assert_answered_in_time();
     }
 
-    /// Rule 1: no request is without its final answer past its deadline.
+    /// Rule 1: no request is without its final response past its deadline.
     pub fn assert_answered_in_time(&self) {
         for (id, request) in &self.requests {
             let overdue = !request.answered && self.now > request.request.deadline;
--- a/crates/policy/tests/properties/requests.rs
+++ b/crates/policy/tests/properties/requests.rs
@@ -1,4 +1,4 @@
-//! Answers and attempts of requests: one final answer each, repeats as the class allows, no attempt
+//! Answers and attempts of requests: one final response each, repeats as the class allows, no attempt
 //! at an endpoint that drains.
 
 use crate::events::check;
--- a/crates/policy/tests/properties/simulation.rs
+++ b/crates/policy/tests/properties/simulation.rs
@@ -40,7 +40,7 @@
         status: Status,
         cache_result: Option<CacheResult>,
     },
-    /// The final answer; with a Retry-After if the request was shed.
+    /// The final response; with a Retry-After if the request was shed.
     Answered {
         id: RequestId,
         retry_after: Option<Duration>,
