--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -52,7 +52,7 @@
     /// What every list passes on its way to the driver.
     pub(super) stale_lists: StaleListFilter,
     /// An endpoint was marked as draining against a list that calls it ready: when to poll for the complete list, which
-    /// tells whether it still drains.
+    /// shows whether it still drains.
     pub(super) complete_list_due: Option<Instant>,
 }
 
@@ -123,7 +123,8 @@
                 && address_changed_at
                     .is_some_and(|at| at.elapsed() < NOTIFIED_AFTER_ADDRESS_CHANGE);
             poll_at_once = awaits_first_list || self.failed_late;
-            // The policy is only told where its backoff counts, or where it doesn't request polls anyway.
+            // Report the failure to the policy only where the policy's backoff decides the next poll, or where lists are pushed
+            // and it requests none.
             if self.pushed || !poll_at_once {
                 self.events
                     .send(DriverEvent::DiscoveryFailed)
--- a/crates/node/src/discovery/notified.rs
+++ b/crates/node/src/discovery/notified.rs
@@ -17,7 +17,7 @@
 //!   of each change [`NOTIFIED_AFTER_FAILED_CALL`] after discovery had that change and could be reached.
 //! - **No call**: a node that neither called nor kept a watch for the polling interval of the settings
 //!   (`max_poll_interval`) is notified of all changes.
-//! - **Changed address**: a node that was told to use another discovery is notified of the whole list there
+//! - **Changed address**: a node that was configured to use another discovery is notified of the whole list there
 //!   [`NOTIFIED_AFTER_ADDRESS_CHANGE`] later. Until then the old discovery's written answers count.
 //! - **Pushed lists**: where an agent beside the node receives the lists, the node is notified of what the agent has at
 //!   once, with or without a call.
--- a/crates/node/src/discovery/stale_lists.rs
+++ b/crates/node/src/discovery/stale_lists.rs
@@ -11,11 +11,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an announcement outweighs lists that aren't known to be newer. By then an older list that was on its way has
-/// arrived, and a discovery that had lost its state has it again.
+/// How long an announcement takes precedence over lists that aren't known to be newer. By then an older list that was on
+/// its way has arrived, and a discovery that had lost its state has it again.
 pub const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Of an endpoint that is draining or removed.
+/// Latest notice that an endpoint is draining or removed.
 struct Announcement {
     generation: AddressGeneration,
     version: u64,
@@ -75,8 +75,8 @@
         marked_any
     }
 
-    /// Whether what is known of an endpoint outweighs a list that calls it ready. `newest` says that no list before was
-    /// newer.
+    /// Whether what is known of an endpoint takes precedence over a list that calls it ready. `newest` says that no list
+    /// before was newer.
     fn known_state_takes_precedence(
         &self,
         endpoint: &EndpointRecord,
--- a/crates/node/src/discovery/timing.rs
+++ b/crates/node/src/discovery/timing.rs
@@ -39,7 +39,7 @@
 /// not have reached it, and then the node is notified after `max_poll_interval`. The range is wide because nodes that start
 /// together would otherwise stand in discovery's queue together.
 pub const FIRST_RENEWAL_FRACTION: Range<f64> = 0.2..0.77;
-/// A renewal that hasn't failed within this time has had its turn at discovery and takes the newest watch's place.
+/// A renewal that hasn't failed within this time has been processed from discovery's queue and replaces the newest watch.
 pub const RENEWAL_OVERLAP: Duration = Duration::from_secs(3);
 /// Backoff between renewals, after one that failed early.
 pub const RENEWAL_BACKOFF: Jittered = Jittered {
@@ -50,8 +50,8 @@
 /// The wait that a poll asks for which finds out whether a watch has missed a change. With its answer the node has every
 /// change that discovery had.
 pub const CATCH_UP_WAIT: Duration = Duration::from_millis(50);
-/// Time from the opening of a watch after a failed call to the poll that verifies it. By then the watch has had its turn:
-/// nodes that lost their watches together need one turn each for the list, and this poll is a second one.
+/// Time from the opening of a watch after a failed call to the poll that verifies it. By then the watch has been
+/// processed from discovery's queue; an earlier poll would double the queue's load after a failure that many nodes share.
 pub const WATCH_VERIFICATION_DELAY: Jittered = Jittered {
     mean: Duration::from_millis(2100),
     jitter: 0.05,
@@ -76,9 +76,10 @@
 
 /// Mean backoff after a call that was refused or reset at a new address, while no list has come from there.
 pub const ADDRESS_CHANGE_BACKOFF: Duration = Duration::from_millis(500);
-/// A node that was answered within this time leaves the places in discovery's queue to others when it is refused.
+/// After an error status (mostly 503), a node answered within this time uses the longer [`RECENT_ANSWER_BACKOFF`]: it
+/// leaves discovery's queue to nodes that were not.
 pub const RECENT_ANSWER_WINDOW: Duration = Duration::from_secs(1);
-/// Backoff of such a node.
+/// Backoff after an error status within [`RECENT_ANSWER_WINDOW`] of an answer.
 pub const RECENT_ANSWER_BACKOFF: Jittered = Jittered {
     mean: Duration::from_millis(1800),
     jitter: 0.2,
