--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,11 +1,12 @@
 //! The driver: takes a request from its arrival to its final response, as the decision module says.
 //!
-//! It alone owns the decision module and the open requests. Events come in by channel, become events of the module, and
-//! the module's actions are carried out in order; no endpoint is chosen, nothing retried and nothing shed here.
+//! It alone owns the decision module and the open requests. Events come in by channel, become events of the
+//! decision module, and its actions are carried out in order; no endpoint is chosen, nothing retried and nothing shed
+//! here.
 //!
 //! The way of a request: `on_request_received` opens it, `start_attempt` forwards it, `on_attempt_ended` reports an
-//! attempt's result to the module, `respond` gives the final response, and `remove_if_finished` forgets it. Two events
-//! can cut that short: `on_client_disconnected` and `on_response_deadline`.
+//! attempt's result to the decision module, `respond` gives the final response, and `remove_if_finished` forgets it. Two
+//! events can cut that short: `on_client_disconnected` and `on_response_deadline`.
 
 mod messages;
 mod open_request;
@@ -56,7 +57,7 @@
     pub awaits_first_list: bool,
     /// Where attempts report their ends: the sending end of the events that `run` reads.
     pub events: UnboundedSender<DriverEvent>,
-    /// Told of all that happens to requests.
+    /// Is called with everything that happens to requests.
     pub observer: Rc<dyn Observer>,
 }
 
@@ -241,7 +242,7 @@
     }
 
     /// Fails a request that the decision module has left without a response, and cancels it there. The results of
-    /// its attempts in flight are still reported to the module.
+    /// its attempts in flight are still reported to it.
     fn on_response_deadline(&mut self, id: RequestId) {
         let Some(open) = self
             .open_requests
--- a/crates/node/src/driver/messages.rs
+++ b/crates/node/src/driver/messages.rs
@@ -1,4 +1,4 @@
-//! What the driver is told, and what it answers.
+//! Messages to the driver, and its final responses.
 
 use crate::upstream::{AttemptResult, ForwardedRequest};
 use bytes::Bytes;
@@ -13,7 +13,7 @@
 /// request's way here and the response's way back are part of it.
 pub(super) const NETWORK_MARGIN: Duration = Duration::from_millis(5);
 
-/// What the node's other parts tell the driver.
+/// What the node's other parts report to the driver.
 #[derive(Debug)]
 pub enum DriverEvent {
     /// A client's request was read whole.
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -59,7 +59,7 @@
         discovery_sender,
         telemetry,
     ));
-    let membership = node.spawn_driver(DriverStart {
+    let discovery_client = node.spawn_driver(DriverStart {
         settings: config.settings,
         seed: config.seed,
         known_endpoints: config.known_endpoints,
@@ -78,7 +78,7 @@
     let graceful = shut_down_gracefully(signals.terminate, &config.name, &stage_sender, ports, log);
     let stopped_by = tokio::select! {
         biased;
-        never = membership => match never {},
+        never = discovery_client => match never {},
         ended = graceful => ended.map(|()| StopSignal::TERMINATE)?,
         signal = wait_for_termination(termination_signals) => signal,
     };
