--- a/crates/node/src/upstream/idle_history.rs
+++ b/crates/node/src/upstream/idle_history.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// This many requests lost on connections of about the same idle time, and this share of all of them, show that endpoints
-/// drop connections silently after that time.
+/// Fewest requests lost on connections of about the same idle time that show that endpoints drop connections silently after
+/// that time.
 const MIN_DROPS: u32 = 3;
-/// The share that goes with [`MIN_DROPS`].
-const MIN_DROP_SHARE: f64 = 0.2;
+/// Least rate of requests lost among all on connections of about the same idle time that shows the same; both must be met.
+const MIN_DROP_RATE: f64 = 0.2;
 /// Connections break for other causes as well, whatever their idle time: only losses above this multiple of that rate
 /// count as drops.
 const MIN_DROP_EXCESS: f64 = 3.0;
@@ -26,7 +26,7 @@
 }
 
 impl Bucket {
-    /// The share of the requests that were lost; 0 without requests.
+    /// Requests lost among all, from 0 to 1; 0 without requests.
     fn loss_rate(self) -> f64 {
         f64::from(self.lost) / f64::from(self.requests.max(1))
     }
@@ -68,7 +68,7 @@
     pub(super) fn idle_timeout(&self) -> Duration {
         let mut shorter = Bucket::default();
         for (index, bucket) in self.buckets.iter().enumerate() {
-            let min_rate = MIN_DROP_SHARE.max(shorter.loss_rate() * MIN_DROP_EXCESS);
+            let min_rate = MIN_DROP_RATE.max(shorter.loss_rate() * MIN_DROP_EXCESS);
             let drops = bucket.lost >= MIN_DROPS && bucket.loss_rate() >= min_rate;
             if drops && shorter.requests > 0 {
                 return min_idle_time(index).min(self.max_idle_timeout);
--- a/crates/policy/src/balancer/outcome.rs
+++ b/crates/policy/src/balancer/outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt tells each mechanism.
+//! Evaluates the end of an attempt and reports it to each mechanism.
 
 use super::Balancer;
 use crate::api::{
@@ -13,14 +13,14 @@
 
 /// Utilization from which on an endpoint has no cores to spare.
 const BUSY_UTILIZATION: f64 = 0.8;
-/// Up to so many nodes, each meets an endpoint often enough for the queue that it reports to tell
-/// of this node's load.
+/// Up to this many nodes, each sends to an endpoint often enough for the queue length that it
+/// reports to reflect this node's load.
 const MAX_NODES_FOR_QUEUE_REPORTS: u32 = 100;
 /// Mean number of waiting requests under which an endpoint has no queue.
 const QUEUE_LENGTH_OF_NONE: f64 = 1.0;
-/// A node keeps a connection open if it sends to its endpoint again within this time, divided by
-/// the number of nodes: 13 s for one of 300. A handshake is work for the endpoint and costs time,
-/// and an open connection takes one of its places.
+/// Longest interval between two sends to an endpoint at which idle connections to it are kept open:
+/// this time divided by the number of nodes, 13 s for one of 300. A handshake is work for the
+/// endpoint and costs time, and an idle connection uses up part of its connection limit.
 const CONNECTION_KEPT_OPEN: Duration = Duration::from_secs(4_000);
 /// Least expected work, in seconds: it is divided by.
 const MIN_EXPECTED_WORK: f64 = 1e-6;
@@ -38,20 +38,21 @@
     class: usize,
     /// Of the breakers, when the attempt was sent.
     epochs: BreakerEpochs,
-    /// The endpoint had no queue just before.
-    had_no_queue: bool,
-    /// A time-out that was not the endpoint's load. A time-out brings no report, but where answers
-    /// of late met no queue something else took long (a miss waits for the origin, say): less load
-    /// and a breaker for that endpoint help nobody, and its keys would be missed elsewhere.
-    timed_out_without_load: bool,
-    /// It ended early enough for the endpoint's load to be in order.
+    /// The endpoint had recently reported an empty queue, before this attempt ended.
+    recent_queue_was_empty: bool,
+    /// A time-out at an endpoint that recently reported an empty queue: something else took long (a
+    /// miss that waits for the origin, say). Not counted by the endpoint's breaker nor by load
+    /// shedding, since its keys would be missed elsewhere; the concurrency limit still decreases.
+    timeout_without_queue: bool,
+    /// Its latency is within the time allowed for its expected work and latency objective.
     in_time: bool,
     /// The endpoint has cores to spare, as it reported.
     has_spare_cores: bool,
-    /// Whether the endpoint has no queue, where it reported.
-    reports_no_queue: Option<bool>,
-    /// The endpoint's queue, where it tells of this node's load, shows that nobody waits there.
-    nobody_waits: bool,
+    /// Whether the endpoint reported an empty queue at this end; `None` without a report.
+    reported_queue_empty: Option<bool>,
+    /// Whether the endpoint's queue counts as empty: it was reported empty, in a deployment small
+    /// enough for the report to reflect this node's load, or this is a `timeout_without_queue`.
+    queue_is_empty: bool,
 }
 
 impl Evaluation {
@@ -69,20 +70,23 @@
         self.succeeded() && !self.in_time && !self.has_spare_cores
     }
 
-    /// Rejected where nobody waits: how much is sent there changes nothing.
+    /// Rejected with an empty queue, so overload is not the cause.
     fn is_rejected_without_load(&self) -> bool {
-        self.status == Status::Rejected && self.had_no_queue && self.reports_no_queue != Some(false)
+        self.status == Status::Rejected
+            && self.recent_queue_was_empty
+            && self.reported_queue_empty != Some(false)
     }
 
-    /// Rejected or timed out for load.
+    /// Rejected because of load, or timed out.
     fn is_overloaded(&self) -> bool {
-        let refused = matches!(self.status, Status::Rejected | Status::TimedOut);
-        self.timed_out_without_load || self.failed() && !self.is_rejected_without_load() && refused
+        let rejected_or_timed_out = matches!(self.status, Status::Rejected | Status::TimedOut);
+        self.timeout_without_queue
+            || self.failed() && !self.is_rejected_without_load() && rejected_or_timed_out
     }
 }
 
 impl Balancer {
-    /// Takes in the end of an attempt; one that is not in flight is passed over.
+    /// Handles the end of an attempt; one that is not in flight is ignored.
     pub(super) fn on_attempt_ended(
         &mut self,
         outcome: &Outcome,
@@ -106,7 +110,7 @@
         self.dispatch(pending, now, actions);
     }
 
-    /// Tells each mechanism of the end of an attempt.
+    /// Reports the end of an attempt to each mechanism.
     fn learn_from(
         &mut self,
         request: &Request,
@@ -145,9 +149,9 @@
         now: Timestamp,
     ) -> Evaluation {
         let status = outcome.status;
-        let had_no_queue =
+        let recent_queue_was_empty =
             position.is_some_and(|index| self.has_no_queue(&self.endpoints[index], now));
-        let timed_out_without_load = had_no_queue && status == Status::TimedOut;
+        let timeout_without_queue = recent_queue_was_empty && status == Status::TimedOut;
         let fetched = outcome.cache_result == Some(CacheResult::Miss)
             && self.settings.mode == CacheMode::ReadThrough;
         let origin_at_fault = self.origin.on_attempt_ended(attempt, status, now) || fetched;
@@ -160,20 +164,21 @@
             queue_length,
             ..
         } = outcome.load;
-        let reports_no_queue = queue_length.map(|waiting| waiting < QUEUE_LENGTH_OF_NONE);
+        let reported_queue_empty = queue_length.map(|waiting| waiting < QUEUE_LENGTH_OF_NONE);
         let report_counts = self.settings.nodes <= MAX_NODES_FOR_QUEUE_REPORTS;
         Evaluation {
             status,
-            result: call_result(status, timed_out_without_load, origin_at_fault),
+            result: call_result(status, timeout_without_queue, origin_at_fault),
             fetched,
             class: self.class_index(request),
             epochs: attempt.epochs,
-            had_no_queue,
-            timed_out_without_load,
+            recent_queue_was_empty,
+            timeout_without_queue,
             in_time: outcome.latency <= time_allowed,
             has_spare_cores: utilization.is_some_and(|busy| busy < BUSY_UTILIZATION),
-            reports_no_queue,
-            nobody_waits: timed_out_without_load || report_counts && reports_no_queue == Some(true),
+            reported_queue_empty,
+            queue_is_empty: timeout_without_queue
+                || report_counts && reported_queue_empty == Some(true),
         }
     }
 
@@ -218,7 +223,7 @@
         };
         let result = match evaluation.result {
             _ if !evaluation.fetched => CallResult::Inconclusive,
-            // A fetch that failed tells nothing of the endpoint, but of the origin.
+            // A failed fetch is evidence about the origin, not about the endpoint.
             CallResult::Inconclusive => CallResult::Failure,
             CallResult::Success | CallResult::Failure => CallResult::Success,
         };
@@ -261,20 +266,20 @@
         // the request goes on to another one nothing is lost.
         let retries_elsewhere = self.is_large_deployment() && evaluation.status == Status::Rejected;
         let state = &mut self.endpoints[index];
-        if let Some(has_no_queue) = evaluation.reports_no_queue {
-            state.record_queue_report(has_no_queue, now);
+        if let Some(queue_is_empty) = evaluation.reported_queue_empty {
+            state.record_queue_report(queue_is_empty, now);
         }
         let is_late = evaluation.is_late();
-        if evaluation.succeeded() && (!is_late || evaluation.nobody_waits) {
+        if evaluation.succeeded() && (!is_late || evaluation.queue_is_empty) {
             self.load_shedder.record_good();
         }
         let limit = &mut state.concurrency;
         if evaluation.succeeded() && evaluation.in_time && limit.is_in_use() {
             limit.increase();
-        } else if is_late && evaluation.nobody_waits {
+        } else if is_late && evaluation.queue_is_empty {
             limit.decrease_without_queue(self.concurrency);
         } else if is_late || evaluation.is_overloaded() {
-            if !evaluation.timed_out_without_load && !retries_elsewhere {
+            if !evaluation.timeout_without_queue && !retries_elsewhere {
                 self.load_shedder.record_bad();
             }
             limit.decrease(self.concurrency);
@@ -285,8 +290,9 @@
         }
     }
 
-    /// Each node of a large deployment meets an endpoint now and then: left open, their connections
-    /// fill its table.
+    /// Closes idle connections to an endpoint that is seldom sent to. A node of a large deployment
+    /// sends to an endpoint rarely; idle connections from all nodes would exhaust the endpoint's
+    /// connection limit.
     fn close_seldom_used_connections(&self, index: usize, actions: &mut Vec<Action>) {
         let state = &self.endpoints[index];
         let kept_open = CONNECTION_KEPT_OPEN / self.settings.nodes.max(1);
@@ -360,12 +366,12 @@
 }
 
 /// What an attempt's end shows of its endpoint. A fetch that failed is the origin's failure:
-/// another endpoint would ask the same origin.
-fn call_result(status: Status, timed_out_without_load: bool, origin_at_fault: bool) -> CallResult {
+/// another endpoint would fetch from the same origin.
+fn call_result(status: Status, timeout_without_queue: bool, origin_at_fault: bool) -> CallResult {
     match status {
         Status::Ok | Status::Miss => CallResult::Success,
         Status::Canceled | Status::NotSent => CallResult::Inconclusive,
-        _ if timed_out_without_load || origin_at_fault => CallResult::Inconclusive,
+        _ if timeout_without_queue || origin_at_fault => CallResult::Inconclusive,
         _ => CallResult::Failure,
     }
 }
--- a/crates/policy/src/origin_protection.rs
+++ b/crates/policy/src/origin_protection.rs
@@ -15,7 +15,7 @@
 use crate::decay::{DecayedCounts, DECAY_TIME};
 use crate::pending::{Attempt, PendingRequest};
 
-/// The origin is overloaded while this part of the likely misses fails.
+/// The origin is overloaded while this fraction of the likely misses fails.
 const OVERLOAD_FAILURE_RATE: f64 = 0.4;
 /// And their failure rate is at least this many times that of all other attempts.
 const OVERLOAD_RATE_RATIO: f64 = 2.0;
@@ -27,9 +27,9 @@
 const IN_USE_FACTOR: f64 = 4.0;
 /// Least limit, for all nodes together.
 const MIN_LIMIT_FOR_ALL: f64 = 1.0;
-/// Part of the limit that a further likely miss of a request may use after a failed one: it is made
-/// only if the origin has plenty of capacity.
-const PART_AFTER_FAILURE: f64 = 0.5;
+/// Fraction of the limit that a further likely miss of a request may use after a failed one: it is
+/// made only if the origin has plenty of capacity.
+const FRACTION_AFTER_FAILURE: f64 = 0.5;
 
 /// Limit of likely misses and circuit breaker of the origin.
 #[derive(Debug)]
@@ -72,12 +72,12 @@
 
     /// Whether the limit leaves no likely miss to this request.
     pub(crate) fn is_full_for(&self, pending: &PendingRequest) -> bool {
-        let part = if pending.likely_miss_failed() {
-            PART_AFTER_FAILURE
+        let fraction = if pending.likely_miss_failed() {
+            FRACTION_AFTER_FAILURE
         } else {
             1.0
         };
-        f64::from(self.in_flight) + pending.dither >= self.limit * part
+        f64::from(self.in_flight) + pending.dither >= self.limit * fraction
     }
 
     /// Counts a likely miss as in flight.
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -9,8 +9,7 @@
     pub(crate) endpoint: u32,
     /// Of the breaker of the request's class at the endpoint.
     pub(crate) class: u32,
-    /// `None` for an attempt that no trial of the origin's breaker was counted for: its end tells
-    /// that breaker nothing.
+    /// `None` for an attempt whose result does not count at the origin's breaker.
     pub(crate) origin: Option<u32>,
     /// Of the breaker of the endpoint's zone; 0 where none is kept.
     pub(crate) zone: u32,
@@ -33,7 +32,7 @@
     pub(crate) status: Option<Status>,
 }
 
-/// A request that has no final answer yet, or has an attempt in flight.
+/// A request that has no final response yet, or has an attempt in flight.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
     /// As the client sent it.
@@ -45,7 +44,7 @@
     pub(crate) dither: f64,
     /// When it arrived at this node.
     pub(crate) arrived: Timestamp,
-    /// Whether nothing more is owed: it has its final answer, or its client has left.
+    /// Whether no response is due any more: it has its final response, or its client disconnected.
     pub(crate) finished: bool,
 }
 
@@ -78,8 +77,8 @@
         self.attempts.iter().any(|attempt| attempt.status.is_none())
     }
 
-    /// Whether its next attempt is a retry. To ask the origin after a cache miss is the ordinary
-    /// way on.
+    /// Whether its next attempt is a retry. A send to the origin after a cache miss is the
+    /// ordinary next step.
     pub(crate) fn next_is_retry(&self) -> bool {
         let last = self.attempts.last();
         last.is_some_and(|attempt| attempt.status != Some(Status::Miss))
@@ -97,14 +96,14 @@
         last.is_some_and(|attempt| attempt.status == Some(Status::Rejected))
     }
 
-    /// Whether a cache server told that it lacks the value.
+    /// Whether a cache server reported that it lacks the value.
     pub(crate) fn has_missed(&self) -> bool {
         let mut attempts = self.attempts.iter();
         attempts.any(|attempt| attempt.status == Some(Status::Miss))
     }
 
     /// Whether an attempt has been made at this endpoint.
-    pub(crate) fn tried(&self, endpoint: &Endpoint) -> bool {
+    pub(crate) fn was_attempted_at(&self, endpoint: &Endpoint) -> bool {
         let mut attempts = self.attempts.iter();
         attempts.any(|attempt| attempt.endpoint.id == endpoint.id)
     }
