--- a/crates/cli/tests/node_features/metrics.rs
+++ b/crates/cli/tests/node_features/metrics.rs
@@ -96,7 +96,9 @@
             .unwrap()
             .contains("slatelink.host.blocked:1|g|#host:s-bad\n")
     });
-    assert!(log_has(&node, |line| line == "breaker of s-bad tripped"));
+    wait_for("the breaker's line in the log", || {
+        log_has(&node, |line| line == "breaker of s-bad tripped")
+    });
     assert!(!std::fs::read_to_string(&path)
         .unwrap()
         .contains("blocked:1|g|#host:s-good"));
