--- a/crates/cli/tests/node_common/http.rs
+++ b/crates/cli/tests/node_common/http.rs
@@ -115,3 +115,16 @@
         self.answer().expect("an answer")
     }
 }
+
+/// The answer to a request that the node shed: 503, with when to send it again.
+pub fn assert_shed(answer: &Message) {
+    assert_eq!(answer.status(), 503, "{answer:?}");
+    assert!(
+        answer
+            .header("retry-after")
+            .unwrap()
+            .parse::<f64>()
+            .unwrap()
+            > 0.0
+    );
+}
--- a/crates/cli/tests/node_common/mod.rs
+++ b/crates/cli/tests/node_common/mod.rs
@@ -13,7 +13,7 @@
 
 pub use cache_server::{endpoint_entry, CacheServer, Reply};
 pub use discovery::Discovery;
-pub use http::{answer, read, Client, Message};
+pub use http::{answer, assert_shed, read, Client, Message};
 pub use node::{command, config, temporary_path, write_config, Node};
 pub use slow_server::SlowServer;
 pub use waiting::{wait_for, Gate, WAIT_TIMEOUT};
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -316,7 +316,7 @@
             (&b"value"[..], false),
             "{id}"
         ),
-        503 => assert_shed(id, outcome.class, answer, attempts),
+        503 => assert_safely_shed(id, outcome.class, answer, attempts),
         status => assert_eq!(status, 502, "{id}"),
     }
     // A request that is given up is answered at once: where no server was silent, none waits for its deadline.
@@ -329,7 +329,7 @@
 }
 
 /// A request that is shed is safe to send again, and its answer says when.
-fn assert_shed(id: &str, class: &str, answer: &Message, attempts: &[Status]) {
+fn assert_safely_shed(id: &str, class: &str, answer: &Message, attempts: &[Status]) {
     assert!(
         class != "once" || attempts.iter().all(is_rejected),
         "{id} refused after {attempts:?}"
