--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -14,9 +14,9 @@
 /// class.
 const LATENCIES_LEFT: u32 = 3;
 
-/// When a queued request is to be dispatched again; `None` where an answer after that would probably
-/// be too late. `usual_latency` is that of its class and `give_up` the end of its latency objective
-/// or its deadline, whichever is first.
+/// When a queued request is to be dispatched again; `None` where an answer after that would
+/// probably be too late. `usual_latency` is that of its class and `give_up` the end of its latency
+/// objective or its deadline, whichever is first.
 pub(crate) fn next_dispatch(
     now: Timestamp,
     latency_objective: Duration,
