--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,6 +1,6 @@
 //! The balancer: the way of an event through the mechanisms. Its interface is `src/api.rs`.
 //!
-//! A request that arrives is dispatched (`balancer/dispatch.rs`): refused, queued or sent to the
+//! A request that arrives is dispatched (`balancer/dispatch.rs`): shed, queued or sent to the
 //! endpoint that `balancer/selection.rs` finds. The end of an attempt is evaluated for each
 //! mechanism (`balancer/outcome.rs`), then the request is dispatched again if it has no final
 //! answer. Updates of the endpoint list go to the endpoint table.
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::slow_start;
 use std::time::Duration;
 
-/// The part of its latency objective after which the client of a shed request is told to come back.
+/// The part of its latency objective after which the client of a shed request may send it again.
 const RETRY_AFTER_PART: f64 = 0.02;
 
 impl Balancer {
@@ -81,9 +81,9 @@
         }
         let request = &pending.request;
         let objective = self.class(request).latency_objective;
-        let usual = self.latencies.usual(self.class_index(request));
+        let average = self.latencies.average(self.class_index(request));
         let give_up = (pending.arrived + objective).min(request.deadline);
-        queue::next_try(now, objective, Duration::from_secs_f64(usual), give_up)
+        queue::next_try(now, objective, Duration::from_secs_f64(average), give_up)
     }
 
     fn send(
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -127,8 +127,8 @@
         let state = &self.endpoints[index];
         let has_share_of_time = || {
             let idle = now.since(state.last_sent());
-            let usual = self.latencies.usual(self.class_index(&pending.request));
-            state.concurrency.has_share_of_time(part, idle, usual)
+            let average = self.latencies.average(self.class_index(&pending.request));
+            state.concurrency.has_share_of_time(part, idle, average)
         };
         state.concurrency.has_capacity(part, pending.dither)
             || self.is_large_deployment() && has_share_of_time()
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -95,11 +95,16 @@
     }
 
     /// The same for a limit under one, taken as a share of time: whether an idle endpoint has been
-    /// left alone for long enough that one attempt of the usual latency (in seconds) keeps to the
+    /// left alone for long enough that one attempt of the average latency (in seconds) keeps to the
     /// limit on average. Taken as odds of sending at all, such a limit would keep the endpoint from
     /// its next answers, which alone raise it again.
-    pub(crate) fn has_share_of_time(&self, part: f64, idle: Duration, usual_latency: f64) -> bool {
-        self.in_flight == 0 && idle.as_secs_f64() * (self.limit * part) >= usual_latency
+    pub(crate) fn has_share_of_time(
+        &self,
+        part: f64,
+        idle: Duration,
+        average_latency: f64,
+    ) -> bool {
+        self.in_flight == 0 && idle.as_secs_f64() * (self.limit * part) >= average_latency
     }
 
     /// Whether answers in time raise the limit: not while little of it is used.
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,5 +1,5 @@
-//! The usual latency of each class, and whether an answer was in time for the endpoint's load to be
-//! in order.
+//! The average latency of each class, and whether an answer was in time for the endpoint's load to
+//! be in order.
 
 use crate::api::Class;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub(crate) struct LatencyTracker {
     /// By class, in seconds.
-    usual: Vec<f64>,
+    averages: Vec<f64>,
     /// In seconds.
     mean_work: f64,
 }
@@ -28,20 +28,20 @@
     pub(crate) fn new(classes: &[Class]) -> Self {
         let objectives = classes.iter().map(|class| class.latency_objective);
         Self {
-            usual: objectives.map(|time| time.as_secs_f64()).collect(),
+            averages: objectives.map(|time| time.as_secs_f64()).collect(),
             mean_work: 0.0,
         }
     }
 
-    /// The usual latency of a class, in seconds.
-    pub(crate) fn usual(&self, class: usize) -> f64 {
-        self.usual[class]
+    /// The average latency of a class, in seconds.
+    pub(crate) fn average(&self, class: usize) -> f64 {
+        self.averages[class]
     }
 
     /// Takes in the latency of an answer that was served.
     pub(crate) fn record_latency(&mut self, class: usize, latency: Duration) {
-        let usual = &mut self.usual[class];
-        *usual += (latency.as_secs_f64() - *usual) / AVERAGED_LATENCIES;
+        let average = &mut self.averages[class];
+        *average += (latency.as_secs_f64() - *average) / AVERAGED_LATENCIES;
     }
 
     /// How long an attempt of this expected work may take to be in time: a part of its latency
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -1,6 +1,6 @@
 //! Load shedding: a node's own bound on new requests while answers come late or not at all.
 //!
-//! A fleet that is overloaded as a whole drains only if most requests are refused before they are
+//! A fleet that is overloaded as a whole drains only if most requests are shed before they are
 //! sent. As in adaptive throttling of clients, the part that is admitted follows from counts of
 //! good and bad ends over the last seconds: [`ADMITTED_PER_GOOD_END`] requests for each good end.
 //! Unlike there, a request that was shed counts as a small part of a bad end, so that admission
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -97,7 +97,7 @@
         last.is_some_and(|attempt| attempt.status == Some(Status::Rejected))
     }
 
-    /// Whether a cache server told that it lacks the value.
+    /// Whether a cache server answered that it lacks the value.
     pub(crate) fn has_missed(&self) -> bool {
         let mut attempts = self.attempts.iter();
         attempts.any(|attempt| attempt.status == Some(Status::Miss))
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -10,21 +10,21 @@
 
 /// A queued request is tried again after this part of its latency objective.
 const RETRY_STEP: f64 = 0.1;
-/// A request is queued only while there is time left for this many times the usual latency of its
+/// A request is queued only while there is time left for this many times the average latency of its
 /// class.
 const LATENCIES_LEFT: u32 = 3;
 
 /// When a queued request is to be tried again; `None` where an answer after that would probably be
-/// too late. `usual_latency` is that of its class and `give_up` the end of its latency objective or
-/// its deadline, whichever is first.
+/// too late. `average_latency` is that of its class and `give_up` the end of its latency objective
+/// or its deadline, whichever is first.
 pub(crate) fn next_try(
     now: Timestamp,
     latency_objective: Duration,
-    usual_latency: Duration,
+    average_latency: Duration,
     give_up: Timestamp,
 ) -> Option<Timestamp> {
     let next = now + latency_objective.mul_f64(RETRY_STEP);
-    (next + usual_latency * LATENCIES_LEFT <= give_up).then_some(next)
+    (next + average_latency * LATENCIES_LEFT <= give_up).then_some(next)
 }
 
 /// The queued requests by the time of their next try.
