--- a/crates/membership/src/replica.rs
+++ b/crates/membership/src/replica.rs
@@ -45,8 +45,8 @@
 #[derive(Clone, Copy, Debug)]
 struct UnknownVersion {
     version: Version,
-    /// When the call was sent whose answer showed it.
-    asked_at: Duration,
+    /// Send time of the call that revealed it.
+    call_sent_at: Duration,
 }
 
 /// A copy of the endpoint list with its recent changes.
--- a/crates/node/src/connections/handle.rs
+++ b/crates/node/src/connections/handle.rs
@@ -102,13 +102,13 @@
     }
 
     /// Whether the client has closed its side, also where that stands behind bytes that nobody has asked for.
-    pub fn client_has_left(&self) -> bool {
+    pub fn client_has_disconnected(&self) -> bool {
         self.socket.fill_read_ahead();
         self.socket.read_closed.get()
     }
 
     /// The same; the task is woken when there is more to be read.
-    fn poll_client_has_left(&self, cx: &mut Context<'_>) -> bool {
+    fn poll_client_has_disconnected(&self, cx: &mut Context<'_>) -> bool {
         while !self.socket.read_closed.get() {
             match self.socket.stream.poll_read_ready(cx) {
                 Poll::Pending => return false,
@@ -191,12 +191,12 @@
         poll_fn(|cx| {
             self.register_waker(cx);
             loop {
-                // An error here is a client that left or spoke no HTTP: hyper has answered what can be.
+                // An error here is a client that disconnected or spoke no HTTP: hyper has answered what can be.
                 if Pin::new(&mut *http_connection).poll(cx).is_ready() {
                     return Poll::Ready(DriveOutcome::Closed);
                 }
                 // hyper looks for the client's end only while it has read nothing more of it.
-                if self.is_in_phase(Phase::Processing) && self.poll_client_has_left(cx) {
+                if self.is_in_phase(Phase::Processing) && self.poll_client_has_disconnected(cx) {
                     return Poll::Ready(DriveOutcome::Closed);
                 }
                 match self.directive() {
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -29,8 +29,8 @@
 pub(crate) struct ConcurrencyBounds {
     /// Limit of an endpoint that nothing is known of.
     pub(crate) start: f64,
-    /// Least limit of an endpoint. One with nothing of a node's in flight must get its next
-    /// request: refused for want of capacity there, no answer would ever raise the limit again.
+    /// Least limit. An endpoint with nothing in flight must still get its next request: if the node
+    /// never sent there for want of capacity, no answer would ever raise the limit again.
     pub(crate) min: f64,
 }
 
@@ -88,23 +88,23 @@
         self.in_flight = 0;
     }
 
-    /// Whether one more fits into this part of the limit. `dither`, uniform between 0 and 1, rounds
-    /// the limit.
-    pub(crate) fn has_capacity(&self, part: f64, dither: f64) -> bool {
-        f64::from(self.in_flight) + dither < self.limit * part
+    /// Whether one more fits into this fraction of the limit. `dither`, uniform between 0 and 1,
+    /// rounds the limit.
+    pub(crate) fn has_capacity(&self, fraction: f64, dither: f64) -> bool {
+        f64::from(self.in_flight) + dither < self.limit * fraction
     }
 
-    /// The same for a limit under one, taken as a share of time: whether an idle endpoint has been
-    /// left alone for long enough that one attempt of the average latency (in seconds) keeps to the
-    /// limit on average. Taken as odds of sending at all, such a limit would keep the endpoint from
+    /// The same for a limit below 1, which is a duty cycle: whether an idle endpoint was last sent
+    /// to long enough ago that one attempt of the average latency (in seconds) keeps to the limit
+    /// on average. Taken as the probability of sending, such a limit would keep the endpoint from
     /// its next answers, which alone raise it again.
-    pub(crate) fn has_share_of_time(
+    pub(crate) fn fractional_limit_allows(
         &self,
-        part: f64,
+        fraction: f64,
         idle: Duration,
         average_latency: f64,
     ) -> bool {
-        self.in_flight == 0 && idle.as_secs_f64() * (self.limit * part) >= average_latency
+        self.in_flight == 0 && idle.as_secs_f64() * (self.limit * fraction) >= average_latency
     }
 
     /// Whether answers in time raise the limit: not while little of it is used.
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -10,9 +10,9 @@
 use crate::api::{Endpoint, Settings, Timestamp};
 use crate::decay::DECAY_TIME;
 
-/// Part of the stated overload factor that is used: a window can touch three slots of half a
+/// Fraction of the stated overload factor that is used: a window can touch three slots of half a
 /// window.
-const OVERLOAD_FACTOR_PART: f64 = 0.7;
+const OVERLOAD_FACTOR_FRACTION: f64 = 0.7;
 /// Slots that a window is divided into.
 const SLOTS_PER_WINDOW: u64 = 2;
 /// Least warm-up time, in seconds: it is divided by.
@@ -51,7 +51,8 @@
     }
 }
 
-/// The part of its full capacity that the endpoint has by now, up to 1.
+/// The slow-start factor, from 0 to 1: the fraction of its full capacity that the endpoint has by
+/// now.
 pub(crate) fn warmth(settings: &Settings, endpoint: &Endpoint, now: Timestamp) -> f64 {
     let duration = settings.slow_start_duration.as_secs_f64().max(MIN_WARM_UP);
     let age = endpoint
@@ -74,5 +75,5 @@
     good_answers * windows / SLOTS_PER_WINDOW as f64
         * share
         * settings.slow_start_overload_factor
-        * OVERLOAD_FACTOR_PART
+        * OVERLOAD_FACTOR_FRACTION
 }
