--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -81,9 +81,9 @@
         }
         let request = &pending.request;
         let objective = self.class(request).latency_objective;
-        let usual = self.latencies.usual(self.class_index(request));
+        let average = self.latencies.average(self.class_index(request));
         let give_up = (pending.arrived + objective).min(request.deadline);
-        queue::next_dispatch(now, objective, Duration::from_secs_f64(usual), give_up)
+        queue::next_dispatch(now, objective, Duration::from_secs_f64(average), give_up)
     }
 
     fn send(
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -126,10 +126,10 @@
         let state = &self.endpoints[index];
         let fractional_limit_allows = || {
             let idle = now.since(state.last_sent());
-            let usual = self.latencies.usual(self.class_index(&pending.request));
+            let average = self.latencies.average(self.class_index(&pending.request));
             state
                 .concurrency
-                .fractional_limit_allows(fraction, idle, usual)
+                .fractional_limit_allows(fraction, idle, average)
         };
         state.concurrency.has_capacity(fraction, pending.dither)
             || self.is_large_deployment() && fractional_limit_allows()
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -95,16 +95,16 @@
     }
 
     /// The same for a limit below 1, which is a duty cycle: whether an idle endpoint was last sent
-    /// to long enough ago that one attempt of the usual latency (in seconds) keeps to the limit on
-    /// average. Taken as the probability of sending, such a limit would keep the endpoint from
+    /// to long enough ago that one attempt of the average latency (in seconds) keeps to the limit
+    /// on average. Taken as the probability of sending, such a limit would keep the endpoint from
     /// its next answers, which alone raise it again.
     pub(crate) fn fractional_limit_allows(
         &self,
         fraction: f64,
         idle: Duration,
-        usual_latency: f64,
+        average_latency: f64,
     ) -> bool {
-        self.in_flight == 0 && idle.as_secs_f64() * (self.limit * fraction) >= usual_latency
+        self.in_flight == 0 && idle.as_secs_f64() * (self.limit * fraction) >= average_latency
     }
 
     /// Whether answers in time raise the limit: not while little of it is used.
