--- a/crates/policy/src/api.rs
+++ b/crates/policy/src/api.rs
@@ -1,5 +1,5 @@
-//! The interface of a [`Balancer`](crate::Balancer): settings and [`Event`]s go in, [`Action`]s
-//! come out.
+//! Interface of a [`Balancer`](crate::Balancer): [`Settings`] and [`Event`]s are the input,
+//! [`Action`]s are the output.
 
 mod action;
 mod endpoint;
--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -1,12 +1,12 @@
-//! What comes out of a balancer.
+//! Output of a balancer: actions for the node.
 
 use super::{EndpointId, Name, RequestId};
 use std::fmt;
 use std::time::Duration;
 
-/// What a circuit breaker guards.
+/// The requests that a circuit breaker guards.
 ///
-/// Displays itself as the line for the log that tells of the breaker's opening.
+/// The `Display` text is the log line for the breaker's opening.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BreakerScope {
     /// All requests to one endpoint.
@@ -16,10 +16,10 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// Position of the class in [`Settings::classes`](crate::Settings::classes); the number of
-        /// classes for requests of none.
+        /// classes for requests without a class.
         class: usize,
     },
-    /// All requests to the endpoints of one zone; `None` for those that name no zone.
+    /// All requests to the endpoints of one zone; `None` for endpoints without a zone.
     Zone(Option<Name>),
     /// Requests that the origin has to serve.
     Origin,
@@ -41,37 +41,38 @@
     }
 }
 
-/// Something the node must do, in the order of the actions.
+/// An operation that the node must perform. Actions are performed in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt.
+    /// Start an attempt.
     Send {
         /// The request.
         id: RequestId,
         /// The endpoint.
         endpoint: EndpointId,
-        /// Time-out of the attempt, never past the request's deadline.
+        /// Timeout of the attempt; never later than the request's deadline.
         timeout: Duration,
-        /// Nothing of the attempt may be written after this time: while its connection is
-        /// established, endpoints may stop to discard repeats of the request.
+        /// Time within which the node must begin to write the request; a later attempt must not be
+        /// written. While the connection is established, endpoints may cease to discard repeats of
+        /// the request.
         begin_within: Duration,
     },
-    /// Final answer: shed. It was never done, or is safe to repeat.
+    /// Final response: shed. The request never ran, or is safe to repeat.
     Shed {
         /// The request.
         id: RequestId,
-        /// Retry-After: how long the client should wait before it sends the request again; zero for
-        /// no advice.
+        /// Retry-After: the client's delay before it sends the request again; zero if none is
+        /// recommended.
         retry_after: Duration,
     },
-    /// Final answer: failed. It may have run.
+    /// Final response: failed. The request may have run.
     Fail {
         /// The request.
         id: RequestId,
     },
     /// Deliver [`Event::Timer`](crate::Event::Timer) after this time.
     Wake {
-        /// From now.
+        /// Time from now.
         after: Duration,
     },
     /// Close the idle connections to an endpoint.
@@ -81,6 +82,6 @@
     },
     /// Poll discovery for the endpoint list.
     PollDiscovery,
-    /// A circuit breaker has opened: for the log and for metrics, nothing has to be done.
+    /// A circuit breaker has opened. Only for logs and metrics; requires no operation.
     BreakerOpened(BreakerScope),
 }
--- a/crates/policy/src/api/endpoint.rs
+++ b/crates/policy/src/api/endpoint.rs
@@ -1,40 +1,40 @@
-//! Endpoints, as discovery lists them.
+//! Endpoints, as listed by discovery.
 
 use super::{EndpointId, Name, Timestamp};
 use std::sync::Arc;
 
-/// Whether an endpoint may be sent requests, as discovery says.
+/// Whether an endpoint accepts requests, as reported by discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It finishes its requests and must be sent no more.
+    /// The endpoint finishes its current requests and must receive no new ones.
     Draining,
-    /// It is not listed any more.
+    /// The endpoint is no longer listed.
     Removed,
 }
 
-/// One cache server, or the origin of a cache-aside fleet, as discovery lists it.
+/// One cache server, or the origin of a cache-aside fleet, as listed by discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// Its identifier.
+    /// Identifier.
     pub id: EndpointId,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: Option<Name>,
-    /// The kind of machine it is.
+    /// Machine type.
     pub kind: Option<Name>,
-    /// The small group of endpoints that discard repeats of each other's requests.
+    /// Cell: a small group of endpoints that discard repeats of each other's requests.
     pub cell: u64,
-    /// Whether it may be sent requests.
+    /// Whether the endpoint accepts requests.
     pub availability: Availability,
-    /// Its full capacity in comparison with other endpoints.
+    /// Full capacity relative to other endpoints.
     pub weight: f64,
-    /// When its present incarnation started; `None` for long ago.
+    /// Start of the current incarnation; `None` if it started long ago.
     pub started: Option<Timestamp>,
 }
 
 impl Endpoint {
-    /// A ready endpoint of weight 1 that started long ago.
+    /// Returns a ready endpoint of weight 1 that started long ago.
     pub fn new(id: &str) -> Self {
         Self {
             id: id.into(),
@@ -48,13 +48,13 @@
     }
 }
 
-/// An answer of discovery.
+/// A response from discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
-    /// The complete endpoint list: what it lacks is removed.
+    /// The complete endpoint list; endpoints missing from it are removed.
     Snapshot(Arc<[Endpoint]>),
     /// The endpoints that changed.
     Delta(Arc<[Endpoint]>),
-    /// A call failed or the watch broke; the last known list stays in use.
+    /// A call or the watch failed; the last known list stays in use.
     Unavailable,
 }
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -1,21 +1,21 @@
-//! What goes into a balancer.
+//! Input of a balancer: events at the node.
 
 use super::{Endpoint, EndpointUpdate, Outcome, Request, RequestId};
 use std::sync::Arc;
 
-/// Something that happened, as the node tells the balancer.
+/// An event that the node reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The node starts with the list that an earlier process knew last, possibly stale.
+    /// The node starts with the last list known to an earlier process; possibly stale.
     LastKnownEndpoints(Arc<[Endpoint]>),
-    /// Discovery answered.
+    /// Discovery responded.
     Endpoints(EndpointUpdate),
     /// A request arrived.
     Request(Request),
     /// An attempt ended.
     AttemptEnded(Outcome),
-    /// The client left: the request needs no answer any more.
+    /// The client disconnected; the request needs no response.
     RequestCanceled(RequestId),
-    /// The time of an [`Action::Wake`](crate::Action::Wake) has come.
+    /// The delay of an [`Action::Wake`](crate::Action::Wake) has elapsed.
     Timer,
 }
--- a/crates/policy/src/api/identifiers.rs
+++ b/crates/policy/src/api/identifiers.rs
@@ -11,7 +11,7 @@
         #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(Arc<str>);
         impl $name {
-            /// It as text.
+            /// Returns the text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -30,7 +30,7 @@
 }
 
 name_type!(
-    /// Identifier of an endpoint, as discovery names it; cheap to clone.
+    /// Identifier of an endpoint, assigned by discovery; cheap to clone.
     EndpointId
 );
 name_type!(
@@ -48,15 +48,15 @@
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// From a count of microseconds.
+    /// Creates a timestamp from a number of microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
-    /// As a count of microseconds.
+    /// Returns the number of microseconds since the clock's epoch.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
-    /// Time since `earlier`; zero where that lies ahead.
+    /// Returns the time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/policy/src/api/request.rs
+++ b/crates/policy/src/api/request.rs
@@ -1,30 +1,31 @@
-//! Requests, and how attempts at them end.
+//! Requests and the outcomes of their attempts.
 
 use super::{ClassId, EndpointId, RequestId, Timestamp};
 use std::time::Duration;
 
-/// A request from a client. It gets exactly one final response.
+/// A request from a client. Each request gets exactly one final response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its identifier.
+    /// Identifier.
     pub id: RequestId,
-    /// Its class; `None` for one the settings do not name.
+    /// Class; `None` if the settings do not define the request's class.
     pub class: Option<ClassId>,
-    /// Hash of the object it reads or writes; requests of one key go to one endpoint.
+    /// Hash of the object that is read or written; requests with the same key prefer the same
+    /// endpoint.
     pub key: Option<u64>,
-    /// When the client gives it up.
+    /// Time after which the client no longer waits for the response.
     pub deadline: Timestamp,
-    /// Rough forecast of its work, as time on a core of standard speed.
+    /// Rough estimate of the request's work, as time on a core of standard speed.
     pub expected_work: Option<Duration>,
-    /// Whether it changes the object.
+    /// Whether the request changes the object.
     pub write: bool,
-    /// Whether its class is over its quota of open requests, or there is no memory for it: it is
-    /// shed.
+    /// Whether the class exceeds its quota of open requests, or no memory is left for the request;
+    /// such a request is shed.
     pub over_quota: bool,
 }
 
 impl Request {
-    /// A read of no named class, to be answered before `deadline`.
+    /// Returns a read request without a class, due before `deadline`.
     pub fn new(id: &str, deadline: Timestamp) -> Self {
         Self {
             id: id.into(),
@@ -38,31 +39,31 @@
     }
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     /// Served.
     Ok,
-    /// The endpoint answered with an error; the request may have run.
+    /// The endpoint responded with an error; the request may have run.
     Failed,
-    /// The endpoint rejected it for want of capacity; it never ran.
+    /// The endpoint rejected the request for lack of capacity; the request never ran.
     Rejected,
-    /// No answer in time; it may have run or still run.
+    /// No response in time; the request may have run or may still be running.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection was established; the request never ran.
     ConnectError,
-    /// The connection broke; it may have run.
+    /// The connection was lost; the request may have run.
     Reset,
-    /// This node cancelled it; it may have run.
+    /// This node cancelled the attempt; the request may have run.
     Canceled,
-    /// Nothing of it was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// The cache server lacks the value (cache-aside); it never ran.
+    /// The cache server lacks the value (cache-aside); the request never ran.
     Miss,
 }
 
 impl Status {
-    /// Whether it proves that the request never ran.
+    /// Whether the status proves that the request never ran.
     pub const fn never_ran(self) -> bool {
         matches!(
             self,
@@ -71,43 +72,43 @@
     }
 }
 
-/// What an endpoint reports of its load with an answer; `None` where it reports nothing.
+/// Load that an endpoint reports with a response; unreported figures are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Recent service time, without time in its queue.
+    /// Recent service time, excluding time in the endpoint's queue.
     pub service_time: Option<Duration>,
-    /// Utilization of its cores, from 0 to 1.
+    /// Utilization of the endpoint's cores, from 0 to 1.
     pub utilization: Option<f64>,
-    /// Mean number of requests that wait for a core.
+    /// Mean number of requests waiting for a core.
     pub queue_length: Option<f64>,
 }
 
-/// What a read-through cache server reports of how it came by an answer.
+/// Cache result that a read-through cache server reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheResult {
     /// The value was cached.
     Hit,
-    /// It had to be fetched from the origin.
+    /// The value had to be fetched from the origin.
     Miss,
 }
 
-/// The end of one attempt; every [`Action::Send`](crate::Action::Send) gets exactly one.
+/// Outcome of one attempt; every [`Action::Send`](crate::Action::Send) gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
     /// The request.
     pub id: RequestId,
-    /// Number of the attempt, from 0 on in the order of sending.
+    /// Number of the attempt, counted from 0 in the order of sending.
     pub attempt: u32,
-    /// The endpoint it was sent to.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// Result of the attempt.
     pub status: Status,
-    /// Whether the answer came from the endpoint's cache, where it tells.
+    /// Whether the response came from the endpoint's cache; `None` if not reported.
     pub cache_result: Option<CacheResult>,
-    /// Time from its send to its end.
+    /// Time from the start to the end of the attempt.
     pub latency: Duration,
     /// Whether the request has its final response.
     pub answered: bool,
-    /// The endpoint's load.
+    /// Load reported by the endpoint.
     pub load: LoadReport,
 }
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! Start-up settings: classes of requests, the cache mode, limits and times.
+//! Start-up settings: request classes, cache mode, limits and durations.
 
 use super::Name;
 use std::time::Duration;
@@ -7,49 +7,49 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClassId(pub usize);
 
-/// Which endpoints discard a repeat of a keyed request.
+/// The endpoints that discard a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All endpoints.
     All,
-    /// Those of the zone that the request was first sent to.
+    /// Endpoints of the zone that the request was first sent to.
     Zone,
-    /// Those of the cell that the request was first sent to.
+    /// Endpoints of the cell that the request was first sent to.
     Cell,
 }
 
-/// What a repeat of a request does.
+/// Effect of a repeat of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be repeated at will.
+    /// A repeat has no further effect; the request may be repeated at any time.
     Idempotent,
-    /// Nothing within `scope` for `window` from the first attempt that may have run: endpoints know
-    /// the request by its idempotency key.
+    /// Endpoints within `scope` recognise a repeat by its idempotency key and discard it, for
+    /// `window` from the first attempt that may have run.
     Keyed {
         /// The endpoints that discard repeats.
         scope: DeduplicationScope,
-        /// For how long they do.
+        /// Duration for which endpoints discard repeats.
         window: Duration,
     },
-    /// It runs a second time, which must never happen.
+    /// A repeat runs a second time, which must never happen.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: Name,
-    /// What a repeat does.
+    /// Effect of a repeat.
     pub idempotency: Idempotency,
-    /// Latency objective: answers within this time are worth most.
+    /// Latency objective: responses within this time have the highest value.
     pub latency_objective: Duration,
-    /// Clients give a request up for good after this time.
+    /// Time after which clients abandon a request permanently.
     pub deadline: Duration,
 }
 
 impl Default for Class {
-    /// The class of requests without one: treated as non-idempotent, never repeated.
+    /// Returns the class used for requests without a class: non-idempotent, never repeated.
     fn default() -> Self {
         Self {
             name: "".into(),
@@ -60,56 +60,56 @@
     }
 }
 
-/// Who fetches the values that cache servers lack.
+/// The component that fetches values missing from cache servers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CacheMode {
-    /// Cache servers fetch them from the origin and forward writes to it.
+    /// Cache servers fetch missing values from the origin and forward writes to the origin.
     ReadThrough,
-    /// The node does: it sends misses and writes to the origin, which is the endpoint of this kind.
+    /// The node sends misses and writes to the origin, which is the endpoint of this kind.
     CacheAside {
         /// Kind of the origin's endpoint.
         origin_kind: Name,
     },
 }
 
-/// Start-up settings. `Default` gives a value for each, for callers that know only some.
+/// Start-up settings. `Default` provides a value for every setting, for callers that set only some.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of nodes that share the endpoints.
     pub nodes: u32,
     /// Classes of requests.
     pub classes: Vec<Class>,
-    /// Names of tenants, if there are any: a request must name one of them. No decision tells them
-    /// apart.
+    /// Names of tenants. If any are listed, a request must name a listed tenant. No decision
+    /// depends on the tenant.
     pub tenants: Vec<Name>,
-    /// Who fetches the values that cache servers lack.
+    /// The component that fetches values missing from cache servers.
     pub mode: CacheMode,
-    /// Whether the weights of endpoints include the speed of their cores, not only their number.
+    /// Whether endpoint weights include the speed of the cores, not only the number of cores.
     pub weights_include_speed: bool,
     /// Whether discovery must be polled with
-    /// [`Action::PollDiscovery`](crate::Action::PollDiscovery); else it pushes.
+    /// [`Action::PollDiscovery`](crate::Action::PollDiscovery); otherwise discovery pushes updates.
     pub polls_discovery: bool,
-    /// Without a watch, a node that has not polled for so long counts as notified.
+    /// Without a watch, a node that has not polled for this duration counts as notified.
     pub max_poll_interval: Duration,
-    /// Nothing is sent to an endpoint later than this after the node was notified that it drains or
-    /// was removed.
+    /// Time after the notification that an endpoint drains or was removed; the node must send
+    /// nothing to the endpoint later than this.
     pub drain_grace: Duration,
-    /// Most attempts of a request, the first one included.
+    /// Maximum number of attempts of a request, including the first.
     pub max_attempts: u32,
     /// Longest Retry-After that a client honours.
     pub max_retry_after: Duration,
-    /// A connection that is not established within this time fails.
+    /// Time within which a connection must be established.
     pub connect_timeout: Duration,
-    /// Endpoints close a connection that has been idle for this long.
+    /// Idle time after which endpoints close a connection.
     pub keepalive: Duration,
-    /// Part of its full capacity that an endpoint starts with, from 0 to 1.
+    /// Fraction of its full capacity that an endpoint has at its start, from 0 to 1.
     pub slow_start_min_capacity: f64,
-    /// An endpoint has its full capacity this long after its start.
+    /// Time from an endpoint's start until the endpoint has its full capacity.
     pub slow_start_duration: Duration,
-    /// An endpoint that warms up and is sent more than this multiple of its present capacity falls
-    /// over.
+    /// A warming endpoint becomes overloaded when it receives more than this multiple of its
+    /// current capacity.
     pub slow_start_overload_factor: f64,
-    /// The window over which that is counted.
+    /// Window over which the load on a warming endpoint is measured.
     pub slow_start_overload_window: Duration,
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,11 +1,11 @@
-//! The policy: which endpoint a request goes to, whether it is retried, which requests are shed.
+//! Load-balancing policy: endpoint selection, retries and load shedding.
 //!
-//! A [`Balancer`] decides for one node. It does no I/O and has no clock: events come in with their
-//! time, randomness is a seed, and what must be done goes out as [`Action`]s. Equal events give
+//! A [`Balancer`] decides for one node. It does no I/O and has no clock: the caller passes events
+//! with their time and a random seed, and carries out the returned [`Action`]s. Equal events give
 //! equal actions.
 //!
-//! [`api`] is the interface and [`balancer`] the way of an event; each other module is one
-//! mechanism, which the balancer calls and which knows nothing of it.
+//! [`api`] is the interface and [`balancer`] the event handling. Each other module is one
+//! mechanism; the balancer calls the mechanisms, and no mechanism depends on the balancer.
 #![warn(missing_docs)]
 
 pub mod api;
