--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -231,15 +231,15 @@
         const MIN_CAPACITY: f64 = 1e-9;
         let endpoint = &state.endpoint;
         let speed = self.kind_speeds.factor(&self.settings, &endpoint.kind);
-        let warmth = slow_start::warmth(&self.settings, endpoint, now);
-        (endpoint.weight * speed * warmth).max(MIN_CAPACITY)
+        let capacity_fraction = slow_start::capacity_fraction(&self.settings, endpoint, now);
+        (endpoint.weight * speed * capacity_fraction).max(MIN_CAPACITY)
     }
 
     /// Whether the endpoint recently reported an empty queue. Only meaningful where this node sends
     /// a substantial fraction of the endpoint's load: in a large deployment the report is older
     /// than the bursts of the other nodes.
     fn has_no_queue(&self, state: &EndpointState, now: Timestamp) -> bool {
-        !self.is_large_deployment() && state.reported_no_queue(now)
+        !self.is_large_deployment() && state.reported_empty_queue(now)
     }
 
     /// Whether a read at this endpoint will be fetched from the origin, as far as can be told from
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -59,7 +59,7 @@
 
     /// What the next attempt takes from the retry budget; `None` if it is no retry.
     fn retry_cost(&self, pending: &PendingRequest) -> Option<f64> {
-        let cost = if self.is_large_deployment() && pending.was_rejected() {
+        let cost = if self.is_large_deployment() && pending.last_attempt_was_rejected() {
             RETRY_COST_AFTER_REJECTION
         } else {
             RETRY_COST
@@ -163,7 +163,7 @@
         actions: &mut Vec<Action>,
     ) {
         // Its rejection was not counted while the request might go on to another endpoint.
-        if self.is_large_deployment() && pending.was_rejected() {
+        if self.is_large_deployment() && pending.last_attempt_was_rejected() {
             self.load_shedder.record_bad();
         }
         let request = &pending.request;
--- a/crates/policy/src/balancer/outcome.rs
+++ b/crates/policy/src/balancer/outcome.rs
@@ -250,7 +250,7 @@
         if self.settings.weights_include_speed
             || !measures
             || evaluation.fetched
-            || slow_start::warmth(&self.settings, endpoint, now) < 1.0
+            || slow_start::capacity_fraction(&self.settings, endpoint, now) < 1.0
         {
             return;
         }
@@ -286,7 +286,7 @@
         }
         limit.on_end();
         if evaluation.succeeded() {
-            state.record_answer(now);
+            state.record_success(now);
         }
     }
 
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -125,7 +125,7 @@
     ) -> bool {
         let state = &self.endpoints[index];
         let fractional_limit_allows = || {
-            let idle = now.since(state.last_sent());
+            let idle = now.since(state.last_send());
             let average = self.latencies.average(self.class_index(&pending.request));
             state
                 .concurrency
@@ -157,7 +157,9 @@
     fn has_slow_start_budget(&self, index: usize, now: Timestamp) -> bool {
         let state = &self.endpoints[index];
         let endpoint = &state.endpoint;
-        if self.is_origin(endpoint) || slow_start::warmth(&self.settings, endpoint, now) >= 1.0 {
+        if self.is_origin(endpoint)
+            || slow_start::capacity_fraction(&self.settings, endpoint, now) >= 1.0
+        {
             return true;
         }
         let ready = self.endpoints.iter();
--- a/crates/policy/src/decay.rs
+++ b/crates/policy/src/decay.rs
@@ -3,43 +3,43 @@
 use crate::api::Timestamp;
 use std::time::Duration;
 
-/// Time constant: what is counted now has fallen to 1/e after this time.
+/// Time constant of the decay: the time in which a count falls to 1/e.
 pub(crate) const DECAY_TIME: Duration = Duration::from_secs(2);
 
-/// A count of ended attempts and of those that failed, decayed with [`Decay`].
+/// Counts of ended and of failed attempts, decayed with [`Decay`].
 #[derive(Debug, Default)]
 pub(crate) struct DecayedCounts {
-    /// Attempts that ended.
+    /// Ended attempts.
     pub(crate) ended: f64,
-    /// Those of them that failed.
+    /// Ended attempts that failed.
     pub(crate) failed: f64,
 }
 
 impl DecayedCounts {
-    /// Counts one attempt.
+    /// Counts one ended attempt.
     pub(crate) fn record(&mut self, failed: bool) {
         self.ended += 1.0;
         self.failed += f64::from(u8::from(failed));
     }
 
-    /// Multiplies both counts with a factor of [`Decay::advance`].
+    /// Multiplies both counts by a factor from [`Decay::advance`].
     pub(crate) fn scale(&mut self, factor: f64) {
         self.ended *= factor;
         self.failed *= factor;
     }
 }
 
-/// The clock of decaying statistics.
+/// Time of the last decay of a group of statistics.
 #[derive(Debug, Default)]
 pub(crate) struct Decay {
-    last: Timestamp,
+    last_advance: Timestamp,
 }
 
 impl Decay {
-    /// The factor by which statistics fall from the last call to now.
+    /// Returns the decay factor for the time from the last call to `now`.
     pub(crate) fn advance(&mut self, now: Timestamp) -> f64 {
-        let elapsed = now.since(self.last).as_secs_f64();
-        self.last = now;
+        let elapsed = now.since(self.last_advance).as_secs_f64();
+        self.last_advance = now;
         (-elapsed / DECAY_TIME.as_secs_f64()).exp()
     }
 }
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -1,9 +1,9 @@
-//! The endpoint table: what this node knows of each listed endpoint, and which incarnation of it
-//! that is about.
+//! Endpoint table: this node's state of each listed endpoint, for the endpoint's current
+//! incarnation.
 //!
-//! An endpoint that started anew, or is listed again after it was removed, is another incarnation
-//! under the same id: attempts that were sent to an earlier one tell nothing of it and do not count
-//! as in flight there.
+//! An endpoint that restarts, or is listed again after its removal, is a new incarnation under the
+//! same id. Attempts sent to an earlier incarnation give no information about the current one and
+//! do not count as in flight there.
 
 use crate::api::{Availability, Endpoint, EndpointId, Timestamp};
 use crate::breaker::{CircuitBreaker, WINDOW};
@@ -13,97 +13,100 @@
 use std::ops::{Index, IndexMut};
 use std::time::Duration;
 
-/// Window of the breaker of a class at an endpoint. Short: a class that is rejected where nobody
-/// waits is rejected for good, and what was served before would hide it for the rest of a long
-/// window.
+/// Window of the breaker of a class at an endpoint. Short, because a class that is rejected at an
+/// endpoint without a queue is rejected permanently, and requests served earlier in a long window
+/// would hide the rejections until its end.
 const CLASS_WINDOW: Duration = Duration::from_secs(1);
-/// For so long what an endpoint reported of its queue tells of its present state: reports are this
-/// old at most.
-const REPORT_FRESH: Duration = Duration::from_millis(500);
-/// For so long after its last answer an endpoint that rejects attempts is busy, not broken, which
-/// its concurrency limit answers. A breaker would block all it can do for a cooldown, and its load
-/// would fill the queue of the next one, until that one's breaker opens too. An endpoint that
-/// drains or hangs soon answers no more.
-const BUSY_AFTER_ANSWER: Duration = Duration::from_secs(1);
-
-/// What this node knows of an endpoint.
+/// Maximum age of an endpoint's queue report: older reports do not reflect the current state.
+const MAX_QUEUE_REPORT_AGE: Duration = Duration::from_millis(500);
+/// Time after an endpoint's last success during which a rejection counts as load, not as a fault.
+/// The endpoint's concurrency limit handles load. A breaker would block the whole endpoint for a
+/// cooldown, and the endpoint's load would fill the queue of the next endpoint until that
+/// endpoint's breaker opens too. A draining or hanging endpoint soon has no more successes.
+const BUSY_TIME_AFTER_SUCCESS: Duration = Duration::from_secs(1);
+
+/// This node's state of one endpoint.
 #[derive(Debug)]
 pub(crate) struct EndpointState {
-    /// As discovery listed it last.
+    /// The endpoint as last listed by discovery.
     pub(crate) endpoint: Endpoint,
-    /// Number of the present incarnation, unique in the table.
+    /// Number of the current incarnation, unique in the table.
     pub(crate) incarnation: u64,
-    /// Of its id, for rendezvous hashing.
+    /// Hash of the endpoint's id, for rendezvous hashing.
     pub(crate) hash: u64,
-    /// The breaker of all requests to it.
+    /// Breaker of all requests to the endpoint.
     pub(crate) breaker: CircuitBreaker,
-    /// By class: an endpoint may reject one class and serve the others (a release that does not
-    /// know it, a quota of that class's own). Blocked as a whole, it would lose the keys of all
-    /// classes to endpoints that lack them. It does harm if the class is rejected for a moment
-    /// only: its keys are missed elsewhere meanwhile.
+    /// Breakers by class. An endpoint may reject one class and serve the others: its release may
+    /// not know the class, or the class may have its own quota. A breaker for the whole endpoint
+    /// would move the keys of all classes to endpoints that have not cached the keys. A class
+    /// breaker does harm if the rejection is short: the class's keys are misses at other endpoints
+    /// meanwhile.
     pub(crate) class_breakers: Vec<CircuitBreaker>,
-    /// What it was sent in the present slot of slow start.
+    /// Sends to the endpoint in the current slot of slow start.
     pub(crate) slow_start: SlotUsage,
-    /// How many attempts may be in flight there, and how many are.
+    /// Concurrency limit and number of attempts in flight.
     pub(crate) concurrency: ConcurrencyLimit,
-    /// When it was last sent to; when it was listed, before the first send.
-    last_sent: Timestamp,
-    /// Time between the last two sends; the longest time before the second one.
+    /// Time of the last send; before the first send, the time of listing.
+    last_send: Timestamp,
+    /// Time between the last two sends, where the listing counts as a send; `Duration::MAX` before
+    /// the first send.
     send_interval: Duration,
-    /// When it last answered, in this incarnation.
-    last_answer: Option<Timestamp>,
-    /// When it last reported that it has no queue, unless it has reported one since.
-    no_queue_reported: Option<Timestamp>,
+    /// Time of the last successful attempt of the current incarnation.
+    last_success: Option<Timestamp>,
+    /// Time of the last queue report, if the report was of an empty queue.
+    empty_queue_reported_at: Option<Timestamp>,
 }
 
 impl EndpointState {
-    /// When it was last sent to; when it was listed, before the first send.
-    pub(crate) fn last_sent(&self) -> Timestamp {
-        self.last_sent
+    /// Returns the time of the last send; before the first send, the time of listing.
+    pub(crate) fn last_send(&self) -> Timestamp {
+        self.last_send
     }
 
-    /// Time between the last two sends; the longest time before the second one.
+    /// Returns the time between the last two sends, where the listing counts as a send;
+    /// `Duration::MAX` before the first send.
     pub(crate) fn send_interval(&self) -> Duration {
         self.send_interval
     }
 
-    /// Notes when it is sent to.
+    /// Records a send to the endpoint.
     pub(crate) fn record_send(&mut self, now: Timestamp) {
-        self.send_interval = now.since(self.last_sent);
-        self.last_sent = now;
+        self.send_interval = now.since(self.last_send);
+        self.last_send = now;
     }
 
-    /// Notes an answer.
-    pub(crate) fn record_answer(&mut self, now: Timestamp) {
-        self.last_answer = Some(now);
+    /// Records a successful attempt.
+    pub(crate) fn record_success(&mut self, now: Timestamp) {
+        self.last_success = Some(now);
     }
 
-    /// Notes what it reports of its queue.
+    /// Records the endpoint's report of its queue.
     pub(crate) fn record_queue_report(&mut self, queue_is_empty: bool, now: Timestamp) {
-        self.no_queue_reported = queue_is_empty.then_some(now);
+        self.empty_queue_reported_at = queue_is_empty.then_some(now);
     }
 
-    /// Whether it reported of late that it has no queue.
-    pub(crate) fn reported_no_queue(&self, now: Timestamp) -> bool {
-        self.no_queue_reported
-            .is_some_and(|at| now.since(at) < REPORT_FRESH)
+    /// Checks whether the endpoint recently reported an empty queue.
+    pub(crate) fn reported_empty_queue(&self, now: Timestamp) -> bool {
+        self.empty_queue_reported_at
+            .is_some_and(|at| now.since(at) < MAX_QUEUE_REPORT_AGE)
     }
 
-    /// Whether a rejection shows load and not a fault: what is in flight there will be answered or
-    /// time out, and tell more, and an endpoint that has just answered works.
+    /// Checks whether a rejection indicates load and not a fault. Attempts in flight will end with
+    /// a response or a timeout, which gives more information, and an endpoint with a recent
+    /// successful attempt works.
     pub(crate) fn is_busy(&self, now: Timestamp) -> bool {
-        let answered_of_late = || {
-            self.last_answer
-                .is_some_and(|at| now.since(at) < BUSY_AFTER_ANSWER)
+        let succeeded_recently = || {
+            self.last_success
+                .is_some_and(|at| now.since(at) < BUSY_TIME_AFTER_SUCCESS)
         };
-        self.concurrency.in_flight() > 0 || answered_of_late()
+        self.concurrency.in_flight() > 0 || succeeded_recently()
     }
 
     fn begin_incarnation(&mut self, incarnation: u64, now: Timestamp) {
         self.incarnation = incarnation;
         self.concurrency.forget_in_flight();
-        self.last_answer = None;
-        self.no_queue_reported = None;
+        self.last_success = None;
+        self.empty_queue_reported_at = None;
         self.breaker.close(now);
         for breaker in &mut self.class_breakers {
             breaker.close(now);
@@ -111,44 +114,44 @@
     }
 }
 
-/// What a newly listed endpoint starts with.
+/// Initial state of a newly listed endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NewEndpoint {
-    /// Number of classes, each with a breaker of its own.
+    /// Number of classes; each class has its own breaker.
     pub(crate) classes: usize,
-    /// Where its concurrency limit starts.
+    /// Bounds of the endpoint's concurrency limit.
     pub(crate) concurrency: ConcurrencyBounds,
-    /// The present slot of slow start.
+    /// Current slot of slow start.
     pub(crate) slot: u64,
 }
 
-/// The listed endpoints, sorted by id. Draining ones stay until discovery removes them.
+/// The listed endpoints, sorted by id. Draining endpoints stay until discovery removes them.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointTable {
     states: Vec<EndpointState>,
-    /// Incarnations so far, of all endpoints.
-    incarnations: u64,
+    /// Number of incarnations of all endpoints so far.
+    incarnation_count: u64,
 }
 
 impl EndpointTable {
-    /// All endpoints, in the order of their ids.
+    /// Iterates over all endpoints in the order of their ids.
     pub(crate) fn iter(&self) -> std::slice::Iter<'_, EndpointState> {
         self.states.iter()
     }
 
-    /// Where this incarnation of an endpoint stands, if it is the present one.
+    /// Returns the position of an endpoint, if `incarnation` is its current incarnation.
     pub(crate) fn position(&self, id: &EndpointId, incarnation: u64) -> Option<usize> {
         let index = self.search(id).ok()?;
         (self.states[index].incarnation == incarnation).then_some(index)
     }
 
-    /// Removes the endpoints that a complete list lacks.
+    /// Removes the endpoints that are missing from a complete list.
     pub(crate) fn retain_listed(&mut self, list: &[Endpoint]) {
         self.states
             .retain(|state| list.iter().any(|listed| listed.id == state.endpoint.id));
     }
 
-    /// Takes in what discovery says of an endpoint.
+    /// Applies discovery's listing of an endpoint.
     pub(crate) fn update(&mut self, listed: &Endpoint, new: NewEndpoint, now: Timestamp) {
         let removed = listed.availability == Availability::Removed;
         match self.search(&listed.id) {
@@ -164,27 +167,27 @@
     fn update_at(&mut self, index: usize, listed: &Endpoint, now: Timestamp) {
         let state = &mut self.states[index];
         if listed.started != state.endpoint.started {
-            self.incarnations += 1;
-            state.begin_incarnation(self.incarnations, now);
+            self.incarnation_count += 1;
+            state.begin_incarnation(self.incarnation_count, now);
         }
         state.endpoint = listed.clone();
     }
 
     fn insert_at(&mut self, index: usize, listed: &Endpoint, new: NewEndpoint, now: Timestamp) {
-        self.incarnations += 1;
+        self.incarnation_count += 1;
         let class_breaker = |_| CircuitBreaker::new(CLASS_WINDOW, now);
         let state = EndpointState {
             endpoint: listed.clone(),
-            incarnation: self.incarnations,
+            incarnation: self.incarnation_count,
             hash: endpoint_hash(&listed.id),
             breaker: CircuitBreaker::new(WINDOW, now),
             class_breakers: (0..new.classes).map(class_breaker).collect(),
             slow_start: SlotUsage::exhausted(new.slot),
             concurrency: ConcurrencyLimit::new(new.concurrency),
-            last_sent: now,
+            last_send: now,
             send_interval: Duration::MAX,
-            last_answer: None,
-            no_queue_reported: None,
+            last_success: None,
+            empty_queue_reported_at: None,
         };
         self.states.insert(index, state);
     }
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -1,55 +1,56 @@
-//! A request from its arrival to its end, with its attempts.
+//! State of a request from its arrival to its end, with its attempts.
 
 use crate::api::{Endpoint, Outcome, Request, Status, Timestamp};
 
-/// Epochs of the breakers that guarded an attempt, when it was sent.
+/// Epochs of the breakers that guard an attempt, at the time of its sending.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BreakerEpochs {
-    /// Of the endpoint's breaker.
+    /// Epoch of the endpoint's breaker.
     pub(crate) endpoint: u32,
-    /// Of the breaker of the request's class at the endpoint.
+    /// Epoch of the breaker of the request's class at the endpoint.
     pub(crate) class: u32,
-    /// `None` for an attempt whose result does not count at the origin's breaker.
+    /// Epoch of the origin's breaker; `None` if the attempt's result does not count there.
     pub(crate) origin: Option<u32>,
-    /// Of the breaker of the endpoint's zone; 0 where none is kept.
+    /// Epoch of the breaker of the endpoint's zone; 0 if the zone has no breaker.
     pub(crate) zone: u32,
 }
 
-/// One try of a request at one endpoint.
+/// One attempt of a request at one endpoint.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// As it was listed when the attempt was sent.
+    /// The endpoint, as listed when the attempt was sent.
     pub(crate) endpoint: Endpoint,
-    /// The endpoint's [incarnation](crate::endpoint_table::EndpointState::incarnation) then.
+    /// The endpoint's [incarnation](crate::endpoint_table::EndpointState::incarnation) when the
+    /// attempt was sent.
     pub(crate) incarnation: u64,
-    /// When it was sent.
+    /// Time of sending.
     pub(crate) sent: Timestamp,
-    /// Which states of the breakers its end tells of.
+    /// Breaker epochs in which the attempt's outcome counts.
     pub(crate) epochs: BreakerEpochs,
-    /// Whether it was expected to be fetched from the origin.
+    /// Whether the value was expected to be fetched from the origin.
     pub(crate) likely_miss: bool,
-    /// How it ended; `None` while it is in flight.
+    /// Result of the attempt; `None` while it is in flight.
     pub(crate) status: Option<Status>,
 }
 
 /// A request that has no final response yet, or has an attempt in flight.
 #[derive(Debug)]
 pub(crate) struct PendingRequest {
-    /// As the client sent it.
+    /// The request as sent by the client.
     pub(crate) request: Request,
-    /// In the order of sending; one at most, the last, is in flight.
+    /// Attempts in the order of sending; only the last can be in flight.
     pub(crate) attempts: Vec<Attempt>,
-    /// Uniform between 0 and 1, drawn once: rounds the fractional limits that the request meets up
-    /// or down at random (dithering) and decides whether it is among those that are shed.
+    /// Random number, uniform between 0 and 1, drawn once per request. It rounds fractional limits
+    /// up or down at random (dithering) and decides whether load shedding affects the request.
     pub(crate) dither: f64,
-    /// When it arrived at this node.
+    /// Time of arrival at this node.
     pub(crate) arrived: Timestamp,
-    /// Whether no response is due any more: it has its final response, or its client disconnected.
+    /// Whether no response is due: the final response has been given or the client disconnected.
     pub(crate) finished: bool,
 }
 
 impl PendingRequest {
-    /// A request that arrives now.
+    /// Returns a request that arrives at `now`.
     pub(crate) fn new(request: Request, dither: f64, now: Timestamp) -> Self {
         Self {
             request,
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Notes the end of an attempt and returns where it stands; `None` for one that is not in
-    /// flight.
+    /// Records the end of an attempt and returns the attempt's position; `None` if the attempt is
+    /// not in flight.
     pub(crate) fn end_attempt(&mut self, outcome: &Outcome) -> Option<usize> {
         let index = outcome.attempt as usize;
         let attempt = self.attempts.get_mut(index)?;
@@ -72,43 +73,43 @@
         Some(index)
     }
 
-    /// Whether an attempt is in flight.
+    /// Checks whether an attempt is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.status.is_none())
     }
 
-    /// Whether its next attempt is a retry. A send to the origin after a cache miss is the
-    /// ordinary next step.
+    /// Checks whether the next attempt is a retry. A send to the origin after a cache miss is not a
+    /// retry.
     pub(crate) fn next_is_retry(&self) -> bool {
         let last = self.attempts.last();
         last.is_some_and(|attempt| attempt.status != Some(Status::Miss))
     }
 
-    /// Whether its last attempt was expected to be fetched from the origin and failed.
+    /// Checks whether the last attempt was a likely miss and failed.
     pub(crate) fn likely_miss_failed(&self) -> bool {
         let last = self.attempts.last();
         last.is_some_and(|attempt| attempt.likely_miss && attempt.status == Some(Status::Failed))
     }
 
-    /// Whether an endpoint rejected its last attempt.
-    pub(crate) fn was_rejected(&self) -> bool {
+    /// Checks whether an endpoint rejected the last attempt.
+    pub(crate) fn last_attempt_was_rejected(&self) -> bool {
         let last = self.attempts.last();
         last.is_some_and(|attempt| attempt.status == Some(Status::Rejected))
     }
 
-    /// Whether a cache server reported that it lacks the value.
+    /// Checks whether a cache server reported a miss.
     pub(crate) fn has_missed(&self) -> bool {
         let mut attempts = self.attempts.iter();
         attempts.any(|attempt| attempt.status == Some(Status::Miss))
     }
 
-    /// Whether an attempt has been made at this endpoint.
+    /// Checks whether an attempt has been made at this endpoint.
     pub(crate) fn was_attempted_at(&self, endpoint: &Endpoint) -> bool {
         let mut attempts = self.attempts.iter();
         attempts.any(|attempt| attempt.endpoint.id == endpoint.id)
     }
 
-    /// The attempts that may have run the request.
+    /// Iterates over the attempts that may have run the request.
     pub(crate) fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts
             .iter()
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -1,24 +1,25 @@
-//! Slow start: a new endpoint's capacity grows over time, and no more is sent to it meanwhile than
-//! it can take.
+//! Slow start: a new endpoint's capacity grows over time, and the load sent to the endpoint stays
+//! within its current capacity.
 //!
-//! The textbook's slow start raises a new host's weight. Here the weight grows the same way, and
-//! beside it each node keeps a hard budget of sends to an endpoint that warms up: one sent too much
-//! by all nodes together falls over and never comes back. Each node sends its part of what the
-//! endpoint's size should get of the good answers seen here, in slots of half the window that the
-//! endpoint counts in; fractions are rounded by seed, and nothing is saved up.
+//! The usual slow start raises a new host's weight. Here the weight grows the same way, and each
+//! node also has a hard budget of sends to a warming endpoint: an endpoint that receives too much
+//! from all nodes together becomes overloaded and does not recover. The budget follows from the
+//! good outcomes at this node and the endpoint's share of the fleet's capacity. It holds for one
+//! slot, half the window in which the endpoint's load is measured. Fractions are rounded by seed,
+//! and unused budget does not carry over to the next slot.
 
 use crate::api::{Endpoint, Settings, Timestamp};
 use crate::decay::DECAY_TIME;
 
-/// Fraction of the stated overload factor that is used: a window can touch three slots of half a
-/// window.
+/// Fraction of the configured overload factor that is used, because a window can overlap three
+/// slots of half a window.
 const OVERLOAD_FACTOR_FRACTION: f64 = 0.7;
-/// Slots that a window is divided into.
+/// Number of slots per window.
 const SLOTS_PER_WINDOW: u64 = 2;
-/// Least warm-up time, in seconds: it is divided by.
-const MIN_WARM_UP: f64 = 1e-6;
+/// Minimum duration of slow start in seconds; prevents a division by zero.
+const MIN_SLOW_START_SECONDS: f64 = 1e-6;
 
-/// Sends to an endpoint in the latest slot that had one.
+/// Number of sends to an endpoint in the latest slot with a send.
 #[derive(Debug)]
 pub(crate) struct SlotUsage {
     slot: u64,
@@ -26,8 +27,8 @@
 }
 
 impl SlotUsage {
-    /// A slot with nothing left: what an endpoint was sent before it was dropped is forgotten, so
-    /// that one that warms up waits for the next slot.
+    /// Returns a slot without remaining budget. The sends to an endpoint before its removal are not
+    /// known, so a warming endpoint that is listed again gets no request before the next slot.
     pub(crate) fn exhausted(slot: u64) -> Self {
         Self {
             slot,
@@ -41,7 +42,7 @@
         self.slot = slot;
     }
 
-    /// Sends in this slot.
+    /// Returns the number of sends in this slot.
     pub(crate) fn sends_in(&self, slot: u64) -> u32 {
         if self.slot == slot {
             self.sends
@@ -51,28 +52,31 @@
     }
 }
 
-/// The slow-start factor, from 0 to 1: the fraction of its full capacity that the endpoint has by
-/// now.
-pub(crate) fn warmth(settings: &Settings, endpoint: &Endpoint, now: Timestamp) -> f64 {
-    let duration = settings.slow_start_duration.as_secs_f64().max(MIN_WARM_UP);
+/// Returns the slow-start factor, from 0 to 1: the fraction of the endpoint's full capacity that is
+/// available at `now`.
+pub(crate) fn capacity_fraction(settings: &Settings, endpoint: &Endpoint, now: Timestamp) -> f64 {
+    let duration = settings
+        .slow_start_duration
+        .as_secs_f64()
+        .max(MIN_SLOW_START_SECONDS);
     let age = endpoint
         .started
         .map_or(duration, |at| now.since(at).as_secs_f64());
-    let least = settings.slow_start_min_capacity;
-    (least + (1.0 - least) * age / duration).min(1.0)
+    let min_capacity = settings.slow_start_min_capacity;
+    (min_capacity + (1.0 - min_capacity) * age / duration).min(1.0)
 }
 
-/// Number of the slot of time that `now` is in.
+/// Returns the number of the slot that contains `now`.
 pub(crate) fn slot_at(settings: &Settings, now: Timestamp) -> u64 {
     let window = settings.slow_start_overload_window.as_micros() as u64;
     now.as_micros() / (window / SLOTS_PER_WINDOW).max(1)
 }
 
-/// Sends per slot that an endpoint may get which has this share of the fleet's capacity.
-/// `good_answers` are the good ends of the last [`DECAY_TIME`].
-pub(crate) fn slot_budget(settings: &Settings, good_answers: f64, share: f64) -> f64 {
+/// Returns the number of sends per slot to an endpoint with this share of the fleet's capacity.
+/// `good_outcomes` is the number of good outcomes in the last [`DECAY_TIME`].
+pub(crate) fn slot_budget(settings: &Settings, good_outcomes: f64, share: f64) -> f64 {
     let windows = settings.slow_start_overload_window.as_secs_f64() / DECAY_TIME.as_secs_f64();
-    good_answers * windows / SLOTS_PER_WINDOW as f64
+    good_outcomes * windows / SLOTS_PER_WINDOW as f64
         * share
         * settings.slow_start_overload_factor
         * OVERLOAD_FACTOR_FRACTION
