--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -13,7 +13,7 @@
     Action, Availability, CacheMode, Class, Endpoint, EndpointUpdate, Event, Request, RequestId,
     Settings, Timestamp,
 };
-use crate::cached_keys::{CachedKeys, RecentAnswers};
+use crate::cached_keys::{CachedKeys, RecentlyServedKeys};
 use crate::concurrency_limit::ConcurrencyBounds;
 use crate::decay::Decay;
 use crate::endpoint_speed::KindSpeeds;
@@ -51,7 +51,7 @@
     /// Tells reads that need no origin, where endpoints report cache results.
     cached_keys: CachedKeys,
     /// Tells likely misses.
-    recent_answers: RecentAnswers,
+    recently_served_keys: RecentlyServedKeys,
     /// Looked up by id only, never walked: its order differs from run to run.
     pending: HashMap<RequestId, PendingRequest>,
     /// Those of `pending` that wait for capacity.
@@ -79,7 +79,7 @@
             decay: Decay::default(),
             retry_budget: RetryBudget::new(),
             cached_keys: CachedKeys::default(),
-            recent_answers: RecentAnswers::default(),
+            recently_served_keys: RecentlyServedKeys::default(),
             pending: HashMap::new(),
             queue: RequestQueue::default(),
             poll_schedule: PollSchedule::new(),
@@ -108,7 +108,7 @@
         let factor = self.decay.advance(now);
         self.load_shedder.decay(factor);
         self.origin.decay(factor);
-        self.recent_answers.rotate(now);
+        self.recently_served_keys.rotate(now);
     }
 
     fn on_endpoint_update(&mut self, update: &EndpointUpdate, now: Timestamp) {
@@ -250,6 +250,6 @@
             && !request.write
             && request
                 .key
-                .is_some_and(|key| !self.recent_answers.contains(key, state))
+                .is_some_and(|key| !self.recently_served_keys.contains(key, state))
     }
 }
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -100,7 +100,7 @@
         let request = &pending.request;
         let idempotency = self.class(request).idempotency;
         let timeout = request.deadline.since(now);
-        let deduplicated = idempotency::deduplication_left(idempotency, &pending, now);
+        let deduplicated = idempotency::remaining_deduplication_time(idempotency, &pending, now);
         let attempt = self.begin_attempt(request, index, now);
         actions.push(Action::Send {
             id: request.id.clone(),
--- a/crates/policy/src/balancer/outcome.rs
+++ b/crates/policy/src/balancer/outcome.rs
@@ -204,7 +204,8 @@
         evaluation: &Evaluation,
     ) {
         if let (Some(index), Some(key), Status::Ok) = (position, request.key, outcome.status) {
-            self.recent_answers.insert(key, &self.endpoints[index]);
+            self.recently_served_keys
+                .insert(key, &self.endpoints[index]);
         }
         if evaluation.fetched || outcome.cache_result == Some(CacheResult::Hit) {
             let cached = evaluation.result != CallResult::Inconclusive;
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -110,7 +110,7 @@
         let has_spare_cores = |index: &usize| {
             let state = &self.endpoints[*index];
             self.has_no_queue(state, now)
-                && f64::from(state.concurrency.in_flight()) < self.concurrency.start
+                && f64::from(state.concurrency.in_flight()) < self.concurrency.initial
         };
         candidates.iter().copied().find(has_spare_cores)
     }
--- a/crates/policy/src/breaker.rs
+++ b/crates/policy/src/breaker.rs
@@ -1,69 +1,72 @@
 //! Circuit breaker: closed, open, half-open.
 //!
-//! A closed breaker counts calls and failures in fixed windows of time and asks to be opened once
-//! the failure rate of a window reaches [`OPENING_FAILURE_RATE`]. An open one admits nothing until
-//! its cooldown has passed, then becomes half-open with the next call: it admits
-//! [`HALF_OPEN_TRIALS`] trials, closes when all of them succeed and opens again when one fails.
+//! A closed breaker counts calls and failures in fixed time windows and requests to be opened once
+//! the failure rate of a window reaches [`OPENING_FAILURE_RATE`]. An open breaker admits no call
+//! until its cooldown has passed and becomes half-open with the next call. A half-open breaker
+//! admits [`HALF_OPEN_TRIALS`] trials, closes when all trials succeed and opens again when a trial
+//! fails.
 //!
-//! Unlike the textbook's breaker it does not open by itself:
-//! [`on_outcome`](CircuitBreaker::on_outcome) returns a [`Verdict`], and the owner opens it unless
-//! [outlier detection](crate::outlier) finds that the others fail alike.
+//! Unlike a usual circuit breaker, this breaker does not open by itself:
+//! [`on_outcome`](CircuitBreaker::on_outcome) returns a [`Verdict`], and the owner opens the
+//! breaker unless [outlier detection](crate::outlier) finds that the other targets fail too.
 
 use crate::api::Timestamp;
 use std::ops::Add;
 use std::time::Duration;
 
-/// Failure rate of a window from which on a closed breaker ought to open.
+/// Failure rate of a window from which a closed breaker should open.
 pub(crate) const OPENING_FAILURE_RATE: f64 = 0.6;
-/// Fewest calls of a window that say anything of a failure rate.
+/// Minimum number of calls in a window for a meaningful failure rate.
 pub(crate) const MIN_CALLS: u32 = 3;
-/// A window says nothing before it has one call for this many of the window before. Where one call
-/// in eight fails, two of the first three do every few windows. Few calls still open the breaker of
-/// a target with little load; the price is that a busy target that dies takes the calls of half a
-/// second, not three.
-const CALLS_OF_LAST_WINDOW_PER_CALL: u32 = 10;
-/// Window of most breakers: long enough for [`MIN_CALLS`] at a target with little load.
+/// A window is not evaluated before it has one call per this number of calls in the previous
+/// window. Otherwise, at a failure rate of one in eight, the breaker would open every few windows,
+/// because two of the first three calls fail. The breaker of a target with little load still opens
+/// after few calls. The drawback is that a busy target that fails receives the calls of half a
+/// second, not three calls.
+const PREVIOUS_WINDOW_CALLS_PER_CALL: u32 = 10;
+/// Window of most breakers; long enough for [`MIN_CALLS`] calls at a target with little
+/// load.
 pub(crate) const WINDOW: Duration = Duration::from_secs(5);
-/// How long an open breaker blocks its target before trials.
+/// Time for which an open breaker blocks its target before trials.
 pub(crate) const COOLDOWN: Duration = Duration::from_secs(6);
-/// Trials that a half-open breaker admits, all of which must succeed.
+/// Number of trials that a half-open breaker admits; all must succeed.
 const HALF_OPEN_TRIALS: u32 = 3;
 
-/// What the end of a call tells of the breaker's target.
+/// Result of a call, as evidence about the breaker's target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallResult {
     /// The target works.
     Success,
-    /// The target does not.
+    /// The target does not work.
     Failure,
-    /// Nothing either way.
+    /// The call gives no evidence.
     Inconclusive,
 }
 
-/// What the end of a call means for the breaker.
+/// Consequence of a call's outcome for the breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub(crate) enum Verdict {
-    /// It stays as it is.
+    /// The breaker keeps its state.
     Keep,
-    /// It is half-open and a trial failed: it must be opened again, or it would lack that trial for
-    /// good.
+    /// The breaker is half-open and a trial failed. The owner must open the breaker again;
+    /// otherwise the failed trial would count against the limit of trials permanently.
     TrialFailed,
-    /// It is closed and the failure rate of its window reaches the threshold.
+    /// The breaker is closed and the failure rate of its window reaches the threshold.
     RateExceeded,
 }
 
-/// Calls and failures of a window.
+/// Counts of calls and failures in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct WindowCounts {
-    /// Ended calls that were conclusive.
+    /// Ended calls with a conclusive result.
     pub(crate) calls: u32,
-    /// Those of them that failed.
+    /// Failed calls.
     pub(crate) failures: u32,
 }
 
 impl WindowCounts {
-    /// Whether the failure rate is under `rate`; false without a call.
+    /// Checks whether the failure rate is below `rate`; false without calls.
     pub(crate) fn failure_rate_below(self, rate: f64) -> bool {
         f64::from(self.failures) < rate * f64::from(self.calls)
     }
@@ -85,26 +88,26 @@
     Closed,
     /// No call is admitted before `until`.
     Open { until: Timestamp },
-    /// Of the trials, `admitted` were sent and not given back, and `succeeded` of those ended well.
+    /// `admitted` trials were sent, inconclusive trials excluded; `succeeded` trials succeeded.
     HalfOpen { admitted: u32, succeeded: u32 },
 }
 
-/// A circuit breaker of one target.
+/// Circuit breaker of one target.
 #[derive(Debug)]
 pub(crate) struct CircuitBreaker {
     state: State,
-    /// Counts state changes: a call that was sent in an earlier state says nothing of the present
-    /// one.
+    /// Number of state changes. The outcome of a call sent in an earlier epoch is ignored, because
+    /// it gives no evidence about the current state.
     epoch: u32,
     window: Duration,
     window_ends: Timestamp,
     counts: WindowCounts,
-    /// Calls in the last whole window.
-    calls_of_last_window: u32,
+    /// Number of calls in the previous complete window.
+    previous_window_calls: u32,
 }
 
 impl CircuitBreaker {
-    /// A closed breaker that counts in windows of this length.
+    /// Returns a closed breaker that counts in windows of this length.
     pub(crate) fn new(window: Duration, now: Timestamp) -> Self {
         Self {
             state: State::Closed,
@@ -112,22 +115,23 @@
             window,
             window_ends: now + window,
             counts: WindowCounts::default(),
-            calls_of_last_window: 0,
+            previous_window_calls: 0,
         }
     }
 
-    /// The present epoch, to be handed to [`on_outcome`](Self::on_outcome) with the end of a call
-    /// sent now.
+    /// Returns the current epoch, which the caller passes to [`on_outcome`](Self::on_outcome) when
+    /// a call sent now ends.
     pub(crate) fn epoch(&self) -> u32 {
         self.epoch
     }
 
-    /// Whether it is closed.
+    /// Checks whether the breaker is closed.
     pub(crate) fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// The end of its cooldown, which may be over with no trial sent yet; `None` unless it is open.
+    /// Returns the end of the cooldown, which may be past if no trial has been sent; `None` unless
+    /// the breaker is open.
     pub(crate) fn open_until(&self) -> Option<Timestamp> {
         match self.state {
             State::Open { until } => Some(until),
@@ -135,12 +139,12 @@
         }
     }
 
-    /// What the present window has counted; `None` where that window is over.
+    /// Returns the counts of the current window; `None` if the window is over.
     pub(crate) fn recent_counts(&self, now: Timestamp) -> Option<WindowCounts> {
         (now < self.window_ends).then_some(self.counts)
     }
 
-    /// Whether a call may be sent.
+    /// Checks whether a call may be sent.
     pub(crate) fn admits(&self, now: Timestamp) -> bool {
         match self.state {
             State::Closed => true,
@@ -155,12 +159,12 @@
         self.enter(State::Open { until }, now);
     }
 
-    /// Closes it, with nothing counted.
+    /// Closes the breaker and resets its counts.
     pub(crate) fn close(&mut self, now: Timestamp) {
         self.enter(State::Closed, now);
     }
 
-    /// Takes in that a call is sent; the first one after a cooldown makes it half-open.
+    /// Records the send of a call; the first call after a cooldown makes the breaker half-open.
     pub(crate) fn on_send(&mut self, now: Timestamp) {
         match &mut self.state {
             State::Open { until } if now >= *until => {
@@ -175,8 +179,8 @@
         }
     }
 
-    /// Takes in the end of a call that was sent in `epoch`. An inconclusive trial may be made
-    /// again.
+    /// Records the outcome of a call that was sent in `epoch`. An inconclusive trial may be
+    /// repeated.
     pub(crate) fn on_outcome(&mut self, epoch: u32, result: CallResult, now: Timestamp) -> Verdict {
         if epoch != self.epoch {
             return Verdict::Keep;
@@ -200,14 +204,17 @@
 
     fn count(&mut self, result: CallResult, now: Timestamp) -> Verdict {
         if now >= self.window_ends {
-            self.calls_of_last_window = self.counts.calls;
+            self.previous_window_calls = self.counts.calls;
             self.window_ends = now + self.window;
             self.counts = WindowCounts::default();
         }
         self.counts.calls += 1;
         self.counts.failures += u32::from(result == CallResult::Failure);
-        let enough = MIN_CALLS.max(self.calls_of_last_window / CALLS_OF_LAST_WINDOW_PER_CALL);
-        if self.counts.calls >= enough && !self.counts.failure_rate_below(OPENING_FAILURE_RATE) {
+        let required_calls =
+            MIN_CALLS.max(self.previous_window_calls / PREVIOUS_WINDOW_CALLS_PER_CALL);
+        if self.counts.calls >= required_calls
+            && !self.counts.failure_rate_below(OPENING_FAILURE_RATE)
+        {
             Verdict::RateExceeded
         } else {
             Verdict::Keep
@@ -218,7 +225,7 @@
         *self = Self {
             state,
             epoch: self.epoch + 1,
-            calls_of_last_window: self.calls_of_last_window,
+            previous_window_calls: self.previous_window_calls,
             ..Self::new(self.window, now)
         };
     }
--- a/crates/policy/src/cached_keys.rs
+++ b/crates/policy/src/cached_keys.rs
@@ -1,7 +1,7 @@
-//! What endpoints probably hold in their caches, as far as this node's own requests tell.
+//! Estimate of the endpoints' cache contents, from the responses to this node's own requests.
 //!
-//! Two memories of bounded size: which key was answered by which incarnation of an endpoint a
-//! moment ago, and whether the last answer to a key was served from a cache, where endpoints tell.
+//! Two tables of bounded size: the keys recently served by each incarnation of an endpoint, and, if
+//! endpoints report cache results, whether a key's last response came from a cache.
 
 use crate::api::Timestamp;
 use crate::endpoint_table::EndpointState;
@@ -9,57 +9,59 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Most keys that are remembered in a map, or in one of the two generations of answers.
+/// Maximum number of keys in [`CachedKeys`] and in one generation of [`RecentlyServedKeys`].
 const MAX_KEYS: usize = 4096;
-/// Length of a generation: an endpoint most likely holds what it answered in the present one or the
-/// one before.
-const GENERATION: Duration = Duration::from_secs(5);
+/// Duration of a generation. An endpoint most likely still caches the keys that it served in the
+/// current or the previous generation.
+const GENERATION_DURATION: Duration = Duration::from_secs(5);
 
-/// Keys that endpoints answered of late, in two generations of which the older is dropped as a
-/// whole: what is known of endpoints that were removed is forgotten with it. Never walked.
+/// Keys recently served by endpoints, in two generations. The older generation is dropped as a
+/// whole, which also removes the entries of removed endpoints. Never iterated.
 #[derive(Debug, Default)]
-pub(crate) struct RecentAnswers {
-    /// Hashes of key and incarnation.
-    present: HashSet<u64>,
+pub(crate) struct RecentlyServedKeys {
+    /// Hashes of key and incarnation in the current generation.
+    current: HashSet<u64>,
     previous: HashSet<u64>,
-    since: Timestamp,
+    generation_start: Timestamp,
 }
 
-impl RecentAnswers {
-    /// Begins a new generation once the present one is old or full.
+impl RecentlyServedKeys {
+    /// Begins a new generation if the current one is old or full.
     pub(crate) fn rotate(&mut self, now: Timestamp) {
-        if now.since(self.since) >= GENERATION || self.present.len() >= MAX_KEYS {
-            self.previous = std::mem::take(&mut self.present);
-            self.since = now;
+        if now.since(self.generation_start) >= GENERATION_DURATION || self.current.len() >= MAX_KEYS
+        {
+            self.previous = std::mem::take(&mut self.current);
+            self.generation_start = now;
         }
     }
 
-    /// Notes that the endpoint answered a request of this key.
+    /// Records that the endpoint served a request with this key.
     pub(crate) fn insert(&mut self, key: u64, endpoint: &EndpointState) {
-        self.present.insert(answer_hash(key, endpoint));
+        self.current.insert(served_key_hash(key, endpoint));
     }
 
-    /// Whether the endpoint answered a request of this key of late.
+    /// Checks whether the endpoint recently served a request with this key.
     pub(crate) fn contains(&self, key: u64, endpoint: &EndpointState) -> bool {
-        let hash = answer_hash(key, endpoint);
-        self.present.contains(&hash) || self.previous.contains(&hash)
+        let hash = served_key_hash(key, endpoint);
+        self.current.contains(&hash) || self.previous.contains(&hash)
     }
 }
 
-/// An endpoint that started anew has an empty cache: its start is part of the hash.
-fn answer_hash(key: u64, endpoint: &EndpointState) -> u64 {
+/// Returns a hash of the key and the endpoint's incarnation. The hash includes the endpoint's start
+/// time, because a restarted endpoint has an empty cache.
+fn served_key_hash(key: u64, endpoint: &EndpointState) -> u64 {
     let started = endpoint.endpoint.started;
     mix(key ^ mix(endpoint.hash ^ started.map_or(0, Timestamp::as_micros)))
 }
 
-/// By key, whether the last answer to it here could be had without the origin. Never walked.
+/// By key, whether this node's last response for the key needed no origin. Never iterated.
 #[derive(Debug, Default)]
 pub(crate) struct CachedKeys {
     cached: HashMap<u64, bool>,
 }
 
 impl CachedKeys {
-    /// Notes whether the key's value is cached now. All is forgotten once there are too many keys.
+    /// Records whether the key's value is cached now. Clears the whole map if it has too many keys.
     pub(crate) fn insert(&mut self, key: u64, cached: bool) {
         if self.cached.len() > MAX_KEYS {
             self.cached.clear();
@@ -67,7 +69,7 @@
         self.cached.insert(key, cached);
     }
 
-    /// Whether the key's value was cached at its last answer; false for an unknown key.
+    /// Checks whether the key's value was cached at its last response; false for an unknown key.
     pub(crate) fn contains(&self, key: u64) -> bool {
         self.cached.get(&key) == Some(&true)
     }
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -1,58 +1,59 @@
-//! Adaptive concurrency limit: how many attempts a node may have in flight at an endpoint.
+//! Adaptive concurrency limit: the maximum number of attempts of a node in flight at an endpoint.
 //!
-//! Additive increase for an answer in time while at least half of the limit is in use, decrease for
-//! one that was late and for an attempt that was rejected or timed out. The textbook's limit (AIMD)
-//! decreases by a factor; this one by a fixed step, a smaller one where the endpoint reports that
-//! it has no queue. Its start and minimum are stated for all nodes together and divided by their
-//! number, so that a limit may be under one.
+//! The limit increases additively for a response in time while at least half of the limit is in
+//! use. It decreases for a late response and for an attempt that is rejected or times out. A usual
+//! AIMD limit decreases by a factor; this limit decreases by a fixed step, which is smaller if the
+//! endpoint reports an empty queue. The initial limit and the minimum are totals over all nodes and
+//! are divided by the number of nodes, so that a limit may be less than one.
 
 use std::time::Duration;
 
-/// Limit that an endpoint starts with, for all nodes together.
-const START_FOR_ALL: f64 = 16.0;
-/// Least limit, for all nodes together.
-const MIN_FOR_ALL: f64 = 3.0;
-/// Least limit of one of very many nodes.
-const MIN_PER_NODE: f64 = 0.05;
-/// Step up for an answer in time.
+/// Initial limit of an endpoint, as a total over all nodes.
+const INITIAL_LIMIT_ALL_NODES: f64 = 16.0;
+/// Minimum limit, as a total over all nodes.
+const MIN_LIMIT_ALL_NODES: f64 = 3.0;
+/// Minimum limit of a single node, however many nodes there are.
+const MIN_LIMIT_PER_NODE: f64 = 0.05;
+/// Increase for a response in time.
 const INCREASE: f64 = 0.1;
-/// Step down for an answer that was late, and for an attempt rejected or timed out.
+/// Decrease for a late response and for an attempt that is rejected or times out.
 const DECREASE: f64 = 1.0;
-/// Step down for a late answer from an endpoint with no queue: most often the work itself took
+/// Decrease for a late response from an endpoint without a queue: usually the work itself took
 /// long.
 const DECREASE_WITHOUT_QUEUE: f64 = 0.3;
-/// An answer in time raises the limit only if the attempts in flight, times this, reach it.
+/// A response in time increases the limit only if the number of attempts in flight, multiplied by
+/// this factor, reaches the limit.
 const IN_USE_FACTOR: f64 = 2.0;
 
-/// Bounds of the limits, which follow from the number of nodes.
+/// Bounds of the limits, derived from the number of nodes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConcurrencyBounds {
-    /// Limit of an endpoint that nothing is known of.
-    pub(crate) start: f64,
-    /// Least limit. An endpoint with nothing in flight must still get its next request: if the node
-    /// never sent there for want of capacity, no answer would ever raise the limit again.
+    /// Initial limit of an endpoint.
+    pub(crate) initial: f64,
+    /// Minimum limit. An endpoint without attempts in flight must still get its next request: if
+    /// the limit stopped all sends to the endpoint, no response could increase the limit again.
     pub(crate) min: f64,
 }
 
 impl ConcurrencyBounds {
-    /// The bounds for one of this many nodes.
+    /// Returns the bounds of a node in a deployment of `nodes` nodes.
     pub(crate) fn new(nodes: u32) -> Self {
         let nodes = f64::from(nodes.max(1));
         Self {
-            start: (START_FOR_ALL / nodes).max(1.0),
-            min: (MIN_FOR_ALL / nodes).max(MIN_PER_NODE),
+            initial: (INITIAL_LIMIT_ALL_NODES / nodes).max(1.0),
+            min: (MIN_LIMIT_ALL_NODES / nodes).max(MIN_LIMIT_PER_NODE),
         }
     }
 
-    /// Whether the deployment has so many nodes that an endpoint's starting limit has no whole
-    /// place for each. Such a node meets an endpoint only now and then: what it learns of one comes
-    /// late, and it fills no queue by itself.
+    /// Checks whether the deployment has so many nodes that an endpoint's initial limit allows at
+    /// most one attempt per node. A node of such a deployment sends to an endpoint only
+    /// occasionally: its information about an endpoint is late, and its own load fills no queue.
     pub(crate) fn is_large_deployment(self) -> bool {
-        self.start <= 1.0
+        self.initial <= 1.0
     }
 }
 
-/// The limit of one endpoint and what is in flight there.
+/// Limit of one endpoint and number of attempts in flight there.
 #[derive(Debug)]
 pub(crate) struct ConcurrencyLimit {
     limit: f64,
@@ -60,44 +61,45 @@
 }
 
 impl ConcurrencyLimit {
-    /// The limit of an endpoint that nothing is known of.
+    /// Returns the initial limit of an endpoint, without attempts in flight.
     pub(crate) fn new(bounds: ConcurrencyBounds) -> Self {
         Self {
-            limit: bounds.start,
+            limit: bounds.initial,
             in_flight: 0,
         }
     }
 
-    /// Attempts in flight.
+    /// Returns the number of attempts in flight.
     pub(crate) fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Counts an attempt as in flight.
+    /// Counts a sent attempt as in flight.
     pub(crate) fn on_send(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Counts an attempt as ended.
+    /// Removes an ended attempt from the count.
     pub(crate) fn on_end(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// Forgets what was in flight at an earlier incarnation.
-    pub(crate) fn forget_in_flight(&mut self) {
+    /// Resets the count, which belongs to an earlier incarnation.
+    pub(crate) fn reset_in_flight(&mut self) {
         self.in_flight = 0;
     }
 
-    /// Whether one more fits into this fraction of the limit. `dither`, uniform between 0 and 1,
-    /// rounds the limit.
+    /// Checks whether this fraction of the limit allows one more attempt. `dither`, uniform between
+    /// 0 and 1, rounds the limit.
     pub(crate) fn has_capacity(&self, fraction: f64, dither: f64) -> bool {
         f64::from(self.in_flight) + dither < self.limit * fraction
     }
 
-    /// The same for a limit below 1, which is a duty cycle: whether an idle endpoint was last sent
-    /// to long enough ago that one attempt of the average latency (in seconds) keeps to the limit
-    /// on average. Taken as the probability of sending, such a limit would keep the endpoint from
-    /// its next answers, which alone raise it again.
+    /// Checks whether a limit below 1, interpreted as a duty cycle, allows an attempt: whether the
+    /// last send to an endpoint without attempts in flight was long enough ago that one attempt of
+    /// the average latency (in seconds) keeps to the limit on average. If the limit were the
+    /// probability of sending, the endpoint would not get the attempts whose responses increase the
+    /// limit again.
     pub(crate) fn fractional_limit_allows(
         &self,
         fraction: f64,
@@ -107,22 +109,22 @@
         self.in_flight == 0 && idle.as_secs_f64() * (self.limit * fraction) >= average_latency
     }
 
-    /// Whether answers in time raise the limit: not while little of it is used.
+    /// Checks whether enough of the limit is in use for a response in time to increase the limit.
     pub(crate) fn is_in_use(&self) -> bool {
         f64::from(self.in_flight) * IN_USE_FACTOR >= self.limit
     }
 
-    /// A step up.
+    /// Increases the limit by one step.
     pub(crate) fn increase(&mut self) {
         self.limit += INCREASE;
     }
 
-    /// A step down.
+    /// Decreases the limit by one step.
     pub(crate) fn decrease(&mut self, bounds: ConcurrencyBounds) {
         self.limit = (self.limit - DECREASE).max(bounds.min);
     }
 
-    /// A small step down, where the endpoint has no queue.
+    /// Decreases the limit by a smaller step, for an endpoint without a queue.
     pub(crate) fn decrease_without_queue(&mut self, bounds: ConcurrencyBounds) {
         self.limit = (self.limit - DECREASE_WITHOUT_QUEUE).max(bounds.min);
     }
--- a/crates/policy/src/endpoint_table.rs
+++ b/crates/policy/src/endpoint_table.rs
@@ -104,7 +104,7 @@
 
     fn begin_incarnation(&mut self, incarnation: u64, now: Timestamp) {
         self.incarnation = incarnation;
-        self.concurrency.forget_in_flight();
+        self.concurrency.reset_in_flight();
         self.last_success = None;
         self.empty_queue_reported_at = None;
         self.breaker.close(now);
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -1,14 +1,14 @@
-//! Idempotency rules: whether a request that may have run already may be run again.
+//! Idempotency rules: whether a request that may have run already may be sent again.
 //!
-//! An idempotent request may be, a non-idempotent one never. A keyed one may be sent again where
-//! endpoints discard a repeat (its scope) and while they do (its window, from each attempt that may
-//! have run).
+//! An idempotent request may always be sent again, a non-idempotent request never. A keyed request
+//! may be sent again only to endpoints in its scope, which discard repeats, and only within its
+//! window, which starts at each attempt that may have run.
 
 use crate::api::{DeduplicationScope, Endpoint, Idempotency, Timestamp};
 use crate::pending::PendingRequest;
 use std::time::Duration;
 
-/// Whether an attempt at this endpoint may be sent now.
+/// Checks whether an attempt at this endpoint may be sent now.
 pub(crate) fn may_attempt(
     idempotency: Idempotency,
     pending: &PendingRequest,
@@ -24,9 +24,9 @@
     })
 }
 
-/// For how long endpoints still discard a repeat of the request; the longest time where that does
-/// not matter.
-pub(crate) fn deduplication_left(
+/// Returns the remaining time in which endpoints discard a repeat of the request; `Duration::MAX`
+/// if no repeat needs to be discarded.
+pub(crate) fn remaining_deduplication_time(
     idempotency: Idempotency,
     pending: &PendingRequest,
     now: Timestamp,
@@ -41,14 +41,15 @@
         .unwrap_or(Duration::MAX)
 }
 
-/// Whether the client may send the request again, to any node: what a shed request must allow.
+/// Checks whether the client may send the request again, to any node. A request may be shed only if
+/// its client may send it again.
 pub(crate) fn client_may_retry(idempotency: Idempotency, pending: &PendingRequest) -> bool {
-    let harmless = match idempotency {
+    let repeat_is_safe = match idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::Keyed { scope, .. } => scope == DeduplicationScope::All,
     };
-    harmless || pending.may_have_run().next().is_none()
+    repeat_is_safe || pending.may_have_run().next().is_none()
 }
 
 fn shares_scope(scope: DeduplicationScope, earlier: &Endpoint, endpoint: &Endpoint) -> bool {
--- a/crates/policy/src/origin_protection.rs
+++ b/crates/policy/src/origin_protection.rs
@@ -1,12 +1,12 @@
 //! Protection of the origin, the database behind the cache servers, from too many reads.
 //!
-//! Each read that an overloaded origin lets fail is sent again by its client and the node, and
-//! nothing is cached: without a limit such a day stays down, whatever began it (endpoints that come
-//! empty, keys that moved, an origin that slowed down). So the likely misses in flight have an
-//! adaptive limit (multiplicative decrease, additive increase) while reads from caches go on. It
-//! does harm where likely misses fail for a cause that more of them would not worsen.
+//! Each read that fails at an overloaded origin is sent again by the client and the node, and its
+//! value is not cached. Without a limit the overload persists whatever its cause: endpoints with
+//! empty caches, moved keys, a slower origin. Therefore the likely misses in flight have an
+//! adaptive limit (multiplicative decrease, additive increase) while reads from caches continue.
+//! The limit does harm if likely misses fail for a cause that more likely misses would not worsen.
 //!
-//! Where endpoints tell whether an answer came from their cache, a circuit breaker guards the
+//! If endpoints report whether a response came from their cache, a circuit breaker guards the
 //! origin as well.
 
 use crate::api::{Status, Timestamp};
@@ -15,48 +15,52 @@
 use crate::decay::{DecayedCounts, DECAY_TIME};
 use crate::pending::{Attempt, PendingRequest};
 
-/// The origin is overloaded while this fraction of the likely misses fails.
+/// Minimum failure rate of likely misses at which the origin is overloaded.
 const OVERLOAD_FAILURE_RATE: f64 = 0.4;
-/// And their failure rate is at least this many times that of all other attempts.
+/// Minimum ratio of the failure rate of likely misses to the failure rate of all other attempts at
+/// which the origin is overloaded.
 const OVERLOAD_RATE_RATIO: f64 = 2.0;
-/// Factor of the limit after a failure.
+/// Factor by which a failure reduces the limit.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Step up of the limit for each likely miss that is served while the limit is used.
+/// Increase of the limit per likely miss that is served while the limit is in use.
 const INCREASE: f64 = 0.1;
-/// A likely miss that is served raises the limit only if those in flight, times this, reach it.
+/// A served likely miss increases the limit only if the number of likely misses in flight,
+/// multiplied by this factor, reaches the limit.
 const IN_USE_FACTOR: f64 = 4.0;
-/// Least limit, for all nodes together.
-const MIN_LIMIT_FOR_ALL: f64 = 1.0;
-/// Fraction of the limit that a further likely miss of a request may use after a failed one: it is
-/// made only if the origin has plenty of capacity.
-const FRACTION_AFTER_FAILURE: f64 = 0.5;
+/// Minimum limit, as a total over all nodes.
+const MIN_LIMIT_ALL_NODES: f64 = 1.0;
+/// Fraction of the limit that is usable by a request whose last likely miss failed: the request
+/// gets another likely miss only if the origin has ample capacity.
+const LIMIT_FRACTION_AFTER_FAILURE: f64 = 0.5;
 
 /// Limit of likely misses and circuit breaker of the origin.
 #[derive(Debug)]
 pub(crate) struct OriginProtection {
-    /// The breaker of what endpoints fetch misses from, where they tell of misses.
+    /// Breaker of the origin, used if endpoints report misses.
     pub(crate) breaker: CircuitBreaker,
-    /// Likely misses in flight.
+    /// Number of likely misses in flight.
     in_flight: u32,
-    /// Most likely misses in flight. Infinite until the origin is overloaded for the first time.
+    /// Maximum number of likely misses in flight; infinite until the origin's first overload.
     limit: f64,
     min_limit: f64,
-    /// When the limit was last decreased.
+    /// Time of the last decrease of the limit.
     last_decrease: Timestamp,
     likely_misses: DecayedCounts,
     other_attempts: DecayedCounts,
-    /// One of very many nodes sees too few likely misses to judge by.
+    /// Whether the limit never decreases: a node of a large deployment sends too few likely misses
+    /// for a judgement.
     is_large_deployment: bool,
 }
 
 impl OriginProtection {
-    /// No limit and a closed breaker, at one of this many nodes.
+    /// Returns the state without a limit and with a closed breaker, for a deployment of `nodes`
+    /// nodes.
     pub(crate) fn new(nodes: u32, bounds: ConcurrencyBounds) -> Self {
         Self {
             breaker: CircuitBreaker::new(WINDOW, Timestamp::default()),
             in_flight: 0,
             limit: f64::INFINITY,
-            min_limit: MIN_LIMIT_FOR_ALL / f64::from(nodes.max(1)),
+            min_limit: MIN_LIMIT_ALL_NODES / f64::from(nodes.max(1)),
             last_decrease: Timestamp::default(),
             likely_misses: DecayedCounts::default(),
             other_attempts: DecayedCounts::default(),
@@ -64,16 +68,16 @@
         }
     }
 
-    /// Multiplies the counts with a factor of [`Decay::advance`](crate::decay::Decay::advance).
+    /// Multiplies the counts by a factor from [`Decay::advance`](crate::decay::Decay::advance).
     pub(crate) fn decay(&mut self, factor: f64) {
         self.likely_misses.scale(factor);
         self.other_attempts.scale(factor);
     }
 
-    /// Whether the limit leaves no likely miss to this request.
+    /// Checks whether the limit admits no likely miss of this request.
     pub(crate) fn is_full_for(&self, pending: &PendingRequest) -> bool {
         let fraction = if pending.likely_miss_failed() {
-            FRACTION_AFTER_FAILURE
+            LIMIT_FRACTION_AFTER_FAILURE
         } else {
             1.0
         };
@@ -85,7 +89,7 @@
         self.in_flight += 1;
     }
 
-    /// Takes in the end of any attempt; returns whether it failed and the origin is to blame.
+    /// Records the end of any attempt; returns whether the attempt failed because of the origin.
     pub(crate) fn on_attempt_ended(
         &mut self,
         attempt: &Attempt,
@@ -97,12 +101,13 @@
             self.other_attempts.record(failed);
             return false;
         }
-        // What was sent before the last decrease says nothing of the new limit.
+        // The outcome of an attempt sent before the last decrease is no evidence about the new
+        // limit.
         let sent_under_limit = attempt.sent >= self.last_decrease;
         if sent_under_limit {
             self.likely_misses.record(failed);
         }
-        // With this one, which is no longer in flight.
+        // Includes the ended attempt.
         let used = f64::from(self.in_flight);
         self.in_flight -= 1;
         let overloaded = !self.is_large_deployment && self.is_overloaded();
--- a/crates/policy/src/poll_schedule.rs
+++ b/crates/policy/src/poll_schedule.rs
@@ -1,43 +1,45 @@
-//! The pause before discovery is polled again after a call that failed.
+//! Pause before the next poll of discovery after a failed call.
 //!
-//! Unlike an exponential backoff the pause does not grow: while a node has no list it counts as
-//! notified of each change a fixed time after it, so it must not stay away for longer. Jitter keeps
-//! nodes that lost the same discovery together from coming back together.
+//! Unlike an exponential backoff, the pause does not grow: while a node has no list, the node
+//! counts as notified of each change a fixed time after the change, so the pause must not exceed
+//! that time. Jitter prevents nodes that lost the same discovery together from polling again
+//! together.
 
 use crate::api::Timestamp;
 use std::time::Duration;
 
-/// Mean pause. A call that failed makes each change count as notified 6 s after discovery had it:
-/// two further ones that fail, with a wait of 2 s in discovery's queue, must fit into that.
-const POLL_RETRY_PAUSE: Duration = Duration::from_millis(600);
-/// A pause differs from the mean by up to this part of it.
+/// Mean pause. After a failed call, each change counts as notified 6 s after discovery had the
+/// change. Two further failed calls, with a wait of 2 s in discovery's queue, must fit into this
+/// time.
+const MEAN_POLL_RETRY_PAUSE: Duration = Duration::from_millis(600);
+/// Maximum deviation of a pause from the mean, as a fraction of the mean.
 const POLL_RETRY_JITTER: f64 = 0.4;
-/// Without a watch, a node that has not polled for the longest poll interval counts as notified: a
-/// pause is at most this part of that interval.
-const PAUSES_PER_POLL_INTERVAL: u32 = 4;
+/// Minimum number of mean pauses per maximum poll interval. Without a watch, a node that has not
+/// polled for the maximum poll interval counts as notified.
+const MIN_PAUSES_PER_POLL_INTERVAL: u32 = 4;
 
-/// When discovery is to be polled next.
+/// Time of the next poll of discovery.
 #[derive(Debug)]
 pub(crate) struct PollSchedule {
     next: Option<Timestamp>,
 }
 
 impl PollSchedule {
-    /// The first poll is due at once.
+    /// Returns a schedule whose first poll is due immediately.
     pub(crate) fn new() -> Self {
         Self {
             next: Some(Timestamp::default()),
         }
     }
 
-    /// Takes in that a call failed. `random` is uniform between 0 and 1.
+    /// Schedules the next poll after a failed call. `random` is uniform between 0 and 1.
     pub(crate) fn on_failure(&mut self, now: Timestamp, random: f64, max_poll_interval: Duration) {
         let jitter = 1.0 + POLL_RETRY_JITTER * (2.0 * random - 1.0);
-        let pause = POLL_RETRY_PAUSE.min(max_poll_interval / PAUSES_PER_POLL_INTERVAL);
+        let pause = MEAN_POLL_RETRY_PAUSE.min(max_poll_interval / MIN_PAUSES_PER_POLL_INTERVAL);
         self.next = Some(now + pause.mul_f64(jitter));
     }
 
-    /// Whether a poll is due; if so it is taken as made.
+    /// Checks whether a poll is due, and removes a due poll from the schedule.
     pub(crate) fn take_due(&mut self, now: Timestamp) -> bool {
         let due = self.next.is_some_and(|at| now >= at);
         if due {
@@ -46,7 +48,7 @@
         due
     }
 
-    /// When the next poll is due, if one is to be made.
+    /// Returns the time of the next poll, if a poll is scheduled.
     pub(crate) fn next(&self) -> Option<Timestamp> {
         self.next
     }
--- a/crates/policy/src/random.rs
+++ b/crates/policy/src/random.rs
@@ -1,8 +1,9 @@
-//! The node's random numbers, a function of its seed: equal events give equal actions.
+//! Random numbers of a node, a function of the node's seed, so that equal events give equal
+//! actions.
 
 use crate::hashing::{mix, unit_interval};
 
-/// A generator of uniform random numbers between 0 and 1.
+/// Generator of uniform random numbers between 0 and 1.
 #[derive(Debug)]
 pub(crate) struct Random {
     seed: u64,
@@ -10,18 +11,18 @@
 }
 
 impl Random {
-    /// A generator that starts from this seed.
+    /// Returns a generator with this seed.
     pub(crate) fn new(seed: u64) -> Self {
         Self { seed, drawn: 0 }
     }
 
-    /// The next random number.
+    /// Returns the next random number.
     pub(crate) fn draw(&mut self) -> f64 {
         self.drawn += 1;
         unit_interval(mix(self.seed ^ self.drawn))
     }
 
-    /// The number that belongs to `salt`: always the same at this node, another one at a node of
+    /// Returns the random number for `salt`: constant at this node, different at a node with
     /// another seed.
     pub(crate) fn fixed(&self, salt: u64) -> f64 {
         unit_interval(mix(self.seed ^ salt))
--- a/crates/policy/src/retry_budget.rs
+++ b/crates/policy/src/retry_budget.rs
@@ -1,44 +1,45 @@
-//! Retry budget: retries are paid from what first attempts earn, a token bucket filled by requests
-//! and not by time.
+//! Retry budget: a token bucket that is drained by retries and filled by other attempts, not by
+//! time.
 //!
-//! It bounds the load that retries add to endpoints in trouble. A read of the origin after a cache
-//! miss is no retry.
+//! The budget bounds the load that retries add to failing or overloaded endpoints. A read from the
+//! origin after a cache miss is not a retry.
 
-/// What each first attempt earns, in retries.
+/// Tokens added per attempt that is not a retry.
 const EARNED_PER_REQUEST: f64 = 0.2;
-/// Most retries that may be saved up, which is also what a node starts with.
+/// Maximum balance, which is also the initial balance.
 const MAX_BALANCE: f64 = 10.0;
-/// What a retry costs.
+/// Tokens taken by a retry.
 pub(crate) const RETRY_COST: f64 = 1.0;
-/// What a retry costs after a rejection in a large deployment: none of very many nodes can keep an
-/// endpoint's queue of a few places from being full, and an endpoint rejects at little cost.
+/// Tokens taken by a retry after a rejection in a large deployment. Lower, because a single node of
+/// very many cannot prevent an endpoint's short queue from being full, and a rejection costs an
+/// endpoint little.
 pub(crate) const RETRY_COST_AFTER_REJECTION: f64 = 0.25;
 
-/// What retries may still spend.
+/// Tokens available for retries.
 #[derive(Debug)]
 pub(crate) struct RetryBudget {
     balance: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Returns a full budget.
     pub(crate) fn new() -> Self {
         Self {
             balance: MAX_BALANCE,
         }
     }
 
-    /// Whether a retry of this cost may be made.
+    /// Checks whether the balance covers a retry of this cost.
     pub(crate) fn affords(&self, cost: f64) -> bool {
         self.balance >= cost
     }
 
-    /// Pays for a retry.
+    /// Takes the cost of a retry from the balance.
     pub(crate) fn spend(&mut self, cost: f64) {
         self.balance -= cost;
     }
 
-    /// Takes in that an attempt was sent that is no retry.
+    /// Records the send of an attempt that is not a retry.
     pub(crate) fn earn(&mut self) {
         self.balance = (self.balance + EARNED_PER_REQUEST).min(MAX_BALANCE);
     }
--- a/crates/policy/src/zone_breakers.rs
+++ b/crates/policy/src/zone_breakers.rs
@@ -1,10 +1,10 @@
-//! Circuit breakers of zones, kept at a node of a [large
-//! deployment](crate::concurrency_limit::ConcurrencyBounds) only.
+//! Circuit breakers of zones, used only at nodes of a [large
+//! deployment](crate::concurrency_limit::ConcurrencyBounds::is_large_deployment).
 //!
-//! Such a node meets an endpoint too seldom for that endpoint's breaker to learn that it no longer
-//! answers, but it learns of a zone that is lost or cut off within a second or two. Only silence
-//! counts: an endpoint that answers anything is reachable. A zone's breaker opens only where
-//! another zone answers.
+//! A node of a large deployment sends to one endpoint too rarely for the endpoint's breaker to
+//! detect that the endpoint no longer responds, but detects the loss or partition of a zone within
+//! a second or two. Only timeouts and connect errors count as failures: an endpoint that sends any
+//! response is reachable. A zone's breaker opens only while another zone responds.
 
 use crate::api::{BreakerScope, Endpoint, Name, Status, Timestamp};
 use crate::breaker::{CallResult, CircuitBreaker, Verdict, WINDOW};
@@ -13,13 +13,14 @@
 use crate::random::Random;
 use std::time::Duration;
 
-/// Mean cooldown. Short, since three trials cost a node no more requests than a second without
-/// them.
+/// Mean cooldown. Short, because three trials cost a node no more requests than one second without
+/// trials.
 const ZONE_COOLDOWN: Duration = Duration::from_secs(3);
-/// A cooldown is at least this part of the mean, and less than this much more: nodes that lost a
-/// zone together do not come back together.
-const ZONE_COOLDOWN_LEAST: f64 = 0.75;
-const ZONE_COOLDOWN_SPREAD: f64 = 0.5;
+/// Minimum cooldown, as a fraction of the mean.
+const MIN_COOLDOWN_FACTOR: f64 = 0.75;
+/// Range of the random addition to the minimum cooldown, as a fraction of the mean. Prevents nodes
+/// that lost a zone together from sending their trials together.
+const COOLDOWN_FACTOR_RANGE: f64 = 0.5;
 
 #[derive(Debug)]
 struct ZoneBreaker {
@@ -27,20 +28,20 @@
     breaker: CircuitBreaker,
 }
 
-/// The breakers of all zones that listed endpoints are in; empty in a small deployment.
+/// Breakers of all zones that contain listed endpoints; empty in a small deployment.
 #[derive(Debug, Default)]
 pub(crate) struct ZoneBreakers {
     zones: Vec<ZoneBreaker>,
 }
 
 impl ZoneBreakers {
-    /// Drops the breakers of zones without an endpoint.
+    /// Removes the breakers of zones without an endpoint.
     pub(crate) fn retain_zones_of(&mut self, table: &EndpointTable) {
         self.zones
             .retain(|zone| table.iter().any(|state| state.endpoint.zone == zone.zone));
     }
 
-    /// Begins to keep a breaker for the endpoint's zone, unless there is one.
+    /// Adds a breaker for the endpoint's zone if the zone has none.
     pub(crate) fn add_zone_of(&mut self, endpoint: &Endpoint, now: Timestamp) {
         if self.position(&endpoint.zone).is_none() {
             self.zones.push(ZoneBreaker {
@@ -50,14 +51,15 @@
         }
     }
 
-    /// Whether an attempt may go to this zone; always true of a zone without a breaker.
+    /// Checks whether an attempt may be sent to this zone; always true for a zone without a
+    /// breaker.
     pub(crate) fn admits(&self, zone: &Option<Name>, now: Timestamp) -> bool {
         self.position(zone)
             .is_none_or(|index| self.zones[index].breaker.admits(now))
     }
 
-    /// Takes in that an attempt is sent to this zone; returns the epoch of its breaker, 0 without
-    /// one.
+    /// Records a send to this zone and returns the epoch of the zone's breaker; 0 if the zone has
+    /// no breaker.
     pub(crate) fn on_send(&mut self, zone: &Option<Name>, now: Timestamp) -> u32 {
         let Some(index) = self.position(zone) else {
             return 0;
@@ -67,8 +69,8 @@
         breaker.epoch()
     }
 
-    /// Takes in how an attempt at this zone ended; returns the scope of the breaker if that opens
-    /// it.
+    /// Records the outcome of an attempt at this zone; returns the scope of the zone's breaker if
+    /// the outcome opens the breaker.
     pub(crate) fn on_outcome(
         &mut self,
         zone: &Option<Name>,
@@ -82,19 +84,19 @@
         let opens = match breaker.on_outcome(epoch, reachability(status), now) {
             Verdict::Keep => false,
             Verdict::TrialFailed => true,
-            Verdict::RateExceeded => self.another_zone_answers(index, now),
+            Verdict::RateExceeded => self.another_zone_responds(index, now),
         };
         if !opens {
             return None;
         }
-        let spread = ZONE_COOLDOWN_LEAST + ZONE_COOLDOWN_SPREAD * random.draw();
+        let factor = MIN_COOLDOWN_FACTOR + COOLDOWN_FACTOR_RANGE * random.draw();
         self.zones[index]
             .breaker
-            .open(ZONE_COOLDOWN.mul_f64(spread), now);
+            .open(ZONE_COOLDOWN.mul_f64(factor), now);
         Some(BreakerScope::Zone(zone.clone()))
     }
 
-    fn another_zone_answers(&self, index: usize, now: Timestamp) -> bool {
+    fn another_zone_responds(&self, index: usize, now: Timestamp) -> bool {
         let others = self.zones.iter().enumerate().filter(|(i, _)| *i != index);
         others
             .filter_map(|(_, other)| other.breaker.recent_counts(now))
@@ -106,7 +108,7 @@
     }
 }
 
-/// Whether an attempt's end shows that its zone can be reached.
+/// Returns whether an attempt's status shows that the zone is reachable.
 fn reachability(status: Status) -> CallResult {
     match status {
         Status::TimedOut | Status::ConnectError => CallResult::Failure,
