--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -1,9 +1,9 @@
-//! The balancer: the way of an event through the mechanisms. Its interface is `src/api.rs`.
+//! The balancer: passes each event to the mechanisms. Its interface is in `src/api.rs`.
 //!
-//! A request that arrives is dispatched (`balancer/dispatch.rs`): shed, queued or sent to the
-//! endpoint that `balancer/selection.rs` finds. The end of an attempt is evaluated for each
-//! mechanism (`balancer/outcome.rs`), then the request is dispatched again if it has no final
-//! response. Updates of the endpoint list go to the endpoint table.
+//! A new request is dispatched (`balancer/dispatch.rs`): shed, queued or sent to the endpoint
+//! selected by `balancer/selection.rs`. The outcome of an attempt is evaluated and reported to each
+//! mechanism (`balancer/outcome.rs`); a request without a final response is then dispatched again.
+//! Updates of the endpoint list go to the endpoint table.
 
 mod dispatch;
 mod outcome;
@@ -30,41 +30,42 @@
 use crate::zone_breakers::ZoneBreakers;
 use std::collections::HashMap;
 
-/// Decides for one node. It has no clock and does no I/O: equal events give equal actions.
+/// Decides for one node. Has no clock and does no I/O: equal events give equal actions.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
     random: Random,
     endpoints: EndpointTable,
-    /// Empty in a small deployment.
+    /// Zone breakers; empty in a small deployment.
     zones: ZoneBreakers,
     origin: OriginProtection,
-    /// Of the concurrency limits of all endpoints.
+    /// Bounds of the concurrency limits of all endpoints.
     concurrency: ConcurrencyBounds,
-    /// Empty where weights include speeds.
+    /// Speeds of kinds; empty if weights include speeds.
     kind_speeds: KindSpeeds,
     latencies: LatencyTracker,
     load_shedder: LoadShedder,
-    /// Of the counts in `load_shedder` and `origin`.
+    /// Decay of the counts in `load_shedder` and `origin`.
     decay: Decay,
     retry_budget: RetryBudget,
-    /// Tells reads that need no origin, where endpoints report cache results.
+    /// Identifies reads that need no origin, if endpoints report cache results.
     cached_keys: CachedKeys,
-    /// Tells likely misses.
+    /// Identifies likely misses.
     recently_served_keys: RecentlyServedKeys,
-    /// Looked up by id only, never walked: its order differs from run to run.
+    /// Pending requests. Looked up by id only and never iterated, because the iteration order
+    /// differs from run to run.
     pending: HashMap<RequestId, PendingRequest>,
-    /// Those of `pending` that wait for capacity.
+    /// Ids of the requests in `pending` that are queued for capacity.
     queue: RequestQueue,
     poll_schedule: PollSchedule,
-    /// When the earliest [`Action::Wake`] that was asked for is due.
+    /// Due time of the earliest requested [`Action::Wake`].
     wake_at: Option<Timestamp>,
 }
 
 impl Balancer {
-    /// A balancer that knows no endpoint yet. `seed` should differ between nodes.
+    /// Returns a balancer without endpoints. `seed` should differ between nodes.
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // The last class is that of requests without one: treated as non-idempotent.
+        // The last class is used for requests without a class, which are treated as non-idempotent.
         settings.classes.push(Class::default());
         let concurrency = ConcurrencyBounds::new(settings.nodes);
         Self {
@@ -88,9 +89,9 @@
         }
     }
 
-    /// Takes in what happened at `now` and appends what the node must do.
+    /// Handles an event at `now` and appends the actions that the node must perform.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
-        self.age_statistics(now);
+        self.decay_statistics(now);
         match event {
             Event::LastKnownEndpoints(list) => self.replace_endpoints(&list, now),
             Event::Endpoints(update) => self.on_endpoint_update(&update, now),
@@ -104,7 +105,7 @@
         self.request_wake(now, actions);
     }
 
-    fn age_statistics(&mut self, now: Timestamp) {
+    fn decay_statistics(&mut self, now: Timestamp) {
         let factor = self.decay.advance(now);
         self.load_shedder.decay(factor);
         self.origin.decay(factor);
@@ -150,7 +151,7 @@
     fn on_request(&mut self, request: Request, now: Timestamp, actions: &mut Vec<Action>) {
         let pending = PendingRequest::new(request, self.random.draw(), now);
         if pending.request.over_quota {
-            self.give_up(pending, now, actions);
+            self.finish_unserved(pending, now, actions);
         } else {
             self.dispatch(pending, now, actions);
         }
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Asks for a wake-up at the next time that something is due, unless an earlier one is asked
-    /// for already.
+    /// Requests a wake-up at the earliest due time of a queued request or poll, unless an earlier
+    /// wake-up is already requested.
     fn request_wake(&mut self, now: Timestamp, actions: &mut Vec<Action>) {
         let polls = self.settings.polls_discovery;
         let next_poll = self.poll_schedule.next().filter(|_| polls);
@@ -193,26 +194,27 @@
         }
     }
 
-    fn keep(&mut self, pending: PendingRequest) {
+    fn store_pending(&mut self, pending: PendingRequest) {
         self.pending.insert(pending.request.id.clone(), pending);
     }
 
-    /// See [`ConcurrencyBounds::is_large_deployment`].
+    /// Checks whether the deployment is large; see [`ConcurrencyBounds::is_large_deployment`].
     fn is_large_deployment(&self) -> bool {
         self.concurrency.is_large_deployment()
     }
 
-    /// Position of the request's class in the settings, the last one for a request of none.
+    /// Returns the position of the request's class in the settings; the last position for a request
+    /// without a class.
     fn class_index(&self, request: &Request) -> usize {
-        let none = self.settings.classes.len() - 1;
-        request.class.map_or(none, |id| id.0.min(none))
+        let no_class = self.settings.classes.len() - 1;
+        request.class.map_or(no_class, |id| id.0.min(no_class))
     }
 
     fn class(&self, request: &Request) -> &Class {
         &self.settings.classes[self.class_index(request)]
     }
 
-    /// Whether this is the origin of a cache-aside fleet.
+    /// Checks whether the endpoint is the origin of a cache-aside fleet.
     fn is_origin(&self, endpoint: &Endpoint) -> bool {
         let CacheMode::CacheAside { origin_kind } = &self.settings.mode else {
             return false;
@@ -220,14 +222,14 @@
         endpoint.kind.as_ref() == Some(origin_kind)
     }
 
-    /// Whether this is a cache server that takes requests.
+    /// Checks whether the endpoint is a ready cache server.
     fn is_ready_cache(&self, endpoint: &Endpoint) -> bool {
         endpoint.availability == Availability::Ready && !self.is_origin(endpoint)
     }
 
-    /// What the endpoint can take now in comparison with the others; over 0.
+    /// Returns the endpoint's current capacity relative to other endpoints; greater than 0.
     fn capacity(&self, state: &EndpointState, now: Timestamp) -> f64 {
-        /// Least capacity: it is divided by.
+        /// Minimum capacity; prevents a division by zero.
         const MIN_CAPACITY: f64 = 1e-9;
         let endpoint = &state.endpoint;
         let speed = self.kind_speeds.factor(&self.settings, &endpoint.kind);
@@ -235,16 +237,16 @@
         (endpoint.weight * speed * capacity_fraction).max(MIN_CAPACITY)
     }
 
-    /// Whether the endpoint recently reported an empty queue. Only meaningful where this node sends
-    /// a substantial fraction of the endpoint's load: in a large deployment the report is older
-    /// than the bursts of the other nodes.
+    /// Checks whether the endpoint recently reported an empty queue. A report is only meaningful if
+    /// this node sends a substantial fraction of the endpoint's load: in a large deployment the
+    /// report is older than the bursts of other nodes, so the result is false.
     fn has_no_queue(&self, state: &EndpointState, now: Timestamp) -> bool {
         !self.is_large_deployment() && state.reported_empty_queue(now)
     }
 
-    /// Whether a read at this endpoint will be fetched from the origin, as far as can be told from
-    /// what the endpoint answered here. Some of these are hits: other nodes may have asked for the
-    /// key.
+    /// Checks whether the endpoint probably has to fetch a read from the origin, because it has not
+    /// recently served the key to this node. Some likely misses are hits, because other nodes may
+    /// have requested the key.
     fn is_likely_miss(&self, request: &Request, state: &EndpointState) -> bool {
         self.settings.mode == CacheMode::ReadThrough
             && !request.write
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -1,5 +1,5 @@
-//! What becomes of a request that has no final response and no attempt in flight: it is sent,
-//! queued or given up.
+//! Dispatch of a request without a final response and without an attempt in flight: the request is
+//! sent, queued, or finished without being served.
 
 use super::Balancer;
 use crate::api::{Action, Request, Timestamp};
@@ -15,7 +15,7 @@
 const RETRY_AFTER_FRACTION: f64 = 0.02;
 
 impl Balancer {
-    /// Sends the request, queues it or gives it up.
+    /// Sends the request, queues it, or finishes it without serving it.
     pub(super) fn dispatch(
         &mut self,
         pending: PendingRequest,
@@ -23,13 +23,13 @@
         actions: &mut Vec<Action>,
     ) {
         if pending.has_attempt_in_flight() {
-            return self.keep(pending);
+            return self.store_pending(pending);
         }
         if pending.finished {
             return;
         }
-        if self.must_give_up(&pending, now) {
-            return self.give_up(pending, now, actions);
+        if self.must_finish_unserved(&pending, now) {
+            return self.finish_unserved(pending, now, actions);
         }
         let origin_is_full = self.origin.is_full_for(&pending);
         if let Some(index) = self.select_endpoint(&pending, origin_is_full, now) {
@@ -39,25 +39,26 @@
         match next_dispatch.filter(|_| !origin_is_full) {
             Some(at) => {
                 self.queue.push(at, pending.request.id.clone());
-                self.keep(pending);
+                self.store_pending(pending);
             }
-            None => self.give_up(pending, now, actions),
+            None => self.finish_unserved(pending, now, actions),
         }
     }
 
-    fn must_give_up(&mut self, pending: &PendingRequest, now: Timestamp) -> bool {
+    fn must_finish_unserved(&mut self, pending: &PendingRequest, now: Timestamp) -> bool {
         let is_new = pending.attempts.is_empty();
         let shed = is_new && self.load_shedder.sheds(pending.dither);
         let cost = self.retry_cost(pending);
-        // While the origin's breaker is open, only reads known to be cached are sent: with a queue
-        // longer than anyone waits the origin would serve nobody.
+        // While the origin's breaker is open, only reads known to be cached are sent: an origin
+        // whose queue is longer than clients wait would serve no client in time.
         let origin_admits = || self.is_cached(&pending.request) || self.origin.breaker.admits(now);
         shed || cost.is_some_and(|cost| !self.retry_budget.affords(cost))
             || now >= pending.request.deadline
             || !origin_admits()
     }
 
-    /// What the next attempt takes from the retry budget; `None` if it is no retry.
+    /// Returns the cost of the next attempt in the retry budget; `None` if the attempt is not a
+    /// retry.
     fn retry_cost(&self, pending: &PendingRequest) -> Option<f64> {
         let cost = if self.is_large_deployment() && pending.last_attempt_was_rejected() {
             RETRY_COST_AFTER_REJECTION
@@ -67,12 +68,13 @@
         pending.next_is_retry().then_some(cost)
     }
 
-    /// Whether the request is a read that the last answer to its key shows to need no origin.
+    /// Checks whether the request is a read whose key needed no origin at the last response.
     fn is_cached(&self, request: &Request) -> bool {
         !request.write && self.cached_keys.contains(routing_key(request))
     }
 
-    /// When a request that found no capacity is to be dispatched again; `None` if it must not wait.
+    /// Returns the time of the next dispatch of a request without an endpoint; `None` if the
+    /// request must not be queued.
     fn next_dispatch(&self, pending: &PendingRequest, now: Timestamp) -> Option<Timestamp> {
         let is_new = pending.attempts.is_empty();
         let mut endpoints = self.endpoints.iter();
@@ -82,8 +84,8 @@
         let request = &pending.request;
         let objective = self.class(request).latency_objective;
         let average = self.latencies.average(self.class_index(request));
-        let give_up = (pending.arrived + objective).min(request.deadline);
-        queue::next_dispatch(now, objective, Duration::from_secs_f64(average), give_up)
+        let expiry = (pending.arrived + objective).min(request.deadline);
+        queue::next_dispatch(now, objective, Duration::from_secs_f64(average), expiry)
     }
 
     fn send(
@@ -100,26 +102,27 @@
         let request = &pending.request;
         let idempotency = self.class(request).idempotency;
         let timeout = request.deadline.since(now);
-        let deduplicated = idempotency::remaining_deduplication_time(idempotency, &pending, now);
+        let deduplicated_for =
+            idempotency::remaining_deduplication_time(idempotency, &pending, now);
         let attempt = self.begin_attempt(request, index, now);
         actions.push(Action::Send {
             id: request.id.clone(),
             endpoint: attempt.endpoint.id.clone(),
             timeout,
-            begin_within: deduplicated.min(timeout),
+            begin_within: deduplicated_for.min(timeout),
         });
         pending.attempts.push(attempt);
-        self.keep(pending);
+        self.store_pending(pending);
     }
 
-    /// Reports an attempt at the endpoint at `index` to each mechanism.
+    /// Creates an attempt at the endpoint at `index` and reports the attempt to each mechanism.
     fn begin_attempt(&mut self, request: &Request, index: usize, now: Timestamp) -> Attempt {
         let class = self.class_index(request);
         let likely_miss = self.is_likely_miss(request, &self.endpoints[index]);
         if likely_miss {
             self.origin.on_likely_miss_sent();
         }
-        let origin = self.note_origin_send(request, now);
+        let origin = self.record_origin_send(request, now);
         let slot = slow_start::slot_at(&self.settings, now);
         let state = &mut self.endpoints[index];
         let zone = self.zones.on_send(&state.endpoint.zone, now);
@@ -143,10 +146,10 @@
         }
     }
 
-    /// Reports an attempt that may need the origin to the origin's breaker; returns the epoch of
-    /// the breaker if the attempt's result is to count there. A cached read is not counted as a
-    /// trial; its result counts only while the breaker is closed.
-    fn note_origin_send(&mut self, request: &Request, now: Timestamp) -> Option<u32> {
+    /// Reports an attempt that may need the origin to the origin's breaker. Returns the breaker's
+    /// epoch if the attempt's result counts there. A cached read does not count as a trial; its
+    /// result counts only while the breaker is closed.
+    fn record_origin_send(&mut self, request: &Request, now: Timestamp) -> Option<u32> {
         let cached = self.is_cached(request);
         let breaker = &mut self.origin.breaker;
         if !cached {
@@ -155,14 +158,15 @@
         (!cached || breaker.is_closed()).then_some(breaker.epoch())
     }
 
-    /// Gives the request its final response: shed where the client may send it again, else failed.
-    pub(super) fn give_up(
+    /// Gives a request that is not served its final response: shed if the client may send the
+    /// request again, otherwise failed.
+    pub(super) fn finish_unserved(
         &mut self,
         pending: PendingRequest,
         now: Timestamp,
         actions: &mut Vec<Action>,
     ) {
-        // Its rejection was not counted while the request might go on to another endpoint.
+        // The rejection was not counted while a retry at another endpoint was possible.
         if self.is_large_deployment() && pending.last_attempt_was_rejected() {
             self.load_shedder.record_bad();
         }
@@ -179,18 +183,18 @@
         }
     }
 
-    /// How long the client of a shed request should wait: until the origin's breaker admits its
-    /// first trial, or a short time, since the request that it sends again may come to another
-    /// node, which may have capacity.
+    /// Returns the delay that a shed request recommends to its client: until the origin's breaker
+    /// admits its first trial, and at least a short delay. The delay is short otherwise, because
+    /// another node may receive the repeated request and have capacity.
     fn retry_after(&self, request: &Request, now: Timestamp) -> Duration {
         let mut endpoints = self.endpoints.iter();
         let origin = endpoints.find(|state| self.is_origin(&state.endpoint));
         let breaker = origin.map_or(&self.origin.breaker, |state| &state.breaker);
         let objective = self.class(request).latency_objective;
-        let short = objective.mul_f64(RETRY_AFTER_FRACTION);
+        let short_delay = objective.mul_f64(RETRY_AFTER_FRACTION);
         let open_for = breaker.open_until().map(|until| until.since(now));
         open_for
-            .map_or(short, |time| time.max(short))
+            .map_or(short_delay, |time| time.max(short_delay))
             .min(self.settings.max_retry_after)
     }
 }
--- a/crates/policy/src/balancer/outcome.rs
+++ b/crates/policy/src/balancer/outcome.rs
@@ -1,4 +1,4 @@
-//! Evaluates the end of an attempt and reports it to each mechanism.
+//! Evaluation of an attempt's outcome and update of each mechanism.
 
 use super::Balancer;
 use crate::api::{
@@ -11,47 +11,49 @@
 use crate::slow_start;
 use std::time::Duration;
 
-/// Utilization from which on an endpoint has no cores to spare.
+/// Utilization from which an endpoint has no spare cores.
 const BUSY_UTILIZATION: f64 = 0.8;
-/// Up to this many nodes, each sends to an endpoint often enough for the queue length that it
-/// reports to reflect this node's load.
+/// Maximum number of nodes at which each node sends to an endpoint often enough for the endpoint's
+/// reported queue length to reflect the node's own load.
 const MAX_NODES_FOR_QUEUE_REPORTS: u32 = 100;
-/// Mean number of waiting requests under which an endpoint has no queue.
-const QUEUE_LENGTH_OF_NONE: f64 = 1.0;
-/// Longest interval between two sends to an endpoint at which idle connections to it are kept open:
-/// this time divided by the number of nodes, 13 s for one of 300. A handshake is work for the
-/// endpoint and costs time, and an idle connection uses up part of its connection limit.
-const CONNECTION_KEPT_OPEN: Duration = Duration::from_secs(4_000);
-/// Least expected work, in seconds: it is divided by.
-const MIN_EXPECTED_WORK: f64 = 1e-6;
+/// Mean number of length requests below which an endpoint's queue counts as empty.
+const EMPTY_QUEUE_LENGTH: f64 = 1.0;
+/// Longest interval between two sends to an endpoint at which the node keeps idle connections to
+/// the endpoint open, multiplied by the number of nodes: 13 s at 300 nodes. A handshake costs work
+/// at the endpoint and time, and an idle connection uses part of the endpoint's connection limit.
+const KEEP_OPEN_INTERVAL_ALL_NODES: Duration = Duration::from_secs(4_000);
+/// Minimum expected work in seconds; prevents a division by zero.
+const MIN_EXPECTED_WORK_SECONDS: f64 = 1e-6;
 
-/// What the end of an attempt shows, as judged once for all mechanisms.
+/// Evaluation of an attempt's outcome, made once for all mechanisms.
 #[derive(Debug)]
 struct Evaluation {
-    /// How the attempt ended.
+    /// Status of the attempt.
     status: Status,
-    /// What it shows of the endpoint.
+    /// Result as evidence about the endpoint.
     result: CallResult,
-    /// The endpoint had to fetch the value from the origin, as it reported.
+    /// Whether the endpoint reported that it fetched the value from the origin.
     fetched: bool,
     /// Position of the request's class.
     class: usize,
-    /// Of the breakers, when the attempt was sent.
+    /// Epochs of the breakers when the attempt was sent.
     epochs: BreakerEpochs,
-    /// The endpoint had recently reported an empty queue, before this attempt ended.
+    /// Whether the endpoint had recently reported an empty queue, before this attempt ended.
     recent_queue_was_empty: bool,
-    /// A time-out at an endpoint that recently reported an empty queue: something else took long (a
-    /// miss that waits for the origin, say). Not counted by the endpoint's breaker nor by load
-    /// shedding, since its keys would be missed elsewhere; the concurrency limit still decreases.
+    /// Whether the attempt timed out at an endpoint that recently reported an empty queue, which
+    /// has another cause than the queue, such as a miss that waits for the origin. The endpoint's
+    /// breaker and load shedding do not count such a timeout, because the endpoint's keys would be
+    /// misses at other endpoints. The concurrency limit still decreases.
     timeout_without_queue: bool,
-    /// Its latency is within the time allowed for its expected work and latency objective.
+    /// Whether the latency is within the time allowed for the expected work and latency objective.
     in_time: bool,
-    /// The endpoint has cores to spare, as it reported.
+    /// Whether the endpoint reported spare cores.
     has_spare_cores: bool,
-    /// Whether the endpoint reported an empty queue at this end; `None` without a report.
+    /// Whether the endpoint reported an empty queue with this outcome; `None` without a report.
     reported_queue_empty: Option<bool>,
-    /// Whether the endpoint's queue counts as empty: it was reported empty, in a deployment small
-    /// enough for the report to reflect this node's load, or this is a `timeout_without_queue`.
+    /// Whether the endpoint's queue counts as empty: the endpoint reported an empty queue and the
+    /// deployment is small enough for the report to reflect this node's load, or
+    /// `timeout_without_queue` is set.
     queue_is_empty: bool,
 }
 
@@ -64,20 +66,21 @@
         self.result == CallResult::Failure
     }
 
-    /// Answered late by an endpoint without cores to spare: one that has them took long for the
-    /// work itself.
+    /// Checks whether the response was late and the endpoint had no spare cores. With spare cores,
+    /// the work itself took long.
     fn is_late(&self) -> bool {
         self.succeeded() && !self.in_time && !self.has_spare_cores
     }
 
-    /// Rejected with an empty queue, so overload is not the cause.
+    /// Checks whether the endpoint rejected the attempt with an empty queue, so that overload is
+    /// not the cause.
     fn is_rejected_without_load(&self) -> bool {
         self.status == Status::Rejected
             && self.recent_queue_was_empty
             && self.reported_queue_empty != Some(false)
     }
 
-    /// Rejected because of load, or timed out.
+    /// Checks whether the attempt was rejected because of load, or timed out.
     fn is_overloaded(&self) -> bool {
         let rejected_or_timed_out = matches!(self.status, Status::Rejected | Status::TimedOut);
         self.timeout_without_queue
@@ -86,7 +89,7 @@
 }
 
 impl Balancer {
-    /// Handles the end of an attempt; one that is not in flight is ignored.
+    /// Handles the outcome of an attempt; ignores an attempt that is not in flight.
     pub(super) fn on_attempt_ended(
         &mut self,
         outcome: &Outcome,
@@ -97,9 +100,9 @@
             return;
         };
         let Some(index) = pending.end_attempt(outcome) else {
-            return self.keep(pending);
+            return self.store_pending(pending);
         };
-        self.learn_from(
+        self.record_outcome(
             &pending.request,
             &pending.attempts[index],
             outcome,
@@ -110,8 +113,8 @@
         self.dispatch(pending, now, actions);
     }
 
-    /// Reports the end of an attempt to each mechanism.
-    fn learn_from(
+    /// Reports the outcome of an attempt to each mechanism.
+    fn record_outcome(
         &mut self,
         request: &Request,
         attempt: &Attempt,
@@ -135,7 +138,7 @@
         };
         self.update_kind_speed(position, request, outcome.latency, &evaluation, now);
         self.update_concurrency(position, &evaluation, now);
-        self.close_seldom_used_connections(position, actions);
+        self.close_rarely_used_connections(position, actions);
         self.update_class_breaker(position, &evaluation, now, actions);
         self.update_endpoint_breaker(position, &evaluation, now, actions);
     }
@@ -164,8 +167,8 @@
             queue_length,
             ..
         } = outcome.load;
-        let reported_queue_empty = queue_length.map(|waiting| waiting < QUEUE_LENGTH_OF_NONE);
-        let report_counts = self.settings.nodes <= MAX_NODES_FOR_QUEUE_REPORTS;
+        let reported_queue_empty = queue_length.map(|length| length < EMPTY_QUEUE_LENGTH);
+        let report_reflects_own_load = self.settings.nodes <= MAX_NODES_FOR_QUEUE_REPORTS;
         Evaluation {
             status,
             result: call_result(status, timeout_without_queue, origin_at_fault),
@@ -175,10 +178,10 @@
             recent_queue_was_empty,
             timeout_without_queue,
             in_time: outcome.latency <= time_allowed,
-            has_spare_cores: utilization.is_some_and(|busy| busy < BUSY_UTILIZATION),
+            has_spare_cores: utilization.is_some_and(|fraction| fraction < BUSY_UTILIZATION),
             reported_queue_empty,
             queue_is_empty: timeout_without_queue
-                || report_counts && reported_queue_empty == Some(true),
+                || report_reflects_own_load && reported_queue_empty == Some(true),
         }
     }
 
@@ -236,7 +239,7 @@
         }
     }
 
-    /// Learns the speed of the endpoint's kind from answers that needed no origin, of endpoints
+    /// Updates the speed of the endpoint's kind from outcomes that needed no origin, at endpoints
     /// with full capacity.
     fn update_kind_speed(
         &mut self,
@@ -247,9 +250,9 @@
         now: Timestamp,
     ) {
         let endpoint = &self.endpoints[index].endpoint;
-        let measures = matches!(evaluation.status, Status::Ok | Status::TimedOut);
+        let indicates_speed = matches!(evaluation.status, Status::Ok | Status::TimedOut);
         if self.settings.weights_include_speed
-            || !measures
+            || !indicates_speed
             || evaluation.fetched
             || slow_start::capacity_fraction(&self.settings, endpoint, now) < 1.0
         {
@@ -257,14 +260,14 @@
         }
         let objective = self.settings.classes[evaluation.class].latency_objective;
         let expected = request.expected_work.unwrap_or(objective);
-        let expected = expected.as_secs_f64().max(MIN_EXPECTED_WORK);
+        let expected = expected.as_secs_f64().max(MIN_EXPECTED_WORK_SECONDS);
         self.kind_speeds.record(&endpoint.kind, latency, expected);
     }
 
-    /// Adapts the endpoint's concurrency limit, and counts the end for load shedding.
+    /// Adapts the endpoint's concurrency limit and counts the outcome for load shedding.
     fn update_concurrency(&mut self, index: usize, evaluation: &Evaluation, now: Timestamp) {
-        // A node of a large deployment cannot keep endpoints from being full for a moment: while
-        // the request goes on to another one nothing is lost.
+        // A node of a large deployment cannot prevent endpoints from being full for short times.
+        // Such a rejection is not counted while the request is retried at another endpoint.
         let retries_elsewhere = self.is_large_deployment() && evaluation.status == Status::Rejected;
         let state = &mut self.endpoints[index];
         if let Some(queue_is_empty) = evaluation.reported_queue_empty {
@@ -291,13 +294,13 @@
         }
     }
 
-    /// Closes idle connections to an endpoint that is seldom sent to. A node of a large deployment
-    /// sends to an endpoint rarely; idle connections from all nodes would exhaust the endpoint's
-    /// connection limit.
-    fn close_seldom_used_connections(&self, index: usize, actions: &mut Vec<Action>) {
+    /// Closes idle connections to an endpoint that receives few requests from this node. A node of
+    /// a large deployment sends to an endpoint rarely; idle connections from all nodes would
+    /// exhaust the endpoint's connection limit.
+    fn close_rarely_used_connections(&self, index: usize, actions: &mut Vec<Action>) {
         let state = &self.endpoints[index];
-        let kept_open = CONNECTION_KEPT_OPEN / self.settings.nodes.max(1);
-        if state.concurrency.in_flight() == 0 && state.send_interval() > kept_open {
+        let max_send_interval = KEEP_OPEN_INTERVAL_ALL_NODES / self.settings.nodes.max(1);
+        if state.concurrency.in_flight() == 0 && state.send_interval() > max_send_interval {
             actions.push(Action::CloseIdleConnections {
                 endpoint: state.endpoint.id.clone(),
             });
@@ -316,7 +319,7 @@
         } else if evaluation.is_rejected_without_load() {
             CallResult::Failure
         } else {
-            // Other failures may be the origin's or the whole endpoint's.
+            // Other failures may be caused by the origin or affect the whole endpoint.
             CallResult::Inconclusive
         };
         let class = evaluation.class;
@@ -366,8 +369,8 @@
     }
 }
 
-/// What an attempt's end shows of its endpoint. A fetch that failed is the origin's failure:
-/// another endpoint would fetch from the same origin.
+/// Returns the result of an attempt as evidence about its endpoint. A failed fetch is a failure of
+/// the origin: another endpoint would fetch from the same origin.
 fn call_result(status: Status, timeout_without_queue: bool, origin_at_fault: bool) -> CallResult {
     match status {
         Status::Ok | Status::Miss => CallResult::Success,
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -1,7 +1,7 @@
-//! Which endpoint an attempt goes to.
+//! Selection of the endpoint of an attempt.
 //!
-//! The endpoints that are ready rank by weighted rendezvous hashing of the request's key. The first
-//! few of them that no rule, breaker or budget bars are checked in that order for capacity.
+//! Ready endpoints are ranked by weighted rendezvous hashing of the request's key. The first few
+//! endpoints that the rules, breakers and budgets allow are checked for capacity in that order.
 
 use super::Balancer;
 use crate::api::{Availability, CacheMode, Timestamp};
@@ -10,16 +10,16 @@
 use crate::pending::PendingRequest;
 use crate::slow_start;
 
-/// Endpoints of a key's order that may take a request for want of capacity at those before. No
-/// more: over a slow fleet, hits would turn to misses.
+/// Number of eligible endpoints, in the order of the key, that are checked for capacity. Small,
+/// because in a slow fleet more candidates would turn hits into misses.
 const MAX_CANDIDATES: usize = 3;
-/// Fraction of an endpoint's concurrency limit that is usable by keys whose first eligible endpoint
-/// is another one.
+/// Fraction of an endpoint's concurrency limit that is usable by keys with another first
+/// eligible endpoint.
 const OVERFLOW_FRACTION: f64 = 0.5;
 
 impl Balancer {
-    /// The endpoint that the request is to be sent to, if one can take it now. Where
-    /// `no_likely_miss`, none is chosen that would probably have to fetch the value.
+    /// Returns the endpoint for the request's next attempt, if an endpoint can accept it now. If
+    /// `no_likely_miss`, endpoints that probably have to fetch the value are excluded.
     pub(super) fn select_endpoint(
         &self,
         pending: &PendingRequest,
@@ -40,20 +40,20 @@
         let first = *ranked.peek()?;
         let candidates: Vec<usize> = ranked.filter(is_eligible).take(MAX_CANDIDATES).collect();
         if candidates.is_empty() {
-            let usable = !no_likely_miss && self.is_usable_though_blocked(first, pending, now);
+            let usable = !no_likely_miss && self.is_usable_as_last_resort(first, pending, now);
             return usable.then_some(first);
         }
         self.first_with_capacity(&candidates, pending, now)
             .or_else(|| self.first_with_spare_cores(&candidates, now))
     }
 
-    /// Whether the node itself sends this request to the origin (cache-aside).
+    /// Checks whether the node itself must send this request to the origin (cache-aside).
     fn needs_origin(&self, pending: &PendingRequest) -> bool {
         matches!(self.settings.mode, CacheMode::CacheAside { .. })
             && (pending.request.write || pending.has_missed())
     }
 
-    /// Whether the rules, the breakers and the budgets let the request go to this endpoint now.
+    /// Checks whether the rules, breakers and budgets allow the request at this endpoint now.
     fn is_eligible(
         &self,
         index: usize,
@@ -77,9 +77,9 @@
             && !pending.was_attempted_at(endpoint)
     }
 
-    /// Where every endpoint is blocked, a new request goes to the first one of its key, rather than
-    /// to none.
-    fn is_usable_though_blocked(
+    /// Checks whether a new request may be sent to the first endpoint of its key although no
+    /// endpoint is eligible.
+    fn is_usable_as_last_resort(
         &self,
         first: usize,
         pending: &PendingRequest,
@@ -103,9 +103,11 @@
             .map(|(_, index)| index)
     }
 
-    /// Concurrency limits shrink at all endpoints when misses wait for a slow origin. Then an
-    /// endpoint with an empty queue may exceed its limit, up to the initial one and no further: its
-    /// cores may be shared by many requests although none of them waits.
+    /// Returns the first candidate with an empty queue and fewer attempts in flight than the
+    /// initial limit. Concurrency limits shrink at all endpoints when misses wait for a slow
+    /// origin; therefore an endpoint with an empty queue may exceed its limit. The initial limit is
+    /// the bound, because many requests may share the endpoint's cores although no request is
+    /// queued.
     fn first_with_spare_cores(&self, candidates: &[usize], now: Timestamp) -> Option<usize> {
         let has_spare_cores = |index: &usize| {
             let state = &self.endpoints[*index];
@@ -115,7 +117,8 @@
         candidates.iter().copied().find(has_spare_cores)
     }
 
-    /// Whether this fraction of the endpoint's concurrency limit leaves capacity for the request.
+    /// Checks whether this fraction of the endpoint's concurrency limit has capacity for the
+    /// request.
     fn has_capacity(
         &self,
         index: usize,
@@ -135,7 +138,7 @@
             || self.is_large_deployment() && fractional_limit_allows()
     }
 
-    /// The ready cache servers in the order of this key.
+    /// Returns the ready cache servers in the order of this key.
     fn rank(&self, key: u64, now: Timestamp) -> impl Iterator<Item = usize> + use<> {
         let ready = self
             .endpoints
@@ -152,8 +155,8 @@
         ranked.into_iter().map(|(_, index)| index)
     }
 
-    /// Whether an endpoint that warms up may be sent one more in the present slot; true of any
-    /// other one.
+    /// Checks whether a warming endpoint may receive one more request in the current slot; true for
+    /// any other endpoint.
     fn has_slow_start_budget(&self, index: usize, now: Timestamp) -> bool {
         let state = &self.endpoints[index];
         let endpoint = &state.endpoint;
@@ -164,11 +167,11 @@
         }
         let ready = self.endpoints.iter();
         let ready = ready.filter(|state| self.is_ready_cache(&state.endpoint));
-        let fleet: f64 = ready.map(|state| self.capacity(state, now)).sum();
-        let share = self.capacity(state, now) / fleet;
+        let total_capacity: f64 = ready.map(|state| self.capacity(state, now)).sum();
+        let share = self.capacity(state, now) / total_capacity;
         let budget = slow_start::slot_budget(&self.settings, self.load_shedder.good(), share);
         let slot = slow_start::slot_at(&self.settings, now);
-        let rounded = (budget + self.random.fixed(state.hash ^ slot)).floor();
-        f64::from(state.slow_start.sends_in(slot)) < rounded
+        let max_sends = (budget + self.random.fixed(state.hash ^ slot)).floor();
+        f64::from(state.slow_start.sends_in(slot)) < max_sends
     }
 }
