--- a/crates/policy/examples/decision_cost/cases.rs
+++ b/crates/policy/examples/decision_cost/cases.rs
@@ -1,4 +1,4 @@
-//! The operations that are measured, on the balancer of a fleet of a given size.
+//! Measured operations of a balancer with a given number of endpoints.
 
 use crate::fit::Growth;
 use crate::timing::{time, Cost};
@@ -9,23 +9,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Nodes of the deployment, as the settings state.
+/// Number of nodes of the deployment in the settings.
 pub const NODES: u32 = 11_000;
-/// Zones over which endpoints are spread.
+/// Number of zones over which the endpoints are distributed.
 pub const ZONES: usize = 55;
-/// Requests a second at the node: the step of the policy's clock.
+/// Requests per second at the node; determines the step of the simulated clock.
 pub const REQUESTS_PER_SECOND: u32 = 1_000;
-/// Distinct keys that are asked for.
+/// Number of distinct keys that are requested.
 pub const KEYS: u64 = 240_000_000;
 pub const SEED: u64 = 30;
-/// The policy's clock at the start.
+/// Start of the simulated clock.
 pub const START: Timestamp = Timestamp::from_micros(3_000_000_000);
-/// Time from a request to its outcome.
-pub const ANSWER_TIME: Duration = Duration::from_micros(500);
-/// Duration of slow start, where some endpoints have just started: far longer than a case.
-pub const WARM_WITHIN: Duration = Duration::from_secs(1_000_000);
+/// Time from the send of a request to its outcome.
+pub const REQUEST_LATENCY: Duration = Duration::from_micros(500);
+/// Duration of slow start; far longer than a case, so that cold endpoints stay in slow start.
+pub const SLOW_START_DURATION: Duration = Duration::from_secs(1_000_000);
 
-/// What is measured at each number of endpoints.
+/// An operation that is measured at each number of endpoints.
 pub struct Case {
     pub name: &'static str,
     pub growth: Growth,
@@ -36,52 +36,57 @@
     Case {
         name: "request_and_outcome",
         growth: Growth::Sort,
-        measure: |n| requests(n, true, |_| false),
+        measure: |n| measure_requests(n, true, |_| false),
     },
     Case {
         name: "request_and_outcome_unsized",
         growth: Growth::Sort,
-        measure: |n| requests(n, false, |_| false),
+        measure: |n| measure_requests(n, false, |_| false),
     },
     Case {
         name: "request_and_outcome_one_zone_cold",
         growth: Growth::Sort,
-        measure: |n| requests(n, true, |i| i % ZONES == 0),
+        measure: |n| measure_requests(n, true, |i| i % ZONES == 0),
     },
     Case {
         name: "request_and_outcome_half_cold",
         growth: Growth::Sort,
-        measure: |n| requests(n, true, |i| i % 2 == 0),
+        measure: |n| measure_requests(n, true, |i| i % 2 == 0),
     },
     Case {
         name: "request_and_outcome_all_cold",
         growth: Growth::Square,
-        measure: |n| requests(n, true, |_| true),
+        measure: |n| measure_requests(n, true, |_| true),
     },
     Case {
         name: "first_whole_list",
         growth: Growth::Square,
-        measure: first_lists,
+        measure: measure_first_list,
     },
     Case {
         name: "same_whole_list",
         growth: Growth::Square,
-        measure: same_lists,
+        measure: measure_unchanged_list,
     },
     Case {
         name: "list_of_one_change",
         growth: Growth::Linear,
-        measure: changes,
+        measure: measure_single_changes,
     },
 ];
 
-/// Requests with their outcomes, all served. `cold` says which endpoints have just started.
-fn requests(endpoints: usize, weights_include_speed: bool, cold: impl Fn(usize) -> bool) -> Cost {
+/// Measures requests with their outcomes; all requests are served. `is_cold` selects the endpoints
+/// that have just started.
+fn measure_requests(
+    endpoints: usize,
+    weights_include_speed: bool,
+    is_cold: impl Fn(usize) -> bool,
+) -> Cost {
     let mut entries = fleet(endpoints);
-    for (_, entry) in entries.iter_mut().enumerate().filter(|(i, _)| cold(*i)) {
+    for (_, entry) in entries.iter_mut().enumerate().filter(|(i, _)| is_cold(*i)) {
         entry.started = Some(START);
     }
-    let mut balancer = filled(
+    let mut balancer = balancer_with_endpoints(
         Settings {
             weights_include_speed,
             ..settings()
@@ -102,14 +107,14 @@
             ..Request::new(id.as_str(), now + Duration::from_secs(1))
         };
         balancer.handle(now, Event::Request(request), &mut actions);
-        let sent = actions.drain(..).find_map(|action| match action {
+        let target = actions.drain(..).find_map(|action| match action {
             Action::Send { endpoint, .. } => Some(endpoint),
             _ => None,
         });
-        if let Some(endpoint) = sent {
+        if let Some(endpoint) = target {
             balancer.handle(
-                now + ANSWER_TIME,
-                Event::AttemptEnded(served(id, endpoint)),
+                now + REQUEST_LATENCY,
+                Event::AttemptEnded(served_outcome(id, endpoint)),
                 &mut actions,
             );
             actions.clear();
@@ -117,8 +122,9 @@
     })
 }
 
-/// The first complete list of a balancer that knows no endpoint, in an order that is not the policy's.
-fn first_lists(endpoints: usize) -> Cost {
+/// Measures the first complete list of a balancer without endpoints, in a random order instead of
+/// the policy's order by id.
+fn measure_first_list(endpoints: usize) -> Cost {
     let mut entries = fleet(endpoints);
     fastrand::Rng::with_seed(SEED).shuffle(&mut entries);
     let entries: Arc<[Endpoint]> = entries.into();
@@ -134,9 +140,9 @@
     })
 }
 
-/// A complete list that changes nothing.
-fn same_lists(endpoints: usize) -> Cost {
-    let mut balancer = filled(settings(), fleet(endpoints));
+/// Measures a complete list without a change.
+fn measure_unchanged_list(endpoints: usize) -> Cost {
+    let mut balancer = balancer_with_endpoints(settings(), fleet(endpoints));
     let mut random = fastrand::Rng::with_seed(SEED);
     let mut entries = fleet(endpoints);
     random.shuffle(&mut entries);
@@ -152,10 +158,10 @@
     })
 }
 
-/// Lists of one endpoint that has started anew.
-fn changes(endpoints: usize) -> Cost {
+/// Measures lists of one endpoint that has restarted.
+fn measure_single_changes(endpoints: usize) -> Cost {
     let entries = fleet(endpoints);
-    let mut balancer = filled(settings(), entries.clone());
+    let mut balancer = balancer_with_endpoints(settings(), entries.clone());
     let mut random = fastrand::Rng::with_seed(SEED);
     let mut started = START;
     let mut actions = Vec::new();
@@ -192,7 +198,7 @@
             class("pay", Idempotency::NonIdempotent),
         ],
         polls_discovery: true,
-        slow_start_duration: WARM_WITHIN,
+        slow_start_duration: SLOW_START_DURATION,
         ..Settings::default()
     }
 }
@@ -207,7 +213,7 @@
     (0..endpoints).map(entry).collect()
 }
 
-pub fn filled(settings: Settings, entries: Vec<Endpoint>) -> Balancer {
+pub fn balancer_with_endpoints(settings: Settings, entries: Vec<Endpoint>) -> Balancer {
     let mut balancer = Balancer::new(settings, SEED);
     balancer.handle(
         START,
@@ -217,14 +223,14 @@
     balancer
 }
 
-fn served(id: RequestId, endpoint: EndpointId) -> Outcome {
+fn served_outcome(id: RequestId, endpoint: EndpointId) -> Outcome {
     Outcome {
         id,
         attempt: 0,
         endpoint,
         status: Status::Ok,
         cache_result: None,
-        latency: ANSWER_TIME,
+        latency: REQUEST_LATENCY,
         answered: true,
         load: LoadReport::default(),
     }
--- a/crates/policy/examples/decision_cost/fit.rs
+++ b/crates/policy/examples/decision_cost/fit.rs
@@ -1,18 +1,18 @@
-//! Least-squares fits of a figure in the number of endpoints.
+//! Least-squares fits of a figure to the number of endpoints.
 
-/// How a figure grows with the number of endpoints, by the loops that it comes from.
+/// Growth of a figure with the number of endpoints, determined by the loops that cause the figure.
 #[derive(Clone, Copy)]
 pub enum Growth {
-    /// A base and a part for each endpoint.
+    /// A constant cost and a cost per endpoint.
     Linear,
-    /// A base and the cost of a sort.
+    /// A constant cost and the cost of a sort.
     Sort,
-    /// A part for each endpoint and one for each pair of endpoints.
+    /// A cost per endpoint and a cost per pair of endpoints.
     Square,
 }
 
 impl Growth {
-    /// The form, as it stands in the report.
+    /// Returns the formula that the report states.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Linear => "a + b*n",
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The two terms whose factors are fitted.
+    /// Returns the two terms whose factors are fitted.
     fn terms(self, endpoints: f64) -> (f64, f64) {
         match self {
             Self::Linear => (1.0, endpoints),
@@ -31,16 +31,17 @@
     }
 }
 
-/// The factors of a growth's two terms.
+/// Fitted factors of the two terms of a [`Growth`].
 pub struct Fit {
     pub growth: Growth,
     pub factors: (f64, f64),
 }
 
 impl Fit {
-    /// Fitted so that the sum of the squares of relative errors is least: rows differ by orders of magnitude.
+    /// Fits the factors with the least sum of squared relative errors. Errors are relative because
+    /// rows differ by orders of magnitude.
     pub fn new(growth: Growth, points: &[(f64, f64)]) -> Self {
-        // Divided by its figure, each point has to give one.
+        // With terms divided by the figure, the fitted value of each point is 1.
         let scaled = |&(endpoints, figure): &(f64, f64)| {
             let (first, second) = growth.terms(endpoints);
             (first / figure, second / figure)
@@ -58,13 +59,13 @@
         Self { growth, factors }
     }
 
-    fn at(&self, endpoints: f64) -> f64 {
+    fn value_at(&self, endpoints: f64) -> f64 {
         let (first, second) = self.growth.terms(endpoints);
         self.factors.0 * first + self.factors.1 * second
     }
 
-    /// By how many per cent of a figure the fit is above it.
+    /// Returns the deviation of the fit from a figure, in per cent of the figure.
     pub fn error(&self, (endpoints, figure): (f64, f64)) -> f64 {
-        100.0 * (self.at(endpoints) - figure) / figure
+        100.0 * (self.value_at(endpoints) - figure) / figure
     }
 }
--- a/crates/policy/examples/decision_cost/report.rs
+++ b/crates/policy/examples/decision_cost/report.rs
@@ -1,23 +1,25 @@
-//! The report: one JSON object with the rows and the fits.
+//! Report: one JSON object with the rows and the fits.
 
 use crate::cases::{Case, CASES, KEYS, NODES, SEED, ZONES};
 use crate::fit::{Fit, Growth};
 use crate::timing::Cost;
 use std::fmt::Write as _;
 
-/// The row that is held back from the fits, to show their error.
+/// Number of endpoints of the row that is held back from the fits, to measure their error.
 const HELD_BACK: usize = 2_000;
-/// Fits begin here: below it, what a call costs by itself hides what each endpoint adds.
+/// Smallest number of endpoints in the fits. Below this number the fixed cost of a call hides the
+/// cost per endpoint.
 const FITTED_FROM: usize = 100;
 
-/// What is measured at one number of endpoints; costs in the order of `CASES`.
+/// Measurements at one number of endpoints, with costs in the order of `CASES`.
 pub struct Row {
     pub endpoints: usize,
     pub bytes: f64,
     pub costs: [Cost; CASES.len()],
 }
 
-/// The fit of a figure, with its worst error at the fitted rows and the one at the row held back.
+/// Returns the fit of a figure as JSON, with the worst error at the fitted rows and the error at
+/// the held-back row.
 fn fit(rows: &[Row], growth: Growth, figure: impl Fn(&Row) -> f64) -> String {
     let point = |row: &Row| (row.endpoints as f64, figure(row));
     let points: Vec<_> = rows
@@ -65,8 +67,8 @@
     }
     let bytes = fit(rows, Growth::Linear, |row| row.bytes);
     let _ = write!(text, "],\n\"fits\":{{\n \"resident_bytes\":{bytes}");
-    for (place, Case { name, growth, .. }) in CASES.iter().enumerate() {
-        let fit = fit(rows, *growth, |row| row.costs[place].quantile(0.0));
+    for (index, Case { name, growth, .. }) in CASES.iter().enumerate() {
+        let fit = fit(rows, *growth, |row| row.costs[index].quantile(0.0));
         let _ = write!(text, ",\n \"{name}\":{fit}");
     }
     text.push_str("\n}}");
