--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -23,8 +23,8 @@
 pub enum Idempotency {
     /// A repeat has no further effect; the request may be repeated at any time.
     Idempotent,
-    /// Endpoints within `scope` recognise a repeat by its idempotency key and discard it, for
-    /// `window` from the first attempt that may have run.
+    /// Endpoints within `scope` recognise a repeat by its idempotency key and discard the repeat,
+    /// for `window` from the first attempt that may have run.
     Keyed {
         /// The endpoints that discard repeats.
         scope: DeduplicationScope,
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -13,23 +13,24 @@
 /// Number of eligible endpoints, in the order of the key, that are checked for capacity. Small,
 /// because in a slow fleet more candidates would turn hits into misses.
 const MAX_CANDIDATES: usize = 3;
-/// Fraction of an endpoint's concurrency limit that is usable by keys with another first
-/// eligible endpoint.
+/// Fraction of an endpoint's concurrency limit that is usable by keys with another first eligible
+/// endpoint.
 const OVERFLOW_FRACTION: f64 = 0.5;
 
 impl Balancer {
     /// Returns the endpoint for the request's next attempt, if an endpoint can accept it now. If
-    /// `no_likely_miss`, endpoints that probably have to fetch the value are excluded.
+    /// `exclude_likely_misses`, endpoints that probably have to fetch the value are excluded.
     pub(super) fn select_endpoint(
         &self,
         pending: &PendingRequest,
-        no_likely_miss: bool,
+        exclude_likely_misses: bool,
         now: Timestamp,
     ) -> Option<usize> {
         if pending.attempts.len() >= self.settings.max_attempts as usize {
             return None;
         }
-        let is_eligible = |index: &usize| self.is_eligible(*index, pending, no_likely_miss, now);
+        let is_eligible =
+            |index: &usize| self.is_eligible(*index, pending, exclude_likely_misses, now);
         if self.needs_origin(pending) {
             let mut indices = 0..self.endpoints.iter().len();
             return indices
@@ -40,7 +41,8 @@
         let first = *ranked.peek()?;
         let candidates: Vec<usize> = ranked.filter(is_eligible).take(MAX_CANDIDATES).collect();
         if candidates.is_empty() {
-            let usable = !no_likely_miss && self.is_usable_as_last_resort(first, pending, now);
+            let usable =
+                !exclude_likely_misses && self.is_usable_as_last_resort(first, pending, now);
             return usable.then_some(first);
         }
         self.first_with_capacity(&candidates, pending, now)
@@ -58,11 +60,11 @@
         &self,
         index: usize,
         pending: &PendingRequest,
-        no_likely_miss: bool,
+        exclude_likely_misses: bool,
         now: Timestamp,
     ) -> bool {
         let state = &self.endpoints[index];
-        if no_likely_miss && self.is_likely_miss(&pending.request, state) {
+        if exclude_likely_misses && self.is_likely_miss(&pending.request, state) {
             return false;
         }
         let endpoint = &state.endpoint;
--- a/crates/policy/src/breaker.rs
+++ b/crates/policy/src/breaker.rs
@@ -155,12 +155,12 @@
     /// Blocks the target for `cooldown`.
     pub(crate) fn open(&mut self, cooldown: Duration, now: Timestamp) {
         let until = now + cooldown;
-        self.enter(State::Open { until }, now);
+        self.transition_to(State::Open { until }, now);
     }
 
     /// Closes the breaker and resets its counts.
     pub(crate) fn close(&mut self, now: Timestamp) {
-        self.enter(State::Closed, now);
+        self.transition_to(State::Closed, now);
     }
 
     /// Records the send of a call; the first call after a cooldown makes the breaker half-open.
@@ -171,7 +171,7 @@
                     admitted: 1,
                     succeeded: 0,
                 };
-                self.enter(first_trial, now);
+                self.transition_to(first_trial, now);
             }
             State::HalfOpen { admitted, .. } => *admitted += 1,
             State::Closed | State::Open { .. } => {}
@@ -194,14 +194,14 @@
                 }
             }
             (State::Closed, CallResult::Success | CallResult::Failure) => {
-                return self.count(result, now);
+                return self.count_result(result, now);
             }
             (State::Closed, CallResult::Inconclusive) | (State::Open { .. }, _) => {}
         }
         Verdict::Keep
     }
 
-    fn count(&mut self, result: CallResult, now: Timestamp) -> Verdict {
+    fn count_result(&mut self, result: CallResult, now: Timestamp) -> Verdict {
         if now >= self.window_ends {
             self.previous_window_calls = self.counts.calls;
             self.window_ends = now + self.window;
@@ -220,7 +220,7 @@
         }
     }
 
-    fn enter(&mut self, state: State, now: Timestamp) {
+    fn transition_to(&mut self, state: State, now: Timestamp) {
         *self = Self {
             state,
             epoch: self.epoch + 1,
--- a/crates/policy/src/endpoint_speed.rs
+++ b/crates/policy/src/endpoint_speed.rs
@@ -1,8 +1,7 @@
 //! Estimated speed of each kind of endpoint, used if weights state only the number of cores.
 //!
-//! The slowness of a kind is estimated from the ratio of a response's latency to its expected
-//! work. Logarithms are averaged, so that a few responses with a very high latency
-//! do not dominate.
+//! The slowness of a kind is estimated from the ratio of a response's latency to its expected work.
+//! Logarithms are averaged, so that a few responses with a very high latency do not dominate.
 
 use crate::api::{Name, Settings};
 use crate::endpoint_table::EndpointTable;
@@ -20,8 +19,8 @@
 
 #[derive(Debug)]
 struct KindSpeed {
-    /// Mean logarithm of the ratio of latency to expected work: 0 for a ratio of 1, more
-    /// for a slower kind.
+    /// Mean logarithm of the ratio of latency to expected work: 0 for a ratio of 1, more for a
+    /// slower kind.
     slowness: f64,
     /// Weight of the mean in responses: the initial and the recorded responses, up to the maximum.
     responses: f64,
--- a/crates/policy/src/idempotency.rs
+++ b/crates/policy/src/idempotency.rs
@@ -2,7 +2,7 @@
 //!
 //! An idempotent request may always be sent again, a non-idempotent request never. A keyed request
 //! may be sent again only to endpoints in its scope, which discard repeats, and only within its
-//! window, which starts at each attempt that may have run.
+//! window from each attempt that may have run.
 
 use crate::api::{DeduplicationScope, Endpoint, Idempotency, Timestamp};
 use crate::pending::PendingRequest;
--- a/crates/policy/src/origin_protection.rs
+++ b/crates/policy/src/origin_protection.rs
@@ -15,10 +15,10 @@
 use crate::decay::{DecayedCounts, DECAY_TIME};
 use crate::pending::{Attempt, PendingRequest};
 
-/// Minimum failure rate of likely misses at which the origin is overloaded.
+/// Minimum failure rate of likely misses at an overloaded origin.
 const OVERLOAD_FAILURE_RATE: f64 = 0.4;
-/// Minimum ratio of the failure rate of likely misses to the failure rate of all other attempts at
-/// which the origin is overloaded.
+/// Minimum ratio, at an overloaded origin, of the failure rate of likely misses to the failure rate
+/// of all other attempts. The origin counts as overloaded only if both minimums are reached.
 const OVERLOAD_RATE_RATIO: f64 = 2.0;
 /// Factor by which a failure reduces the limit.
 const DECREASE_FACTOR: f64 = 0.7;
@@ -47,8 +47,8 @@
     last_decrease: Timestamp,
     likely_misses: DecayedCounts,
     other_attempts: DecayedCounts,
-    /// Whether the limit never decreases: a node of a large deployment sends too few likely misses
-    /// for a judgement.
+    /// Whether the deployment is large. The limit then never decreases, because a node sends too
+    /// few likely misses for a judgement.
     is_large_deployment: bool,
 }
 
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,8 +1,8 @@
 //! Queue of requests for which no endpoint has capacity.
 //!
 //! Bursts are short: a request without an endpoint is queued and dispatched again at short
-//! intervals, as long as a response would probably still meet its latency objective. The queue
-//! is ordered only by the time of the next dispatch and bounded only by the latency objective.
+//! intervals, as long as a response would probably still meet its latency objective. The queue is
+//! ordered only by the time of the next dispatch and bounded only by the latency objective.
 
 use crate::api::{RequestId, Timestamp};
 use std::collections::BTreeSet;
