--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -1,5 +1,5 @@
-//! How a node divides its descriptors and its memory among connections, from the limits of its process and the
-//! operators' settings.
+//! Divides a node's descriptors and memory among connections, from the limits of the process and
+//! the operators' settings.
 
 use crate::connections::MAX_READ_AHEAD_BYTES;
 use crate::multiget::MultiGet;
@@ -10,82 +10,87 @@
 use slatelink_telemetry::Telemetry;
 use thiserror::Error;
 
-/// Descriptors that are no connections': the runtime's, the listener's, discovery's and the standard streams'.
+/// Descriptors held outside connections: by the runtime, the listener, discovery and the standard
+/// streams.
 const RUNTIME_DESCRIPTORS: usize = 24;
 
-/// Bytes of a client's connection in use: hyper's read buffer, parser and task as measured, a head of the longest, and
-/// what is read ahead of it.
+/// Memory of an active client connection: hyper's read buffer, parser and task as measured, a
+/// request head of the maximum length, and the read-ahead buffer.
 const ACTIVE_CONNECTION_BYTES: usize = (16 << 10) + MAX_HEAD_BYTES + MAX_READ_AHEAD_BYTES;
-/// Bytes of a parked connection, which holds nothing but its socket.
+/// Memory of a parked connection, which holds only its socket.
 const PARKED_CONNECTION_BYTES: usize = 1 << 10;
-/// Bytes of a connection to an endpoint: a read buffer and what is around it.
+/// Memory of a connection to an endpoint: a read buffer and its overhead.
 const UPSTREAM_CONNECTION_BYTES: usize = 10 << 10;
-/// Bytes of the program itself, without connections.
+/// Memory of the program without connections.
 const PROGRAM_BYTES: u64 = 6 << 20;
-/// Even with little memory the budget has room for this many clients' connections in use.
+/// Number of active client connections that the budget allows even with little memory.
 const MIN_ACTIVE_CONNECTIONS: usize = 32;
-/// Of the clients' descriptors, one in this many is kept free for clients that are not connected yet: with fewer free,
-/// connections are closed after their response.
+/// One in this many of the clients' descriptors is kept free for clients that are not connected
+/// yet. If fewer are free, connections are closed after their response.
 const UNCONNECTED_CLIENTS_DIVISOR: usize = 5;
 
-/// Of the process's descriptors, one in this many is reserved for clients: as many as they use where nothing else is set.
-/// What is reserved for endpoints and the side port goes before.
+/// One in this many of the process's descriptors is reserved for clients: as many as clients use
+/// without other settings. The reserves for endpoints and the side port take precedence.
 const CLIENT_RESERVE_DIVISOR: usize = 3;
-/// No more than one in this many of the descriptors that connections may use is reserved for clients.
+/// At most one in this many of the descriptors available to connections is reserved for clients.
 const MAX_CLIENT_RESERVE_DIVISOR: usize = 2;
-/// Of the memory, one in this many parts is left to the allocator's fragmentation.
+/// One in this many parts of the memory is left for the allocator's fragmentation.
 const FRAGMENTATION_DIVISOR: u64 = 4;
-/// Of the connections' memory, one in this many parts is for connections to endpoints.
+/// One in this many parts of the connections' memory is for connections to endpoints.
 const UPSTREAM_MEMORY_DIVISOR: usize = 3;
 
-/// Why no budget can be made.
+/// Reason why the limits and settings allow no budget.
 #[derive(Debug, Error)]
 pub enum BudgetError {
-    /// What is reserved for connections to endpoints and the side port leaves none for clients, or is not there.
+    /// The reserves for connections to endpoints and the side port exceed the available descriptors
+    /// or leave none for clients.
     #[error(
-        "a limit of {limit} sockets leaves {available} beside the features: not enough for {upstream} to servers \
-         (front.servers_floor), {side_port} of the side port, and clients"
+        "a limit of {limit} sockets leaves {available} for connections: not enough for {upstream} to servers \
+         (front.servers_floor), {side_port} on the multi-get port and those of clients"
     )]
     Descriptors {
-        /// Descriptors that the process may hold.
+        /// Number of descriptors that the process may hold.
         limit: usize,
-        /// Those of them that connections may use.
+        /// Number of descriptors available to connections.
         available: usize,
-        /// Those reserved for connections to endpoints.
+        /// Number of descriptors reserved for connections to endpoints.
         upstream: usize,
-        /// Those reserved for the side port.
+        /// Number of descriptors reserved for the side port.
         side_port: usize,
     },
-    /// The settings limit a class of requests that the platform does not name.
-    #[error("front.per_class names {name:?}: the classes are {}", .known.join(", "))]
+    /// The settings limit a request class that the platform does not define.
+    #[error("front.per_class has an unknown class {name:?}; expected one of: {}", .known.join(", "))]
     UnknownClass {
-        /// What the settings say.
+        /// Class name in the settings.
         name: String,
-        /// The names of the classes that there are.
+        /// Names of the existing classes.
         known: Vec<String>,
     },
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug)]
 pub struct ResourceLimits {
-    /// Descriptors that it may hold.
+    /// Number of descriptors that the process may hold.
     pub descriptors: usize,
-    /// Bytes of memory; `None` if that has no limit.
+    /// Bytes of memory; `None` if unlimited.
     pub memory_bytes: Option<u64>,
 }
 
-/// What the connections of a node may use.
+/// Resources that the connections of a node may use.
 pub struct ConnectionBudget {
-    /// Descriptors and bytes, which all connections share.
+    /// Descriptors and bytes shared by all connections.
     pub shared: Budget,
-    /// The limits of clients' connections.
+    /// Limits of client connections.
     pub client_limits: ConnectionLimits,
 }
 
 impl ConnectionBudget {
-    /// The budget of a process with these limits, for the classes of requests in their order. An error if it leaves
-    /// nothing for clients, or nothing for endpoints, or if the settings limit a class that there is not.
+    /// Computes the budget of a process with these limits. `classes` are the request classes in the
+    /// order of their ids.
+    ///
+    /// Returns an error if the budget leaves nothing for clients or for endpoints, or if the
+    /// settings limit an unknown class.
     pub fn new(
         settings: &Settings,
         classes: &[Name],
@@ -100,8 +105,9 @@
         })
     }
 
-    /// The limits of multi-get connections. All of them may well come from one address, and a multi-get request belongs
-    /// to no class: only its items do.
+    /// Returns the limits of multi-get connections. They have no limit per address, because all of
+    /// them may come from one address, and none per class, because only the items of a multi-get
+    /// request belong to a class.
     pub fn side_port_limits(&self) -> ConnectionLimits {
         ConnectionLimits {
             keep_alive_limit: usize::MAX,
@@ -112,7 +118,7 @@
     }
 }
 
-/// One budget for all connections, with a reserve for each kind.
+/// Computes the budget shared by all connections, with a reserve for each kind.
 fn shared_budget(settings: &Settings, limits: ResourceLimits) -> Result<Budget, BudgetError> {
     let available = connection_descriptors(settings, limits.descriptors);
     let memory = connection_memory(limits.memory_bytes);
@@ -136,7 +142,8 @@
         })
 }
 
-/// Descriptors that are left for connections beside what the runtime and the features hold.
+/// Returns the number of descriptors left for connections after those of the runtime and the
+/// features.
 fn connection_descriptors(settings: &Settings, limit: usize) -> usize {
     let side_port = settings
         .multiget_port()
@@ -146,13 +153,13 @@
 
 /// Bytes that connections may use.
 struct ConnectionMemory {
-    /// Connections of clients and of the side port.
+    /// For connections of clients and of the side port.
     clients: usize,
-    /// Connections to endpoints.
+    /// For connections to endpoints.
     upstream: usize,
 }
 
-/// Divides what the program itself and the allocator's fragmentation leave of the memory.
+/// Divides the memory left by the program itself and the allocator's fragmentation.
 fn connection_memory(memory_bytes: Option<u64>) -> ConnectionMemory {
     let total = memory_bytes.map_or(usize::MAX, |memory| {
         usize::try_from(
@@ -168,7 +175,7 @@
     }
 }
 
-/// Descriptors of connections to endpoints: no more than their part of the memory allows.
+/// Returns the quota of connections to endpoints, limited by their part of the memory.
 fn upstream_quota(admission: &AdmissionSettings, available: usize, memory_bytes: usize) -> Quota {
     let limit = available.min(memory_bytes / UPSTREAM_CONNECTION_BYTES);
     Quota {
@@ -177,7 +184,7 @@
     }
 }
 
-/// Descriptors of multi-get connections: all of them are reserved.
+/// Returns the quota of multi-get connections, all of which are reserved.
 fn side_port_quota(settings: &Settings) -> Quota {
     let connections = settings
         .multiget_port()
@@ -219,7 +226,7 @@
     })
 }
 
-/// Every class that the settings limit must be one of the platform's.
+/// Checks that every class that the settings limit is one of the platform's classes.
 fn check_class_names(admission: &AdmissionSettings, classes: &[Name]) -> Result<(), BudgetError> {
     let is_known = |name: &String| classes.iter().any(|class| class.as_str() == name);
     let unknown = admission
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -1,14 +1,16 @@
-//! The client connections of a port: their sockets, and how they follow the connection table.
+//! Client connections of one port: their sockets and the execution of the connection table's
+//! directives.
 //!
-//! Admission's [`ConnectionTable`] decides and holds no socket: it knows the phase of each connection and its timeouts,
-//! and says by a directive whether one goes on, is parked, finishes or is aborted, and which one is evicted for another.
-//! Here what happens on the sockets is reported to the table, with the time, and its directives are carried out:
+//! Admission's [`ConnectionTable`] holds no socket. It tracks the phase and the timeouts of each
+//! connection, decides by a directive whether a connection continues, is parked, finishes or is
+//! aborted, and selects connections for eviction. This module reports socket events to the table,
+//! with the time, and executes its directives:
 //!
-//! - [`ConnectionManager`] owns the table of a port. It waits for descriptors, wakes connections that have a new directive
-//!   and has the table advance its timers.
-//! - [`ConnectionHandle`] is one connection. It reports requests and responses to the table and follows its directive;
-//!   dropped, it leaves the table.
-//! - [`ReportingSocket`] is its socket as hyper uses it, and reports reads and writes.
+//! - [`ConnectionManager`] owns the table of a port. It waits for descriptors, wakes connections
+//!   that have a new directive and advances the table's timers.
+//! - [`ConnectionHandle`] is one connection. It reports requests and responses to the table and
+//!   follows the connection's directive. Dropping it removes the connection from the table.
+//! - [`ReportingSocket`] is the connection's socket as hyper uses it. It reports reads and writes.
 
 mod handle;
 mod reporting_socket;
@@ -33,33 +35,35 @@
 use tokio::task::yield_now;
 use tokio::time::{interval, timeout, Instant};
 
-/// How often the timeouts of connections are checked.
+/// Interval between checks of the connection timeouts.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Connections handled at once; other tasks run between two batches.
+/// Number of connections handled in one batch; other tasks run between two batches.
 const BATCH_SIZE: usize = 256;
-/// A wait for a descriptor tries again after this: one may be released elsewhere than in this table.
+/// Longest wait before another attempt to lease a descriptor: the budget is shared, so a descriptor
+/// may be released outside this table.
 const LEASE_RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// After an eviction, this many tries for its descriptor before the next eviction.
+/// Number of lease attempts after an eviction before the next eviction.
 const EVICTION_POLLS: u32 = 10;
 
 /// All connections of one port.
 pub struct ConnectionManager {
-    /// The phases and timeouts of the connections, and what each is to do.
+    /// Phases, timeouts and directives of the connections.
     table: RefCell<ConnectionTable>,
     /// Shared with the other ports and the connections to endpoints.
     budget: Budget,
-    /// Whose quota of the budget the connections count in.
+    /// Kind whose quota of the budget applies to the connections.
     kind: ConnectionKind,
-    /// The table's times count from here.
+    /// Zero of the table's clock.
     started_at: Instant,
-    /// By connection id; `None` where there is no connection, or it was not polled yet.
+    /// Indexed by connection id; `None` if there is no such connection or it has not been polled
+    /// yet.
     wakers: RefCell<Vec<Option<Waker>>>,
-    /// Notified when a connection has left the table, and its descriptor is free.
+    /// Notified when a connection has left the table and its descriptor is free.
     connection_closed: Notify,
 }
 
 impl ConnectionManager {
-    /// No connections yet; theirs are of this kind in the budget.
+    /// Creates a manager without connections. `kind` is the kind of its connections in the budget.
     pub fn new(budget: Budget, kind: ConnectionKind, limits: ConnectionLimits) -> Rc<Self> {
         Rc::new(Self {
             table: RefCell::new(ConnectionTable::new(limits)),
@@ -71,12 +75,12 @@
         })
     }
 
-    /// The present on the table's clock.
+    /// Returns the current time on the table's clock.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// The present counts of connections.
+    /// Returns the current connection counts.
     pub fn stats(&self) -> ConnectionStats {
         self.table.borrow().stats()
     }
@@ -84,40 +88,44 @@
     /// Wakes a connection that has a new directive.
     fn wake(&self, id: ConnectionId) {
         let waker = self.wakers.borrow().get(id as usize).cloned().flatten();
-        // One that was never polled is scheduled to be.
+        // A connection that was never polled is already scheduled for its first poll.
         if let Some(waker) = waker {
             waker.wake();
         }
     }
 
-    /// Wakes the connection that has a new directive, if any. Whether there was one.
+    /// Wakes the connection that has a new directive, if any. Returns whether there was one.
     fn wake_if_any(&self, id: Option<ConnectionId>) -> bool {
         id.inspect(|id| self.wake(*id)).is_some()
     }
 
-    /// Has one connection close in favour of a client that waits. `false` where none can yet.
+    /// Closes one connection in favour of a waiting client. Returns `false` if no connection can be
+    /// evicted yet.
     fn evict_for_client(&self) -> bool {
         let evicted = self.table.borrow_mut().evict_for_client(self.now());
         self.wake_if_any(evicted)
     }
 
-    /// Has an unused connection close in favour of one to an endpoint. `false` where there is none.
+    /// Closes an unused connection in favour of a connection to an endpoint. Returns `false` if
+    /// there is no unused connection.
     pub fn evict_for_upstream(&self) -> bool {
         let evicted = self.table.borrow_mut().evict_for_upstream(self.now());
         self.wake_if_any(evicted)
     }
 
-    /// Waits for a descriptor for a connection that was accepted from this address. `evict_other_kind` has a connection of
-    /// another kind close, and is `false` where none can. `None` where the address has as many connections as it may.
+    /// Waits for a descriptor for a connection accepted from this address.
+    ///
+    /// `evict_other_kind` closes a connection of another kind and returns `false` if it cannot.
+    /// Returns `None` if the address has reached its connection limit.
     pub async fn admit(
         self: &Rc<Self>,
         stream: TcpStream,
         address: IpAddr,
         evict_other_kind: impl Fn(ConnectionKind) -> bool,
     ) -> Option<ConnectionHandle> {
-        let admitted = self.table.borrow_mut().check_address_quota(address);
-        if let Err(exceeded) = admitted {
-            // An idle connection of the same address is evicted, and is as good as closed.
+        let quota_check = self.table.borrow_mut().check_address_quota(address);
+        if let Err(exceeded) = quota_check {
+            // An idle connection of the same address is evicted and treated as already closed.
             self.wake(exceeded.evicted?);
         }
         let lease = self.lease(evict_other_kind).await;
@@ -130,7 +138,7 @@
         })
     }
 
-    /// Makes an entry without a waker for a new connection.
+    /// Creates an entry without a waker for a new connection.
     fn clear_waker(&self, id: ConnectionId) {
         let index = id as usize;
         let mut wakers = self.wakers.borrow_mut();
@@ -140,8 +148,8 @@
         wakers[index] = None;
     }
 
-    /// Waits for a descriptor. Clients keep their connections open: idle ones would keep all other clients out, so some are
-    /// evicted meanwhile.
+    /// Waits for a descriptor. Clients keep their connections open, so idle connections could block
+    /// all new clients: some are evicted during the wait.
     pub async fn lease(&self, evict_other_kind: impl Fn(ConnectionKind) -> bool) -> Lease {
         let mut waiting = None;
         let mut polls_left = 0;
@@ -171,19 +179,20 @@
         let _ = timeout(LEASE_RETRY_INTERVAL, self.connection_closed.notified()).await;
     }
 
-    /// Ends connections whose time is up, for as long as the node runs.
+    /// Ends connections whose timeout has expired, for as long as the node runs.
     pub async fn sweep(self: Rc<Self>) {
-        let mut turns = interval(SWEEP_INTERVAL);
+        let mut ticks = interval(SWEEP_INTERVAL);
         let mut woken = Vec::with_capacity(BATCH_SIZE);
         loop {
-            turns.tick().await;
+            ticks.tick().await;
             while !self.advance_table(&mut woken) {
                 yield_now().await;
             }
         }
     }
 
-    /// Advances the table's timers by one batch, with `woken` as an empty buffer. `true` once all that are due have fired.
+    /// Advances the table's timers by one batch. `woken` is an empty buffer. Returns `true` once
+    /// all expired timers have fired.
     fn advance_table(&self, woken: &mut Vec<ConnectionId>) -> bool {
         let done = self
             .table
@@ -195,7 +204,7 @@
         done
     }
 
-    /// Has all connections finish their requests and close; returns once all have.
+    /// Closes all connections after their open requests; returns once all are closed.
     pub async fn close(&self) {
         let ids: Vec<_> = self.table.borrow().ids().collect();
         for batch in ids.chunks(BATCH_SIZE) {
@@ -217,11 +226,11 @@
     }
 }
 
-/// Counts one who waits for a descriptor, until it is dropped.
+/// Counts one waiter for a descriptor until it is dropped.
 struct WaiterGuard<'a>(&'a ConnectionManager);
 
 impl<'a> WaiterGuard<'a> {
-    /// Counts one more.
+    /// Adds a waiter to the table's count.
     fn new(manager: &'a ConnectionManager) -> Self {
         manager.table.borrow_mut().add_waiter();
         Self(manager)
--- a/crates/node/src/connections/handle.rs
+++ b/crates/node/src/connections/handle.rs
@@ -1,4 +1,4 @@
-//! One connection: its events go to the table, and the table's directives are carried out.
+//! One connection: reports its events to the table and executes the table's directives.
 
 use super::socket::Socket;
 use super::ConnectionManager;
@@ -12,45 +12,46 @@
 use std::time::Duration;
 use tokio::time::sleep_until;
 
-/// For so long after its last write a connection stays open, unless its client closes it: closed with received bytes that
-/// nobody has read, it would be reset, and the client would lose what it has not read of the response yet.
+/// Time after the last write for which a connection stays open, unless its client closes it.
+/// Closing a socket with unread received bytes resets the connection, and the client would lose the
+/// unread part of the response.
 const LINGER_TIME: Duration = Duration::from_secs(1);
 
-/// A connection in the table of its port, which it leaves when dropped.
+/// A connection in the table of its port; removed from the table when dropped.
 pub struct ConnectionHandle {
     /// The connections of the port.
     pub(super) manager: Rc<ConnectionManager>,
-    /// Its id in the table.
+    /// Id of the connection in the table.
     pub(super) id: ConnectionId,
     /// Read and written by hyper through a [`ReportingSocket`](super::ReportingSocket).
     pub(super) socket: Socket,
 }
 
 impl ConnectionHandle {
-    /// The table. Not to be held over a wake-up or an await.
+    /// Returns the table. The borrow must not be held across a wake-up or an await.
     pub(super) fn table(&self) -> RefMut<'_, ConnectionTable> {
         self.manager.table.borrow_mut()
     }
 
-    /// The present on the table's clock.
+    /// Returns the current time on the table's clock.
     pub(super) fn now(&self) -> Duration {
         self.manager.now()
     }
 
-    /// Has the task of this context woken when the table has a new directive for the connection.
+    /// Registers the task of this context to be woken when the table has a new directive.
     fn register_waker(&self, cx: &Context<'_>) {
         if let Some(waker) = self.manager.wakers.borrow_mut().get_mut(self.id as usize) {
-            // A task's waker stays the same for as long as it runs.
+            // A task keeps the same waker for its whole run.
             waker.get_or_insert_with(|| cx.waker().clone());
         }
     }
 
-    /// What the table wants the connection to do.
+    /// Returns the table's current directive for the connection.
     fn directive(&self) -> Directive {
         self.table().directive(self.id)
     }
 
-    /// Whether the table has the connection in this phase.
+    /// Returns whether the connection is in this phase according to the table.
     fn is_in_phase(&self, phase: Phase) -> bool {
         self.table().phase(self.id) == phase
     }
@@ -60,12 +61,14 @@
         self.table().on_request_head(self.now(), self.id);
     }
 
-    /// Reports that a request of this class was read completely. Whether its class has more of them open than its quota.
+    /// Reports that a request of this class was read completely. Returns whether the open requests
+    /// of the class exceed its quota.
     pub fn on_request(&self, class: usize) -> bool {
         self.table().on_request(self.now(), self.id, class)
     }
 
-    /// Reserves memory for the body of a request, until its response. `false` where there is none.
+    /// Reserves memory for the body of a request until its response. Returns `false` if the memory
+    /// is not available.
     pub fn reserve_request_bytes(&self, bytes: usize) -> bool {
         self.table().reserve_request_bytes(self.id, bytes)
     }
@@ -75,7 +78,8 @@
         self.table().on_response(self.now(), self.id);
     }
 
-    /// Whether the connection closes with the response that it is about to write. Another may be evicted in its place.
+    /// Returns whether the connection closes after the response that is about to be written. If it
+    /// stays open, an idle connection may be evicted in its place.
     pub fn closes_with_response(&self) -> bool {
         let keep_alive = self.table().keep_alive(self.now(), self.id);
         if let KeepAlive::KeepAndEvict(idle) = keep_alive {
@@ -84,30 +88,33 @@
         keep_alive == KeepAlive::Close
     }
 
-    /// Reports that the connection has released all but its socket. `unread` was read from that before, and not used yet.
+    /// Reports that the connection has released everything but its socket. `unread` holds bytes
+    /// that were already read from the socket but not processed yet.
     pub fn park(&self, unread: &Bytes) {
         self.table().on_parked(self.id);
         self.manager.wake_awaiting_memory();
         let mut read_ahead = self.socket.read_ahead.borrow_mut();
         let later = read_ahead.split();
-        // A buffer of its own size: either of them would keep all of the buffer that it was read into.
+        // Copies the bytes to a buffer of exact size: a slice of either old buffer would keep the
+        // whole allocation alive.
         *read_ahead = BytesMut::with_capacity(unread.len() + later.len());
         read_ahead.extend_from_slice(unread);
         read_ahead.extend_from_slice(&later);
     }
 
-    /// Whether the client has sent more ahead of a response than is kept: no further request is read.
+    /// Returns whether the client has sent more bytes ahead of a response than are kept. No further
+    /// request is read then.
     pub fn read_ahead_exceeded(&self) -> bool {
         self.socket.read_ahead_exceeded.get()
     }
 
-    /// Whether the client has closed its side, also where that stands behind bytes that nobody has asked for.
+    /// Returns whether the client has closed its side, even if the end follows unprocessed bytes.
     pub fn client_has_disconnected(&self) -> bool {
         self.socket.fill_read_ahead();
         self.socket.read_closed.get()
     }
 
-    /// The same; the task is woken when there is more to be read.
+    /// Like [`Self::client_has_disconnected`], but wakes the task when more bytes can be read.
     fn poll_client_has_disconnected(&self, cx: &mut Context<'_>) -> bool {
         while !self.socket.read_closed.get() {
             match self.socket.stream.poll_read_ready(cx) {
@@ -123,8 +130,9 @@
         true
     }
 
-    /// Keeps a connection whose write side is shut down open for as long as its client may still be reading, and reads
-    /// nothing from it: a request that crossed the end is the client's to send again, elsewhere.
+    /// Keeps a connection whose write side is shut down open while its client may still be reading.
+    /// Reads no requests: a request that crossed the shutdown must be sent again by the client on
+    /// another connection.
     pub async fn linger(&self) {
         let Some(last_write_at) = self.socket.last_write_at.get() else {
             return;
@@ -138,7 +146,8 @@
         let deadline = last_write_at + LINGER_TIME;
         let mut first_byte = [0];
         tokio::select! {
-            // Closed by the client, unless there are bytes: nothing tells what stands behind those.
+            // A peek of zero bytes or an error means that the client has closed. If there are
+            // bytes, an end that follows them cannot be detected.
             peeked = self.socket.stream.peek(&mut first_byte) => if matches!(peeked, Ok(bytes) if bytes > 0) {
                 sleep_until(deadline).await;
             },
@@ -146,11 +155,11 @@
         }
     }
 
-    /// Waits until bytes arrive on a parked connection and there is memory to read them. `false` where the node closes it
-    /// first, or it is broken.
+    /// Waits until bytes arrive on a parked connection and there is memory to read them. Returns
+    /// `false` if the node closes the connection first or the connection is broken.
     pub fn poll_readable(&self, cx: &mut Context<'_>) -> Poll<bool> {
         self.register_waker(cx);
-        // What has arrived by then is read: it goes before the end.
+        // Bytes that have already arrived are read before the connection is closed.
         let readable = if self.socket.read_ahead.borrow().is_empty() {
             self.socket.stream.poll_read_ready(cx)
         } else {
@@ -164,7 +173,7 @@
         }
     }
 
-    /// Ready once there is memory to read the bytes that have arrived.
+    /// Returns ready once there is memory to read the bytes that have arrived.
     fn poll_memory(&self) -> Poll<bool> {
         let reserved = self.table().on_readable(self.now(), self.id);
         match reserved {
@@ -176,9 +185,11 @@
         }
     }
 
-    /// Drives hyper's part of a connection to its end, or until it is to be parked. What was read is finished when the node
-    /// closes; a connection whose time is up is dropped, but for an idle one, which may receive a request just then.
-    /// `shut_down` has hyper finish and close.
+    /// Drives hyper's part of a connection until it ends or is to be parked.
+    ///
+    /// When the node closes, requests already read are finished. A connection whose timeout has
+    /// expired is dropped, except an idle one, which may be receiving a request at that moment.
+    /// `shut_down` makes hyper finish and close.
     pub async fn drive<C>(
         &self,
         http_connection: &mut C,
@@ -191,19 +202,21 @@
         poll_fn(|cx| {
             self.register_waker(cx);
             loop {
-                // An error here is a client that disconnected or spoke no HTTP: hyper has answered what can be.
+                // An error here means that the client disconnected or sent invalid HTTP; hyper has
+                // already answered where possible.
                 if Pin::new(&mut *http_connection).poll(cx).is_ready() {
                     return Poll::Ready(DriveOutcome::Closed);
                 }
-                // hyper looks for the client's end only while it has read nothing more of it.
+                // hyper detects the end of the client's stream only if it has not read further
+                // bytes.
                 if self.is_in_phase(Phase::Processing) && self.poll_client_has_disconnected(cx) {
                     return Poll::Ready(DriveOutcome::Closed);
                 }
                 match self.directive() {
                     Directive::Abort => return Poll::Ready(DriveOutcome::Closed),
                     Directive::Park => return Poll::Ready(DriveOutcome::Park),
-                    // Shut down while it reads a request, hyper would drop what it has of it: there the response closes
-                    // the connection.
+                    // If hyper is shut down while it reads a request, it discards the part already
+                    // read. In that phase the response closes the connection instead.
                     Directive::Finish
                         if !shutting_down && !self.is_in_phase(Phase::ReadingRequest) =>
                     {
@@ -229,11 +242,11 @@
     }
 }
 
-/// How hyper's part of a connection ended.
+/// How [`ConnectionHandle::drive`] ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DriveOutcome {
-    /// The connection has ended, or is to be dropped.
+    /// The connection has ended or is to be dropped.
     Closed,
-    /// It has been idle for a while: all but the socket is to be released.
+    /// The connection has been idle for a while: everything but the socket is to be released.
     Park,
 }
--- a/crates/node/src/connections/reporting_socket.rs
+++ b/crates/node/src/connections/reporting_socket.rs
@@ -11,16 +11,16 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 
-/// The socket of a connection, which reports to the table what is read and written on it.
+/// The socket of a connection. Reports reads and writes to the table.
 pub struct ReportingSocket(pub Rc<ConnectionHandle>);
 
 impl ReportingSocket {
-    /// Tells the table that bytes were handed to hyper.
+    /// Reports to the table that bytes were handed to hyper.
     fn report_read(&self) {
         self.0.table().on_bytes_read(self.0.now(), self.0.id);
     }
 
-    /// Hands out bytes that were read ahead. `false` where there are none.
+    /// Copies bytes that were read ahead to `buf`. Returns `false` if there are none.
     fn take_read_ahead(&self, buf: &mut ReadBufCursor<'_>) -> bool {
         let mut read_ahead = self.0.socket.read_ahead.borrow_mut();
         if read_ahead.is_empty() {
@@ -44,11 +44,12 @@
             return Poll::Ready(Ok(()));
         }
         let socket = &self.0.socket;
-        // Reads as the end: a part of what would follow was discarded.
+        // Reports the end of the stream, because part of the following bytes was discarded.
         if socket.read_ahead_exceeded.get() {
             return Poll::Ready(Ok(()));
         }
-        // A cursor does not tell what was read into it: the bytes pass through a buffer that does.
+        // A cursor does not report how many bytes were read into it, so they pass through a
+        // separate buffer.
         let mut bytes = [0; READ_BYTES];
         let capacity = buf.remaining().min(READ_BYTES);
         loop {
@@ -79,7 +80,8 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // hyper flushes the socket, which itself holds nothing back, only once all of a response is written.
+        // hyper flushes the socket, which has no buffer of its own, only after a whole response is
+        // written.
         self.0.table().on_flushed(self.0.now(), self.0.id);
         Poll::Ready(Ok(()))
     }
--- a/crates/node/src/connections/socket.rs
+++ b/crates/node/src/connections/socket.rs
@@ -1,4 +1,4 @@
-//! A client's socket, and what was read from it ahead of the request that is open.
+//! The socket of a client and the bytes read from it ahead of the open request.
 
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
@@ -7,32 +7,35 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The most bytes of one read.
+/// Largest size of one read.
 pub(super) const READ_BYTES: usize = 8 << 10;
-/// The bytes read ahead, at most, while a request is open, to find out whether the client has closed. A client that sends
-/// more gets the response to that request and no further one: the rest is read and discarded.
+/// Largest number of bytes read ahead while a request is open, to detect that the client has
+/// closed. A client that sends more gets the response to the open request and no further one: the
+/// remaining bytes are read and discarded.
 pub const MAX_READ_AHEAD_BYTES: usize = 8 << 10;
-/// Reads in a row before other connections have their turn.
+/// Number of consecutive reads before the task yields to other connections.
 const MAX_READS: usize = 8;
 
 /// A client's socket and its state, shared by hyper's part of the connection and the handle.
 pub(super) struct Socket {
-    /// The socket itself; read by [`Self::try_read`] alone, so that an end is noticed.
+    /// The socket itself. Read only by [`Self::try_read`], which records the end of the stream.
     pub(super) stream: TcpStream,
-    /// Bytes that were read and not used yet.
+    /// Bytes that were read but not processed yet.
     pub(super) read_ahead: RefCell<BytesMut>,
-    /// The client has closed its side, or the connection is broken.
+    /// Set when the client has closed its side or the connection is broken.
     pub(super) read_closed: Cell<bool>,
-    /// The client has sent more than [`MAX_READ_AHEAD_BYTES`]: what follows is not read as requests.
+    /// Set when the client has sent more than [`MAX_READ_AHEAD_BYTES`]. Further bytes are not read
+    /// as requests.
     pub(super) read_ahead_exceeded: Cell<bool>,
-    /// When something was written last.
+    /// Time of the last write.
     pub(super) last_write_at: Cell<Option<Instant>>,
-    /// The node has closed its side: the connection is half-closed until the client has closed the other.
+    /// Set when the node has closed its side: the connection is half-closed until the client closes
+    /// the other side.
     pub(super) write_shut_down: Cell<bool>,
 }
 
 impl Socket {
-    /// A socket that was just accepted.
+    /// Wraps a newly accepted socket.
     pub(super) fn new(stream: TcpStream) -> Self {
         Self {
             stream,
@@ -44,8 +47,9 @@
         }
     }
 
-    /// Reads what there is, without a wait. Unlike a runtime's read this goes on until the socket is empty, so that an end
-    /// which came together with the last bytes is seen without another event.
+    /// Reads the available bytes without waiting. Unlike the runtime's read, it reads until the
+    /// socket is empty, so an end of stream that arrives with the last bytes is detected without
+    /// another event.
     pub(super) fn try_read(&self, buffer: &mut [u8]) -> io::Result<usize> {
         let read = self.stream.try_read(buffer);
         match &read {
@@ -56,7 +60,8 @@
         read
     }
 
-    /// Writes once the socket takes bytes; `write` fails with `WouldBlock` where it takes none after all.
+    /// Writes as soon as the socket is ready. `write` fails with `WouldBlock` if the socket accepts
+    /// no bytes after all.
     pub(super) fn poll_write(
         &self,
         cx: &mut Context<'_>,
@@ -74,7 +79,7 @@
         }
     }
 
-    /// Reads ahead what there is. Whether bytes may be left.
+    /// Reads available bytes ahead. Returns whether more bytes may be left.
     pub(super) fn fill_read_ahead(&self) -> bool {
         let mut buffer = [0; READ_BYTES];
         for _ in 0..MAX_READS {
@@ -86,7 +91,7 @@
         true
     }
 
-    /// Keeps bytes for later, or discards them where they are too many.
+    /// Appends bytes to the read-ahead buffer, or discards them if the limit is exceeded.
     fn keep_read_ahead(&self, bytes: &[u8]) {
         let mut read_ahead = self.read_ahead.borrow_mut();
         if self.read_ahead_exceeded.get() || read_ahead.len() + bytes.len() > MAX_READ_AHEAD_BYTES {
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -1,7 +1,9 @@
-//! The control plane of a node by itself, for measurements of many in one process.
+//! The control plane of a node without its data plane, for measurements of many nodes in one
+//! process.
 //!
-//! It is the client of discovery and the decision module of a whole node, wired to each other as there, without listener,
-//! connections to endpoints and clients. Requests can be generated at a rate; each attempt ends at once, as served.
+//! Contains the discovery client and the decision module of a whole node, connected in the same
+//! way, but no listener, no connections to endpoints and no clients. Requests can be generated at a
+//! given rate; each attempt ends at once with success.
 
 mod generated_requests;
 
@@ -25,44 +27,48 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// The latency that is reported of each attempt.
+/// Latency reported for each attempt.
 const REPORTED_LATENCY: Duration = Duration::from_millis(1);
 
-/// Told of what happens in a control plane.
+/// Receives the events of a control plane.
 pub trait ControlObserver {
-    /// The decision module decides by the endpoint list of this version from now on; `complete` if it came as a snapshot.
+    /// The decision module has applied the endpoint list of this version; `complete` if the list
+    /// came as a snapshot.
     fn endpoint_list_applied(&self, version: u64, complete: bool);
 
     /// A call to discovery has failed.
     fn discovery_failed(&self) {}
 
-    /// The module has handled a generated request, in so much processor time; `sent` if it chose an endpoint for it.
+    /// The decision module has handled a generated request in this processor time; `sent` if it
+    /// chose an endpoint.
     fn request_handled(&self, _sent: bool, _processor_time: Duration) {}
 }
 
-/// What a control plane is made of.
+/// The configuration of a control plane.
 pub struct ControlOptions {
-    /// The settings of the decision module.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Seed of all random draws: the module's, the client of discovery's, and those of generated requests.
+    /// Seed of all random draws: those of the decision module, the discovery client and generated
+    /// requests.
     pub seed: u64,
-    /// Where discovery answers; a new address is what a new configuration brings.
+    /// Address of discovery. A new value has the effect of a reloaded configuration.
     pub discovery: watch::Receiver<SocketAddr>,
-    /// Requests a second, with exponential gaps; zero for none.
+    /// Requests per second, with exponential gaps; zero for none.
     pub request_rate: f64,
-    /// The processor time of the thread so far.
+    /// Returns the processor time used by the thread so far.
     pub processor_clock: fn() -> Duration,
-    /// Where the client of discovery logs.
+    /// Log of the discovery client.
     pub log: Log,
 }
 
-/// Runs a control plane, with no endpoints at first, for as long as the future lives; within a `LocalSet`.
+/// Runs a control plane, initially without endpoints, until the future is dropped. Must run within
+/// a `LocalSet`.
 pub async fn run(options: ControlOptions, observer: Rc<dyn ControlObserver>) {
     let (events, received_events) = mpsc::unbounded_channel();
     let poll_requested = Rc::new(Notify::new());
     let mut random = fastrand::Rng::with_seed(options.seed);
     let discovery = discovery_options(&options, random.fork(), events);
-    // Dropped with this future, the set ends its task.
+    // Dropping the set with this future aborts the task.
     let mut tasks = JoinSet::new();
     tasks.spawn_local(discovery::run(discovery, poll_requested.clone()));
     let driver = ControlDriver {
@@ -77,7 +83,7 @@
     driver.run(received_events).await;
 }
 
-/// The client of discovery of a node that holds no list.
+/// Returns the options of a discovery client for a node without an endpoint list.
 fn discovery_options(
     options: &ControlOptions,
     random: fastrand::Rng,
@@ -96,14 +102,14 @@
     }
 }
 
-/// Tells the decision module of events, and carries out those of its actions that concern control.
+/// Passes events to the decision module and executes its actions that concern the control plane.
 struct ControlDriver {
     policy: PolicyRunner,
     poll_requested: Rc<Notify>,
-    /// Times at which the module asked for a timer event.
+    /// Times at which the decision module requested a timer event.
     wake_timers: TimerQueue<()>,
     requests: RequestGenerator,
-    /// Attempts so far.
+    /// Number of attempts so far.
     attempts: u64,
     processor_clock: fn() -> Duration,
     observer: Rc<dyn ControlObserver>,
@@ -130,7 +136,7 @@
         match event {
             DriverEvent::EndpointListReceived(list) => self.apply_endpoint_list(&list),
             DriverEvent::DiscoveryFailed => self.on_discovery_failed(),
-            // Only the client of discovery has the sending end.
+            // Never received: only the discovery client holds the sending end.
             DriverEvent::RequestReceived(_)
             | DriverEvent::ClientDisconnected(_)
             | DriverEvent::AttemptEnded { .. } => {}
@@ -201,7 +207,7 @@
     }
 }
 
-/// The end of a request's first attempt, served: there is no second one.
+/// Returns the successful end of a request's first attempt; there is no second attempt.
 fn served(id: RequestId, endpoint: EndpointId) -> Event {
     Event::AttemptEnded(Outcome {
         id,
--- a/crates/node/src/control/generated_requests.rs
+++ b/crates/node/src/control/generated_requests.rs
@@ -4,35 +4,34 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Keys of generated requests are below this.
+/// Exclusive upper bound of the keys of generated requests.
 const KEY_COUNT: u64 = 20_000;
 
 /// One generated request.
 pub struct GeneratedRequest {
-    /// Its number, from 1.
+    /// Sequence number, from 1.
     pub number: u64,
-    /// Its class.
     pub class: ClassId,
-    /// The time after which its client would give up.
+    /// Time after which the client would abandon the request.
     pub timeout: Duration,
-    /// Its key.
     pub key: u64,
 }
 
-/// Generates requests at a rate, of classes and keys that are drawn uniformly.
+/// Generates requests at a given rate, with classes and keys drawn uniformly.
 pub struct RequestGenerator {
     /// Each class with the timeout of its clients.
     classes: Vec<(ClassId, Duration)>,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
     random: fastrand::Rng,
     generated: u64,
-    /// When the next request comes; `None` if none does.
+    /// Time of the next request; `None` if there is none.
     next_arrival: Option<Instant>,
 }
 
 impl RequestGenerator {
-    /// Generates requests of the settings' classes from now on; none at a rate of zero, or without classes.
+    /// Creates a generator for the classes of the settings. It generates no requests if the rate is
+    /// zero or there are no classes.
     pub fn new(settings: &Settings, rate: f64, random: fastrand::Rng) -> Self {
         let timeouts = settings.classes.iter().map(|class| class.deadline);
         let classes: Vec<_> = timeouts
@@ -50,18 +49,19 @@
         generator
     }
 
-    /// When the next request comes; `None` if none does.
+    /// Returns the time of the next request; `None` if there is none.
     pub const fn next_arrival(&self) -> Option<Instant> {
         self.next_arrival
     }
 
-    /// Generates the request that has come.
+    /// Generates the request that is due.
     pub fn generate(&mut self, now: Instant) -> GeneratedRequest {
         self.generated += 1;
         let class_index = self.random.usize(..self.classes.len());
         let (class, timeout) = self.classes[class_index];
         let key = self.random.u64(..KEY_COUNT);
-        // From the time at which this one was due: if it is late, the next ones are not delayed with it.
+        // The gap starts at the due time of this request, so a late request does not delay the next
+        // ones.
         self.schedule_next(self.next_arrival.unwrap_or(now));
         GeneratedRequest {
             number: self.generated,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Draws an exponential gap from `from` to the next request.
+    /// Schedules the next request after an exponentially distributed gap from `from`.
     fn schedule_next(&mut self, from: Instant) {
         if self.rate > 0.0 && !self.classes.is_empty() {
             let gap = -(1.0 - self.random.f64()).ln() / self.rate;
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a node cannot start, or cannot go on.
+//! Reasons why a node cannot start or has failed.
 
 use crate::budget::BudgetError;
 use slatelink_telemetry::TelemetryError;
@@ -6,35 +6,36 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why a node cannot start, or has ended in another way than by a signal.
+/// Reason why a node cannot start or has ended other than by a signal.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// The port of clients cannot be opened: it is in use, say.
+    /// The client port cannot be opened, for example because it is in use.
     #[error("cannot listen on {address}: {error}")]
     Listen {
-        /// Where it would listen.
+        /// Address of the port.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// The port of multi-get requests cannot be opened.
+    /// The multi-get port cannot be opened.
     #[error("multiget: cannot listen on {address}: {error}")]
     ListenMultiGet {
-        /// Where it would listen.
+        /// Address of the port.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// The limits of the process and the settings leave no usable budget of connections.
+    /// The limits of the process and the settings allow no usable connection budget.
     #[error(transparent)]
     Budget(#[from] BudgetError),
     /// Telemetry cannot start.
     #[error(transparent)]
     Telemetry(#[from] TelemetryError),
-    /// A signal handler cannot be installed, or a listener does not know its own address.
+    /// A signal handler cannot be installed, or the local address of a listener cannot be
+    /// determined.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// A task that serves a port has panicked.
-    #[error("a port is served no more: {0}")]
+    #[error("the server task of a port failed: {0}")]
     ServerTask(#[from] tokio::task::JoinError),
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,12 +1,14 @@
-//! A node on sockets: carries out what the decision module says, and reports to it what happens.
+//! A node on sockets: executes the actions of the decision module and reports events to it.
 //!
-//! Owns the sockets, tasks and signals of one node. It chooses no endpoint, retries nothing and sheds nothing by itself:
-//! events go to the decision module, and its actions are carried out in order. Events are reported to telemetry through an `Observer`.
+//! Owns the sockets, tasks and signals of one node. It chooses no endpoint, retries nothing and
+//! sheds nothing by itself: events go to the decision module, and its actions are executed in
+//! order. Events are also reported to telemetry through an `Observer`.
 //!
-//! A request's way leads from `server` (client connections) to `driver` (open requests and the decision module, run by
-//! `policy_runner`) and `upstream` (connections to endpoints), and back as events. `discovery` brings endpoint lists.
-//! `node` wires these parts to each other and `startup` runs them, with `budget` for what connections may use; `shutdown`
-//! and `reload` say what signals do.
+//! A request passes from `server` (client connections) to `driver` (open requests and the decision
+//! module, run by `policy_runner`) and to `upstream` (connections to endpoints); the results return
+//! as events. `discovery` receives endpoint lists. `node` connects these parts and `startup` runs
+//! them. `budget` sets the resources that connections may use; `shutdown` and `reload` handle
+//! signals.
 
 mod budget;
 mod connections;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The parts of a node, wired to each other, and the tasks that they run in.
+//! Connects the parts of a node and spawns the tasks that run them.
 
 use crate::budget::ConnectionBudget;
 use crate::connections::ConnectionManager;
@@ -26,40 +26,41 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::interval;
 
-/// How often the counts of clients' connections are reported to telemetry.
+/// Interval between reports of the client connection counts to telemetry.
 const CONNECTION_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the server shares with the driver and with the shutdown.
+/// State that the server shares with the driver and the shutdown.
 pub struct ServerState {
     /// Whether `/healthz` reports the node as ready.
     pub ready: Rc<Cell<bool>>,
-    /// How far the node has shut down.
+    /// Current stage of the node's shutdown.
     pub stage: watch::Receiver<ShutdownStage>,
-    /// To the driver. Without a bound of its own: connections are bounded, and each has one request or attempt in it.
+    /// Sends events to the driver. The channel is unbounded: connections are limited, and each has
+    /// at most one request or attempt in it.
     pub events: UnboundedSender<DriverEvent>,
 }
 
-/// What the driver begins with.
+/// Initial state and inputs of the driver.
 pub struct DriverStart {
-    /// The settings of the decision module.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Seed of the draws of the decision module and of the discovery client.
+    /// Seed of the random draws of the decision module and of the discovery client.
     pub seed: u64,
-    /// The endpoints as the node knew them last.
+    /// The last endpoint list known to the node.
     pub known_endpoints: EndpointList,
-    /// Where discovery answers.
+    /// Address of discovery.
     pub discovery_address: watch::Receiver<SocketAddr>,
     /// Set once the node is ready.
     pub ready: Rc<Cell<bool>>,
-    /// Where attempts report their ends.
+    /// Receives the ends of attempts.
     pub events: UnboundedSender<DriverEvent>,
-    /// Its other end, which the driver reads.
+    /// Receiving end of `events`, read by the driver.
     pub received_events: UnboundedReceiver<DriverEvent>,
 }
 
 /// The parts of a node that its tasks share.
 pub struct Node {
-    /// Told of all that happens.
+    /// Notified of all events.
     pub telemetry: Rc<Telemetry>,
     budget: ConnectionBudget,
     connections: Rc<ConnectionManager>,
@@ -68,7 +69,7 @@
 }
 
 impl Node {
-    /// The parts, without tasks and endpoints.
+    /// Creates the parts without starting tasks; there are no endpoints yet.
     pub fn new(
         settings: &Settings,
         budget: ConnectionBudget,
@@ -107,7 +108,8 @@
         }
     }
 
-    /// Spawns what closes connections that have been idle for too long, and reports their counts.
+    /// Spawns the tasks that close connections after their idle timeout and report the connection
+    /// counts.
     pub fn spawn_maintenance(&self) {
         spawn_local(self.upstream.clone().sweep());
         spawn_local(self.connections.clone().sweep());
@@ -117,10 +119,10 @@
         ));
     }
 
-    /// Spawns the driver, and returns the discovery client that feeds it.
+    /// Spawns the driver and returns the future of the discovery client that feeds it.
     ///
-    /// The client is to be polled as part of the main future: a task takes its turn behind those of all requests, while
-    /// a `LocalSet` polls the main future again after 61 of them at most.
+    /// The client must be polled as part of the main future: a spawned task is queued behind those
+    /// of all requests, while a `LocalSet` polls the main future again after at most 61 tasks.
     pub fn spawn_driver(&self, start: DriverStart) -> impl Future<Output = Infallible> {
         let poll_requested = Rc::new(Notify::new());
         let pushed = !start.settings.polls_discovery;
@@ -150,10 +152,12 @@
         }
     }
 
-    /// A client that starts from the list that the node holds, where it polls for lists: a complete one is costly there.
+    /// Returns the options of the discovery client.
     ///
-    /// Where lists are pushed, a node counts as notified of what its agent knows from the first moment of its process:
-    /// the client asks for the complete list at once, and the node is not ready before it has come.
+    /// If the node polls for lists, the client starts from the list that the node holds, because a
+    /// complete list is expensive there. If lists are pushed, a node counts as informed of
+    /// everything that its agent knows from the start of its process: the client requests the
+    /// complete list at once, and the node is not ready before the list has arrived.
     fn discovery_options(
         &self,
         start: &DriverStart,
@@ -174,7 +178,8 @@
         }
     }
 
-    /// Spawns the server of the multi-get port. It ends once the node closes and its last connection has ended.
+    /// Spawns the server of the multi-get port. The task ends when the node closes and the port's
+    /// last connection has ended.
     pub fn serve_multiget(
         &self,
         listener: TcpListener,
@@ -196,7 +201,8 @@
         Ok(spawn_local(multiget.serve(listener)))
     }
 
-    /// Spawns the server of the clients' port. It ends once the node closes and its last connection has ended.
+    /// Spawns the server of the client port. The task ends when the node closes and the port's last
+    /// connection has ended.
     pub fn serve_clients(&self, listener: TcpListener) -> JoinHandle<()> {
         let server = self.server.clone();
         let connection = move |handle| ClientConnection::new(handle, server.clone());
@@ -210,8 +216,8 @@
     }
 }
 
-/// Marks endpoints that are not ready any more in the connection pools at once, and forwards what discovery sent to the
-/// driver, which may be busy with other events.
+/// Marks endpoints that are no longer ready in the connection pools at once, then forwards the
+/// discovery event to the driver, which may be busy with other events.
 async fn forward_discovery_events(
     mut received: UnboundedReceiver<DriverEvent>,
     driver: UnboundedSender<DriverEvent>,
@@ -227,7 +233,7 @@
     }
 }
 
-/// Reports the counts of clients' connections to telemetry, for as long as the node runs.
+/// Reports the client connection counts to telemetry for as long as the node runs.
 async fn report_connections(connections: Rc<ConnectionManager>, telemetry: Rc<Telemetry>) {
     let mut ticks = interval(CONNECTION_REPORT_INTERVAL);
     loop {
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,8 +1,9 @@
-//! What a SIGHUP does: the node reads its configuration again and takes over the address of discovery.
+//! Handles SIGHUP: the node reads its configuration file again and applies the address of
+//! discovery.
 //!
-//! All else in the file holds from the start of the process. `LB_DISCOVERY` is ignored, since a process keeps the
-//! environment that it started with: the address in the file is the newer one. A file that cannot be used is logged, and
-//! the node goes on with the address that it has.
+//! All other settings stay as they were at the start of the process. `LB_DISCOVERY` is ignored,
+//! because a process keeps the environment that it started with and the address in the file is
+//! newer. If the file cannot be used, the error is logged and the node keeps its current address.
 
 use crate::upstream::is_local_resource_error;
 use slatelink_config::platform::{self, Config, ConfigError};
@@ -14,11 +15,12 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// A file that could not be read for want of the node's own descriptors or memory is read again after this time: the
-/// platform signals a change once, and the old discovery ends soon after.
+/// Delay before another attempt when the file cannot be read because the node lacks descriptors or
+/// memory. The attempt must be repeated: the platform signals a change only once, and the old
+/// discovery ends soon after.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reads the configuration again at each SIGHUP, for as long as the node runs.
+/// Reloads the configuration at each SIGHUP, for as long as the node runs.
 pub async fn reload_on_hangup(
     mut hangup: Signal,
     discovery: watch::Sender<SocketAddr>,
@@ -58,13 +60,13 @@
         config.discovery
     ));
     telemetry.config_loaded(&config.path, &config.contents);
-    // The same address is no change: the watch that is open there goes on.
+    // An unchanged address is not sent, so the open watch continues.
     discovery.send_if_modified(|address| {
         std::mem::replace(address, config.discovery) != config.discovery
     });
 }
 
-/// Whether the file may be readable soon, without any change to it.
+/// Returns whether the file may become readable soon without a change to it.
 fn is_transient(error: &ConfigError) -> bool {
     matches!(error, ConfigError::Unreadable { error, .. } if is_local_resource_error(error))
 }
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,15 +1,17 @@
-//! How a node ends.
+//! Termination of a node.
 //!
-//! A SIGTERM shuts it down gracefully, in the stages of [`ShutdownStage`]:
+//! SIGTERM shuts the node down gracefully, in the stages of [`ShutdownStage`]:
 //!
-//! 1. `Draining`, for [`DRAINING_TIME`]: it serves as before, but reports itself as not ready and has every response
-//!    close its connection.
-//! 2. `Closing`: it accepts no connections and closes the idle ones, and the requests that it has are finished.
-//! 3. Once the last connection has ended the process exits with code 0.
+//! 1. `Draining`, for [`DRAINING_TIME`]: the node serves as before, but reports itself as not
+//!    ready, and every response closes its connection.
+//! 2. `Closing`: the node accepts no connections, closes idle connections and finishes the open
+//!    requests.
+//! 3. Once the last connection has ended, the process exits with code 0.
 //!
-//! SIGHUP has another use (see [`crate::reload`]), and so has SIGUSR1 where there is a hot list. Any other signal that ends
-//! a process does so at once; with an audit trail it is caught, so that the trail can name it, and the exit code is 128
-//! plus its number, as a shell reports it.
+//! SIGHUP reloads the configuration (see [`crate::reload`]), and SIGUSR1 has another use if there
+//! is a hot list. Any other terminating signal ends the process at once. With an audit trail the
+//! signal is caught so that the trail can record it, and the exit code is 128 plus the signal
+//! number, as a shell reports it.
 
 use slatelink_telemetry::audit::StopSignal;
 use slatelink_telemetry::Log;
@@ -22,24 +24,25 @@
 use tokio::task::{JoinError, JoinHandle};
 use tokio::time::sleep;
 
-/// How long the node still accepts connections after a SIGTERM: new ones keep coming for 0.4 s, until what is in front
-/// of it has noticed that it is not ready.
+/// Time for which the node still accepts connections after SIGTERM: new connections arrive for 0.4
+/// s, until the client side has noticed that the node is not ready.
 const DRAINING_TIME: Duration = Duration::from_millis(500);
-/// Added to a signal's number for the exit code of a process that it has ended.
+/// Added to the signal number in the exit code of a process ended by a signal.
 const SIGNALED_EXIT_CODE: u8 = 128;
 
-/// How far the node is in its graceful shutdown.
+/// Stage of the node's graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownStage {
     /// No shutdown has begun.
     Serving,
-    /// It serves as before, and every response asks the client to use another connection.
+    /// The node serves as before; every response asks the client to use another connection.
     Draining,
-    /// It accepts no more connections, idle ones close, and the requests that it has are finished.
+    /// The node accepts no more connections, closes idle connections and finishes the open
+    /// requests.
     Closing,
 }
 
-/// Waits for SIGTERM, then goes through the stages until all ports are closed.
+/// Waits for SIGTERM, then passes through the stages until all ports are closed.
 pub async fn shut_down_gracefully(
     mut terminate: Signal,
     node_name: &str,
@@ -48,7 +51,7 @@
     log: &Log,
 ) -> Result<(), JoinError> {
     terminate.recv().await;
-    log.line(&format!("node {node_name} is told to stop"));
+    log.line(&format!("node {node_name} received SIGTERM; draining"));
     stage.send_replace(ShutdownStage::Draining);
     sleep(DRAINING_TIME).await;
     stage.send_replace(ShutdownStage::Closing);
@@ -58,7 +61,7 @@
     Ok(())
 }
 
-/// Waits for a caught signal that ends the node at once; forever if none is caught.
+/// Waits for a caught signal that ends the node at once; waits forever if no signals are caught.
 pub async fn wait_for_termination(signals: Option<UnboundedReceiver<StopSignal>>) -> StopSignal {
     match signals {
         Some(mut signals) => signals.recv().await.unwrap_or(StopSignal::TERMINATE),
@@ -66,7 +69,7 @@
     }
 }
 
-/// The exit code of a node that this signal has ended.
+/// Returns the exit code of a node ended by this signal.
 pub fn exit_code(signal: StopSignal) -> ExitCode {
     if signal == StopSignal::TERMINATE {
         ExitCode::SUCCESS
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -20,15 +20,15 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
-/// Runs a node until a signal ends it; on a current-thread runtime, within a `LocalSet`.
+/// Runs a node until a signal ends it. Must run on a current-thread runtime, within a `LocalSet`.
 ///
-/// See the modules `shutdown` and `reload` for what signals do.
+/// The modules `shutdown` and `reload` describe the effects of signals.
 pub async fn run(
     config: Config,
     features: operators::Settings,
     log_format: LogFormat,
 ) -> Result<ExitCode, NodeError> {
-    // Before anything else: a signal without a handler ends the process.
+    // Handlers come first: a signal without a handler ends the process.
     let signals = Signals::catch()?;
     let listeners = Listeners::bind(config.listen, features.multiget_port()).await?;
     let classes = class_names(&config);
@@ -86,7 +86,7 @@
     Ok(exit_code(stopped_by))
 }
 
-/// The signals that a node handles with or without an audit trail.
+/// Signals that a node handles with or without an audit trail.
 struct Signals {
     terminate: Signal,
     hangup: Signal,
@@ -101,15 +101,15 @@
     }
 }
 
-/// The ports of a node.
+/// Listeners of the node's ports.
 struct Listeners {
     clients: TcpListener,
-    /// `None` where the feature is off.
+    /// `None` if the feature is off.
     multiget: Option<TcpListener>,
 }
 
 impl Listeners {
-    /// Opens the port of clients, and that of multi-get requests at the same IP address.
+    /// Opens the client port, and the multi-get port at the same IP address.
     async fn bind(address: SocketAddr, multiget_port: Option<u16>) -> Result<Self, NodeError> {
         let clients = TcpListener::bind(address)
             .await
@@ -128,14 +128,14 @@
         .map_err(|error| NodeError::ListenMultiGet { address, error })
 }
 
-/// The names of the classes of requests, by `ClassId`.
+/// Returns the names of the request classes, indexed by `ClassId`.
 fn class_names(config: &Config) -> Vec<Name> {
     let classes = &config.settings.classes;
     let names = classes.iter().map(|class| class.name.clone());
     names.collect()
 }
 
-/// Logs that the node listens, and records its start and its configuration.
+/// Logs the listening address, and records the node's start and configuration.
 fn announce(config: &Config, listener: &TcpListener, telemetry: &Telemetry) -> io::Result<()> {
     let address = listener.local_addr()?;
     let name = &config.name;
