--- a/crates/config/src/endpoint_list.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -1,95 +1,98 @@
-//! The endpoint list in discovery's form: JSON, whose keys the fields' `serde(rename)` state.
+//! The endpoint list in discovery's JSON format. The `serde(rename)` attributes give the keys.
 
 use serde::Deserialize;
 use slatelink_policy::{Availability, Endpoint, Timestamp};
 use std::net::SocketAddr;
 
-/// Discovery's state of an endpoint that takes new work.
+/// State of an endpoint that accepts new work.
 const READY_STATE: &str = "ready";
-/// Discovery's state of an endpoint that finishes its work and takes no more.
+/// State of an endpoint that finishes its open requests and accepts no new work.
 const DRAINING_STATE: &str = "draining";
-/// Discovery's state of an endpoint that has left.
+/// State of an endpoint that has left.
 const REMOVED_STATE: &str = "gone";
-/// The weight of an endpoint where discovery gives none, or one that is no weight.
+/// Weight of an endpoint without a valid weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Discovery's answer: all endpoints, or those that changed.
+/// Response of discovery: all endpoints, or only the changed ones.
 #[derive(Debug, Default, Deserialize)]
 pub struct EndpointList {
-    /// The list's version.
+    /// Version of the list.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether an endpoint that it lacks has left.
+    /// Whether the list is complete: an endpoint absent from a complete list has left.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// The endpoints, or those that changed.
+    /// All endpoints if the list is complete, otherwise the changed ones.
     #[serde(default, rename = "hosts")]
     pub endpoints: Vec<EndpointRecord>,
 }
 
-/// One endpoint in the list.
+/// One endpoint of the list.
 #[derive(Debug, Deserialize)]
 pub struct EndpointRecord {
     #[serde(rename = "host")]
     id: String,
     #[serde(rename = "dial")]
     address: Option<SocketAddr>,
-    /// The zone it is in, if any.
+    /// Zone of the endpoint, if known.
     #[serde(rename = "site")]
     zone: Option<String>,
-    /// What kind of endpoint it is, if that is said; not a class of requests.
+    /// Kind of the endpoint, if known. Unrelated to request classes.
     #[serde(rename = "class")]
     kind: Option<String>,
-    /// The cell it is in, whose endpoints share their memory of idempotency keys; 0 where none is said.
+    /// Cell of the endpoint; 0 if absent. The endpoints of a cell share their record of idempotency
+    /// keys.
     #[serde(rename = "block")]
     cell: Option<u64>,
     #[serde(rename = "health")]
     state: String,
-    /// Its part of the work in proportion to that of others.
+    /// Share of the load, relative to the weights of other endpoints.
     #[serde(rename = "share")]
     weight: Option<f64>,
-    /// In milliseconds of Unix time.
+    /// Start of the endpoint's process, in milliseconds of Unix time.
     #[serde(rename = "born_ms")]
     started_ms: Option<u64>,
 }
 
 impl EndpointRecord {
-    /// The endpoint's name, the same at every node.
+    /// Returns the endpoint's name, which is the same at every node.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// Where it listens; one that has left may have no address.
+    /// Returns the endpoint's address; an endpoint that has left may have none.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Its state as discovery names it, also where [`EndpointRecord::availability`] does not know that name.
+    /// Returns the state as discovery names it, even if [`EndpointRecord::availability`] does not
+    /// know the name.
     pub fn state(&self) -> &str {
         &self.state
     }
 
-    /// Whether it takes new work.
+    /// Returns whether the endpoint accepts new work.
     pub fn availability(&self) -> Availability {
         match self.state.as_str() {
             READY_STATE => Availability::Ready,
             REMOVED_STATE => Availability::Removed,
-            // Draining, or a state that this version does not know: nothing new is sent there.
+            // Draining, or a state unknown to this version: no new work is sent.
             _ => Availability::Draining,
         }
     }
 
-    /// Makes it draining, whatever discovery says.
+    /// Sets the state to draining, regardless of discovery's state.
     pub fn set_draining(&mut self) {
         DRAINING_STATE.clone_into(&mut self.state);
     }
 
-    /// When its process started, in milliseconds of Unix time; `None` where that is not known, and so long ago.
+    /// Returns the start of the endpoint's process in milliseconds of Unix time; `None` if it is
+    /// unknown, which means long ago.
     pub fn started_ms(&self) -> Option<u64> {
         self.started_ms.filter(|&at| at > 0)
     }
 
-    /// The endpoint as the policy knows it.
+    /// Converts the record to the policy's endpoint type.
     pub fn endpoint(&self) -> Endpoint {
         Endpoint {
             id: self.id.as_str().into(),
@@ -104,7 +107,7 @@
         }
     }
 
-    /// Its weight, where that is a finite number of at least 0; else the default.
+    /// Returns the weight if it is a finite number of at least 0, otherwise the default.
     fn weight(&self) -> f64 {
         self.weight
             .filter(|weight| weight.is_finite() && *weight >= 0.0)
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,9 @@
-//! Configuration: the platform's file and environment, the operators' file, a relay's settings, and the endpoint list in
-//! discovery's form.
+//! Configuration: the platform's file and environment, the operators' file, the settings of a
+//! relay, and the endpoint list in discovery's format.
 //!
-//! Owns the formats and their checks: typed values out, or one sentence that says what was read, where, and what was
-//! expected. It reads files when asked to, and never acts on what they say.
+//! Owns the formats and their validation: it returns typed values, or an error of one sentence with
+//! the value read, its place and the expected value. It reads files only on request and never acts
+//! on their contents.
 
 pub mod endpoint_list;
 pub mod operators;
@@ -14,7 +15,7 @@
 
 use sha2::{Digest, Sha256};
 
-/// The SHA-256 of these bytes in lower-case hexadecimal.
+/// Returns the SHA-256 of these bytes in lower-case hexadecimal.
 pub fn sha256_hex(bytes: &[u8]) -> String {
     Sha256::digest(bytes)
         .iter()
--- a/crates/config/src/operators.rs
+++ b/crates/config/src/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' settings of the features: one TOML file, named on the command line and read at the start only.
+//! The operators' settings of the features: one TOML file, given on the command line and read only
+//! at start-up.
 
 mod admission;
 mod bounded;
@@ -14,19 +15,19 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Keys in one call of many unless settings or command say otherwise.
+/// Default limit on the keys of one multi-get request.
 pub const DEFAULT_MAX_ITEMS: usize = 32;
-/// Requests of one such call that run at a time unless the settings say otherwise.
+/// Default limit on the concurrent requests of one multi-get request.
 const DEFAULT_PARALLEL_REQUESTS: usize = 8;
-/// Keys of each class in the hot list unless the settings say otherwise.
+/// Default number of keys of each class in the hot list.
 const DEFAULT_HOTLIST_CAPACITY: usize = 256;
-/// Seconds that the hot list's rates are averaged over unless the settings say otherwise.
+/// Default averaging window of the hot list's rates, in seconds.
 const DEFAULT_HOTLIST_WINDOW_S: HotListWindowS = HotListWindowS::from_constant(60);
 
-/// Seconds that the hot list's rates are averaged over.
+/// Averaging window of the hot list's rates, in seconds.
 type HotListWindowS = BoundedInteger<1, 86_400>;
 
-/// What the file says. A feature is on when its section is there.
+/// The operators' settings. A feature is on if its section is present.
 #[derive(Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -42,29 +43,29 @@
     /// Section `front`. Admission is always on.
     #[serde(default, rename = "front")]
     pub admission: AdmissionSettings,
-    /// Where the settings are from; `None` for the defaults.
+    /// Source of the settings; `None` for the defaults.
     #[serde(skip)]
     pub file: Option<SettingsFile>,
 }
 
-/// The file that the settings are from.
+/// The file that the settings were read from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsFile {
-    /// Where it was read.
+    /// Path of the file.
     pub path: PathBuf,
-    /// SHA-256 of what was read, in lower-case hexadecimal.
+    /// SHA-256 of the file's contents, in lower-case hexadecimal.
     pub sha256: String,
 }
 
 impl Settings {
-    /// The hot list's settings, where it is on.
+    /// Returns the hot list's settings if the hot list is on.
     pub fn enabled_hotlist(&self) -> Option<&HotListSettings> {
         self.hotlist
             .as_ref()
             .filter(|settings| settings.capacity > 0)
     }
 
-    /// The port for calls of many keys, where there is to be one.
+    /// Returns the multi-get port if one is configured.
     pub fn multiget_port(&self) -> Option<u16> {
         self.multiget.as_ref().and_then(|settings| settings.port)
     }
@@ -74,22 +75,22 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AuditSettings {
-    /// The trail's file; `None` for standard error.
+    /// Path of the audit trail's file; `None` for standard error.
     pub path: Option<PathBuf>,
 }
 
-/// Section `hotlist`. All of it has a default.
+/// Section `hotlist`. Every key has a default.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct HotListSettings {
-    /// Keys for each class; 0 turns the list off.
+    /// Number of keys of each class; 0 turns the list off.
     pub capacity: usize,
-    /// In seconds.
+    /// Averaging window of the rates, in seconds.
     window_s: HotListWindowS,
 }
 
 impl HotListSettings {
-    /// Rates are averaged over this.
+    /// Returns the averaging window of the rates.
     pub fn window(&self) -> Duration {
         Duration::from_secs(self.window_s.get() as u64)
     }
@@ -104,33 +105,33 @@
     }
 }
 
-/// Section `multiget`: calls of many keys at once. All of it has a default.
+/// Section `multiget`: requests for many keys at once. Every key has a default.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MultiGetSettings {
-    /// Where such calls are accepted; `None` turns them off.
+    /// Port that accepts multi-get requests; `None` turns the feature off.
     port: Option<u16>,
-    /// Requests of one call that run at a time.
+    /// Limit on the concurrent requests of one multi-get request.
     parallel: Option<BoundedInteger<1, 64>>,
-    /// Keys of one call.
+    /// Limit on the keys of one multi-get request.
     max_items: Option<BoundedInteger<1, 1024>>,
 }
 
 impl MultiGetSettings {
-    /// Requests of one call that run at a time, at most.
+    /// Returns the maximum number of concurrent requests of one multi-get request.
     pub fn parallel_requests(&self) -> usize {
         self.parallel
             .map_or(DEFAULT_PARALLEL_REQUESTS, BoundedInteger::get)
     }
 
-    /// Keys of one call, at most.
+    /// Returns the maximum number of keys of one multi-get request.
     pub fn max_items(&self) -> usize {
         self.max_items
             .map_or(DEFAULT_MAX_ITEMS, BoundedInteger::get)
     }
 }
 
-/// Reads the file at `path`.
+/// Reads the settings file at `path`.
 pub fn load(path: PathBuf) -> Result<Settings, SettingsError> {
     let text = toml_file::read(&path)?;
     let settings: Settings = toml_file::parse(&path, &text)?;
--- a/crates/config/src/operators/admission.rs
+++ b/crates/config/src/operators/admission.rs
@@ -1,34 +1,35 @@
-//! Section `front`: which client connections are accepted, and who may hold how much of the node.
+//! Section `front`: limits on client connections, and the shares of the node's descriptors.
 
 use super::bounded::BoundedInteger;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Clients, and connections to endpoints, each have a third of the descriptors unless the settings say otherwise.
+/// Clients and connections to endpoints each get one third of the descriptors by default.
 const DEFAULT_DIVISOR: usize = 3;
-/// Seconds after which an idle connection is closed unless the settings say otherwise.
+/// Default idle timeout of a client connection, in seconds.
 const DEFAULT_IDLE_S: usize = 10;
 
-/// Section `front`. All of it has a default.
+/// Section `front`. Every key has a default.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AdmissionSettings {
-    /// Percent of the process's descriptors.
+    /// Limit on client connections, in percent of the process's descriptors.
     clients_percent: Option<BoundedInteger<1, 100>>,
-    /// Descriptors that are reserved for connections to endpoints.
+    /// Number of descriptors reserved for connections to endpoints.
     servers_floor: Option<BoundedInteger<1, 1_000_000>>,
-    /// In seconds.
+    /// Idle timeout of a client connection, in seconds.
     idle_s: Option<BoundedInteger<2, 86_400>>,
-    /// Connections of one client address.
+    /// Maximum number of connections of one client address.
     per_address: Option<BoundedInteger<1, 1_000_000>>,
-    /// By the name of a class: percent of the clients' descriptors that its open requests may take.
+    /// Limit on the open requests of each class, by class name, in percent of the clients'
+    /// descriptors.
     #[serde(rename = "per_class")]
     pub percent_per_class: BTreeMap<String, BoundedInteger<1, 100>>,
 }
 
 impl AdmissionSettings {
-    /// Of so many descriptors, those that client connections may hold at most.
+    /// Returns the maximum number of client connections, out of this number of descriptors.
     pub fn client_limit(&self, descriptors: usize) -> usize {
         match self.clients_percent {
             Some(percent) => descriptors * percent.get() / 100,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Of so many descriptors, those that are reserved for connections to endpoints.
+    /// Returns the number of descriptors reserved for connections to endpoints, out of this number.
     pub fn upstream_reservation(&self, descriptors: usize) -> usize {
         match self.servers_floor {
             Some(floor) => floor.get(),
@@ -44,13 +45,13 @@
         }
     }
 
-    /// A client connection that has been idle for this long is closed.
+    /// Returns the time after which an idle client connection is closed.
     pub fn idle_timeout(&self) -> Duration {
         let seconds = self.idle_s.map_or(DEFAULT_IDLE_S, BoundedInteger::get);
         Duration::from_secs(seconds as u64)
     }
 
-    /// Connections that one client address may hold at most; `None` where there is no such limit.
+    /// Returns the maximum number of connections of one client address; `None` if unlimited.
     pub fn connections_per_address(&self) -> Option<usize> {
         self.per_address.map(BoundedInteger::get)
     }
--- a/crates/config/src/operators/bounded.rs
+++ b/crates/config/src/operators/bounded.rs
@@ -1,21 +1,21 @@
-//! Whole numbers within bounds.
+//! Integers within bounds.
 
 use serde::Deserialize;
 use thiserror::Error;
 
-/// A whole number from `MIN` to `MAX`, both included.
+/// An integer from `MIN` to `MAX`, both included.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "i64")]
 pub struct BoundedInteger<const MIN: usize, const MAX: usize>(usize);
 
 impl<const MIN: usize, const MAX: usize> BoundedInteger<MIN, MAX> {
-    /// For constants, where a value out of bounds does not compile.
+    /// Creates a constant. A value out of bounds does not compile.
     pub(super) const fn from_constant(value: usize) -> Self {
         assert!(MIN <= value && value <= MAX);
         Self(value)
     }
 
-    /// The number.
+    /// Returns the integer.
     pub const fn get(self) -> usize {
         self.0
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// A number that its key does not take.
+/// Error for an integer outside its bounds.
 #[derive(Debug, Error)]
 #[error("{value} is not from {min} to {max}")]
 pub struct OutOfBounds {
--- a/crates/config/src/operators/metrics.rs
+++ b/crates/config/src/operators/metrics.rs
@@ -1,4 +1,4 @@
-//! Section `figures`: in which format metrics are written, and where to.
+//! Section `figures`: format and destination of the metrics.
 
 use super::bounded::BoundedInteger;
 use serde::Deserialize;
@@ -7,35 +7,37 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Milliseconds between two flushes.
+/// Interval between two flushes, in milliseconds.
 type FlushMs = BoundedInteger<10, 3_600_000>;
-/// Bytes of a batch: from what the longest line needs to what a UDP datagram holds.
+/// Maximum size of a batch, in bytes: at least the length of the longest line and at most the
+/// payload of a UDP datagram.
 type MaxBatchBytes = BoundedInteger<512, 65_507>;
 
-/// Milliseconds between two flushes unless the settings say otherwise.
+/// Default interval between two flushes, in milliseconds.
 const DEFAULT_FLUSH_MS: FlushMs = FlushMs::from_constant(1000);
-/// Bytes of a batch unless the settings say otherwise: with the headers of UDP and IP they fit an Ethernet frame.
+/// Default maximum size of a batch, in bytes: with the UDP and IP headers it fits an Ethernet
+/// frame.
 const DEFAULT_MAX_BATCH_BYTES: MaxBatchBytes = MaxBatchBytes::from_constant(1400);
 
-/// Section `figures`. All of it has a default.
+/// Section `figures`. Every key has a default.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MetricsSettings {
-    /// How a line is written.
+    /// Format of a line.
     pub format: MetricsFormat,
-    /// Where batches of lines go.
+    /// Destination of the batches of lines.
     pub target: MetricsTarget,
     flush_ms: FlushMs,
     max_batch_bytes: MaxBatchBytes,
 }
 
 impl MetricsSettings {
-    /// What was counted goes out this often.
+    /// Returns the interval between two flushes.
     pub fn flush_interval(&self) -> Duration {
         Duration::from_millis(self.flush_ms.get() as u64)
     }
 
-    /// A batch is no longer than this.
+    /// Returns the maximum size of a batch in bytes.
     pub fn max_batch_bytes(&self) -> usize {
         self.max_batch_bytes.get()
     }
@@ -52,35 +54,35 @@
     }
 }
 
-/// How a line is written.
+/// Format of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MetricsFormat {
-    /// StatsD, with tags as DogStatsD has them.
+    /// StatsD, with tags in the format of DogStatsD.
     Statsd,
     /// InfluxDB's line protocol.
     Influx,
 }
 
-/// Where batches go: `stderr`, `file:<path>` or `udp:<addr:port>`.
+/// Destination of the batches: `stderr`, `file:<path>` or `udp:<addr:port>`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "String")]
 pub enum MetricsTarget {
     /// Standard error.
     Stderr,
-    /// A file or FIFO, which they are appended to.
+    /// A file or FIFO that batches are appended to.
     File(PathBuf),
-    /// A receiver of datagrams, one a batch.
+    /// A receiver of datagrams; each datagram holds one batch.
     Udp(SocketAddr),
 }
 
-/// Why a text names no target of metrics.
+/// Reason why a text is not a metrics target.
 #[derive(Debug, Error)]
 pub enum InvalidTarget {
-    /// What follows `udp:` is no address with a port.
+    /// The text after `udp:` is not an address with a port.
     #[error("target udp:{0:?} is not an address and port")]
     Address(String),
-    /// It begins as no target does.
+    /// The text has none of the forms of a target.
     #[error("target {0:?} is not stderr, file:<path> or udp:<addr:port>")]
     Form(String),
 }
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's configuration: the JSON file that `LB_CONFIG` names, and the environment, read into typed values.
+//! The platform's configuration: the JSON file named by `LB_CONFIG` and environment variables, read
+//! into typed values.
 
 use crate::EndpointList;
 use serde::Deserialize;
@@ -9,79 +10,79 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why the configuration cannot be used.
+/// Reason why the configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The variable that names the file is missing.
+    /// `LB_CONFIG`, the variable with the file's path, is not set.
     #[error("LB_CONFIG is not set")]
     NoPath,
     /// The file cannot be read.
     #[error("cannot read {path}: {error}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the operating system.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// The file is not JSON of the expected form.
-    #[error("{path} is not a configuration: {error}")]
+    /// The file is not JSON of the expected format.
+    #[error("{path} is not a valid configuration: {error}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What was read, where, and what was expected.
+        /// Value read, its place and the value expected.
         error: serde_json::Error,
     },
-    /// The policy's settings in the file are not accepted.
-    #[error("the configuration's settings: {0}")]
+    /// The policy's settings in the file are not valid.
+    #[error("invalid settings in the configuration: {0}")]
     Settings(#[from] WireError),
-    /// An address of the file, or of the variable that goes before it, cannot be parsed.
+    /// An address from the file, or from the variable that overrides it, cannot be parsed.
     #[error("{variable} is not an address and port: {text}")]
     Address {
-        /// The variable that goes before the file's key.
+        /// Variable that overrides the file's key.
         variable: &'static str,
-        /// What was read.
+        /// Text of the address.
         text: String,
     },
     /// The seed cannot be parsed.
     #[error("the configuration's seed is not a hexadecimal number: {0}")]
     Seed(String),
-    /// The limit on descriptors is less than a node needs.
-    #[error("a limit of {0} sockets leaves no room to work")]
+    /// The limit on descriptors is below the minimum for a node.
+    #[error("a limit of {0} sockets is too low: a node needs at least {MIN_DESCRIPTORS}")]
     DescriptorLimit(usize),
 }
 
 /// The platform's configuration of a node.
 #[derive(Debug)]
 pub struct Config {
-    /// The node's name.
+    /// Name of the node.
     pub name: String,
-    /// Where the node accepts clients.
+    /// Address on which the node accepts clients.
     pub listen: SocketAddr,
-    /// Where the endpoint list is served.
+    /// Address that serves the endpoint list.
     pub discovery: SocketAddr,
     /// Seed of the node's random choices.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Number of descriptors that the process may hold.
     pub descriptor_limit: usize,
-    /// Bytes of memory that the node may use; `None` for all there is.
+    /// Bytes of memory that the node may use; `None` if unlimited.
     pub memory_bytes: Option<u64>,
-    /// The endpoint list as this node last had it.
+    /// The last endpoint list known to this node.
     pub known_endpoints: EndpointList,
-    /// The policy's settings.
+    /// Settings of the policy.
     pub settings: Settings,
-    /// The file that all this was read from.
+    /// Path of the file that the configuration was read from.
     pub path: PathBuf,
-    /// The file's bytes.
+    /// Contents of the file.
     pub contents: Vec<u8>,
 }
 
-/// The file's form.
+/// Format of the file.
 #[derive(Deserialize)]
 struct ConfigFile {
     name: String,
     listen: String,
     discovery: String,
-    /// In hexadecimal.
+    /// Hexadecimal number.
     seed: String,
     limits: Limits,
     #[serde(default)]
@@ -91,26 +92,28 @@
 
 #[derive(Deserialize)]
 struct Limits {
-    /// Descriptors of the process.
+    /// Number of descriptors that the process may hold.
     sockets: usize,
-    /// In units of 2^20 bytes.
+    /// Memory limit, in units of 2^20 bytes.
     memory_mb: Option<u32>,
 }
 
-/// Fewer descriptors than this do not hold the runtime's own and one connection each way.
+/// Smallest accepted limit on descriptors: enough for those of the runtime and one connection in
+/// each direction.
 const MIN_DESCRIPTORS: usize = 32;
 
-/// Names the file. A process keeps its environment, so a reload reads the same name.
+/// Path of the file. A process keeps its environment, so a reload reads the same path.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
-/// Goes before the file's `name`.
+/// Overrides the file's `name`.
 const NAME_VARIABLE: &str = "LB_NAME";
-/// Goes before the file's `listen`.
+/// Overrides the file's `listen`.
 const LISTEN_VARIABLE: &str = "LB_LISTEN";
-/// Goes before the file's `discovery` at the start. At a reload it is out of date, since a process keeps the environment that it
-/// started with: the file's value holds then.
+/// Overrides the file's `discovery` at start-up. A reload ignores the variable and uses the file's
+/// value, because a process keeps the environment that it started with.
 pub const DISCOVERY_VARIABLE: &str = "LB_DISCOVERY";
 
-/// Reads the file that `LB_CONFIG` names; the other variables go before what it says. `variable` looks one up.
+/// Reads the file named by `LB_CONFIG`; other variables override its values. `variable` looks up an
+/// environment variable.
 pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let path = PathBuf::from(variable(CONFIG_VARIABLE).ok_or(ConfigError::NoPath)?);
     let contents = read(&path)?;
@@ -156,9 +159,10 @@
     })
 }
 
-/// Appends nested JSON as the simulator's wire has it, pairs of path and value. The parts of a path are joined by dots. A list of
-/// objects has a pair for its `count`, and its items are numbered from 0; another list is one value, joined by commas. A null has
-/// no pair.
+/// Flattens nested JSON into pairs of path and value, the format of the simulator's wire.
+///
+/// The parts of a path are joined by dots. A list of objects has a pair for its `count`, and its
+/// items are numbered from 0. Any other list is one value, joined by commas. A null has no pair.
 fn flatten(path: String, value: &Value, pairs: &mut Vec<(String, String)>) {
     let child = |name: &str| {
         if path.is_empty() {
@@ -188,7 +192,7 @@
     }
 }
 
-/// A string without its quotes; another value as JSON writes it.
+/// Returns a string without its quotes, and any other value as JSON.
 fn scalar_text(value: &Value) -> String {
     value
         .as_str()
--- a/crates/config/src/relay.rs
+++ b/crates/config/src/relay.rs
@@ -8,46 +8,48 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Default length of a relay's lease, in milliseconds. A watch waits a third of it, so that a relay calls upstream every 3.3 s
-/// while nothing changes.
+/// Default length of a relay's lease, in milliseconds. A watch waits a third of the lease, so a
+/// relay calls upstream every 3.3 s while nothing changes.
 pub const DEFAULT_LEASE_MS: u64 = 10_000;
-/// Lengths of a lease that are accepted, in milliseconds. A shorter one would expire between two calls to upstream; with a longer
-/// one the loss of upstream would go unnoticed.
+/// Accepted lengths of a lease, in milliseconds. A shorter lease would expire between two calls to
+/// upstream; a longer one would hide the loss of upstream.
 const LEASE_MS_RANGE: RangeInclusive<u64> = 300..=3_600_000;
-/// Most upstreams of one relay.
+/// Maximum number of upstreams of one relay.
 const MAX_UPSTREAMS: usize = 16;
-/// The largest bound on downstream connections that may be set.
+/// Largest accepted limit on downstream connections.
 const MAX_CONNECTIONS: usize = 1_000_000;
 
-/// Why a relay cannot start with its settings.
+/// Reason why the settings of a relay are not accepted.
 #[derive(Debug, Error)]
 pub enum RelayConfigError {
-    /// The file cannot be read, or is not of the expected form.
+    /// The file cannot be read or does not have the expected format.
     #[error(transparent)]
     File(#[from] SettingsError),
-    /// The number of upstreams is not from 1 to the most that is allowed.
-    #[error("a relay needs 1 to {MAX_UPSTREAMS} upstreams, and {0} are named")]
+    /// The number of upstreams is zero or above the maximum.
+    #[error("upstream has {0} addresses: expected 1 to {MAX_UPSTREAMS}")]
     Upstreams(usize),
-    /// The lease, in milliseconds, is out of its range.
-    #[error("lease_ms is {0}: a number from {start} to {end} is wanted", start = LEASE_MS_RANGE.start(), end = LEASE_MS_RANGE.end())]
+    /// The lease, in milliseconds, is out of range.
+    #[error("lease_ms is {0}: expected a number from {start} to {end}", start = LEASE_MS_RANGE.start(), end = LEASE_MS_RANGE.end())]
     Lease(u64),
-    /// The bound on downstream connections, key `callers`, is out of its range.
-    #[error("callers is {0}: a number from 1 to {MAX_CONNECTIONS} is wanted")]
+    /// The limit on downstream connections, key `callers`, is out of range.
+    #[error("callers is {0}: expected a number from 1 to {MAX_CONNECTIONS}")]
     Connections(usize),
 }
 
-/// A relay's settings.
+/// Settings of a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
-    /// Discovery or other relays, in the order in which they are tried when one fails; from 1 to 16.
+    /// Addresses of discovery or of other relays, from 1 to 16. If one fails, the next is tried.
     pub upstream: Vec<SocketAddr>,
-    /// Address on which nodes and further relays are answered.
+    /// Address on which the relay serves nodes and other relays.
     pub listen: SocketAddr,
-    /// Length of the lease in milliseconds: once it has passed without an answer from upstream, calls are rejected.
+    /// Length of the lease in milliseconds. If upstream has not answered for this time, calls are
+    /// rejected.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// Most downstream connections at once; `None` stands for what the process's limit on descriptors allows. Key `callers`.
+    /// Maximum number of concurrent downstream connections, key `callers`; `None` for the number
+    /// that the process's limit on descriptors allows.
     #[serde(rename = "callers")]
     pub max_connections: Option<usize>,
 }
@@ -61,7 +63,7 @@
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, is not of the expected form, or has a value out of its range.
+    /// If the file cannot be read, does not have the expected format, or has a value out of range.
     pub fn load(path: &Path) -> Result<Self, RelayConfigError> {
         let text = toml_file::read(path)?;
         let settings: Self = toml_file::parse(path, &text)?;
@@ -73,7 +75,7 @@
     ///
     /// # Errors
     ///
-    /// If a value is out of its range.
+    /// If a value is out of range.
     pub fn validate(&self) -> Result<(), RelayConfigError> {
         if !(1..=MAX_UPSTREAMS).contains(&self.upstream.len()) {
             return Err(RelayConfigError::Upstreams(self.upstream.len()));
@@ -89,7 +91,7 @@
         }
     }
 
-    /// How long calls are answered after the last answer from upstream.
+    /// Returns how long calls are answered after the last answer from upstream.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
--- a/crates/config/src/toml_file.rs
+++ b/crates/config/src/toml_file.rs
@@ -1,33 +1,34 @@
-//! TOML files of settings, and the error that says where one is wrong.
+//! TOML settings files, and the error that locates a fault in one.
 
 use serde::de::DeserializeOwned;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why a file of settings cannot be used. A process does not guess: it fails to start.
+/// Reason why a settings file cannot be used. The process then fails to start; it assumes no
+/// values.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read, or is not UTF-8.
     #[error("cannot read {}: {error}", .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the operating system.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// The file is not TOML, or has a key or value that is not taken.
+    /// The file is not TOML, or has an unknown key or an invalid value.
     #[error("{} line {line}: {reason}", .path.display())]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The line, counted from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// What was read there and what was expected.
+        /// Value read and value expected.
         reason: String,
     },
 }
 
-/// A file's text.
+/// Reads a file as text.
 pub(crate) fn read(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|error| SettingsError::Unreadable {
         path: path.to_owned(),
@@ -45,7 +46,7 @@
         .span()
         .and_then(|span| text.get(..span.start))
         .unwrap_or_default();
-    // The log has a line for each error.
+    // Joined, because an error is logged as one line.
     let reason = error.message().lines().collect::<Vec<_>>().join(" ");
     SettingsError::Malformed {
         path: path.to_owned(),
--- a/crates/config/tests/formats.rs
+++ b/crates/config/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The formats that a node reads: keys, defaults, bounds, and the sentences of what is not accepted.
+//! The formats that a node reads: keys, defaults, bounds and error messages.
 
 use slatelink_config::operators::{self, MetricsFormat, MetricsTarget, Settings};
 use slatelink_config::platform::{self, Config};
@@ -9,31 +9,31 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// A file of this text, under a name of its own.
-fn file(text: &str) -> PathBuf {
-    static FILES: AtomicUsize = AtomicUsize::new(0);
-    let number = FILES.fetch_add(1, Ordering::Relaxed);
+/// Writes a file with this text under a unique name.
+fn write_file(text: &str) -> PathBuf {
+    static FILE_COUNT: AtomicUsize = AtomicUsize::new(0);
+    let number = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
     let name = format!("slatelink-config-{}-{number}", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).unwrap();
     path
 }
 
-fn operators(text: &str) -> Result<Settings, String> {
-    let path = file(text);
+fn load_operators_settings(text: &str) -> Result<Settings, String> {
+    let path = write_file(text);
     let loaded = operators::load(path.clone()).map_err(|error| {
         let error = error.to_string();
-        let named = path.display().to_string();
-        error.strip_prefix(&named).unwrap().trim_start().to_owned()
+        let prefix = path.display().to_string();
+        error.strip_prefix(&prefix).unwrap().trim_start().to_owned()
     });
     std::fs::remove_file(path).unwrap();
     loaded
 }
 
-// Guards against a key that is renamed with its field.
+// Guards against renaming a key along with its field.
 #[test]
-fn the_operators_file_is_read_by_its_keys() {
-    let settings = operators(
+fn operators_file_keys_set_the_matching_settings() {
+    let settings = load_operators_settings(
         "[figures]\nformat = \"influx\"\ntarget = \"udp:127.0.0.1:8125\"\nflush_ms = 10\nmax_batch_bytes = 512\n\
          [audit]\npath = \"/a\"\n[hotlist]\ncapacity = 7\nwindow_s = 3\n\
          [multiget]\nport = 81\nparallel = 2\nmax_items = 5\n\
@@ -70,10 +70,10 @@
     assert_eq!(admission.percent_per_class["once"].get(), 20);
 }
 
-// Guards against a default that changes unseen.
+// Guards against an unnoticed change of a default.
 #[test]
-fn what_the_operators_file_lacks_has_its_default() {
-    let settings = operators("[figures]\n[audit]\n[hotlist]\n[multiget]\n").unwrap();
+fn keys_missing_from_the_operators_file_have_defaults() {
+    let settings = load_operators_settings("[figures]\n[audit]\n[hotlist]\n[multiget]\n").unwrap();
     let metrics = settings.metrics.as_ref().unwrap();
     assert_eq!(
         (metrics.format, &metrics.target),
@@ -105,19 +105,19 @@
     assert_eq!(admission.connections_per_address(), None);
     assert!(admission.percent_per_class.is_empty());
 
-    let empty = operators("").unwrap();
+    let empty = load_operators_settings("").unwrap();
     assert!(empty.metrics.is_none() && empty.audit.is_none() && empty.multiget.is_none());
     assert!(empty.enabled_hotlist().is_none());
-    assert!(operators("[hotlist]\ncapacity = 0\n")
+    assert!(load_operators_settings("[hotlist]\ncapacity = 0\n")
         .unwrap()
         .enabled_hotlist()
         .is_none());
 }
 
-// Guards against a sentence that no longer says the line, the value or what is expected.
+// Guards against an error message without the line, the value met or the value expected.
 #[test]
-fn what_the_operators_file_may_not_say_is_told_with_its_line() {
-    for (text, sentence) in [
+fn invalid_operators_settings_are_reported_with_their_line() {
+    for (text, message) in [
         ("[figures]\nflush_ms = 9\n", "line 2: 9 is not from 10 to 3600000"),
         ("[figures]\nmax_batch_bytes = 65508\n", "line 2: 65508 is not from 512 to 65507"),
         ("\n[figures]\n\ntarget = \"udp:x\"\n", "line 4: target udp:\"x\" is not an address and port"),
@@ -137,13 +137,13 @@
             "line 1: unknown field `metrics`, expected one of `figures`, `audit`, `hotlist`, `multiget`, `front`",
         ),
     ] {
-        assert_eq!(operators(text).unwrap_err(), sentence, "{text}");
+        assert_eq!(load_operators_settings(text).unwrap_err(), message, "{text}");
     }
 }
 
-// Guards against a JSON key of discovery that is renamed with its field.
+// Guards against renaming a JSON key of discovery along with its field.
 #[test]
-fn an_endpoint_list_is_read_by_discoverys_keys() {
+fn endpoint_list_uses_the_json_keys_of_discovery() {
     let list: EndpointList = serde_json::from_str(
         r#"{"seq":3,"whole":true,"hosts":[
             {"host":"a","dial":"127.0.0.1:1","site":"z","class":"k","block":2,"health":"ready","share":0.5,"born_ms":7},
@@ -169,7 +169,7 @@
     let second = list.endpoints[1].endpoint();
     assert!(
         (second.weight - 1.0).abs() < f64::EPSILON,
-        "no weight is below 0"
+        "a negative weight is replaced by the default"
     );
     assert_eq!(
         (second.zone, second.kind, second.cell, second.started),
@@ -178,7 +178,7 @@
     let availability: Vec<_> = list
         .endpoints
         .iter()
-        .map(|one| one.availability())
+        .map(|endpoint| endpoint.availability())
         .collect();
     let expected = [
         Availability::Ready,
@@ -191,9 +191,9 @@
     assert!(!changes.complete && changes.endpoints.is_empty());
 }
 
-/// The configuration of this text, read with these variables beside `LB_CONFIG`.
-fn platform(text: &str, variables: &[(&str, &str)]) -> Result<Config, String> {
-    let path = file(text);
+/// Loads a configuration of this text with these variables and `LB_CONFIG`.
+fn load_platform_config(text: &str, variables: &[(&str, &str)]) -> Result<Config, String> {
+    let path = write_file(text);
     let loaded = platform::load(|variable| {
         if variable == "LB_CONFIG" {
             return Some(path.display().to_string());
@@ -205,13 +205,14 @@
     loaded.map_err(|error| error.to_string())
 }
 
-const PLATFORM: &str = r#"{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f",
+const PLATFORM_CONFIG: &str = r#"{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1f",
     "limits":{"sockets":32,"memory_mb":3},"settings":{}}"#;
 
-// Guards against a variable that does not go before its key, and a key that is renamed with its field.
+// Guards against a variable that does not override its key, and against renaming a key along with
+// its field.
 #[test]
-fn the_platforms_file_gives_way_to_the_environment() {
-    let config = platform(PLATFORM, &[]).unwrap();
+fn environment_variables_override_the_platform_file() {
+    let config = load_platform_config(PLATFORM_CONFIG, &[]).unwrap();
     assert_eq!((config.name.as_str(), config.seed), ("n", 0x1f));
     assert_eq!(
         (config.descriptor_limit, config.memory_bytes),
@@ -219,53 +220,58 @@
     );
     assert_eq!(config.listen, "127.0.0.1:1".parse().unwrap());
     assert_eq!(config.discovery, "127.0.0.1:2".parse().unwrap());
-    assert_eq!(config.contents, PLATFORM.as_bytes());
+    assert_eq!(config.contents, PLATFORM_CONFIG.as_bytes());
     assert!(config.known_endpoints.endpoints.is_empty());
     let variables = [
         ("LB_NAME", "other"),
         ("LB_LISTEN", "127.0.0.1:3"),
         ("LB_DISCOVERY", "127.0.0.1:4"),
     ];
-    let config = platform(PLATFORM, &variables).unwrap();
+    let config = load_platform_config(PLATFORM_CONFIG, &variables).unwrap();
     assert_eq!(config.name, "other");
     assert_eq!(config.listen, "127.0.0.1:3".parse().unwrap());
     assert_eq!(config.discovery, "127.0.0.1:4".parse().unwrap());
 }
 
-// Guards against a sentence that no longer says what was wrong.
+// Guards against an error message that does not state the fault.
 #[test]
-fn a_platforms_file_that_cannot_be_used_is_told_why() {
+fn unusable_platform_configuration_is_reported_with_the_reason() {
     assert_eq!(
         platform::load(|_| None).unwrap_err().to_string(),
         "LB_CONFIG is not set"
     );
     assert_eq!(
-        platform(PLATFORM, &[("LB_LISTEN", "here")]).unwrap_err(),
+        load_platform_config(PLATFORM_CONFIG, &[("LB_LISTEN", "here")]).unwrap_err(),
         "LB_LISTEN is not an address and port: here"
     );
-    for (from, to, sentence) in [
+    for (from, to, message) in [
         (
             "1f",
             "x",
             "the configuration's seed is not a hexadecimal number: x",
         ),
-        (":32", ":31", "a limit of 31 sockets leaves no room to work"),
+        (
+            ":32",
+            ":31",
+            "a limit of 31 sockets is too low: a node needs at least 32",
+        ),
     ] {
-        let text = PLATFORM.replace(from, to);
-        assert_eq!(platform(&text, &[]).unwrap_err(), sentence);
+        let text = PLATFORM_CONFIG.replace(from, to);
+        assert_eq!(load_platform_config(&text, &[]).unwrap_err(), message);
     }
-    let missing = platform(&PLATFORM.replace("\"seed\"", "\"sead\""), &[]).unwrap_err();
+    let missing =
+        load_platform_config(&PLATFORM_CONFIG.replace("\"seed\"", "\"sead\""), &[]).unwrap_err();
     assert!(
-        missing.contains("is not a configuration: missing field `seed`"),
+        missing.contains("is not a valid configuration: missing field `seed`"),
         "{missing}"
     );
 }
 
-// Guards against a bound of a relay's settings that changes unseen.
+// Guards against an unnoticed change of a bound in the relay settings.
 #[test]
-fn a_relays_settings_keep_their_bounds() {
+fn relay_settings_have_a_default_lease_and_bounds() {
     let load = |text: &str| {
-        let path = file(text);
+        let path = write_file(text);
         let loaded = RelaySettings::load(&path);
         std::fs::remove_file(path).unwrap();
         loaded
@@ -277,22 +283,22 @@
         (settings.lease(), settings.max_connections),
         (Duration::from_secs(10), None)
     );
-    for (rest, sentence) in [
+    for (extra, message) in [
         (
             "lease_ms = 299\n",
-            "lease_ms is 299: a number from 300 to 3600000 is wanted",
+            "lease_ms is 299: expected a number from 300 to 3600000",
         ),
         (
             "callers = 0\n",
-            "callers is 0: a number from 1 to 1000000 is wanted",
+            "callers is 0: expected a number from 1 to 1000000",
         ),
     ] {
-        let error = load(&format!("{upstream}{listen}{rest}")).unwrap_err();
-        assert_eq!(error.to_string(), sentence);
+        let error = load(&format!("{upstream}{listen}{extra}")).unwrap_err();
+        assert_eq!(error.to_string(), message);
     }
     let error = load(&format!("upstream = []\n{listen}")).unwrap_err();
     assert_eq!(
         error.to_string(),
-        "a relay needs 1 to 16 upstreams, and 0 are named"
+        "upstream has 0 addresses: expected 1 to 16"
     );
 }
