--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,11 +1,11 @@
-//! Errors of reading the wire.
+//! Errors of the parser.
 
 use thiserror::Error;
 
-/// A line that cannot be read, and after which a host cannot go on. Displays itself as one line of text.
+/// A line that cannot be parsed; a host cannot continue after it. Displays as one line of text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// A field that the line needs is missing.
+    /// A required field of the line is missing.
     #[error("malformed line, no {field}: {line}")]
     MissingField {
         /// Name of the field.
@@ -13,7 +13,7 @@
         /// Start of the line.
         line: String,
     },
-    /// A field has a value that it cannot have.
+    /// A field has a value that cannot be parsed.
     #[error("malformed line, unreadable {field}: {line}")]
     UnreadableField {
         /// Name of the field.
@@ -21,13 +21,13 @@
         /// Start of the line.
         line: String,
     },
-    /// The line names an endpoint list that was never sent.
+    /// The line refers to an endpoint list that was never sent.
     #[error("malformed line, unknown bank: {line}")]
     UnknownList {
         /// Start of the line.
         line: String,
     },
-    /// The line is an entry of an endpoint list, and no list is open.
+    /// The line is an entry of an endpoint list, but no list is open.
     #[error("malformed line, an entry outside a roster: {line}")]
     EntryOutsideList {
         /// Start of the line.
@@ -36,9 +36,9 @@
     /// An endpoint list ended before all of its entries were sent.
     #[error("malformed line, {missing} roster entries missing before: {word}")]
     IncompleteList {
-        /// Entries that are missing.
+        /// Number of missing entries.
         missing: usize,
-        /// First word of the line that came in place of an entry.
+        /// First word of the line found in place of an entry.
         word: String,
     },
 }
--- a/crates/wire/src/fields.rs
+++ b/crates/wire/src/fields.rs
@@ -5,18 +5,19 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Characters of a line that an error shows, at most.
+/// Maximum number of characters of a line shown in an error.
 const MAX_SHOWN: usize = 200;
 
 /// The fields of a line.
 pub(crate) struct Fields<'a> {
-    /// What errors show.
+    /// Text shown in errors.
     line: &'a str,
     pairs: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields that `rest` holds, the part of `line` behind its word. A part without `=` is skipped.
+    /// Parses the fields in `rest`, the part of `line` after its word. A part without `=` is
+    /// skipped.
     pub(crate) fn parse(line: &'a str, rest: &'a str) -> Self {
         Self {
             line,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Fields that do not come from a line; errors show `source` in its place.
+    /// Creates fields that do not come from a line; errors show `source` instead of a line.
     pub(crate) fn from_pairs(source: &'a str, pairs: Vec<(&'a str, &'a str)>) -> Self {
         Self {
             line: source,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The value of the first field of this name.
+    /// Returns the value of the first field with this name.
     pub(crate) fn text(&self, name: &str) -> Option<&'a str> {
         self.pairs
             .iter()
@@ -43,34 +44,35 @@
             .map(|pair| pair.1)
     }
 
-    /// The value of a field that must be there.
+    /// Returns the value of a required field.
     pub(crate) fn required_text(&self, name: &str) -> Result<&'a str, WireError> {
         self.text(name).ok_or_else(|| self.missing(name))
     }
 
-    /// The value of a field, parsed.
+    /// Returns the parsed value of a field.
     pub(crate) fn optional<T: FromStr>(&self, name: &str) -> Result<Option<T>, WireError> {
         let parse = |text: &str| text.parse().map_err(|_| self.unreadable(name));
         self.text(name).map(parse).transpose()
     }
 
-    /// The value of a field that must be there, parsed.
+    /// Returns the parsed value of a required field.
     pub(crate) fn required<T: FromStr>(&self, name: &str) -> Result<T, WireError> {
         self.optional(name)?.ok_or_else(|| self.missing(name))
     }
 
-    /// A number from 0 to `max`. One that is not finite or lies outside counts as absent.
+    /// Returns a number from 0 to `max`. A number that is out of range or not finite counts as
+    /// absent.
     pub(crate) fn number(&self, name: &str, max: f64) -> Result<Option<f64>, WireError> {
         let number = self.optional::<f64>(name)?;
         Ok(number.filter(|value| (0.0..=max).contains(value)))
     }
 
-    /// A count of microseconds.
+    /// Returns a duration given in microseconds.
     pub(crate) fn micros(&self, name: &str) -> Result<Option<Duration>, WireError> {
         Ok(self.optional(name)?.map(Duration::from_micros))
     }
 
-    /// A truth value.
+    /// Returns a Boolean.
     pub(crate) fn flag(&self, name: &str) -> Result<Option<bool>, WireError> {
         match self.text(name) {
             None => Ok(None),
@@ -80,12 +82,12 @@
         }
     }
 
-    /// The request that the line is about.
+    /// Returns the id of the line's request.
     pub(crate) fn request_id(&self) -> Result<RequestId, WireError> {
         self.required_text("request_id").map(RequestId::from)
     }
 
-    /// The start of the line, for an error.
+    /// Returns the start of the line, for an error.
     pub(crate) fn shown_line(&self) -> String {
         self.line.chars().take(MAX_SHOWN).collect()
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,11 +1,13 @@
-//! The simulator's wire: a text format in which the simulator tells many balancers of events and reads their actions.
+//! The simulator's wire: a text format in which the simulator sends events to many balancers and
+//! reads their actions.
 //!
-//! Owns the format: reads lines into [`Message`]s, settings and load reports into the types of the decision module, and
-//! writes actions as lines. It decides nothing and does no I/O; the binary of this crate hosts the decision module on
-//! standard input and output.
+//! Owns the format: parses lines into [`Message`]s, settings and load reports into the types of the
+//! decision module, and writes actions as lines. It makes no decisions and does no I/O; the binary
+//! of this crate hosts the decision module on standard input and output.
 //!
-//! A line is a word and `name=value` pairs, all set apart by one space. Unknown words and names are skipped, so that a
-//! newer simulator can say more. Points in time and durations are microseconds.
+//! A line is a word followed by `name=value` pairs, separated by single spaces. Unknown words and
+//! names are skipped, so that a newer simulator can send additional data. Times and durations are
+//! in microseconds.
 
 #![warn(missing_docs)]
 
--- a/crates/wire/src/load.rs
+++ b/crates/wire/src/load.rs
@@ -3,10 +3,12 @@
 use slatelink_policy::LoadReport;
 use std::time::Duration;
 
-/// Reads a load report: pairs of name and value, set apart by commas, with `separator` between name and value.
+/// Parses a load report: comma-separated pairs of name and value, with `separator` between name and
+/// value.
 ///
-/// The names are those of the simulator's wire and those of the endpoints' HTTP header, which have the same meaning. A
-/// value that is not a finite number from 0 up counts as absent; unknown names are skipped.
+/// The names are those of the simulator's wire and those of the endpoints' HTTP header, which have
+/// the same meaning. A value that is negative or not a finite number counts as absent; unknown
+/// names are skipped.
 pub fn read_load(text: &str, separator: char) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in text
--- a/crates/wire/src/main.rs
+++ b/crates/wire/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts balancers on the simulator's wire, on standard input and output: one isolated [`Balancer`] for each instance,
-//! a reply of lines to each batch of lines.
+//! Hosts balancers on the simulator's wire, on standard input and output. Each instance is one
+//! isolated [`Balancer`]; each batch of lines gets a reply of lines.
 
 use slatelink_policy::{Action, Balancer, Event, Timestamp};
 use slatelink_wire::{
@@ -12,10 +12,10 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Bytes read from standard input at once: batches of many instances are long.
+/// Size of the input buffer in bytes: batches for many instances are long.
 const INPUT_BUFFER_BYTES: usize = 256 * 1024;
 
-/// Why the host ends before its input does.
+/// Reason why the host ends before the end of its input.
 #[derive(Debug, Error)]
 enum HostError {
     #[error(transparent)]
@@ -36,7 +36,7 @@
     }
 }
 
-/// Handles the lines of `input` to its end.
+/// Handles the lines of `input` until its end.
 fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
     let mut parser = Parser::default();
     let mut host = Host::default();
@@ -50,20 +50,20 @@
     Ok(())
 }
 
-/// The instances, and the batch that is being handled.
+/// The instances and the state of the current batch.
 #[derive(Default)]
 struct Host {
     instances: HashMap<InstanceId, Balancer>,
     /// Time of the batch.
     now: Timestamp,
-    /// Lines of the reply so far.
+    /// Lines of the reply to the current batch.
     reply: String,
-    /// Buffer for the actions of one event; kept for its allocation.
+    /// Buffer for the actions of one event, kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles a message, and writes the reply to `output` where the batch ends with it.
+    /// Handles a message. If the message ends the batch, writes the reply to `output`.
     fn handle(&mut self, message: Message, output: &mut impl Write) -> io::Result<()> {
         match message {
             Message::Tick(time) => self.now = time,
@@ -84,8 +84,8 @@
         Ok(())
     }
 
-    /// Lets an instance handle an event, and adds its actions to the reply. A panic of the decision module becomes part
-    /// of the reply too: the other instances go on.
+    /// Passes an event to an instance and appends its actions to the reply. A panic of the decision
+    /// module is also reported in the reply, and the other instances continue.
     fn handle_event(&mut self, instance: InstanceId, event: Event) {
         let Some(balancer) = self.instances.get_mut(&instance) else {
             return;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Writes the reply to the batch, and begins the next one.
+    /// Writes the reply to the batch and clears it for the next batch.
     fn send_reply(&mut self, output: &mut impl Write) -> io::Result<()> {
         end_reply(&mut self.reply);
         output.write_all(self.reply.as_bytes())?;
@@ -112,7 +112,7 @@
     }
 }
 
-/// The message of a panic, where it has one of text.
+/// Returns the message of a panic if it is text.
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
     panic
         .downcast_ref::<String>()
--- a/crates/wire/src/parser.rs
+++ b/crates/wire/src/parser.rs
@@ -1,4 +1,4 @@
-//! The parser of the simulator's lines.
+//! Parser of the simulator's lines.
 
 mod endpoints;
 mod requests;
@@ -9,23 +9,23 @@
 use slatelink_policy::{EndpointId, Event, Name, Settings, Timestamp};
 use std::collections::HashMap;
 
-/// Number of one of the simulator's balancers; on the wire `who`.
+/// Number of one of the simulator's balancers; `who` on the wire.
 pub type InstanceId = u32;
 
-/// What a line says.
+/// The content of a line.
 #[derive(Debug)]
 pub enum Message {
-    /// `tick`: a batch of messages begins, and this is their time.
+    /// `tick`: a batch of messages begins; the value is the time of the batch.
     Tick(Timestamp),
-    /// `your_turn`: the batch ends, and a reply is due.
+    /// `your_turn`: the batch ends, and a reply is expected.
     EndOfBatch,
     /// `power_on`: an instance starts.
     Start {
         /// The instance.
         instance: InstanceId,
-        /// Seed of its random numbers.
+        /// Seed of the instance's random numbers.
         seed: u64,
-        /// Its settings.
+        /// Settings of the instance.
         settings: Box<Settings>,
     },
     /// `retire`: an instance was killed.
@@ -42,9 +42,10 @@
     },
 }
 
-/// Reads lines as [`Message`]s.
+/// Parses lines into [`Message`]s.
 ///
-/// Holds what later lines refer to: the endpoint lists by number, and the names of the classes of each instance.
+/// Stores the data that later lines refer to: the endpoint lists by number, and the class names of
+/// each instance.
 #[derive(Debug, Default)]
 pub struct Parser {
     lists: EndpointLists,
@@ -54,7 +55,8 @@
 }
 
 impl Parser {
-    /// Reads one line. `None` for a line that is no message by itself, or whose word is not known.
+    /// Parses one line. Returns `None` for a line that is no message by itself or starts with an
+    /// unknown word.
     pub fn parse_line(&mut self, line: &str) -> Result<Option<Message>, WireError> {
         let line = line.trim_end_matches(['\r', '\n']);
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Reads `power_on`.
+    /// Parses `power_on`.
     fn start(&mut self, fields: &Fields) -> Result<Message, WireError> {
         let instance = fields.required("who")?;
         let settings = Box::new(settings::parse(fields)?);
@@ -93,7 +95,7 @@
         })
     }
 
-    /// Reads an event of an instance. `None` for a kind of endpoint update that is not known.
+    /// Parses an event of an instance. Returns `None` for an unknown kind of endpoint update.
     fn instance_event(
         &mut self,
         word: &str,
@@ -111,7 +113,7 @@
         Ok(event.map(|event| Message::Event { instance, event }))
     }
 
-    /// The endpoint that the line is about.
+    /// Returns the id of the line's endpoint.
     fn endpoint_id(&mut self, fields: &Fields) -> Result<EndpointId, WireError> {
         let name = fields.required_text("server")?;
         if let Some(id) = self.endpoint_ids.get(name) {
--- a/crates/wire/src/parser/endpoints.rs
+++ b/crates/wire/src/parser/endpoints.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists: `roster` begins one, an `m` for each endpoint follows, and `peers_known` tells an instance of it.
+//! Endpoint lists: `roster` begins a list, one `m` line follows for each endpoint, and
+//! `peers_known` passes the list to an instance.
 
 use super::Parser;
 use crate::fields::Fields;
@@ -7,13 +8,14 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Number of an endpoint list; on the wire `bank`. A later list of the same number takes the place of the earlier one.
+/// Number of an endpoint list; `bank` on the wire. A later list with the same number replaces the
+/// earlier one.
 type ListNumber = u32;
 
-/// Weight of an endpoint that states none, or none that makes sense.
+/// Weight of an endpoint without a valid weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// The endpoint lists by number.
+/// Endpoint lists by number.
 #[derive(Debug, Default)]
 pub(super) struct EndpointLists {
     complete: HashMap<ListNumber, Arc<[Endpoint]>>,
@@ -24,13 +26,13 @@
 #[derive(Debug)]
 struct OpenList {
     number: ListNumber,
-    /// Entries to come, 1 or more.
+    /// Number of entries still to come, at least 1.
     missing: usize,
     entries: Vec<Endpoint>,
 }
 
 impl EndpointLists {
-    /// Reads `roster`: the number of a list, and how many entries follow.
+    /// Parses `roster`: the number of a list and the number of entries that follow.
     pub(super) fn begin(&mut self, fields: &Fields) -> Result<(), WireError> {
         let number = fields.required("bank")?;
         let missing = fields.required("hosts")?;
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Adds an entry to the list that is open; `fields` are those it was read from.
+    /// Adds an entry to the open list. `fields` are the fields of the entry's line.
     fn push(&mut self, entry: Endpoint, fields: &Fields) -> Result<(), WireError> {
         let Some(open) = &mut self.open else {
             return Err(WireError::EntryOutsideList {
@@ -71,7 +73,8 @@
         Ok(())
     }
 
-    /// Reads `peers_known`: what discovery tells an instance. `None` for a kind that is not known.
+    /// Parses `peers_known`: an update from discovery for an instance. Returns `None` for an
+    /// unknown kind of update.
     pub(super) fn update(&self, fields: &Fields) -> Result<Option<Event>, WireError> {
         Ok(match fields.required_text("how")? {
             "unavailable" => Some(Event::Endpoints(EndpointUpdate::Unavailable)),
@@ -88,7 +91,7 @@
         })
     }
 
-    /// The list that a line refers to.
+    /// Returns the list that a line refers to.
     fn referenced(&self, fields: &Fields) -> Result<Arc<[Endpoint]>, WireError> {
         let list = self.complete.get(&fields.required("bank")?);
         list.cloned().ok_or_else(|| WireError::UnknownList {
@@ -98,7 +101,7 @@
 }
 
 impl Parser {
-    /// Reads `m`: an entry of the endpoint list that is open.
+    /// Parses `m`: an entry of the open endpoint list.
     pub(super) fn list_entry(&mut self, fields: &Fields) -> Result<(), WireError> {
         let entry = Endpoint {
             id: self.endpoint_id(fields)?,
@@ -122,7 +125,7 @@
     Ok(match fields.required_text("availability")? {
         "U" => Availability::Ready,
         "D" => Availability::Removed,
-        // A state that this version does not know: the endpoint gets no new requests.
+        // A state unknown to this version: the endpoint gets no new requests.
         _ => Availability::Draining,
     })
 }
--- a/crates/wire/src/parser/requests.rs
+++ b/crates/wire/src/parser/requests.rs
@@ -5,9 +5,9 @@
 use crate::{read_load, WireError};
 use slatelink_policy::{CacheResult, ClassId, LoadReport, Outcome, Request, Status, Timestamp};
 
-/// Bit of a request's `options`: the forecast of its work, `expected_us`, may be used.
+/// Bit of a request's `options`: the estimate of the request's work, `expected_us`, may be used.
 const OPTION_EXPECTED_WORK: u32 = 1;
-/// Bit of a request's `options`: it changes the object.
+/// Bit of a request's `options`: the request changes the object.
 const OPTION_WRITE: u32 = 4;
 
 /// Value of an outcome's `info`: the endpoint held the object.
@@ -15,11 +15,11 @@
 /// Value of an outcome's `info`: the endpoint did not hold the object.
 const INFO_MISS: i64 = 2;
 
-/// Between name and value of a load report, `server_stats`.
+/// Separator of name and value in a load report, `server_stats`.
 const LOAD_SEPARATOR: char = ':';
 
 impl Parser {
-    /// Reads `submit`: a request of a client.
+    /// Parses `submit`: a request of a client.
     pub(super) fn request(
         &self,
         instance: InstanceId,
@@ -37,12 +37,13 @@
                 .micros("expected_us")?
                 .filter(|_| options & OPTION_EXPECTED_WORK != 0),
             write: options & OPTION_WRITE != 0,
-            // The simulator's instances have no client connections, and so no quotas of them.
+            // The simulator's instances have no client connections, and therefore no quotas on
+            // them.
             over_quota: false,
         })
     }
 
-    /// Reads `returned`: the outcome of an attempt.
+    /// Parses `returned`: the outcome of an attempt.
     pub(super) fn outcome(&mut self, fields: &Fields) -> Result<Outcome, WireError> {
         let status = status(fields)?;
         Ok(Outcome {
@@ -57,7 +58,7 @@
         })
     }
 
-    /// The class of this name among those of an instance.
+    /// Returns the id of the instance's class with this name.
     fn class_id(&self, instance: InstanceId, name: &str) -> Option<ClassId> {
         let names = self.classes.get(&instance)?;
         let position = names.iter().position(|class| class.as_str() == name)?;
@@ -75,7 +76,8 @@
         "Canceled" => Status::Canceled,
         "Ignored" => Status::NotSent,
         "Miss" => Status::Miss,
-        // An unknown outcome still ends its attempt: the careful reading is a failure that may have run.
+        // An unknown outcome still ends its attempt. The safe interpretation is a failure whose
+        // request may have been executed.
         _ => Status::Failed,
     })
 }
--- a/crates/wire/src/reply.rs
+++ b/crates/wire/src/reply.rs
@@ -1,20 +1,20 @@
-//! The lines of a reply.
+//! Formatting of the lines of a reply.
 
 use crate::InstanceId;
 use slatelink_policy::Action;
 use std::fmt::{self, Write};
 
-/// The least time-out of an attempt on the wire, in microseconds: 0 stands for none.
+/// Smallest timeout of an attempt on the wire, in microseconds: 0 means no timeout.
 const MIN_TIMEOUT_MICROS: u128 = 1;
 
-/// Appends the line of an action of this instance.
+/// Appends the line for an action of this instance.
 pub fn write_action(out: &mut String, instance: InstanceId, action: &Action) {
     match action {
         Action::Send {
             id,
             endpoint,
             timeout,
-            // In the simulator an attempt begins in the moment it is sent.
+            // In the simulator an attempt begins at the moment it is sent.
             begin_within: _,
         } => {
             let timeout = timeout.as_micros().max(MIN_TIMEOUT_MICROS);
@@ -57,7 +57,8 @@
     }
 }
 
-/// Appends the line that tells that the decision module of this instance has panicked, with the panic's message.
+/// Appends the line that reports a panic of this instance's decision module, with the panic
+/// message.
 pub fn write_failure(out: &mut String, instance: InstanceId, message: &str) {
     let text = one_line(message);
     write_line(
@@ -72,7 +73,7 @@
 }
 
 fn write_line(out: &mut String, line: fmt::Arguments<'_>) {
-    // Appending to a `String` cannot fail, and the `Display` of the values does not.
+    // Appending to a `String` and the `Display` of the values never fail.
     let _ = out.write_fmt(line);
     out.push('\n');
 }
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -5,7 +5,7 @@
 use slatelink_policy::{CacheMode, Class, DeduplicationScope, Idempotency, Name, Settings};
 use std::time::Duration;
 
-/// Reads start-up settings from their pairs of path and value. What is not there has the value that it has in
+/// Parses start-up settings from pairs of path and value. A missing setting has its value in
 /// `Settings::default()`; unknown paths are skipped.
 pub fn read_settings(pairs: &[(String, String)]) -> Result<Settings, WireError> {
     let pairs = pairs
@@ -15,7 +15,7 @@
     parse(&Fields::from_pairs("settings", pairs))
 }
 
-/// Reads start-up settings from the fields of a line.
+/// Parses start-up settings from the fields of a line.
 pub(crate) fn parse(fields: &Fields) -> Result<Settings, WireError> {
     let default = Settings::default();
     let duration = |name: &str, default: Duration| -> Result<Duration, WireError> {
@@ -67,7 +67,8 @@
     })
 }
 
-/// What a repeat of a class's requests does; of the narrowest scope, or not idempotent, where the value is not known.
+/// Returns the idempotency of a class's requests. An unknown scope counts as the narrowest one, and
+/// an unknown effect as not idempotent.
 fn idempotency(fields: &Fields, class: usize) -> Result<Idempotency, WireError> {
     let path = |name: &str| format!("lanes.{class}.{name}");
     let window = fields.micros(&path("repeat_window_us"))?;
@@ -96,7 +97,8 @@
         .collect()
 }
 
-/// Cache-aside needs to know the origin's kind: its position in the list of all kinds of machine.
+/// Returns the cache mode. Cache-aside requires the origin's kind, given as its position in the
+/// list of all machine kinds; without it the mode is read-through.
 fn cache_mode(fields: &Fields) -> Result<CacheMode, WireError> {
     let position = fields.optional::<i64>("family_info.origin_kind")?;
     let kinds = fields.text("shapes").unwrap_or("");
--- a/crates/wire/tests/adapter.rs
+++ b/crates/wire/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter's process: batches of lines in, replies out.
+//! Tests of the adapter process: batches of lines as input, replies as output.
 
 mod common;
 
@@ -12,26 +12,28 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    // An adapter that ends early closes its input: that is no failure of the test.
+        .expect("failed to start the adapter");
+    // The write fails if the adapter ends early, which some tests expect.
     let _ = child
         .stdin
         .take()
-        .expect("piped")
+        .expect("stdin is not piped")
         .write_all(input.as_bytes());
-    child.wait_with_output().expect("the adapter ends")
+    child
+        .wait_with_output()
+        .expect("failed to wait for the adapter")
 }
 
 #[test]
-fn the_adapter_replies_to_each_batch_and_ends_with_its_input() {
+fn adapter_replies_to_each_batch_and_exits_at_the_end_of_its_input() {
     let batch = format!(
         "tick t_us=1\nyour_turn\ntick t_us=10\nretire who=3\n{START}\nroster bank=0 hosts=1\nm server=s:1 machine=std availability=U\n\
          peers_known who=3 how=restored bank=0 revision=1\n\
          submit who=3 request_id=c:x cls=read object=4 valid_until_us=400010\nsubmit who=9 request_id=c:y valid_until_us=9\nyour_turn\n"
     );
-    let done = run_adapter(&batch);
-    assert!(done.status.success());
-    let text = String::from_utf8(done.stdout).expect("UTF-8");
+    let output = run_adapter(&batch);
+    assert!(output.status.success());
+    let text = String::from_utf8(output.stdout).expect("the reply is not UTF-8");
     assert!(
         text.starts_with("ack\n") && text.ends_with("ack\n"),
         "{text}"
@@ -42,17 +44,17 @@
     );
     assert!(
         !text.contains("who=9"),
-        "an action of an instance that was never started: {text}"
+        "reply has an action of an instance that was never started: {text}"
     );
 }
 
 #[test]
-fn the_adapter_fails_on_a_malformed_line_without_a_reply_to_its_batch() {
-    let done =
+fn adapter_fails_on_a_malformed_line_without_a_reply_to_its_batch() {
+    let output =
         run_adapter("tick t_us=1\nyour_turn\ntick t_us=2\nsubmit who=1 request_id=r\nyour_turn\n");
-    assert!(!done.status.success());
-    assert_eq!(String::from_utf8_lossy(&done.stdout), "ack\n");
-    let errors = String::from_utf8_lossy(&done.stderr);
+    assert!(!output.status.success());
+    assert_eq!(String::from_utf8_lossy(&output.stdout), "ack\n");
+    let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(errors.lines().count(), 1, "{errors}");
     assert!(
         errors.contains("valid_until_us") && errors.contains("submit who=1"),
@@ -61,7 +63,7 @@
 }
 
 #[test]
-fn events_of_an_instance_that_was_never_started_do_nothing() {
+fn events_of_an_instance_that_was_never_started_are_ignored() {
     let output =
         run_adapter("tick t_us=1\ntimer who=9 nonce=w\nabandoned who=9 request_id=c:x\nretire who=9\nyour_turn\n");
     assert!(output.status.success());
--- a/crates/wire/tests/parser.rs
+++ b/crates/wire/tests/parser.rs
@@ -1,4 +1,4 @@
-//! Lines read as messages.
+//! Tests of the parser: lines to messages.
 
 mod common;
 
@@ -14,19 +14,19 @@
     let mut parser = Parser::default();
     lines
         .iter()
-        .filter_map(|line| parser.parse_line(line).expect("well-formed"))
+        .filter_map(|line| parser.parse_line(line).expect("line was not accepted"))
         .collect()
 }
 
 #[test]
-fn settings_are_read_and_unknown_ones_are_skipped() {
+fn settings_are_parsed_and_unknown_settings_are_skipped() {
     let Message::Start {
         instance: 3,
         seed: 5,
         settings,
     } = parse(&[START]).remove(0)
     else {
-        panic!("a start")
+        panic!("expected a start message")
     };
     assert_eq!(settings.classes.len(), 2);
     let keyed = Idempotency::Keyed {
@@ -48,19 +48,19 @@
     assert_eq!(
         settings.slow_start_overload_factor,
         Settings::default().slow_start_overload_factor,
-        "a missing setting has its default"
+        "a missing setting must have its default"
     );
 }
 
 #[test]
-fn every_field_of_a_request_is_read() {
+fn every_field_of_a_request_is_parsed() {
     let line = "submit who=3 request_id=c:x cls=log party=t1 object=17 valid_until_us=900 expected_us=12 options=7 odd=1";
     let Message::Event {
         instance: 3,
         event: Event::Request(request),
     } = parse(&[START, line]).remove(1)
     else {
-        panic!("a request")
+        panic!("expected a request")
     };
     assert_eq!(request.class, Some(ClassId(1)));
     assert_eq!(
@@ -72,16 +72,16 @@
 }
 
 #[test]
-fn every_field_of_an_outcome_is_read_and_an_unknown_result_counts_as_failed() {
+fn every_field_of_an_outcome_is_parsed_and_an_unknown_result_counts_as_failed() {
     let line = "returned who=1 request_id=r result=Miss info=2 hop=2 server=s:1 spent_us=70 finished=1 server_stats=avg_ms:1.5,cpu:0.25,waiting:2,new:1";
-    let odd = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
-    let messages = parse(&[line, odd]);
+    let unknown_result = "returned who=1 request_id=r result=Exploded hop=0 server=s:1";
+    let messages = parse(&[line, unknown_result]);
     let Message::Event {
         event: Event::AttemptEnded(outcome),
         ..
     } = &messages[0]
     else {
-        panic!("an outcome")
+        panic!("expected an outcome")
     };
     assert_eq!(
         (outcome.attempt, outcome.status, outcome.cache_result),
@@ -97,26 +97,26 @@
         }
     );
     assert!(
-        matches!(&messages[1], Message::Event { event: Event::AttemptEnded(o), .. } if o.status == Status::Failed)
+        matches!(&messages[1], Message::Event { event: Event::AttemptEnded(second), .. } if second.status == Status::Failed)
     );
 }
 
 #[test]
-fn an_endpoint_list_is_the_last_one_sent_under_its_number() {
+fn a_later_endpoint_list_replaces_the_list_with_the_same_number() {
     let entry = |id: &str| {
         format!("m server={id} region_part=x machine=std group=2 availability=U capacity_hint=1.5 born_us=0")
     };
     let (a, b) = (entry("a:1"), entry("b:1"));
-    let known = "peers_known who=3 how=replace bank=0 revision=1";
+    let snapshot = "peers_known who=3 how=replace bank=0 revision=1";
     let messages = parse(&[
         "roster bank=0 hosts=1",
         &a,
-        known,
+        snapshot,
         "roster bank=0 hosts=1",
         &b,
-        known,
+        snapshot,
         "roster bank=0 hosts=0",
-        known,
+        snapshot,
     ]);
     let ids: Vec<Vec<&str>> = messages
         .iter()
@@ -124,7 +124,7 @@
             Message::Event {
                 event: Event::Endpoints(EndpointUpdate::Snapshot(list)),
                 ..
-            } => list.iter().map(|e| e.id.as_str()).collect(),
+            } => list.iter().map(|endpoint| endpoint.id.as_str()).collect(),
             other => panic!("{other:?}"),
         })
         .collect();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_malformed_line_is_an_error_that_names_what_is_wrong() {
+fn a_malformed_line_is_an_error_that_names_the_fault() {
     for (lines, word) in [
         (vec!["tick"], "tick"),
         (vec!["tick t_us=soon"], "t_us"),
@@ -189,7 +189,7 @@
         let errors: Vec<String> = lines
             .iter()
             .filter_map(|line| parser.parse_line(line).err())
-            .map(|e| e.to_string())
+            .map(|error| error.to_string())
             .collect();
         assert_eq!(errors.len(), 1, "{lines:?}");
         assert!(
@@ -199,15 +199,15 @@
     }
 }
 
-/// Numbers that make no sense never reach the decision module: their defaults take their place.
+/// Numbers out of range must not reach the decision module; their defaults are used instead.
 #[test]
 fn numbers_out_of_range_count_as_absent() {
-    for bad in ["NaN", "inf", "-inf", "-0.5"] {
+    for invalid in ["NaN", "inf", "-inf", "-0.5"] {
         let start = format!(
             "power_on who=1 prng=1 lanes.count=1 lanes.0.name=a \
-             safety.cold_share={bad} safety.fall_multiple={bad}"
+             safety.cold_share={invalid} safety.fall_multiple={invalid}"
         );
-        let entry = format!("m server=s availability=U capacity_hint={bad}");
+        let entry = format!("m server=s availability=U capacity_hint={invalid}");
         let lines = [
             start.as_str(),
             "roster bank=0 hosts=1",
@@ -220,11 +220,11 @@
             ..
         } = messages.remove(1)
         else {
-            panic!("a list")
+            panic!("expected a snapshot")
         };
         assert_eq!(list[0].weight, 1.0);
         let Message::Start { settings, .. } = messages.remove(0) else {
-            panic!("a start")
+            panic!("expected a start message")
         };
         let default = Settings::default();
         assert_eq!(
@@ -241,11 +241,11 @@
     let Message::Start { settings, .. } =
         parse(&["power_on who=1 prng=1 safety.cold_share=2"]).remove(0)
     else {
-        panic!("a start")
+        panic!("expected a start message")
     };
     assert_eq!(
         settings.slow_start_min_capacity,
         Settings::default().slow_start_min_capacity,
-        "a part of the capacity is at most 1"
+        "a share of the capacity above 1 must count as absent"
     );
 }
--- a/crates/wire/tests/reply.rs
+++ b/crates/wire/tests/reply.rs
@@ -1,4 +1,4 @@
-//! Actions and failures written as the lines of a reply.
+//! Tests of the reply: actions and failures to lines.
 
 use slatelink_policy::{Action, BreakerScope, EndpointId, RequestId};
 use slatelink_wire::{write_action, write_failure};
@@ -7,13 +7,13 @@
 #[test]
 fn each_action_is_written_as_one_line() {
     let (id, server) = (RequestId::from("c:x"), EndpointId::from("s:1"));
-    let time = Duration::from_micros(250);
+    let duration = Duration::from_micros(250);
     for (action, line) in [
         (
             Action::Send {
                 id: id.clone(),
                 endpoint: server.clone(),
-                timeout: time,
+                timeout: duration,
                 begin_within: Duration::ZERO,
             },
             "send who=3 request_id=c:x server=s:1 allow_for_us=250\n",
@@ -30,13 +30,13 @@
         (
             Action::Shed {
                 id: id.clone(),
-                retry_after: time,
+                retry_after: duration,
             },
             "busy who=3 request_id=c:x hold_off_us=250\n",
         ),
         (Action::Fail { id }, "report_failure who=3 request_id=c:x\n"),
         (
-            Action::Wake { after: time },
+            Action::Wake { after: duration },
             "wake_at who=3 nonce=w sleep_for_us=250\n",
         ),
         (
