--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -102,7 +102,7 @@
 /// each direction.
 const MIN_DESCRIPTORS: usize = 32;
 
-/// Path of the file. A process keeps its environment, so a reload reads the same path.
+/// Holds the path of the file. A process keeps its environment, so a reload reads the same path.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
 /// Overrides the file's `name`.
 const NAME_VARIABLE: &str = "LB_NAME";
@@ -159,7 +159,7 @@
     })
 }
 
-/// Flattens nested JSON into pairs of path and value, the format of the simulator's wire.
+/// Appends nested JSON to `pairs` as pairs of path and value, the format of the simulator's wire.
 ///
 /// The parts of a path are joined by dots. A list of objects has a pair for its `count`, and its
 /// items are numbered from 0. Any other list is one value, joined by commas. A null has no pair.
--- a/crates/config/src/relay.rs
+++ b/crates/config/src/relay.rs
@@ -25,7 +25,7 @@
     /// The file cannot be read or does not have the expected format.
     #[error(transparent)]
     File(#[from] SettingsError),
-    /// The number of upstreams is zero or above the maximum.
+    /// The number of upstreams is not from 1 to the maximum.
     #[error("upstream has {0} addresses: expected 1 to {MAX_UPSTREAMS}")]
     Upstreams(usize),
     /// The lease, in milliseconds, is out of range.
@@ -40,7 +40,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
-    /// Addresses of discovery or of other relays, from 1 to 16. If one fails, the next is tried.
+    /// Addresses of discovery or of other relays, 1 to 16, in the order of attempts after a
+    /// failure.
     pub upstream: Vec<SocketAddr>,
     /// Address on which the relay serves nodes and other relays.
     pub listen: SocketAddr,
--- a/crates/config/tests/formats.rs
+++ b/crates/config/tests/formats.rs
@@ -178,7 +178,7 @@
     let availability: Vec<_> = list
         .endpoints
         .iter()
-        .map(|endpoint| endpoint.availability())
+        .map(|record| record.availability())
         .collect();
     let expected = [
         Availability::Ready,
--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -27,7 +27,7 @@
 const MIN_ACTIVE_CONNECTIONS: usize = 32;
 /// One in this many of the clients' descriptors is kept free for clients that are not connected
 /// yet. If fewer are free, connections are closed after their response.
-const UNCONNECTED_CLIENTS_DIVISOR: usize = 5;
+const FREE_CLIENT_DESCRIPTORS_DIVISOR: usize = 5;
 
 /// One in this many of the process's descriptors is reserved for clients: as many as clients use
 /// without other settings. The reserves for endpoints and the side port take precedence.
@@ -217,7 +217,7 @@
             .map(|percent| (usable * percent.get() / 100).max(1))
     };
     Ok(ConnectionLimits {
-        keep_alive_limit: (usable - usable / UNCONNECTED_CLIENTS_DIVISOR).max(1),
+        keep_alive_limit: (usable - usable / FREE_CLIENT_DESCRIPTORS_DIVISOR).max(1),
         idle_timeout: admission.idle_timeout(),
         per_address: admission.connections_per_address(),
         per_class: classes.iter().map(class_limit).collect(),
--- a/crates/node/src/connections.rs
+++ b/crates/node/src/connections.rs
@@ -116,7 +116,8 @@
     /// Waits for a descriptor for a connection accepted from this address.
     ///
     /// `evict_other_kind` closes a connection of another kind and returns `false` if it cannot.
-    /// Returns `None` if the address has reached its connection limit.
+    /// Returns `None` if the address has reached its connection limit and none of its connections
+    /// can be evicted.
     pub async fn admit(
         self: &Rc<Self>,
         stream: TcpStream,
@@ -151,14 +152,14 @@
     /// Waits for a descriptor. Clients keep their connections open, so idle connections could block
     /// all new clients: some are evicted during the wait.
     pub async fn lease(&self, evict_other_kind: impl Fn(ConnectionKind) -> bool) -> Lease {
-        let mut waiting = None;
+        let mut waiter = None;
         let mut polls_left = 0;
         loop {
             let shortage = match self.budget.lease(self.kind) {
                 Ok(lease) => return lease,
                 Err(shortage) => shortage,
             };
-            waiting.get_or_insert_with(|| WaiterGuard::new(self));
+            waiter.get_or_insert_with(|| WaiterGuard::new(self));
             if polls_left == 0 {
                 let evicted = match shortage {
                     LeaseError::OtherKind(kind) => {
--- a/crates/node/src/connections/handle.rs
+++ b/crates/node/src/connections/handle.rs
@@ -94,12 +94,12 @@
         self.table().on_parked(self.id);
         self.manager.wake_awaiting_memory();
         let mut read_ahead = self.socket.read_ahead.borrow_mut();
-        let later = read_ahead.split();
+        let following_bytes = read_ahead.split();
         // Copies the bytes to a buffer of exact size: a slice of either old buffer would keep the
         // whole allocation alive.
-        *read_ahead = BytesMut::with_capacity(unread.len() + later.len());
+        *read_ahead = BytesMut::with_capacity(unread.len() + following_bytes.len());
         read_ahead.extend_from_slice(unread);
-        read_ahead.extend_from_slice(&later);
+        read_ahead.extend_from_slice(&following_bytes);
     }
 
     /// Returns whether the client has sent more bytes ahead of a response than are kept. No further
@@ -207,7 +207,7 @@
                 if Pin::new(&mut *http_connection).poll(cx).is_ready() {
                     return Poll::Ready(DriveOutcome::Closed);
                 }
-                // hyper detects the end of the client's stream only if it has not read further
+                // hyper detects the end of the client's stream only while it has read no further
                 // bytes.
                 if self.is_in_phase(Phase::Processing) && self.poll_client_has_disconnected(cx) {
                     return Poll::Ready(DriveOutcome::Closed);
--- a/crates/node/src/connections/socket.rs
+++ b/crates/node/src/connections/socket.rs
@@ -13,7 +13,7 @@
 /// closed. A client that sends more gets the response to the open request and no further one: the
 /// remaining bytes are read and discarded.
 pub const MAX_READ_AHEAD_BYTES: usize = 8 << 10;
-/// Number of consecutive reads before the task yields to other connections.
+/// Maximum number of consecutive reads before the task yields to other connections.
 const MAX_READS: usize = 8;
 
 /// A client's socket and its state, shared by hyper's part of the connection and the handle.
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -194,7 +194,7 @@
         match action {
             Action::Send { id, endpoint, .. } => {
                 self.attempts += 1;
-                self.policy.enqueue(served(id, endpoint));
+                self.policy.enqueue(served_attempt(id, endpoint));
             }
             Action::Wake { after } => self.wake_timers.schedule(Instant::now() + after, ()),
             Action::PollDiscovery => self.poll_requested.notify_one(),
@@ -208,7 +208,7 @@
 }
 
 /// Returns the successful end of a request's first attempt; there is no second attempt.
-fn served(id: RequestId, endpoint: EndpointId) -> Event {
+fn served_attempt(id: RequestId, endpoint: EndpointId) -> Event {
     Event::AttemptEnded(Outcome {
         id,
         attempt: 0,
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -28,7 +28,7 @@
 /// s, until the client side has noticed that the node is not ready.
 const DRAINING_TIME: Duration = Duration::from_millis(500);
 /// Added to the signal number in the exit code of a process ended by a signal.
-const SIGNALED_EXIT_CODE: u8 = 128;
+const SIGNAL_EXIT_CODE_BASE: u8 = 128;
 
 /// Stage of the node's graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -74,6 +74,6 @@
     if signal == StopSignal::TERMINATE {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(SIGNALED_EXIT_CODE + signal.number)
+        ExitCode::from(SIGNAL_EXIT_CODE_BASE + signal.number)
     }
 }
--- a/crates/node/src/startup.rs
+++ b/crates/node/src/startup.rs
@@ -75,11 +75,12 @@
     ports.push(node.serve_clients(listeners.clients));
 
     let log = &node.telemetry.log;
-    let graceful = shut_down_gracefully(signals.terminate, &config.name, &stage_sender, ports, log);
+    let graceful_shutdown =
+        shut_down_gracefully(signals.terminate, &config.name, &stage_sender, ports, log);
     let stopped_by = tokio::select! {
         biased;
         never = discovery_client => match never {},
-        ended = graceful => ended.map(|()| StopSignal::TERMINATE)?,
+        ended = graceful_shutdown => ended.map(|()| StopSignal::TERMINATE)?,
         signal = wait_for_termination(termination_signals) => signal,
     };
     node.telemetry.shut_down(stopped_by).await;
--- a/crates/wire/src/fields.rs
+++ b/crates/wire/src/fields.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// Maximum number of characters of a line shown in an error.
-const MAX_SHOWN: usize = 200;
+const MAX_SHOWN_CHARS: usize = 200;
 
 /// The fields of a line.
 pub(crate) struct Fields<'a> {
@@ -89,7 +89,7 @@
 
     /// Returns the start of the line, for an error.
     pub(crate) fn shown_line(&self) -> String {
-        self.line.chars().take(MAX_SHOWN).collect()
+        self.line.chars().take(MAX_SHOWN_CHARS).collect()
     }
 
     fn missing(&self, name: &str) -> WireError {
--- a/crates/wire/src/load.rs
+++ b/crates/wire/src/load.rs
@@ -7,7 +7,7 @@
 /// value.
 ///
 /// The names are those of the simulator's wire and those of the endpoints' HTTP header, which have
-/// the same meaning. A value that is negative or not a finite number counts as absent; unknown
+/// the same meaning. A value that is not a finite number of at least 0 counts as absent; unknown
 /// names are skipped.
 pub fn read_load(text: &str, separator: char) -> LoadReport {
     let mut report = LoadReport::default();
--- a/crates/wire/tests/adapter.rs
+++ b/crates/wire/tests/adapter.rs
@@ -31,9 +31,9 @@
          peers_known who=3 how=restored bank=0 revision=1\n\
          submit who=3 request_id=c:x cls=read object=4 valid_until_us=400010\nsubmit who=9 request_id=c:y valid_until_us=9\nyour_turn\n"
     );
-    let output = run_adapter(&batch);
-    assert!(output.status.success());
-    let text = String::from_utf8(output.stdout).expect("the reply is not UTF-8");
+    let process_output = run_adapter(&batch);
+    assert!(process_output.status.success());
+    let text = String::from_utf8(process_output.stdout).expect("the reply is not UTF-8");
     assert!(
         text.starts_with("ack\n") && text.ends_with("ack\n"),
         "{text}"
@@ -50,11 +50,11 @@
 
 #[test]
 fn adapter_fails_on_a_malformed_line_without_a_reply_to_its_batch() {
-    let output =
+    let process_output =
         run_adapter("tick t_us=1\nyour_turn\ntick t_us=2\nsubmit who=1 request_id=r\nyour_turn\n");
-    assert!(!output.status.success());
-    assert_eq!(String::from_utf8_lossy(&output.stdout), "ack\n");
-    let errors = String::from_utf8_lossy(&output.stderr);
+    assert!(!process_output.status.success());
+    assert_eq!(String::from_utf8_lossy(&process_output.stdout), "ack\n");
+    let errors = String::from_utf8_lossy(&process_output.stderr);
     assert_eq!(errors.lines().count(), 1, "{errors}");
     assert!(
         errors.contains("valid_until_us") && errors.contains("submit who=1"),
