--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -1,20 +1,21 @@
-//! One budget of descriptors and bytes of memory for everything that a node holds open.
+//! A budget of descriptors and memory, in bytes, shared by all connections of a node.
 //!
-//! Each kind of connection has a reserved number of descriptors that the other kinds cannot take. The descriptors
-//! beyond the reservations go to whoever asks first, up to each kind's limit. Bytes are one shared amount.
+//! Each kind of connection has reserved descriptors that other kinds cannot lease. Unreserved
+//! descriptors are leased first come, first served, up to the limit of each kind. Bytes are not
+//! divided by kind.
 
 use std::cell::RefCell;
 use std::fmt;
 use std::rc::Rc;
 
-/// The kind of connection that a descriptor is used for.
+/// Purpose of a connection, which determines its quota of descriptors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionKind {
-    /// Connections of clients.
+    /// Connections from clients.
     Client,
     /// Connections to endpoints.
     Upstream,
-    /// Connections to the node's ports beside the one for clients.
+    /// Connections to the node's ports other than the client port.
     SidePort,
 }
 
@@ -24,43 +25,45 @@
     pub const ALL: [Self; Self::COUNT] = [Self::Client, Self::Upstream, Self::SidePort];
 }
 
-/// The descriptors that one kind of connection may hold.
+/// Bounds of the descriptors that one kind of connection may hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Quota {
-    /// Descriptors that no other kind can take.
+    /// Descriptors that no other kind can lease.
     pub reserved: usize,
-    /// Descriptors that the kind may hold at most, `reserved` or more.
+    /// Maximum number of descriptors; at least `reserved`.
     pub limit: usize,
 }
 
-/// What is leased at present.
+/// Leased descriptors and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Descriptors by kind, in the order of [`ConnectionKind::ALL`].
     pub descriptors: [usize; ConnectionKind::COUNT],
-    /// Bytes of all kinds together.
+    /// Bytes leased by all kinds.
     pub bytes: usize,
 }
 
-/// Why no descriptor was leased, and so which kind of connection should give one up.
+/// Reason why a descriptor was not leased; names the kind that should close a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseError {
-    /// The kind that asked is at its limit, or no other kind exceeds its reservation by more: one of its own
-    /// connections should be closed.
+    /// The requesting kind is at its limit, or no other kind exceeds its reservation by more: the
+    /// requesting kind should close a connection.
     OwnLimit,
-    /// This other kind exceeds its reservation by more than the one that asked: one of its connections should be
-    /// closed.
+    /// The named kind exceeds its reservation by more than the requesting kind: the named kind
+    /// should close a connection.
     OtherKind(ConnectionKind),
 }
 
 impl fmt::Display for LeaseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::OwnLimit => f.write_str("no descriptor is free, and this kind holds its part"),
+            Self::OwnLimit => {
+                f.write_str("no free descriptor; no other kind of connection has to release one")
+            }
             Self::OtherKind(kind) => {
                 write!(
                     f,
-                    "no descriptor is free, and {kind:?} holds most beyond its reservation"
+                    "no free descriptor; {kind:?} connections exceed their reservation by most"
                 )
             }
         }
@@ -78,29 +81,31 @@
 }
 
 impl State {
-    /// Descriptors that a kind holds beyond its reservation.
-    fn unreserved(&self, kind: ConnectionKind) -> usize {
+    /// Returns the number of descriptors that a kind holds beyond its reservation.
+    fn held_beyond_reservation(&self, kind: ConnectionKind) -> usize {
         let held = self.usage.descriptors[kind as usize];
         held.saturating_sub(self.quotas[kind as usize].reserved)
     }
 
-    /// Whether the descriptors that no kind has reserved are all taken.
+    /// Checks whether all unreserved descriptors are leased.
     fn shared_descriptors_exhausted(&self) -> bool {
         let reserved: usize = self.quotas.iter().map(|quota| quota.reserved).sum();
-        let taken: usize = ConnectionKind::ALL
+        let shared_in_use: usize = ConnectionKind::ALL
             .into_iter()
-            .map(|kind| self.unreserved(kind))
+            .map(|kind| self.held_beyond_reservation(kind))
             .sum();
-        taken >= self.max_descriptors - reserved
+        shared_in_use >= self.max_descriptors - reserved
     }
 
-    /// The kind that should give up a descriptor to `kind`, where the shared ones are all taken.
-    fn shortage(&self, kind: ConnectionKind) -> LeaseError {
+    /// Returns the error for `kind` when all unreserved descriptors are leased.
+    fn shared_shortage(&self, kind: ConnectionKind) -> LeaseError {
         ConnectionKind::ALL
             .into_iter()
             .filter(|other| *other != kind)
-            .max_by_key(|other| self.unreserved(*other))
-            .filter(|other| self.unreserved(*other) > self.unreserved(kind))
+            .max_by_key(|other| self.held_beyond_reservation(*other))
+            .filter(|other| {
+                self.held_beyond_reservation(*other) > self.held_beyond_reservation(kind)
+            })
             .map_or(LeaseError::OwnLimit, LeaseError::OtherKind)
     }
 
@@ -111,20 +116,21 @@
             return Err(LeaseError::OwnLimit);
         }
         if held >= quota.reserved && self.shared_descriptors_exhausted() {
-            return Err(self.shortage(kind));
+            return Err(self.shared_shortage(kind));
         }
         Ok(())
     }
 }
 
-/// A budget of descriptors and bytes; clones share it.
+/// A budget of descriptors and bytes; clones share its state.
 #[derive(Clone, Debug)]
 pub struct Budget(Rc<RefCell<State>>);
 
 impl Budget {
-    /// A budget with the quotas of each kind, in the order of [`ConnectionKind::ALL`].
+    /// Creates a budget with the quotas of each kind, in the order of [`ConnectionKind::ALL`].
     ///
-    /// `None` where the reservations add up to more than `max_descriptors`, or one exceeds its own limit.
+    /// Returns `None` if the sum of the reservations exceeds `max_descriptors`, or if a reservation
+    /// exceeds its own limit.
     pub fn new(
         max_descriptors: usize,
         quotas: [Quota; ConnectionKind::COUNT],
@@ -145,12 +151,13 @@
         }))))
     }
 
-    /// What is leased at present.
+    /// Returns the leased descriptors and bytes.
     pub fn usage(&self) -> Usage {
         self.0.borrow().usage
     }
 
-    /// The most descriptors that a kind can ever hold: those that the others have not reserved, up to its own limit.
+    /// Returns the maximum number of descriptors that a kind can ever hold: all descriptors that
+    /// are not reserved for other kinds, up to its own limit.
     pub fn max_descriptors(&self, kind: ConnectionKind) -> usize {
         let state = self.0.borrow();
         let reserved_by_others: usize = ConnectionKind::ALL
@@ -162,7 +169,8 @@
         limit.min(state.max_descriptors - reserved_by_others)
     }
 
-    /// Leases a descriptor for a connection of this kind, until the lease is dropped.
+    /// Leases a descriptor for a connection of this kind. Dropping the lease releases the
+    /// descriptor.
     pub fn lease(&self, kind: ConnectionKind) -> Result<Lease, LeaseError> {
         let state = &mut *self.0.borrow_mut();
         state.check_lease(kind)?;
@@ -175,7 +183,7 @@
     }
 }
 
-/// A descriptor of a budget, and the bytes that its connection uses; both are given back on drop.
+/// Lease of a descriptor and of the bytes that its connection uses; both are released on drop.
 #[derive(Debug)]
 pub struct Lease {
     budget: Budget,
@@ -184,10 +192,10 @@
 }
 
 impl Lease {
-    /// Changes the bytes that the lease holds to this number.
+    /// Changes the number of leased bytes to `bytes`.
     ///
-    /// `false` where the budget does not have as many; the lease then holds what it held before. Fewer bytes than
-    /// before always succeed.
+    /// Returns `false` and leaves the lease unchanged if the increase exceeds the budget. A
+    /// decrease always succeeds.
     pub fn try_set_bytes(&mut self, bytes: usize) -> bool {
         let state = &mut *self.budget.0.borrow_mut();
         let held_by_others = state.usage.bytes - self.bytes;
--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -1,8 +1,9 @@
-//! The table of a port's connections: the phase of each, its timeouts, and which ones close when descriptors or memory
-//! run out.
+//! The table of a port's connections: their phases and timeouts, and the choice of connections to
+//! close when descriptors or memory run out.
 //!
-//! The owner of a connection reports its events (`on_...`), and carries out its [`Directive`] whenever the table names
-//! it as one to be woken. Every event takes constant time, whatever the number of connections.
+//! The owner of a connection reports its events (`on_...`), and follows its [`Directive`] whenever
+//! the table returns the connection as one to be woken. Each event takes constant time, whatever
+//! the number of connections.
 
 mod closing;
 mod events;
@@ -29,60 +30,60 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// Identifies a connection in the table; reused once the connection is removed.
+/// Identifier of a connection in the table; reused after the connection is removed.
 pub type ConnectionId = u32;
 
-/// The one list of [`ConnectionTable::awaiting_memory`].
+/// Index of the only list of [`ConnectionTable::awaiting_memory`].
 const AWAITING_MEMORY: usize = 0;
 
 /// A connection in the table.
 #[derive(Debug)]
 struct Entry {
     lease: Lease,
-    /// When it entered its phase.
+    /// Time at which the connection entered its phase.
     phase_since: Duration,
-    /// Its client's address, where connections by address are bounded.
+    /// Address of the client; `None` if connections per address are not limited.
     address: Option<IpAddr>,
-    /// The class of its request in flight.
+    /// Class of the request in flight.
     class: Option<u16>,
-    /// Bytes arrived before the last response was written: the next request has begun.
+    /// Whether bytes of the next request were read before the current response was written.
     next_request_begun: bool,
-    /// [`Directive::Park`] is to be passed to its owner.
+    /// Whether [`Directive::Park`] has to be returned to the owner.
     park_requested: bool,
-    /// Set once it is decided that it closes.
+    /// Set when the table decides to close the connection.
     closing: Option<Closing>,
 }
 
-/// The table of a port's connections. Times count from an origin of the caller's choice.
+/// The table of a port's connections. Times are relative to an origin chosen by the caller.
 #[derive(Debug)]
 pub struct ConnectionTable {
     limits: ConnectionLimits,
-    /// By id; `None` for those in `free_ids`.
+    /// Entries by id; `None` for the ids in `free_ids`.
     entries: Vec<Option<Entry>>,
     free_ids: Vec<ConnectionId>,
-    /// A list for each phase, the connection that entered it first at the head.
+    /// One list per phase, ordered by the time at which the connections entered the phase.
     phases: LinkedLists,
     timers: TimerWheel,
-    /// Addresses that have connections; empty where connections by address are not bounded.
+    /// Addresses with open connections; empty if connections per address are not limited.
     addresses: HashMap<IpAddr, AddressUsage>,
-    /// A list for each address, its longest idle connection at the head.
+    /// One list per address, with the longest idle connection first.
     idle_by_address: LinkedLists,
-    /// Lists of `idle_by_address` that belong to no address.
+    /// Indexes of lists in `idle_by_address` that are assigned to no address.
     free_idle_lists: Vec<usize>,
-    /// Requests in flight by class number.
+    /// Number of requests in flight, by class number.
     in_flight_by_class: Vec<usize>,
-    /// Buffer for the timers that fire; kept for its allocation.
+    /// Buffer for fired timers, kept to reuse its allocation.
     fired: Vec<ConnectionId>,
-    /// Accepted connections that wait for a descriptor.
+    /// Number of accepted connections that wait for a descriptor.
     waiting: usize,
-    /// One list: connections that have bytes to be read and no memory to read them with.
+    /// One list: connections that have bytes to be read but no memory to read them into.
     awaiting_memory: LinkedLists,
     closed: [u64; CloseCause::ALL.len()],
     refused: [u64; CloseCause::ALL.len()],
 }
 
 impl ConnectionTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: ConnectionLimits) -> Self {
         Self {
             limits,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The counts at present.
+    /// Returns the current counts of connections.
     pub fn stats(&self) -> ConnectionStats {
         ConnectionStats {
             phases: Phase::ALL.map(|phase| self.phases.len(phase as usize)),
@@ -112,17 +113,17 @@
         }
     }
 
-    /// Number of connections.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.entries.len() - self.free_ids.len()
     }
 
-    /// Whether the table has no connections.
+    /// Checks whether the table has no connections.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// All connections, in the order of their ids.
+    /// Iterates over all connections in the order of their ids.
     pub fn ids(&self) -> impl Iterator<Item = ConnectionId> + '_ {
         (0..)
             .zip(&self.entries)
@@ -130,7 +131,8 @@
             .map(|(id, _)| id)
     }
 
-    /// The phase of a connection; [`Phase::AwaitingFirstByte`] for one that is not in the table.
+    /// Returns the phase of a connection; [`Phase::AwaitingFirstByte`] for an id that is not in the
+    /// table.
     pub fn phase(&self, id: ConnectionId) -> Phase {
         self.phases
             .list_of(id)
@@ -139,7 +141,8 @@
 
     /// Adds a connection that was accepted from this address.
     pub fn insert(&mut self, now: Duration, address: IpAddr, mut lease: Lease) -> ConnectionId {
-        // A socket's memory is counted where it fits, and too little to refuse the connection for.
+        // The memory of a socket is counted if the budget allows; the amount is too small to refuse
+        // the connection for.
         lease.try_set_bytes(self.limits.parked_bytes);
         let address = self.limits.per_address.map(|_| address);
         if let Some(address) = address {
@@ -160,7 +163,8 @@
         id
     }
 
-    /// Removes a connection that is closed, and gives its lease back. Does nothing for one that is not in the table.
+    /// Removes a closed connection and releases its lease. Does nothing for an id that is not in
+    /// the table.
     pub fn remove(&mut self, id: ConnectionId) {
         let Some(entry) = self.entries.get_mut(id as usize).and_then(Option::take) else {
             return;
@@ -180,7 +184,7 @@
         self.free_ids.push(id);
     }
 
-    /// An id that no connection has.
+    /// Returns an unused id.
     fn allocate_id(&mut self) -> ConnectionId {
         self.free_ids.pop().unwrap_or_else(|| {
             self.entries.push(None);
--- a/crates/admission/src/connections/closing.rs
+++ b/crates/admission/src/connections/closing.rs
@@ -1,35 +1,39 @@
-//! How a connection closes: for which cause, and what its owner has to do.
+//! Closing of connections: the cause, and the directive to the owner.
 
 use super::{ConnectionId, ConnectionTable, Phase};
 
-/// Why a connection was closed or refused, or a request shed.
+/// Cause of a closed or refused connection, or of a shed request.
 ///
-/// The discriminants are the positions of [`ConnectionStats::closed`](super::ConnectionStats::closed) and
+/// The discriminants are the positions in
+/// [`ConnectionStats::closed`](super::ConnectionStats::closed) and
 /// [`ConnectionStats::refused`](super::ConnectionStats::refused).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CloseCause {
-    /// The client closed it or violated HTTP.
+    /// The client closed the connection or violated HTTP.
     ClosedByClient,
-    /// No byte arrived in time after the accept.
+    /// No byte arrived within the timeout after the accept.
     FirstByteTimeout,
-    /// A request was not complete in time after its first byte.
+    /// A request was not complete within the timeout after its first byte.
     RequestTimeout,
-    /// The client did not read its response in time.
+    /// The client did not read its response within the timeout.
     ResponseWriteTimeout,
-    /// It was idle for [`ConnectionLimits::idle_timeout`](super::ConnectionLimits::idle_timeout).
+    /// The connection was idle for
+    /// [`ConnectionLimits::idle_timeout`](super::ConnectionLimits::idle_timeout).
     IdleTimeout,
-    /// It was evicted so that another connection gets its descriptor.
+    /// The connection was evicted to free its descriptor for another connection.
     Evicted,
-    /// Its response closed it, since [`ConnectionLimits::keep_alive_limit`](super::ConnectionLimits::keep_alive_limit)
-    /// or more connections were in use or connections waited for a descriptor.
+    /// The connection closed with its response, because the number of connections in use had
+    /// reached [`ConnectionLimits::keep_alive_limit`](super::ConnectionLimits::keep_alive_limit) or
+    /// connections waited for a descriptor.
     KeepAliveLimit,
-    /// Its address has reached its connection quota.
+    /// The client address has reached its connection quota.
     AddressQuota,
-    /// There was no memory to read what it sent.
+    /// No memory was available to read the bytes that the client sent.
     MemoryLimit,
-    /// The node shuts down.
+    /// The node is shutting down.
     Shutdown,
-    /// The class of a request has reached its quota of requests in flight: the request is shed, the connection stays open.
+    /// The class of a request has reached its quota of requests in flight: the request is shed, and
+    /// the connection stays open.
     ClassQuota,
 }
 
@@ -49,7 +53,8 @@
         Self::ClassQuota,
     ];
 
-    /// Value of the metrics' `cause` tag: stored names, which differ from those of the variants.
+    /// Returns the value of the `cause` tag in metrics. The tag values are stored names and differ
+    /// from the variant names.
     pub const fn label(self) -> &'static str {
         match self {
             Self::ClosedByClient => "client",
@@ -67,31 +72,32 @@
     }
 }
 
-/// What the owner of a connection has to do with it.
+/// Instruction to the owner of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Directive {
-    /// Go on.
+    /// Continue without change.
     Continue,
-    /// Release everything but the socket, then call [`ConnectionTable::on_parked`].
+    /// Release everything except the socket, then call [`ConnectionTable::on_parked`].
     Park,
-    /// Answer the request that the node has read, if any, and close.
+    /// Answer the request that the node has read, if any, then close.
     Finish,
-    /// Close at once.
+    /// Close immediately.
     Abort,
 }
 
-/// The close that was decided for a connection.
+/// Cause and directive of a connection that is to close.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Closing {
-    /// The first cause that was given.
+    /// First cause that was recorded.
     pub(super) cause: CloseCause,
-    /// The last directive given. [`Directive::Abort`] takes precedence over later ones, but becomes [`Directive::Finish`] if
-    /// a request is read to its end first.
+    /// Last directive that was recorded. [`Directive::Abort`] takes precedence over later
+    /// directives, but becomes [`Directive::Finish`] if a request is read completely first.
     pub(super) directive: Directive,
 }
 
 impl ConnectionTable {
-    /// What the owner of a connection has to do now. [`Directive::Park`] is returned once for each request to park.
+    /// Returns the current directive for the owner of a connection. [`Directive::Park`] is returned
+    /// once for each request to park.
     pub fn directive(&mut self, id: ConnectionId) -> Directive {
         let phase = self.phase(id);
         let Some(entry) = self.entry_mut(id) else {
@@ -100,7 +106,7 @@
         if let Some(closing) = entry.closing {
             return closing.directive;
         }
-        // Out of date where a request has arrived since parking was requested.
+        // The request to park is obsolete if a request has arrived in the meantime.
         let park_requested = std::mem::take(&mut entry.park_requested);
         if park_requested && phase == Phase::Idle {
             Directive::Park
@@ -109,8 +115,8 @@
         }
     }
 
-    /// Whether the descriptor of a closed connection may be held for a moment, for a client that still reads: not where
-    /// it closed so that another connection gets the descriptor.
+    /// Checks whether a closed connection may briefly keep its descriptor while its client still
+    /// reads. `false` if the connection was closed to free the descriptor.
     pub fn may_linger(&self, id: ConnectionId) -> bool {
         let closing = self.entry(id).and_then(|entry| entry.closing.as_ref());
         closing.is_none_or(|closing| {
@@ -121,8 +127,9 @@
         })
     }
 
-    /// Closes a connection for this cause: at once while it reads a request or writes a response, else after the
-    /// response to its request. At shutdown, requests and responses in progress are completed too.
+    /// Closes a connection for this cause: immediately while it reads a request or writes a
+    /// response, otherwise after the response to its request. On shutdown, requests and responses
+    /// in progress are also completed.
     pub fn close(&mut self, id: ConnectionId, cause: CloseCause) {
         let in_progress = matches!(
             self.phase(id),
@@ -136,7 +143,8 @@
         self.set_closing(id, cause, directive);
     }
 
-    /// Records that a connection closes. The first cause is kept, and no other directive takes the place of an abort.
+    /// Records that a connection closes. The first cause is kept, and an abort is not replaced by
+    /// another directive.
     pub(super) fn set_closing(
         &mut self,
         id: ConnectionId,
--- a/crates/admission/src/connections/events.rs
+++ b/crates/admission/src/connections/events.rs
@@ -1,13 +1,13 @@
-//! The events of a connection's requests, from their first byte to the end of their response.
+//! Events of a connection's requests, from the first byte to the end of the response.
 
 use super::{ConnectionId, ConnectionTable, Directive, Phase, AWAITING_MEMORY};
 use std::time::Duration;
 
 impl ConnectionTable {
-    /// Bytes were read from a connection.
+    /// Records that bytes were read from a connection.
     pub fn on_bytes_read(&mut self, now: Duration, id: ConnectionId) {
         match self.phase(id) {
-            // No new timeout: that of the first request counts from the accept.
+            // No new timeout: the timeout of the first request starts at the accept.
             Phase::AwaitingFirstByte => {
                 self.phases.push_back(Phase::ReadingRequest as usize, id);
             }
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The head of a request was read; its body may follow.
+    /// Records that the head of a request was read; its body may follow.
     pub fn on_request_head(&mut self, now: Duration, id: ConnectionId) {
         if let Some(entry) = self.entry_mut(id) {
             entry.next_request_begun = false;
@@ -35,13 +35,15 @@
         }
     }
 
-    /// A request of this class was read to its end. Whether the class now exceeds its quota of requests in flight,
-    /// which has to be reported to the decision module.
+    /// Records that a request of this class was read completely. Returns whether the class now
+    /// exceeds its quota of requests in flight, which the caller has to report to the decision
+    /// module.
     pub fn on_request(&mut self, now: Duration, id: ConnectionId, class: usize) -> bool {
         self.enter_phase(now, id, Phase::Processing);
         if let Some(entry) = self.entry_mut(id) {
             entry.class = u16::try_from(class).ok();
-            // Its timeout may have passed while the last bytes were read: a request that is complete is answered.
+            // The request timeout may have passed while the last bytes were read; a complete
+            // request is still answered.
             if let Some(closing) = &mut entry.closing {
                 if closing.directive == Directive::Abort {
                     closing.directive = Directive::Finish;
@@ -51,7 +53,7 @@
         self.add_to_class(class)
     }
 
-    /// The response to the request is ready, and is going to be written.
+    /// Records that the response to the request is ready and about to be written.
     pub fn on_response(&mut self, now: Duration, id: ConnectionId) {
         let active_bytes = self.limits.active_bytes;
         let class = self.entry_mut(id).and_then(|entry| {
@@ -62,7 +64,7 @@
         self.enter_phase(now, id, Phase::WritingResponse);
     }
 
-    /// Everything that was to be written is written.
+    /// Records that all pending output has been written.
     pub fn on_flushed(&mut self, now: Duration, id: ConnectionId) {
         if self.phase(id) != Phase::WritingResponse {
             return;
@@ -81,7 +83,7 @@
         self.enter_phase(now, id, phase);
     }
 
-    /// Moves a connection to a phase, and sets its timeout.
+    /// Moves a connection to a phase and sets the timeout of the phase.
     pub(super) fn enter_phase(&mut self, now: Duration, id: ConnectionId, phase: Phase) {
         let Some(entry) = self.entry_mut(id) else {
             return;
--- a/crates/admission/src/connections/limits.rs
+++ b/crates/admission/src/connections/limits.rs
@@ -1,36 +1,37 @@
-//! The limits of a connection table, and the counts that it reports.
+//! Limits of a connection table, and the counts that it reports.
 
 use super::{CloseCause, Phase};
 use std::time::Duration;
 
-/// The limits of a connection table.
+/// Limits of a connection table.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionLimits {
-    /// With this many connections in use (processing, writing a response or idle), a connection closes with its
-    /// response, so that other clients get a descriptor.
+    /// Number of connections in use (processing, writing a response or idle) from which connections
+    /// close with their response, to free descriptors for other clients.
     pub keep_alive_limit: usize,
-    /// An idle connection closes after this time.
+    /// Time after which an idle connection closes.
     pub idle_timeout: Duration,
-    /// Connections that one client address may have; `None` for any number.
+    /// Maximum number of connections per client address; `None` for no limit.
     pub per_address: Option<usize>,
-    /// Requests in flight that each class may have, by the class's number; `None` for any number, as for classes past
-    /// the end.
+    /// Maximum number of requests in flight per class, by class number; no limit for `None` and for
+    /// classes past the end.
     pub per_class: Vec<Option<usize>>,
-    /// Bytes of memory that a connection in use is counted as.
+    /// Bytes of memory charged for a connection in use.
     pub active_bytes: usize,
-    /// Bytes of memory that a connection is counted as that holds nothing but its socket.
+    /// Bytes of memory charged for a connection that holds only its socket.
     pub parked_bytes: usize,
 }
 
 /// Counts of a table's connections.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ConnectionStats {
-    /// Connections in each phase at present, in the order of [`Phase::ALL`].
+    /// Current number of connections in each phase, in the order of [`Phase::ALL`].
     pub phases: [usize; Phase::ALL.len()],
-    /// Accepted connections that wait for a descriptor at present.
+    /// Current number of accepted connections that wait for a descriptor.
     pub waiting: usize,
-    /// Connections closed since the start, in the order of [`CloseCause::ALL`].
+    /// Number of connections closed since the start, in the order of [`CloseCause::ALL`].
     pub closed: [u64; CloseCause::ALL.len()],
-    /// Connections refused and requests shed since the start, in the order of [`CloseCause::ALL`].
+    /// Number of connections refused and requests shed since the start, in the order of
+    /// [`CloseCause::ALL`].
     pub refused: [u64; CloseCause::ALL.len()],
 }
--- a/crates/admission/src/connections/memory.rs
+++ b/crates/admission/src/connections/memory.rs
@@ -1,31 +1,34 @@
-//! Memory of connections: what each is counted as, and which ones wait for memory to be read with.
+//! Memory of connections: the bytes charged for each, and the queue of connections that wait for
+//! memory to read.
 
 use super::eviction::MAX_SCANNED;
 use super::{CloseCause, ConnectionId, ConnectionTable, Phase, AWAITING_MEMORY};
 use std::fmt;
 use std::time::Duration;
 
-/// There is no memory to read from a connection; it waits until some is given back.
+/// No memory is available to read from a connection, which waits until some is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryShortage {
-    /// The idle connection that is to give up its buffers by [`Directive::Park`](super::Directive::Park), and has to be
-    /// woken; `None` where none can.
+    /// Idle connection that has to release its buffers on
+    /// [`Directive::Park`](super::Directive::Park); its owner has to be woken. `None` if no
+    /// connection can be parked.
     pub parking: Option<ConnectionId>,
 }
 
 impl fmt::Display for MemoryShortage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("there is no memory to read from the connection")
+        f.write_str("no memory is available to read from the connection")
     }
 }
 
 impl std::error::Error for MemoryShortage {}
 
 impl ConnectionTable {
-    /// Bytes have arrived on a connection: reserves the memory to read them with.
+    /// Reserves the memory to read bytes that have arrived on a connection.
     ///
-    /// Without memory the connection has to ask again when [`next_awaiting_memory`](Self::next_awaiting_memory) names
-    /// it, and is closed when it got none within the time for a request.
+    /// On failure, the connection has to try again when
+    /// [`next_awaiting_memory`](Self::next_awaiting_memory) returns it. It is closed if it gets no
+    /// memory within the request timeout.
     pub fn on_readable(&mut self, now: Duration, id: ConnectionId) -> Result<(), MemoryShortage> {
         let active_bytes = self.limits.active_bytes;
         let Some(entry) = self.entry_mut(id) else {
@@ -43,7 +46,8 @@
         Err(MemoryShortage { parking })
     }
 
-    /// Requests that the longest idle connection other than `id` is parked, if one is idle whose parking is not requested yet.
+    /// Requests parking of the longest idle connection other than `id` whose parking is not already
+    /// requested.
     fn request_parking(&mut self, id: ConnectionId) -> Option<ConnectionId> {
         let found = self
             .phases
@@ -57,9 +61,10 @@
         Some(found)
     }
 
-    /// Reserves this many bytes for a request, beside those of a connection in use, until its response.
+    /// Reserves `bytes` for a request until its response, in addition to the bytes of a connection
+    /// in use.
     ///
-    /// `false` where there is no memory for them; the request is then to be shed.
+    /// Returns `false` if the budget has no memory for the request, which is then to be shed.
     pub fn reserve_request_bytes(&mut self, id: ConnectionId, bytes: usize) -> bool {
         let bytes = self.limits.active_bytes.saturating_add(bytes);
         let reserved = self
@@ -69,7 +74,7 @@
         reserved
     }
 
-    /// A connection has released everything but its socket.
+    /// Records that a connection has released everything except its socket.
     pub fn on_parked(&mut self, id: ConnectionId) {
         if self.phase(id).is_idle() {
             self.phases.push_back(Phase::Parked as usize, id);
@@ -81,11 +86,11 @@
         }
     }
 
-    /// Memory was given back: the connection that has waited for some longest. It has to be woken, and calls
-    /// [`on_readable`](Self::on_readable) again.
+    /// Returns the connection that has waited longest for memory, after memory was released. Its
+    /// owner has to be woken and calls [`on_readable`](Self::on_readable) again.
     pub fn next_awaiting_memory(&mut self) -> Option<ConnectionId> {
         let next = self.awaiting_memory.first(AWAITING_MEMORY)?;
-        // To the back: should it get none, the next memory that is given back goes to another one.
+        // Moved to the back: if the connection gets no memory, the next release wakes another one.
         self.awaiting_memory.push_back(AWAITING_MEMORY, next);
         Some(next)
     }
--- a/crates/admission/src/connections/phase.rs
+++ b/crates/admission/src/connections/phase.rs
@@ -1,22 +1,24 @@
-//! The phases of a client connection.
+//! Phases of a client connection.
 
-/// What a client connection is doing.
+/// Phase of a client connection.
 ///
-/// The discriminants are the positions of [`ConnectionStats::phases`](super::ConnectionStats::phases), and the indexes
-/// of the table's lists of connections by phase.
+/// The discriminants are the positions in
+/// [`ConnectionStats::phases`](super::ConnectionStats::phases), and the indexes of the table's
+/// lists of connections by phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    /// It was accepted, and no byte has been read from it.
+    /// The connection was accepted, and no byte has been read from it.
     AwaitingFirstByte,
     /// Part of a request has been read.
     ReadingRequest,
     /// A complete request has been read and its response is not ready.
     Processing,
-    /// Its response is being written.
+    /// The response is being written.
     WritingResponse,
-    /// Every request has been answered and written; buffers and parser are kept for the next one.
+    /// All requests have been answered and the responses written; buffers and parser are kept for
+    /// the next request.
     Idle,
-    /// Idle, with its buffers and parser released: only the socket is held.
+    /// Idle, with buffers and parser released: only the socket is held.
     Parked,
 }
 
@@ -31,7 +33,8 @@
         Self::Parked,
     ];
 
-    /// Value of the metrics' `phase` tag: stored names, which differ from those of the variants.
+    /// Returns the value of the `phase` tag in metrics. The tag values are stored names and differ
+    /// from the variant names.
     pub const fn label(self) -> &'static str {
         match self {
             Self::AwaitingFirstByte => "silent",
@@ -43,7 +46,7 @@
         }
     }
 
-    /// Whether no request is in progress and at least one was answered.
+    /// Checks whether no request is in progress and at least one was answered.
     pub(super) const fn is_idle(self) -> bool {
         matches!(self, Self::Idle | Self::Parked)
     }
--- a/crates/admission/src/connections/quotas.rs
+++ b/crates/admission/src/connections/quotas.rs
@@ -1,47 +1,51 @@
-//! Quotas of connections by client address and of requests by class, and connections that wait for a descriptor.
+//! Quotas of connections per client address and of requests per class, and the count of connections
+//! that wait for a descriptor.
 
 use super::{CloseCause, ConnectionId, ConnectionTable};
 use std::fmt;
 use std::net::IpAddr;
 
-/// The connections of one client address.
+/// Connections of one client address.
 #[derive(Debug, Default)]
 pub(super) struct AddressUsage {
-    /// How many it has.
+    /// Number of connections.
     pub(super) connections: usize,
-    /// Index of the list in `ConnectionTable::idle_by_address` that holds its idle ones.
+    /// Index of the list in `ConnectionTable::idle_by_address` that holds the idle connections.
     pub(super) idle_list: usize,
 }
 
-/// The address has reached its connection quota.
+/// The client address has reached its connection quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressQuotaExceeded {
-    /// The connection of the address that closes for this: idle for longest, and to be woken. `None` where all of them
-    /// are in use; the new connection is then refused.
+    /// Longest idle connection of the address, which is closed to make the new connection possible;
+    /// its owner has to be woken. `None` if all connections of the address are in use; the new
+    /// connection is then refused.
     pub evicted: Option<ConnectionId>,
 }
 
 impl fmt::Display for AddressQuotaExceeded {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the address has as many connections as one may have")
+        f.write_str("the client address has reached its connection quota")
     }
 }
 
 impl std::error::Error for AddressQuotaExceeded {}
 
 impl ConnectionTable {
-    /// Counts an accepted connection that waits for a descriptor: while any does, connections close with their
-    /// responses.
+    /// Increments the number of accepted connections that wait for a descriptor. While it is not
+    /// zero, connections close with their responses.
     pub fn add_waiter(&mut self) {
         self.waiting += 1;
     }
 
-    /// Counts one waiting connection less; each call matches one of [`add_waiter`](Self::add_waiter).
+    /// Decrements the number of connections that wait for a descriptor; each call matches one of
+    /// [`add_waiter`](Self::add_waiter).
     pub fn remove_waiter(&mut self) {
         self.waiting -= 1;
     }
 
-    /// Checks whether an address may have one more connection, and closes its longest idle one where it may not.
+    /// Checks whether an address may have one more connection, and closes its longest idle one if
+    /// not.
     pub fn check_address_quota(&mut self, address: IpAddr) -> Result<(), AddressQuotaExceeded> {
         let quota = self.limits.per_address.unwrap_or(usize::MAX);
         let Some(usage) = self
@@ -59,7 +63,7 @@
         Err(AddressQuotaExceeded { evicted })
     }
 
-    /// Counts one more connection of an address.
+    /// Increments the number of connections of an address.
     pub(super) fn add_to_address(&mut self, address: IpAddr) {
         let usage = self
             .addresses
@@ -74,7 +78,8 @@
         usage.connections += 1;
     }
 
-    /// Counts one connection of an address less. Its idle list must not hold that connection any more.
+    /// Decrements the number of connections of an address. The closed connection must already be
+    /// removed from the idle list of the address.
     pub(super) fn remove_from_address(&mut self, address: IpAddr) {
         let Some(usage) = self.addresses.get_mut(&address) else {
             return;
@@ -86,7 +91,8 @@
         }
     }
 
-    /// Counts one more request of a class in flight. Whether the class then exceeds its quota.
+    /// Increments the number of requests in flight of a class. Returns whether the class then
+    /// exceeds its quota.
     pub(super) fn add_to_class(&mut self, class: usize) -> bool {
         if self.in_flight_by_class.len() <= class {
             self.in_flight_by_class.resize(class + 1, 0);
@@ -98,7 +104,7 @@
         exceeded
     }
 
-    /// Counts one request of a class in flight less; nothing for `None`.
+    /// Decrements the number of requests in flight of a class; does nothing for `None`.
     pub(super) fn remove_from_class(&mut self, class: Option<u16>) {
         let in_flight = class.and_then(|class| self.in_flight_by_class.get_mut(usize::from(class)));
         if let Some(in_flight) = in_flight {
--- a/crates/admission/src/connections/timeouts.rs
+++ b/crates/admission/src/connections/timeouts.rs
@@ -1,21 +1,24 @@
-//! Timeouts: how long a connection may stay in each phase.
+//! Timeouts: the maximum duration of each phase of a connection.
 
 use super::{CloseCause, ConnectionId, ConnectionTable, Phase};
 use std::time::Duration;
 
-/// A request must be complete this long after its first byte, and the first one this long after its connection was
-/// accepted. A client must get an error or a close within 3 s, whatever it sends or leaves out.
+/// Maximum time between the first byte and the end of a request; for the first request of a
+/// connection, between the accept and the end of the request. A client must get an error or a close
+/// within 3 s, whatever it sends or omits.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// A response must be written to its end this long after it was ready; its client may not read it.
+/// Maximum duration of writing a response; the client may not read it.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A connection idle for this long gives up its buffers and parser; an active client sends its next request sooner.
+/// Idle time after which a connection releases its buffers and parser; an active client sends its
+/// next request sooner.
 const PARK_AFTER: Duration = Duration::from_millis(300);
 
 impl ConnectionTable {
-    /// Closes connections whose timeout has passed and parks idle ones, in at most `max_steps` steps (see
-    /// [`TimerWheel::advance`](crate::TimerWheel::advance)). Those to be woken are appended to `woken`.
+    /// Closes connections whose timeout has passed and parks idle ones, in at most `max_steps`
+    /// steps (see [`TimerWheel::advance`](crate::TimerWheel::advance)). Appends the connections
+    /// whose owners have to be woken to `woken`.
     ///
-    /// `false` where there is more to do at this time: call it again.
+    /// Returns `false` if work remains for this time; the caller then calls again.
     pub fn advance(
         &mut self,
         now: Duration,
@@ -44,7 +47,7 @@
         self.timers.set(id, now + timeout);
     }
 
-    /// Handles a timer that has fired. Whether the connection has to be woken.
+    /// Handles a fired timer. Returns whether the owner of the connection has to be woken.
     fn on_timeout(&mut self, now: Duration, id: ConnectionId) -> bool {
         let Some(entry) = self.entry(id) else {
             return false;
@@ -60,8 +63,8 @@
         true
     }
 
-    /// Requests that an idle connection is parked, and sets its idle timeout. Whether it has to be woken: not where it
-    /// was parked before, because of a shortage of memory.
+    /// Requests parking of an idle connection and sets its idle timeout. Returns whether the owner
+    /// has to be woken; `false` if a shortage of memory has already parked the connection.
     fn on_park_timeout(&mut self, id: ConnectionId, idle_until: Duration) -> bool {
         let park = self.phase(id) == Phase::Idle;
         if let Some(entry) = self.entry_mut(id) {
@@ -71,7 +74,8 @@
         park
     }
 
-    /// Why a connection whose timeout has passed closes; `None` in a phase without a timeout.
+    /// Returns the close cause of a connection whose timeout has passed; `None` in a phase without
+    /// a timeout.
     fn timeout_cause(&self, id: ConnectionId) -> Option<CloseCause> {
         let awaits_memory = self.awaiting_memory.list_of(id).is_some();
         match self.phase(id) {
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,8 +1,10 @@
-//! Admission to a node's connections: which are accepted, which are evicted, and their timeouts.
+//! Admission control for a node's connections: which are accepted, which are evicted, and when they
+//! time out.
 //!
-//! Owns the [`Budget`] of descriptors and bytes, and the [`ConnectionTable`] with its timers. It has no sockets and no
-//! clock: time comes in as a [`Duration`](std::time::Duration) since some origin, effects go out as values, and equal
-//! inputs give equal outputs. It never answers a request: which ones are shed is up to the decision module.
+//! Owns the [`Budget`] of descriptors and bytes, and the [`ConnectionTable`] with its timers. Uses
+//! no sockets and no clock: time is passed in as a [`Duration`](std::time::Duration) since an
+//! origin chosen by the caller, effects are returned as values, and equal inputs produce equal
+//! outputs. Never answers a request: the decision module decides which requests are shed.
 
 #![warn(missing_docs)]
 
--- a/crates/admission/src/linked_lists.rs
+++ b/crates/admission/src/linked_lists.rs
@@ -1,12 +1,12 @@
-//! Intrusive doubly linked lists over ids: the links of all ids stand in one array, so that an id is in at most one
-//! list, and every operation takes constant time without an allocation of its own.
+//! Intrusive doubly linked lists over ids: the links of all ids are stored in one array. An id is
+//! in at most one list, and every operation takes constant time without an allocation of its own.
 //!
-//! Ids are expected to be small and dense: an id costs 12 bytes, as do all ids below the highest one used.
+//! Ids are expected to be small and dense: each id up to the highest one used costs 12 bytes.
 
-/// Stands for no id and for no list.
+/// Sentinel for the absence of an id or of a list.
 const NONE: u32 = u32::MAX;
 
-/// The neighbours of an id, and the list that it is in.
+/// Neighbours of an id, and the list that contains it.
 #[derive(Clone, Copy, Debug)]
 struct Link {
     previous: u32,
@@ -15,7 +15,7 @@
 }
 
 impl Link {
-    /// Of an id that is in no list.
+    /// Link of an id that is in no list.
     const UNLINKED: Self = Self {
         previous: NONE,
         next: NONE,
@@ -23,7 +23,7 @@
     };
 }
 
-/// The ends of a list.
+/// Ends and length of a list.
 #[derive(Clone, Copy, Debug)]
 struct List {
     first: u32,
@@ -39,16 +39,17 @@
     };
 }
 
-/// A set of lists, each known by its index. Methods panic for the index of a list that was not made.
+/// A set of lists, each identified by its index. Methods panic if the index of a list is out of
+/// range.
 #[derive(Clone, Debug)]
 pub struct LinkedLists {
     lists: Vec<List>,
-    /// By id.
+    /// Links by id.
     links: Vec<Link>,
 }
 
 impl LinkedLists {
-    /// Makes this many empty lists.
+    /// Creates `count` empty lists.
     pub fn new(count: usize) -> Self {
         Self {
             lists: vec![List::EMPTY; count],
@@ -56,23 +57,23 @@
         }
     }
 
-    /// Makes one more empty list, and returns its index.
+    /// Adds an empty list and returns its index.
     pub fn add_list(&mut self) -> usize {
         self.lists.push(List::EMPTY);
         self.lists.len() - 1
     }
 
-    /// Number of ids in a list.
+    /// Returns the number of ids in a list.
     pub fn len(&self, list: usize) -> usize {
         self.lists[list].len as usize
     }
 
-    /// Whether a list has no ids.
+    /// Checks whether a list is empty.
     pub fn is_empty(&self, list: usize) -> bool {
         self.len(list) == 0
     }
 
-    /// The list that an id is in.
+    /// Returns the list that contains an id, if any.
     pub fn list_of(&self, id: u32) -> Option<usize> {
         self.links
             .get(id as usize)
@@ -80,19 +81,19 @@
             .map(|link| link.list as usize)
     }
 
-    /// The first id of a list.
+    /// Returns the first id of a list.
     pub fn first(&self, list: usize) -> Option<u32> {
-        optional(self.lists[list].first)
+        id_to_option(self.lists[list].first)
     }
 
-    /// The ids of a list, from its first to its last.
+    /// Iterates over the ids of a list, from first to last.
     pub fn iter(&self, list: usize) -> impl Iterator<Item = u32> + '_ {
         std::iter::successors(self.first(list), |&id| {
-            optional(self.links[id as usize].next)
+            id_to_option(self.links[id as usize].next)
         })
     }
 
-    /// Appends an id to a list, and removes it from the list that it was in.
+    /// Appends an id to a list, after removing it from the list that contained it.
     pub fn push_back(&mut self, list: usize, id: u32) {
         self.remove(id);
         if self.links.len() <= id as usize {
@@ -101,7 +102,7 @@
         let ends = &mut self.lists[list];
         let previous = std::mem::replace(&mut ends.last, id);
         ends.len += 1;
-        match optional(previous) {
+        match id_to_option(previous) {
             Some(previous) => self.links[previous as usize].next = id,
             None => ends.first = id,
         }
@@ -112,7 +113,7 @@
         };
     }
 
-    /// Removes an id from the list that it is in. `false` where it is in none.
+    /// Removes an id from the list that contains it. Returns `false` if the id is in no list.
     pub fn remove(&mut self, id: u32) -> bool {
         let Some(list) = self.list_of(id) else {
             return false;
@@ -121,11 +122,11 @@
             std::mem::replace(&mut self.links[id as usize], Link::UNLINKED);
         let ends = &mut self.lists[list];
         ends.len -= 1;
-        match optional(previous) {
+        match id_to_option(previous) {
             Some(previous) => self.links[previous as usize].next = next,
             None => ends.first = next,
         }
-        match optional(next) {
+        match id_to_option(next) {
             Some(next) => self.links[next as usize].previous = previous,
             None => ends.last = previous,
         }
@@ -133,6 +134,6 @@
     }
 }
 
-fn optional(id: u32) -> Option<u32> {
+fn id_to_option(id: u32) -> Option<u32> {
     (id != NONE).then_some(id)
 }
--- a/crates/admission/src/timer_wheel.rs
+++ b/crates/admission/src/timer_wheel.rs
@@ -1,41 +1,43 @@
-//! A hierarchical timing wheel (G. Varghese and T. Lauck, "Hashed and Hierarchical Timing Wheels", SOSP 1987, scheme
-//! 7).
+//! A hierarchical timing wheel (G. Varghese and T. Lauck, "Hashed and Hierarchical Timing Wheels",
+//! SOSP 1987, scheme 7).
 //!
-//! - Resolution: one tick of 10 ms. A timer never fires early, and less than one tick late.
-//! - Cost: setting and cancelling take constant time, whatever the number of timers. A timer moves at most `LEVELS - 1`
-//!   times before it fires, and once more for each 46 h (`MAX_TICKS_AHEAD`) that it lies ahead.
+//! - Resolution: one tick of 10 ms. A timer never fires early, and fires less than one tick late.
+//! - Cost: setting and cancelling take constant time, whatever the number of timers. A timer moves
+//!   at most `LEVELS - 1` times before it fires, and once more for each 46 h (`MAX_TICKS_AHEAD`) of
+//!   its delay.
 //! - Memory: 20 bytes for each id, up to the highest one used.
 //!
-//! Timers that fall due together can be fired in parts.
+//! Timers that are due at the same time can be fired in batches.
 
 use crate::linked_lists::LinkedLists;
 use std::time::Duration;
 
-/// Length of a tick, in milliseconds.
+/// Duration of a tick, in milliseconds.
 const TICK_MILLIS: u64 = 10;
-/// Length of a tick, in microseconds.
+/// Duration of a tick, in microseconds.
 const TICK_MICROS: u64 = TICK_MILLIS * 1_000;
-/// Bits of a tick's number that select the slot of one level.
+/// Number of bits of a tick that select the slot in one level.
 const SLOT_BITS: u32 = 6;
-/// Slots of a level: as many as the bits of a word, which marks those in use.
+/// Slots per level; equals the number of bits of the word that marks occupied slots.
 const SLOTS: u64 = 1 << SLOT_BITS;
-/// Levels, whose slots span 10 ms, 640 ms, 41 s and 44 min.
+/// Number of levels, whose slots span 10 ms, 640 ms, 41 s and 44 min.
 const LEVELS: u32 = 4;
-/// The furthest ahead that a timer is placed, in ticks; one that lies further ahead is placed here, and anew from here.
+/// Maximum distance of a slot from the current tick, in ticks. A timer with a longer delay is
+/// placed at this distance, and placed again when that slot is reached.
 const MAX_TICKS_AHEAD: u64 = (SLOTS - 1) * ticks_per_slot(LEVELS - 1);
 
-/// Timers, at most one for each id.
+/// A set of timers, at most one for each id.
 #[derive(Clone, Debug)]
 pub struct TimerWheel {
-    /// A list for each slot of each level.
+    /// One list for each slot of each level.
     slots: LinkedLists,
-    /// The tick at which each id's timer fires.
+    /// Tick at which the timer of each id fires.
     due_ticks: Vec<u64>,
-    /// A bit for each slot of a level that has timers.
+    /// Bitmap of the slots that contain timers, for each level.
     occupied: [u64; LEVELS as usize],
-    /// The tick that is being processed; all earlier ones are done.
+    /// Tick being processed; all earlier ticks are complete.
     current_tick: u64,
-    /// Number of timers.
+    /// Number of timers that are set.
     len: usize,
 }
 
@@ -52,19 +54,19 @@
 }
 
 impl TimerWheel {
-    /// Number of timers that are set.
+    /// Returns the number of timers that are set.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no timer is set.
+    /// Checks whether no timer is set.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Sets the timer of an id to fire at `at`, in place of the one that it had.
+    /// Sets the timer of an id to fire at `at`, replacing its previous timer.
     pub fn set(&mut self, id: u32, at: Duration) {
-        // Rounded up, so that it never fires early.
+        // Rounded up, so that the timer never fires early.
         let due_tick = (at.as_micros() as u64).div_ceil(TICK_MICROS);
         if self.due_ticks.len() <= id as usize {
             self.due_ticks.resize(id as usize + 1, 0);
@@ -72,20 +74,20 @@
         self.due_ticks[id as usize] = due_tick.max(self.current_tick);
         self.cancel(id);
         self.len += 1;
-        self.place(id);
+        self.insert_into_slot(id);
     }
 
-    /// Cancels the timer of an id. `false` where none was set.
+    /// Cancels the timer of an id. Returns `false` if no timer was set.
     pub fn cancel(&mut self, id: u32) -> bool {
-        let was_set = self.unplace(id);
+        let was_set = self.remove_from_slot(id);
         self.len -= usize::from(was_set);
         was_set
     }
 
-    /// Fires the timers that are due at `now`: their ids are appended to `fired`.
+    /// Fires the timers that are due at `now` and appends their ids to `fired`.
     ///
-    /// Does at most `max_steps` steps, one for each timer that fires or moves to a lower level. `false` where there is
-    /// more to do at this time: call it again.
+    /// Performs at most `max_steps` steps, one for each timer that fires or moves to a lower level.
+    /// Returns `false` if work remains for this time; the caller then calls again.
     pub fn advance(&mut self, now: Duration, max_steps: usize, fired: &mut Vec<u32>) -> bool {
         let last_tick = now.as_millis() as u64 / TICK_MILLIS;
         if self.len == 0 {
@@ -104,10 +106,10 @@
         true
     }
 
-    /// Moves the timers of the upper levels' slots that begin at the current tick to the levels below. `false` where no
-    /// steps are left.
+    /// Moves timers from the slots of the upper levels that begin at the current tick to lower
+    /// levels. Returns `false` if no steps are left.
     ///
-    /// A slot that is left half empty is resumed by the next call: none of its timers is placed in it again.
+    /// The next call resumes a slot that was not emptied: no timer is placed in that slot again.
     fn cascade(&mut self, steps_left: &mut usize) -> bool {
         let tick = self.current_tick;
         for level in (1..LEVELS).rev() {
@@ -119,14 +121,14 @@
                 if !take_step(steps_left) {
                     return false;
                 }
-                self.unplace(id);
-                self.place(id);
+                self.remove_from_slot(id);
+                self.insert_into_slot(id);
             }
         }
         true
     }
 
-    /// Fires the timers of the current tick. `false` where no steps are left.
+    /// Fires the timers of the current tick. Returns `false` if no steps are left.
     fn fire(&mut self, steps_left: &mut usize, fired: &mut Vec<u32>) -> bool {
         let slot = slot_index(0, self.current_tick);
         while let Some(id) = self.slots.first(slot) {
@@ -139,28 +141,28 @@
         true
     }
 
-    /// The next tick at which a timer may fire or move: while the lowest levels are empty, nothing happens before the
-    /// next slot of the level above them begins.
+    /// Returns the next tick at which a timer may fire or move. While the lowest levels are empty,
+    /// this is the start of the next slot of the level above them.
     fn next_occupied_tick(&self) -> u64 {
         let empty_levels = self.occupied.iter().take_while(|bits| **bits == 0).count() as u32;
         let step = ticks_per_slot(empty_levels.min(LEVELS - 1));
         (self.current_tick / step + 1) * step
     }
 
-    /// Puts an id into the slot of its due tick, on the lowest level that reaches it.
-    fn place(&mut self, id: u32) {
+    /// Inserts an id into the slot of its due tick, in the lowest level that covers that tick.
+    fn insert_into_slot(&mut self, id: u32) {
         let due_tick = self.due_ticks[id as usize];
         let tick = due_tick.min(self.current_tick + MAX_TICKS_AHEAD);
-        let ahead = tick - self.current_tick;
+        let ticks_ahead = tick - self.current_tick;
         let level = (0..LEVELS - 1)
-            .find(|level| ahead < ticks_per_slot(level + 1))
+            .find(|level| ticks_ahead < ticks_per_slot(level + 1))
             .unwrap_or(LEVELS - 1);
         self.occupied[level as usize] |= 1 << slot_in_level(level, tick);
         self.slots.push_back(slot_index(level, tick), id);
     }
 
-    /// Takes an id out of its slot. `false` where it is in none.
-    fn unplace(&mut self, id: u32) -> bool {
+    /// Removes an id from its slot. Returns `false` if it is in no slot.
+    fn remove_from_slot(&mut self, id: u32) -> bool {
         let Some(slot) = self.slots.list_of(id) else {
             return false;
         };
@@ -172,22 +174,22 @@
     }
 }
 
-/// Ticks that a slot of a level spans.
+/// Returns the number of ticks that a slot of a level spans.
 const fn ticks_per_slot(level: u32) -> u64 {
     SLOTS.pow(level)
 }
 
-/// The slot of a level that holds a tick, from 0 to `SLOTS - 1`.
+/// Returns the slot of a level that contains a tick, from 0 to `SLOTS - 1`.
 const fn slot_in_level(level: u32, tick: u64) -> u64 {
     (tick >> (SLOT_BITS * level)) % SLOTS
 }
 
-/// Index of that slot among those of all levels.
+/// Returns the index, among the slots of all levels, of the slot that contains a tick.
 const fn slot_index(level: u32, tick: u64) -> usize {
     (level as u64 * SLOTS + slot_in_level(level, tick)) as usize
 }
 
-/// Takes one of the steps that are left; `false` where none is.
+/// Consumes one of the remaining steps. Returns `false` if none remains.
 fn take_step(steps_left: &mut usize) -> bool {
     match steps_left.checked_sub(1) {
         Some(left) => {
