--- a/crates/admission/tests/budget.rs
+++ b/crates/admission/tests/budget.rs
@@ -1,15 +1,15 @@
-//! The budget of descriptors and bytes, against a plain list of what is leased.
+//! The budget of descriptors and bytes, compared with a list of the open leases.
 
 use slatelink_admission::{Budget, ConnectionKind, Lease, LeaseError, Quota};
 
-/// A lease, and what it should hold.
-struct Leased {
+/// A lease with its kind and expected number of bytes.
+struct TrackedLease {
     kind: ConnectionKind,
     bytes: usize,
     lease: Lease,
 }
 
-/// A random budget, and what should be leased of it.
+/// A random budget and its expected leases.
 struct Model {
     seed: u64,
     random: fastrand::Rng,
@@ -17,7 +17,7 @@
     quotas: [Quota; 3],
     max_bytes: usize,
     budget: Budget,
-    leased: Vec<Leased>,
+    leased: Vec<TrackedLease>,
 }
 
 impl Model {
@@ -39,7 +39,7 @@
             max_descriptors,
             quotas,
             max_bytes,
-            budget: budget.expect("reservations of a third each fit"),
+            budget: budget.expect("the reservations, at most a third each, fit"),
             leased: Vec::new(),
         }
     }
@@ -59,38 +59,39 @@
     fn lease(&mut self) {
         let kind = ConnectionKind::ALL[self.random.usize(0..3)];
         match self.budget.lease(kind) {
-            Ok(lease) => self.leased.push(Leased {
+            Ok(lease) => self.leased.push(TrackedLease {
                 kind,
                 bytes: 0,
                 lease,
             }),
             Err(_) => assert!(
                 self.descriptors(kind) >= self.quotas[kind as usize].reserved,
-                "seed {}: no lease below the reservation",
+                "seed {}: a descriptor within the reservation was not leased",
                 self.seed
             ),
         }
     }
 
     fn set_bytes(&mut self) {
-        let wanted = self.random.usize(0..2_000);
+        let requested_bytes = self.random.usize(0..2_000);
         let all = self.bytes();
         let index = self.random.usize(0..self.leased.len());
         let leased = &mut self.leased[index];
-        let fits = wanted <= leased.bytes || all - leased.bytes + wanted <= self.max_bytes;
+        let fits = requested_bytes <= leased.bytes
+            || all - leased.bytes + requested_bytes <= self.max_bytes;
         assert_eq!(
-            leased.lease.try_set_bytes(wanted),
+            leased.lease.try_set_bytes(requested_bytes),
             fits,
             "seed {}",
             self.seed
         );
         if fits {
-            leased.bytes = wanted;
+            leased.bytes = requested_bytes;
         }
     }
 
     fn descriptors(&self, kind: ConnectionKind) -> usize {
-        let of_kind = |leased: &&Leased| leased.kind == kind;
+        let of_kind = |leased: &&TrackedLease| leased.kind == kind;
         self.leased.iter().filter(of_kind).count()
     }
 
@@ -116,9 +117,10 @@
     }
 }
 
-// Guards against a leak, a double release, and a kind that the others keep from its reservation.
+// Guards against leaked or doubly released leases, and against a kind that cannot lease its
+// reserved descriptors because other kinds hold them.
 #[test]
-fn a_budget_keeps_its_reservations_and_gets_all_leases_back() {
+fn reservations_stay_available_and_dropped_leases_are_released() {
     for seed in 0..200 {
         let mut model = Model::new(seed);
         for _ in 0..2_000 {
@@ -129,14 +131,15 @@
         assert_eq!(
             model.budget.usage(),
             Default::default(),
-            "seed {seed}: everything is given back"
+            "seed {seed}: descriptors or bytes are still leased"
         );
     }
 }
 
-// Guards against one kind that evicts its own connections while another holds the shared descriptors without need.
+// Guards against evicting connections of the requesting kind while another kind exceeds its
+// reservation by more.
 #[test]
-fn the_kind_that_exceeds_its_reservation_by_most_is_asked_for_a_descriptor() {
+fn lease_error_names_the_kind_that_exceeds_its_reservation_by_most() {
     let quota = |reserved| Quota {
         reserved,
         limit: 12,
@@ -163,10 +166,10 @@
     assert_eq!(
         budget.max_descriptors(ConnectionKind::Client),
         8,
-        "the reservation of the upstream connections is not available"
+        "descriptors reserved for upstream connections are not available to clients"
     );
     assert!(
         Budget::new(7, [quota(4), quota(4), quota(0)], 0).is_none(),
-        "the reservations exceed the descriptors"
+        "the sum of the reservations exceeds the number of descriptors"
     );
 }
--- a/crates/admission/tests/connections.rs
+++ b/crates/admission/tests/connections.rs
@@ -1,4 +1,4 @@
-//! The connection table: timeouts, quotas, memory and eviction.
+//! Timeouts, quotas, memory and eviction in the connection table.
 
 mod common;
 
@@ -8,22 +8,22 @@
     Directive, MemoryShortage, Quota,
 };
 
-// Guards against a thread that is blocked while the timeouts of many connections pass together.
+// Guards against blocking the thread when the timeouts of many connections pass at the same time.
 #[test]
-fn timeouts_that_pass_together_are_handled_in_parts() {
+fn simultaneous_timeouts_are_handled_in_batches() {
     let (mut table, budget) = table(ConnectionLimits::default());
     for _ in 0..100_000 {
         insert(&mut table, &budget, ms(5), 1);
     }
-    let (mut woken, mut parts) = (Vec::new(), 0);
+    let (mut woken, mut batches) = (Vec::new(), 0);
     while !table.advance(ms(1_900), 256, &mut woken) {}
     assert!(woken.is_empty(), "the timeout is 2 s");
     while !table.advance(ms(2_100), 256, &mut woken) {
-        assert!(woken.len() <= (parts + 1) * 256);
-        parts += 1;
+        assert!(woken.len() <= (batches + 1) * 256);
+        batches += 1;
     }
     assert_eq!(woken.len(), 100_000);
-    assert!(parts >= 390, "{parts} parts");
+    assert!(batches >= 390, "{batches} batches");
     assert!(woken
         .iter()
         .all(|id| table.directive(*id) == Directive::Finish));
@@ -34,9 +34,9 @@
     );
 }
 
-// Guards against an address that takes the whole table.
+// Guards against one address that occupies the whole table.
 #[test]
-fn an_address_at_its_quota_closes_its_own_longest_idle_connection() {
+fn address_at_its_quota_has_its_longest_idle_connection_closed() {
     let (mut table, budget) = table(ConnectionLimits {
         per_address: Some(2),
         ..ConnectionLimits::default()
@@ -46,7 +46,7 @@
     assert_eq!(
         table.check_address_quota(address(1)),
         Err(AddressQuotaExceeded { evicted: None }),
-        "neither is idle"
+        "no connection of the address is idle"
     );
     assert_eq!(
         table.check_address_quota(address(2)),
@@ -60,7 +60,7 @@
         Err(AddressQuotaExceeded {
             evicted: Some(second)
         }),
-        "idle for longest"
+        "the longest idle connection is evicted"
     );
     assert_eq!(table.directive(second), Directive::Finish);
     assert_eq!(
@@ -68,7 +68,7 @@
         Err(AddressQuotaExceeded {
             evicted: Some(first)
         }),
-        "the next one, as the other is closing already"
+        "a connection that is already closing is skipped"
     );
     table.remove(second);
     table.remove(first);
@@ -77,9 +77,9 @@
     assert_eq!(stats.refused[CloseCause::AddressQuota as usize], 1);
 }
 
-// Guards against a class that takes the whole table.
+// Guards against one class that occupies the whole table.
 #[test]
-fn a_class_exceeds_its_quota_only_while_its_requests_are_in_flight() {
+fn class_quota_counts_only_requests_in_flight() {
     let (mut table, budget) = table(ConnectionLimits {
         per_address: Some(2),
         per_class: vec![None, Some(1)],
@@ -89,20 +89,20 @@
     assert!(!table.on_request(ms(5), ids[0], 1));
     assert!(
         table.on_request(ms(5), ids[1], 1),
-        "the second request of a class that may have one"
+        "the class has two requests in flight and a quota of one"
     );
     table.remove(ids[0]);
     table.on_response(ms(6), ids[1]);
     table.on_request_head(ms(6), ids[1]);
     assert!(
         !table.on_request(ms(7), ids[1], 1),
-        "the request of a closed connection does not count any more"
+        "the request of a removed connection no longer counts"
     );
 }
 
-// Guards against many parked connections that become active at once and use more memory than there is.
+// Guards against exceeding the memory budget when many parked connections become active at once.
 #[test]
-fn a_readable_connection_waits_for_memory_that_an_idle_one_gives_up() {
+fn readable_connection_waits_until_an_idle_connection_releases_memory() {
     let (mut table, budget) = table(ConnectionLimits::default());
     let ids: Vec<_> = (0..11)
         .map(|_| insert(&mut table, &budget, ms(0), 1))
@@ -130,21 +130,22 @@
     while !table.advance(ms(2_100), 64, &mut woken) {}
     assert!(
         !woken.contains(&ids[0]),
-        "parked early, it keeps its idle timeout"
+        "a connection parked early keeps its idle timeout"
     );
     assert!(
         woken.contains(&ids[10]),
-        "it waits for memory no longer than the request timeout"
+        "a connection waits for memory no longer than the request timeout"
     );
     table.remove(ids[10]);
     assert_eq!(table.stats().closed[CloseCause::MemoryLimit as usize], 1);
 }
 
-// Guards against idle connections that are kept while active ones close, and against a client that waits without need.
+// Guards against closing active connections while idle ones stay open, and against a client that
+// waits although a connection can be evicted.
 #[test]
-fn eviction_prefers_connections_without_a_request_and_unused_for_long() {
+fn eviction_prefers_long_unused_connections_without_a_request() {
     let (mut table, budget) = table(ConnectionLimits::default());
-    let [long_idle, recently_idle, silent, incomplete] =
+    let [long_idle, recently_idle, without_first_byte, incomplete] =
         [0, 1_500, 2_440, 1_900].map(|at| insert(&mut table, &budget, ms(at), 1));
     exchange(&mut table, ms(10), long_idle);
     exchange(&mut table, ms(2_000), recently_idle);
@@ -153,31 +154,32 @@
     assert_eq!(
         evict(&mut table, 2_460),
         Some(long_idle),
-        "idle for over 2 s; the one without a byte is too young"
+        "idle for over 2 s, while the connection without a byte was accepted less than 30 ms ago"
     );
     assert_eq!(
         evict(&mut table, 2_460),
         Some(incomplete),
-        "its request is incomplete after 0.5 s"
+        "the request is incomplete after 0.5 s"
     );
     assert_eq!(
         evict(&mut table, 2_460),
         None,
-        "the one without a byte may send its request yet"
+        "the connection without a byte may still send its request"
     );
-    assert_eq!(evict(&mut table, 2_480), Some(silent));
+    assert_eq!(evict(&mut table, 2_480), Some(without_first_byte));
     assert_eq!(
         evict(&mut table, 2_480),
         Some(recently_idle),
-        "the idle one, as none awaits its first byte"
+        "the idle connection is evicted, since no connection awaits its first byte"
     );
     assert_eq!(table.directive(incomplete), Directive::Abort);
     assert_eq!(table.directive(recently_idle), Directive::Finish);
 }
 
-// Guards against a complete request that is dropped because its timeout passed while its last bytes were read.
+// Guards against dropping a complete request because its timeout passed while its last bytes were
+// read.
 #[test]
-fn a_request_completed_as_its_timeout_passes_is_answered_before_the_connection_closes() {
+fn request_completed_as_its_timeout_passes_is_answered_before_close() {
     let budget = Budget::new(
         4,
         [Quota {
@@ -217,9 +219,9 @@
     assert_eq!(
         table.directive(id),
         Directive::Finish,
-        "also while its response is written"
+        "the directive stays the same while the response is written"
     );
-    // The timeout of the response aborts it nevertheless.
+    // The timeout of the response still aborts the connection.
     while !table.advance(ms(9_000), 100, &mut Vec::new()) {}
     assert_eq!(table.directive(id), Directive::Abort);
 }
--- a/crates/admission/tests/connections_model.rs
+++ b/crates/admission/tests/connections_model.rs
@@ -1,4 +1,4 @@
-//! The connection table through random interleavings of events, against a plain map of phases.
+//! The connection table under random events, compared with a map of phases.
 
 mod common;
 
@@ -11,11 +11,11 @@
 
 struct Connection {
     phase: Phase,
-    /// Last byte of the client's address.
+    /// Last octet of the client address.
     address: u8,
 }
 
-/// A table, and what it should hold.
+/// A table and its expected contents.
 struct Model {
     seed: u64,
     random: fastrand::Rng,
@@ -61,27 +61,27 @@
     }
 
     fn accept(&mut self) {
-        let last = self.random.u8(0..3);
-        if self.table.check_address_quota(address(last)).is_ok() {
-            let id = insert(&mut self.table, &self.budget, self.now, last);
+        let last_octet = self.random.u8(0..3);
+        if self.table.check_address_quota(address(last_octet)).is_ok() {
+            let id = insert(&mut self.table, &self.budget, self.now, last_octet);
             let connection = Connection {
                 phase: Phase::AwaitingFirstByte,
-                address: last,
+                address: last_octet,
             };
             assert!(
                 self.connections.insert(id, connection).is_none(),
-                "seed {}: id {id} was in use",
+                "seed {}: id {id} is already in use",
                 self.seed
             );
         } else {
             let count = self
                 .connections
                 .values()
-                .filter(|connection| connection.address == last)
+                .filter(|connection| connection.address == last_octet)
                 .count();
             assert!(
                 count >= MAX_PER_ADDRESS,
-                "seed {}: refused with {count} connections",
+                "seed {}: connection refused although the address has only {count}",
                 self.seed
             );
         }
@@ -166,15 +166,16 @@
         }
         assert!(
             self.table.is_empty() && self.budget.usage() == Default::default(),
-            "seed {}: everything is given back",
+            "seed {}: connections, descriptors or bytes remain",
             self.seed
         );
     }
 }
 
-// Guards against counts that drift from the connections there are, and connections that outlive their timeouts.
+// Guards against counts that differ from the connections in the table, and against connections that
+// stay open after their timeouts.
 #[test]
-fn the_table_agrees_with_a_plain_model_through_any_interleaving_of_events() {
+fn table_matches_the_reference_model_under_random_events() {
     for seed in 0..60 {
         let mut model = Model::new(seed);
         for _ in 0..2_000 {
--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -14,15 +14,16 @@
 const MAX_DESCRIPTORS: usize = 12;
 const MAX_BYTES: usize = 40_000;
 const MAX_PER_CLASS: usize = 3;
-/// Bytes of a request, for each millisecond of its client's deadline: a random number that the steps have at hand.
+/// Request size per millisecond of the client's deadline; the deadline is a random number that each
+/// step already contains.
 const REQUEST_BYTES_PER_MS: usize = 20;
 
-/// A table, and the requests that should be in flight.
+/// A table and its expected requests in flight.
 struct Run {
     table: ConnectionTable,
     budget: Budget,
     now: Duration,
-    /// Connection and class of each.
+    /// Connection and class of each request.
     in_flight: Vec<(u32, usize)>,
 }
 
@@ -64,7 +65,7 @@
                 self.table.remove(id);
                 self.table.remove(id);
             }
-            Step::Pass { ms: time } => self.pass_time(ms(*time)),
+            Step::Pass { ms: elapsed } => self.pass_time(ms(*elapsed)),
             _ => {}
         }
     }
@@ -81,21 +82,21 @@
         self.table.on_bytes_read(self.now, id);
         self.table.on_request_head(self.now, id);
         self.table.reserve_request_bytes(id, bytes);
-        let before = self
+        let in_flight_in_class = self
             .in_flight
             .iter()
             .filter(|(_, other)| *other == class)
             .count();
         assert_eq!(
             self.table.on_request(self.now, id, class),
-            before >= MAX_PER_CLASS,
-            "the class has {before} requests in flight"
+            in_flight_in_class >= MAX_PER_CLASS,
+            "the class has {in_flight_in_class} requests in flight"
         );
         self.in_flight.push((id, class));
     }
 
-    fn pass_time(&mut self, time: Duration) {
-        self.now += time;
+    fn pass_time(&mut self, elapsed: Duration) {
+        self.now += elapsed;
         let mut woken = Vec::new();
         while !self.table.advance(self.now, 3, &mut woken) {}
         for id in woken {
@@ -104,7 +105,7 @@
                 Directive::Finish | Directive::Abort => {
                     assert!(
                         self.in_flight.iter().all(|(other, _)| *other != id),
-                        "{id} has a request in flight, and is told to close"
+                        "connection {id} has a request in flight but is directed to close"
                     );
                     self.table.remove(id);
                 }
@@ -117,7 +118,7 @@
         let usage = self.budget.usage();
         assert!(
             usage.bytes <= MAX_BYTES && usage.descriptors[0] == self.table.len(),
-            "{usage:?} of {} connections",
+            "{usage:?} with {} connections",
             self.table.len()
         );
         assert_eq!(
@@ -135,10 +136,11 @@
     }
 }
 
-// Each request in flight is counted until its one end, nothing is leased beyond the budget, and all of it is given back
-// when every connection is removed. The same sequences are played against the decision module and the node.
+// Guards against requests that are counted after their end or end twice, leases beyond the budget,
+// and leases that outlive their connections. The same sequences run against the decision module and
+// the node.
 #[test]
-fn every_request_ends_once_and_the_budget_is_whole_again() {
+fn every_request_ends_once_and_all_leases_are_released() {
     check(0..6, 60, 300, |_, steps| {
         let mut run = Run::new();
         for step in steps {
