--- a/crates/cli/tests/relay/settings.rs
+++ b/crates/cli/tests/relay/settings.rs
@@ -47,7 +47,10 @@
         (vec!["--listen", "127.0.0.1:0"], "--upstream"),
         (with("--lease-ms", "9"), "lease_ms is 9"),
         (with("--callers", "0"), "callers is 0"),
-        (with("--callers", "999999"), "descriptors leaves no room"),
+        (
+            with("--callers", "999999"),
+            "file descriptors is too low for 999999 client connections",
+        ),
         (
             vec!["--config", "/nowhere/relay.toml"],
             "cannot read /nowhere/relay.toml",
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,7 +1,9 @@
-//! A relay of the endpoint list: discovery's protocol on sockets, on both sides.
+//! A relay of the endpoint list: the client and the server of discovery's protocol on sockets.
 //!
-//! Upstream it is one client that watches; downstream it answers as discovery does, so that a node needs no change and relays
-//! can stand in tiers. `slatelink-membership` decides what is answered; here are the sockets, tasks and signals.
+//! Upstream, the relay is a single client that watches the list. Downstream, it answers as
+//! discovery does, so that nodes need no change and relays can be arranged in tiers.
+//! `slatelink-membership` decides each answer; this module owns the sockets, tasks and signal
+//! handlers.
 
 mod backoff;
 mod byte_counter;
@@ -37,43 +39,47 @@
 use tokio::time::interval;
 use upstream_client::UpstreamClient;
 
-/// File descriptors that are not for clients: those of the runtime, the listener, upstream, the standard streams, and of
-/// connections that are being rejected.
+/// File descriptors that are not available to clients: those of the runtime, the listener, the
+/// upstream connection, the standard streams, and connections that are being rejected.
 const RESERVED_DESCRIPTORS: usize = 24 + MAX_REJECTING_CONNECTIONS;
-/// How often the log reports how many lines its rate limit suppressed.
+/// Interval at which the log reports the number of lines suppressed by its rate limit.
 const LOG_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// The longest wait that a watch may ask for, here as at discovery.
+/// Maximum wait that a watch may request; the same as at discovery.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
 
-/// Why a relay cannot run.
+/// Reason why a relay cannot run.
 #[derive(Debug, Error)]
 pub enum RelayError {
-    /// The address cannot be listened on; it is in use, for example.
+    /// The address cannot be listened on; for example, because it is in use.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
-    /// The process' limit on descriptors is too low for the connections that were asked for.
-    #[error("a limit of {limit} descriptors leaves no room for {connections} callers beside {RESERVED_DESCRIPTORS} others")]
+    /// The descriptor limit of the process is too low for the requested number of connections.
+    #[error(
+        "the limit of {limit} file descriptors is too low for {connections} client connections \
+         and {RESERVED_DESCRIPTORS} reserved descriptors"
+    )]
     Descriptors {
-        /// The limit.
+        /// Descriptor limit of the process.
         limit: usize,
-        /// Connections that were asked for.
+        /// Requested number of connections.
         connections: usize,
     },
     /// The log cannot be written.
     #[error("{0}")]
     Telemetry(#[from] TelemetryError),
-    /// Signals cannot be handled, or the listener has no address.
+    /// Signals cannot be handled, or the listener's address cannot be read.
     #[error("{0}")]
     Io(#[from] std::io::Error),
 }
 
-/// Runs a relay until SIGTERM or SIGINT. It must be called on a current-thread runtime, within a `LocalSet`.
+/// Runs a relay until SIGTERM or SIGINT. Must be called on a current-thread runtime, within a
+/// `LocalSet`.
 ///
 /// # Errors
 ///
-/// If the relay cannot start.
+/// Returns an error if the relay cannot start.
 pub async fn run(settings: RelaySettings, format: LogFormat) -> Result<(), RelayError> {
-    // Before anything else: a signal without a handler ends the process.
+    // Installed first: a signal without a handler terminates the process.
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let max_connections = max_connections(settings.max_connections)?;
@@ -120,7 +126,8 @@
     }
 }
 
-/// The limit on connections: the number asked for, or as many as the process' limit on descriptors allows.
+/// Returns the connection limit: the requested number, or the maximum that the descriptor limit of
+/// the process allows.
 fn max_connections(requested: Option<usize>) -> Result<usize, RelayError> {
     let limit = getrlimit(Resource::Nofile)
         .current
--- a/crates/node/src/relay/byte_counter.rs
+++ b/crates/node/src/relay/byte_counter.rs
@@ -1,4 +1,4 @@
-//! Counters of the messages with clients, and of the bytes of a connection.
+//! Counters of the messages exchanged with clients, and of the bytes on a connection.
 
 use super::status::DownstreamCounts;
 use std::cell::Cell;
@@ -9,17 +9,17 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Messages exchanged with all clients, counted in place.
+/// Counters of the messages exchanged with all clients.
 #[derive(Debug, Default)]
 pub struct DownstreamCounters(Cell<DownstreamCounts>);
 
 impl DownstreamCounters {
-    /// The counts so far.
+    /// Returns the current counts.
     pub fn get(&self) -> DownstreamCounts {
         self.0.get()
     }
 
-    /// Changes the counts.
+    /// Applies a change to the counts.
     pub fn add(&self, change: impl FnOnce(&mut DownstreamCounts)) {
         let mut counts = self.0.get();
         change(&mut counts);
@@ -27,15 +27,16 @@
     }
 }
 
-/// Attributes the bytes of one connection to its calls for the list. Those of other requests are not counted.
+/// Attributes the bytes on one connection to its calls for the list. Bytes of other requests are
+/// not counted.
 #[derive(Debug)]
 pub struct ConnectionByteCounter {
     counters: Rc<DownstreamCounters>,
-    /// Bytes that were read and not attributed to a request yet.
+    /// Number of bytes read but not yet attributed to a request.
     unattributed: Cell<u64>,
-    /// Whether bytes that are written now answer a call for the list.
+    /// Whether bytes written now belong to the answer to a call for the list.
     answers_list_call: Cell<bool>,
-    /// Whether the connection has had a call for the list.
+    /// Whether a call for the list has been read on the connection.
     has_list_call: Cell<bool>,
 }
 
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Notes that a request was read; the bytes read until now are its own.
+    /// Records that a request was read, and attributes all unattributed bytes to that request.
     pub fn begin_request(&self, is_list_call: bool) {
         let bytes = self.unattributed.take();
         self.answers_list_call.set(is_list_call);
@@ -76,14 +77,14 @@
     }
 }
 
-/// A stream that reports the bytes read from it and written to it.
+/// A TCP stream that reports the number of bytes read and written.
 pub struct CountingStream {
     stream: TcpStream,
     byte_counter: Rc<ConnectionByteCounter>,
 }
 
 impl CountingStream {
-    /// Wraps a connection's stream.
+    /// Wraps the stream of a connection.
     pub fn new(stream: TcpStream, byte_counter: Rc<ConnectionByteCounter>) -> Self {
         Self {
             stream,
--- a/crates/node/src/relay/connection_limit.rs
+++ b/crates/node/src/relay/connection_limit.rs
@@ -1,4 +1,4 @@
-//! A bound on open connections.
+//! A limit on the number of open connections.
 
 use std::cell::Cell;
 
@@ -18,17 +18,17 @@
         }
     }
 
-    /// Connections that hold a permit.
+    /// Returns the number of connections that hold a permit.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Upper bound of [`open`](Self::open).
+    /// Returns the upper bound of [`open`](Self::open).
     pub fn max(&self) -> usize {
         self.max
     }
 
-    /// A permit for one more connection; `None` if the limit is reached.
+    /// Acquires a permit for one more connection; returns `None` if the limit is reached.
     pub fn try_acquire(&self) -> Option<ConnectionPermit<'_>> {
         if self.open.get() >= self.max {
             return None;
@@ -38,7 +38,7 @@
     }
 }
 
-/// The right to hold one connection open, given back when dropped.
+/// Permit for one open connection, released on drop.
 #[derive(Debug)]
 pub struct ConnectionPermit<'a>(&'a ConnectionLimit);
 
--- a/crates/node/src/relay/downstream.rs
+++ b/crates/node/src/relay/downstream.rs
@@ -1,9 +1,9 @@
-//! The server for downstream clients: connections within a bound.
+//! The server for downstream clients, with a limit on connections.
 
 use super::byte_counter::{ConnectionByteCounter, CountingStream, DownstreamCounters};
 use super::connection_limit::ConnectionLimit;
 use super::publisher::ReplicaPublisher;
-use super::response::{closing, plain_text};
+use super::response::{plain_text, with_connection_close};
 use super::service::RelayService;
 use super::status::UpstreamCounts;
 use hyper::body::Incoming;
@@ -21,27 +21,28 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// A connection is closed if it brings no request for this long.
+/// Time without a request after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
-/// Upper bound of a request's head.
+/// Maximum size of a request head.
 const MAX_REQUEST_HEAD_BYTES: usize = 16 << 10;
-/// Pause after an accept that failed: the next one would fail at once as well, and the loop spin.
+/// Pause after a failed accept: an immediate retry would fail as well, in a busy loop.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(10);
-/// Connections past the limit that are answered 503 at a time; further ones are closed without an answer.
+/// Maximum number of connections beyond the limit that are answered with 503 at the same time;
+/// further connections are closed without a response.
 pub const MAX_REJECTING_CONNECTIONS: usize = 32;
-/// How long a connection past the limit may stay open.
+/// Time after which a connection beyond the limit is closed.
 const REJECTION_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long clients may take to read their answers when the relay shuts down.
+/// Time that clients have to read their answers when the relay shuts down.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often the shutdown checks whether all connections are closed.
+/// Interval at which the shutdown checks whether all connections are closed.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The server, with all its connections.
+/// Server for downstream clients, with all its connections.
 pub struct DownstreamServer {
     service: RelayService,
     log: Log,
     connections: ConnectionLimit,
-    /// Connections past the limit while they are answered 503.
+    /// Connections beyond the limit that are being answered with 503.
     rejecting: ConnectionLimit,
 }
 
@@ -65,20 +66,22 @@
         }
     }
 
-    /// Accepts connections for as long as the future lives. A connection outlives it.
+    /// Accepts connections until the future is dropped, which does not close accepted connections.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => drop(spawn_local(self.clone().handle_connection(stream))),
                 Err(error) => {
-                    self.log.rate_limited("accept", &format!("accept: {error}"));
+                    self.log
+                        .rate_limited("accept", &format!("cannot accept a connection: {error}"));
                     sleep(ACCEPT_ERROR_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Answers all clients with an error, and waits until they have read it, for [`SHUTDOWN_TIMEOUT`] at most.
+    /// Answers all clients with an error and waits until the connections are closed, for at most
+    /// [`SHUTDOWN_TIMEOUT`].
     pub async fn shut_down(&self) {
         self.service.publisher.shut_down();
         let all_closed = async {
@@ -86,12 +89,12 @@
                 sleep(SHUTDOWN_POLL_INTERVAL).await;
             }
         };
-        // A client that has not read its answer by then is cut off by the end of the process.
+        // The end of the process disconnects clients that have not read their answer by then.
         let _ = timeout(SHUTDOWN_TIMEOUT, all_closed).await;
     }
 
     async fn handle_connection(self: Rc<Self>, stream: TcpStream) {
-        // An answer is sent as soon as there is one.
+        // Answers are sent without delay.
         if stream.set_nodelay(true).is_err() {
             return;
         }
@@ -112,7 +115,7 @@
         });
         let mut serving = pin!(http().serve_connection(io, service));
         tokio::select! {
-            // An error of a connection concerns its client alone.
+            // A connection error affects only its own client.
             _ = &mut serving => return,
             () = self.service.publisher.shutting_down() => serving.as_mut().graceful_shutdown(),
         }
@@ -125,7 +128,7 @@
             .add(|counts| counts.rejected_connections += 1);
         self.log.rate_limited(
             "connections",
-            "relay: a connection is rejected: the limit on connections is reached",
+            "relay: connection rejected: the connection limit is reached",
         );
         let Some(_permit) = self.rejecting.try_acquire() else {
             return;
@@ -135,7 +138,7 @@
                 "there are {} connections already: ask another source",
                 self.connections.max()
             );
-            let response = closing(plain_text(StatusCode::SERVICE_UNAVAILABLE, text));
+            let response = with_connection_close(plain_text(StatusCode::SERVICE_UNAVAILABLE, text));
             Ok::<_, Infallible>(response)
         });
         let _ = timeout(
@@ -146,10 +149,10 @@
     }
 }
 
-/// The server's settings of HTTP.
+/// Returns the HTTP settings of the server.
 fn http() -> http1::Builder {
     let mut http = http1::Builder::new();
-    // Without a date, an answer is the same for all clients.
+    // Without a date header, an answer is identical for all clients.
     http.auto_date_header(false)
         .max_buf_size(MAX_REQUEST_HEAD_BYTES);
     http.timer(TokioTimer::new())
--- a/crates/node/src/relay/encoded_answers.rs
+++ b/crates/node/src/relay/encoded_answers.rs
@@ -1,21 +1,21 @@
-//! Encoded answers, each shared by all clients that get the same one.
+//! A cache of encoded answers, each shared by all clients that receive the same answer.
 
 use bytes::Bytes;
 use slatelink_membership::{Answer, ListUpdate};
 use std::collections::HashMap;
 
-/// Upper bound of the answers cached for one version. Clients that are behind by different versions each get another
-/// delta; past the bound, an answer is encoded for its client alone.
+/// Maximum number of answers cached for one version. Clients whose versions differ receive
+/// different deltas; beyond this limit, an answer is encoded separately for its client.
 const MAX_CACHED_ANSWERS: usize = 64;
 
-/// An update as it is sent to clients.
+/// An encoded update, as sent to clients.
 #[derive(Clone, Debug)]
 pub struct EncodedUpdate {
-    /// The JSON.
+    /// JSON text of the update.
     pub body: Bytes,
-    /// Whether it is a snapshot.
+    /// Whether the update is a snapshot.
     pub complete: bool,
-    /// Number of endpoint records in it.
+    /// Number of endpoint records in the update.
     pub record_count: usize,
 }
 
@@ -29,17 +29,18 @@
     }
 }
 
-/// The cached answers of the version held.
+/// Cached answers for the held version.
 #[derive(Debug, Default)]
 pub struct EncodedAnswers(HashMap<Answer, EncodedUpdate>);
 
 impl EncodedAnswers {
-    /// Drops all answers, because another list is held.
+    /// Removes all answers, because the held list has changed.
     pub fn clear(&mut self) {
         self.0.clear();
     }
 
-    /// The answer from the cache, or encoded from `update`; `None` if that is.
+    /// Returns the cached answer, or encodes the result of `update`. Returns `None` if `update`
+    /// does.
     pub fn get_or_encode(
         &mut self,
         answer: Answer,
--- a/crates/node/src/relay/publisher.rs
+++ b/crates/node/src/relay/publisher.rs
@@ -1,4 +1,5 @@
-//! The published replica: the upstream client is its only writer, and clients wait for its changes.
+//! The published replica: the upstream client is its only writer, and downstream clients wait for
+//! its changes.
 
 use super::encoded_answers::{EncodedAnswers, EncodedUpdate};
 use super::request::ListParameters;
@@ -15,20 +16,22 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How long a client whose version this relay has not waits for upstream to confirm it.
+/// Maximum time that a client waits for upstream to confirm a version that this relay does not
+/// hold.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long after its last moment the lease is checked: it expires after that moment, not at it.
+/// Time between the last moment of the lease and the check for its expiry: the lease expires after
+/// that moment, not at that moment.
 const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(1);
-/// How often an expired lease is checked for its renewal.
+/// Interval at which an expired lease is checked for its renewal.
 const EXPIRED_LEASE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a client gets no list.
+/// Reason why a client receives an error instead of a list.
 #[derive(Debug, Error)]
 pub enum PublishError {
-    /// There is no list, or its lease has expired.
+    /// The relay holds no list, or the lease has expired.
     #[error(transparent)]
     Unavailable(#[from] Unavailable),
-    /// Upstream has not confirmed the client's version in time.
+    /// Upstream did not confirm the client's version in time.
     #[error(
         "the caller has version {0}, which is not known here, and upstream has not answered for it"
     )]
@@ -36,18 +39,18 @@
     /// The list cannot be encoded.
     #[error("the list cannot be encoded: {0}")]
     Encode(#[from] serde_json::Error),
-    /// The relay shuts down.
+    /// The relay is shutting down.
     #[error("the relay stops")]
     ShuttingDown,
 }
 
-/// A replica, with the clients that wait for it to change.
+/// A replica and the clients that wait for its changes.
 pub struct ReplicaPublisher {
     replica: RefCell<Replica>,
     encoded_answers: RefCell<EncodedAnswers>,
-    /// The origin of the replica's time.
+    /// Origin of the replica's time.
     origin: Instant,
-    /// Raised when the answers of clients that wait have to be decided again.
+    /// Incremented when the answers to waiting clients have to be decided again.
     revision: watch::Sender<u64>,
     /// Notified when a client waits for upstream to confirm its version.
     confirmation_requested: Notify,
@@ -69,12 +72,13 @@
         }
     }
 
-    /// The present time, as the replica counts it.
+    /// Returns the current time, relative to the origin of the replica's time.
     pub fn now(&self) -> Duration {
         self.origin.elapsed()
     }
 
-    /// The next call to make upstream. It confirms a client's version only if `may_confirm`.
+    /// Returns the next call to make upstream. The call confirms a client's version only if
+    /// `may_confirm`.
     pub fn next_call(&self, may_confirm: bool) -> UpstreamCall {
         let replica = self.replica.borrow();
         if may_confirm {
@@ -84,16 +88,17 @@
         }
     }
 
-    /// Notes that calls go to another upstream from now on.
+    /// Records that subsequent calls go to another upstream.
     pub fn upstream_changed(&self) {
         self.replica.borrow_mut().upstream_changed();
     }
 
-    /// Applies the answer to a call that was sent at `sent_at`, and wakes the clients that it may concern.
+    /// Applies the answer to a call that was sent at `sent_at`, and wakes the clients whose answers
+    /// may change.
     ///
     /// # Errors
     ///
-    /// If the replica rejects the update.
+    /// Returns an error if the replica rejects the update.
     pub fn apply(
         &self,
         call: UpstreamCall,
@@ -120,18 +125,18 @@
         self.revision.send_modify(|revision| *revision += 1);
     }
 
-    /// Waits until a client's version is to be confirmed by upstream.
-    pub async fn confirmation_wanted(&self) {
+    /// Waits until a client's version has to be confirmed by upstream.
+    pub async fn wait_for_confirmation_request(&self) {
         while !matches!(self.next_call(true), UpstreamCall::Confirm(_)) {
             self.confirmation_requested.notified().await;
         }
     }
 
-    /// Answers a client as soon as there is an answer: at the end of its wait at the latest.
+    /// Answers a client as soon as an answer is available, at the latest when its wait ends.
     ///
     /// # Errors
     ///
-    /// If the client has to be answered with an error.
+    /// Returns an error if the client has to be answered with an error.
     pub async fn answer(&self, request: ListParameters) -> Result<EncodedUpdate, PublishError> {
         let received_at = self.now();
         let wait_ends_at = Instant::now() + request.wait;
@@ -164,7 +169,8 @@
         }
     }
 
-    /// Has upstream asked for a client's version, and returns when the client stops waiting for that.
+    /// Requests confirmation of a client's version by upstream. Returns the time at which the
+    /// client stops waiting for the confirmation.
     fn request_confirmation(
         &self,
         version: Version,
@@ -187,8 +193,8 @@
         Ok(encoded.ok_or(Unavailable::NoList)??)
     }
 
-    /// Wakes the clients that wait when the lease expires, so that they get an error at that moment. It never ends while
-    /// the publisher lives.
+    /// Wakes the waiting clients when the lease expires, so that they receive an error immediately.
+    /// Runs for as long as the publisher exists.
     pub async fn monitor_lease(self: Rc<Self>, log: Log) {
         let mut revision = self.revision.subscribe();
         loop {
@@ -203,13 +209,13 @@
                 continue;
             }
             log.line(
-                "relay: the lease expired without an update from upstream: clients get errors",
+                "relay: lease expired without an update from upstream; clients receive errors",
             );
             self.wake_clients();
             while self.lease_expires_at() == Some(expires_at) {
                 sleep(EXPIRED_LEASE_POLL_INTERVAL).await;
             }
-            log.line("relay: the lease is renewed: clients are answered again");
+            log.line("relay: lease renewed; clients receive the list again");
         }
     }
 
@@ -217,7 +223,7 @@
         self.replica.borrow().lease_expires_at()
     }
 
-    /// Why clients get errors now; `None` if they get the list.
+    /// Returns the reason why clients currently receive errors; `None` if they receive the list.
     pub fn unavailable(&self) -> Option<Unavailable> {
         let query = ListQuery {
             after: None,
@@ -227,12 +233,13 @@
         self.replica.borrow_mut().answer(query, self.now()).err()
     }
 
-    /// Reads the replica.
+    /// Calls `read` with the replica.
     pub fn with_replica<T>(&self, read: impl FnOnce(&Replica) -> T) -> T {
         read(&self.replica.borrow())
     }
 
-    /// Watches of clients that have the version held and wait for a newer one.
+    /// Returns the number of watches of clients that have the held version and wait for a newer
+    /// one.
     pub fn waiting_watches(&self) -> usize {
         let held = self.replica.borrow().version();
         held.map_or(0, |version| self.waiting.count(version))
@@ -246,7 +253,7 @@
     /// Waits until [`shut_down`](Self::shut_down) is called.
     pub async fn shutting_down(&self) {
         let mut shutting_down = self.shutting_down.subscribe();
-        // It fails only if the sender is dropped, which this publisher owns.
+        // Fails only if the sender is dropped, and this publisher owns the sender.
         let _ = shutting_down.wait_for(|shutting_down| *shutting_down).await;
     }
 }
--- a/crates/node/src/relay/request.rs
+++ b/crates/node/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, read from its method and target.
+//! A client's request, parsed from its method and target.
 
 use super::{MAX_WATCH_WAIT, STATUS_PATH};
 use crate::list_client::LIST_PATH;
@@ -10,54 +10,55 @@
 /// Path of the health check.
 const HEALTH_PATH: &str = "/healthz";
 
-/// What a client requests.
+/// Request of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayRequest {
-    /// The endpoint list, or what is newer than a version.
+    /// A call for the endpoint list, or for the changes after a version.
     List(ListParameters),
-    /// Whether the relay can serve the list.
+    /// The health check, which reports whether the relay can serve the list.
     Health,
-    /// The relay's state and counters.
+    /// A request for the relay's state and counters.
     Status,
 }
 
-/// A call for the endpoint list.
+/// Parameters of a call for the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListParameters {
-    /// The version that the client has; `None` if it asks for a snapshot.
+    /// Version that the client has; `None` to request a snapshot.
     pub after: Option<Version>,
-    /// How long it waits for something newer, at most [`MAX_WATCH_WAIT`].
+    /// Time that the client waits for a newer version; at most [`MAX_WATCH_WAIT`].
     pub wait: Duration,
 }
 
-/// Why a request is invalid.
+/// Reason why a request is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// Another method than GET.
+    /// The method is not GET.
     #[error("the method is {0}: GET is expected")]
     Method(String),
-    /// A path without a resource.
+    /// The path names no resource.
     #[error("there is nothing at {0}: lists are at {LIST_PATH}")]
     Path(String),
-    /// A parameter that is not a number.
+    /// A parameter is not a number.
     #[error("{name} is {value:?}: a whole number is expected")]
     Number {
         /// Name of the parameter.
         name: &'static str,
-        /// Its value.
+        /// Value of the parameter.
         value: String,
     },
-    /// A wait that is too long, in milliseconds.
+    /// The wait, in milliseconds, exceeds [`MAX_WATCH_WAIT`].
     #[error("wait_ms is {0}: at most {longest} is possible", longest = MAX_WATCH_WAIT.as_millis())]
     Wait(u64),
 }
 
 impl RelayRequest {
-    /// Reads a request from its method and target.
+    /// Parses a request from its method and target.
     ///
     /// # Errors
     ///
-    /// If there is no such resource, or its parameters are invalid.
+    /// Returns an error if the resource does not exist, the method is not GET or the parameters are
+    /// invalid.
     pub fn parse(method: &Method, target: &Uri) -> Result<Self, RequestError> {
         if method != Method::GET {
             return Err(RequestError::Method(method.to_string()));
@@ -83,7 +84,7 @@
     }
 }
 
-/// Value of a parameter of the query; `None` if the query has none of this name.
+/// Returns the value of a query parameter; `None` if the query has no parameter of this name.
 fn number_parameter(query: &str, name: &'static str) -> Result<Option<u64>, RequestError> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let Some((_, value)) = pairs.find(|pair| pair.0 == name) else {
--- a/crates/node/src/relay/response.rs
+++ b/crates/node/src/relay/response.rs
@@ -5,17 +5,17 @@
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
 
-/// A response with its whole body.
+/// A response with a complete body.
 pub type RelayResponse = Response<Full<Bytes>>;
 
-/// A response with a line of text.
+/// Creates a response with a plain-text body.
 pub fn plain_text(status: StatusCode, text: String) -> RelayResponse {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
     response
 }
 
-/// A successful response with a JSON body.
+/// Creates a successful response with a JSON body.
 pub fn json(body: Bytes) -> RelayResponse {
     let mut response = Response::new(Full::new(body));
     response
@@ -24,8 +24,8 @@
     response
 }
 
-/// The response, after which the connection is closed.
-pub fn closing(mut response: RelayResponse) -> RelayResponse {
+/// Adds the header that closes the connection after the response.
+pub fn with_connection_close(mut response: RelayResponse) -> RelayResponse {
     response
         .headers_mut()
         .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/node/src/relay/service.rs
+++ b/crates/node/src/relay/service.rs
@@ -1,11 +1,11 @@
-//! The requests that clients may make, and the responses to them.
+//! Handling of client requests.
 
 use super::byte_counter::{ConnectionByteCounter, DownstreamCounters};
 use super::connection_limit::ConnectionLimit;
 use super::encoded_answers::EncodedUpdate;
 use super::publisher::{PublishError, ReplicaPublisher};
 use super::request::{ListParameters, RelayRequest, RequestError};
-use super::response::{closing, json, plain_text, RelayResponse};
+use super::response::{json, plain_text, with_connection_close, RelayResponse};
 use super::status::{RelayStatus, UpstreamCounts};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
@@ -15,16 +15,17 @@
 
 /// Answers clients from the published replica.
 pub struct RelayService {
-    /// The replica.
+    /// Publisher of the replica.
     pub publisher: Rc<ReplicaPublisher>,
-    /// Messages exchanged with clients.
+    /// Counters of the messages exchanged with clients.
     pub counters: Rc<DownstreamCounters>,
-    /// Messages exchanged with upstream, for the status.
+    /// Counts of the messages exchanged with upstream, for the status.
     pub upstream_counts: Rc<Cell<UpstreamCounts>>,
 }
 
 impl RelayService {
-    /// Answers a request that was read on a connection with this byte counter. `connections` is stated in the status.
+    /// Answers a request on the connection of `byte_counter`. The status reports the counts of
+    /// `connections`.
     pub async fn respond(
         &self,
         request: Request<Incoming>,
@@ -47,12 +48,12 @@
             None => counts.snapshot_calls += 1,
         });
         match self.publisher.answer(request).await {
-            Ok(update) => self.updated(update),
+            Ok(update) => self.update_response(update),
             Err(error) => self.unavailable(&error),
         }
     }
 
-    fn updated(&self, update: EncodedUpdate) -> RelayResponse {
+    fn update_response(&self, update: EncodedUpdate) -> RelayResponse {
         self.counters.add(|counts| {
             match (update.complete, update.record_count) {
                 (true, _) => counts.snapshot_answers += 1,
@@ -68,7 +69,7 @@
         self.counters.add(|counts| counts.rejected_calls += 1);
         let response = plain_text(StatusCode::SERVICE_UNAVAILABLE, error.to_string());
         match error {
-            PublishError::ShuttingDown => closing(response),
+            PublishError::ShuttingDown => with_connection_close(response),
             _ => response,
         }
     }
@@ -104,13 +105,13 @@
     }
 }
 
-/// The response to a request that cannot be answered. It closes the connection: a body that nobody reads would stand
-/// before the next request.
+/// Returns the response to an invalid request. The response closes the connection, because an
+/// unread request body would precede the next request.
 fn invalid_request(error: &RequestError) -> RelayResponse {
     let status = match error {
         RequestError::Method(_) => StatusCode::METHOD_NOT_ALLOWED,
         RequestError::Path(_) => StatusCode::NOT_FOUND,
         RequestError::Number { .. } | RequestError::Wait(_) => StatusCode::BAD_REQUEST,
     };
-    closing(plain_text(status, error.to_string()))
+    with_connection_close(plain_text(status, error.to_string()))
 }
--- a/crates/node/src/relay/status.rs
+++ b/crates/node/src/relay/status.rs
@@ -1,23 +1,24 @@
-//! A relay's state and counters, as its status resource states them in JSON.
+//! A relay's state and counters, as reported in JSON by its status resource.
 
 use serde::{Deserialize, Serialize};
 
 /// Path of the status resource.
 pub const STATUS_PATH: &str = "/v1/relay";
 
-/// Messages exchanged with downstream clients since the relay's start. Bytes are those of whole HTTP messages, without the
-/// headers of TCP and IP.
+/// Counts of the messages exchanged with downstream clients since the start of the relay. Bytes are
+/// those of complete HTTP messages, without TCP and IP headers.
 ///
-/// The scale run keeps a similar record of discovery's messages, `ControlCounts` of `slatelink-lab`. The two stay apart
-/// because their last fields differ in meaning: connections that were rejected here, and connections that were reset there.
+/// The scale run keeps a similar record of discovery's messages, `ControlCounts` of
+/// `slatelink-lab`. The two types are separate because their last fields have different meanings:
+/// rejected connections here, reset connections there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DownstreamCounts {
     /// Calls for a snapshot.
     #[serde(rename = "whole_calls")]
     pub snapshot_calls: u64,
-    /// Calls for what is newer than a version.
+    /// Calls for the changes after a version.
     pub watch_calls: u64,
-    /// Bytes of these calls.
+    /// Bytes of all calls for a snapshot or for changes.
     pub call_bytes: u64,
     /// Answers with a snapshot.
     #[serde(rename = "whole_answers")]
@@ -28,7 +29,8 @@
     /// Answers with an empty delta.
     #[serde(rename = "empty_answers")]
     pub unchanged_answers: u64,
-    /// Calls answered 503: there is no list, the lease has expired, or upstream did not confirm the client's version.
+    /// Calls answered with 503: the relay holds no list, the lease has expired, or upstream did not
+    /// confirm the client's version.
     #[serde(rename = "refused")]
     pub rejected_calls: u64,
     /// Bytes of all answers to calls.
@@ -36,25 +38,25 @@
     /// Endpoint records in all answers.
     #[serde(rename = "entries")]
     pub answer_records: u64,
-    /// Connections on which the list was asked for at least once.
+    /// Connections with at least one call for the list.
     pub connections: u64,
     /// Connections rejected because the limit on open connections was reached.
     #[serde(rename = "connections_refused")]
     pub rejected_connections: u64,
 }
 
-/// Messages exchanged with upstream since the relay's start.
+/// Counts of the messages exchanged with upstream since the start of the relay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamCounts {
-    /// Calls that were made.
+    /// Calls made.
     pub calls: u64,
-    /// Calls that brought no update.
+    /// Calls that returned no update.
     #[serde(rename = "failed")]
     pub failed_calls: u64,
-    /// Updates that were applied.
+    /// Updates applied.
     #[serde(rename = "applied")]
     pub applied_updates: u64,
-    /// Updates that were read and not applied.
+    /// Updates read but not applied.
     #[serde(rename = "rejected")]
     pub rejected_updates: u64,
 }
@@ -62,30 +64,31 @@
 /// A relay's state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayStatus {
-    /// Version of the endpoint list held.
+    /// Version of the held endpoint list.
     pub version: Option<u64>,
-    /// Endpoints in the list held.
+    /// Number of endpoints in the held list.
     #[serde(rename = "servers")]
     pub endpoints: usize,
-    /// Epochs begun: one with the first list, and one each time upstream's versions went back.
+    /// Number of epochs begun: one with the first list, and one each time upstream sends a lower
+    /// version or reuses a version for a different list.
     pub epochs: u64,
     /// Bytes of the changes kept to answer with deltas.
     pub history_bytes: usize,
-    /// Milliseconds until the lease expires; `None` without a list, 0 once it has expired.
+    /// Milliseconds until the lease expires; `None` without a list, 0 after the lease has expired.
     #[serde(rename = "lease_left_ms")]
     pub lease_remaining_ms: Option<u64>,
-    /// Open connections of downstream clients.
+    /// Number of open connections of downstream clients.
     #[serde(rename = "open")]
     pub open_connections: usize,
     /// Upper bound of `open_connections`.
     #[serde(rename = "most_open")]
     pub max_connections: usize,
-    /// Watches of clients that have the version held and wait for a newer one.
+    /// Number of watches of clients that have the held version and wait for a newer one.
     #[serde(rename = "waiting")]
     pub waiting_watches: usize,
-    /// Messages exchanged with downstream clients.
+    /// Counts of the messages exchanged with downstream clients.
     #[serde(rename = "callers")]
     pub downstream: DownstreamCounts,
-    /// Messages exchanged with upstream.
+    /// Counts of the messages exchanged with upstream.
     pub upstream: UpstreamCounts,
 }
--- a/crates/node/src/relay/upstream_client.rs
+++ b/crates/node/src/relay/upstream_client.rs
@@ -1,9 +1,11 @@
-//! The upstream client: watches one upstream address, changes to the next one when it fails, and backs off when all do.
+//! The upstream client: watches one upstream address, switches to the next address after a failure,
+//! and backs off when all addresses fail.
 //!
-//! The node's own client of discovery does not fit here: it reads of a record what a node needs and drops its text, and it
-//! renews its watches by the node's rules and not by a lease.
+//! The node's own discovery client is not used here: it keeps only the parts of a record that a
+//! node needs and discards the record's text, and it renews watches by the node's rules instead of
+//! a lease.
 
-use super::backoff::{after_failed_rounds, after_rejections, UNPRODUCTIVE_CALL_PAUSE};
+use super::backoff::{pause_after_failed_rounds, pause_after_rejections, UNPRODUCTIVE_CALL_PAUSE};
 use super::publisher::ReplicaPublisher;
 use super::status::UpstreamCounts;
 use super::upstream_connection::UpstreamConnection;
@@ -20,48 +22,49 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// A watch waits for this part of the lease and has as long again to be answered; the rest is for another address.
-const WATCHES_PER_LEASE: u32 = 3;
-/// Bounds of the time that a call may take beyond its wait. A call may stand in discovery's queue for 2 s.
+/// Number of equal parts of the lease. A watch waits for one part, and its response may take
+/// another part; the rest of the lease is for a call to another address.
+const LEASE_PARTS: u32 = 3;
+/// Bounds of the time that a call may take beyond its wait. Discovery may queue a call for 2 s.
 const RESPONSE_TIMEOUT_BOUNDS: RangeInclusive<Duration> =
     Duration::from_millis(250)..=Duration::from_secs(3);
-/// The least time between two calls that confirm clients' versions.
+/// Minimum time between two calls that confirm clients' versions.
 const MIN_CONFIRMATION_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Keeps the published replica up to date.
 pub struct UpstreamClient {
     addresses: Vec<SocketAddr>,
-    /// How long a watch waits at upstream.
+    /// Time that a watch waits at upstream.
     watch_wait: Duration,
-    /// How long beyond its wait a call may take.
+    /// Time that a call may take beyond its wait.
     response_timeout: Duration,
     publisher: Rc<ReplicaPublisher>,
     counts: Rc<Cell<UpstreamCounts>>,
     random: fastrand::Rng,
     log: Log,
-    /// Calls that failed since the last applied update.
+    /// Number of failed calls since the last applied update.
     failures: u32,
-    /// Updates that were rejected since the last applied one.
+    /// Number of rejected updates since the last applied update.
     rejections: u32,
-    /// When the last call was made that confirms a client's version.
+    /// Time of the last call that confirmed a client's version.
     last_confirmation: Option<Instant>,
 }
 
-/// The end of a call that did not fail.
+/// Result of a call that did not fail.
 enum CallOutcome {
-    /// Upstream answered.
+    /// Upstream answered with this update.
     Answered(ListUpdate),
     /// The watch was abandoned, because a client's version has to be confirmed.
     Abandoned,
 }
 
-/// The effect of an update.
+/// Effect of an update.
 enum UpdateOutcome {
-    /// It was applied and concerns clients.
+    /// The update was applied, and waiting clients have to be answered.
     Changed,
-    /// It was applied and changed nothing.
+    /// The update was applied and changed nothing.
     Unchanged,
-    /// It was not applied.
+    /// The update was not applied.
     Rejected,
 }
 
@@ -73,12 +76,12 @@
         counts: Rc<Cell<UpstreamCounts>>,
         log: Log,
     ) -> Self {
-        let part_of_lease = settings.lease() / WATCHES_PER_LEASE;
-        let (shortest, longest) = RESPONSE_TIMEOUT_BOUNDS.into_inner();
+        let lease_part = settings.lease() / LEASE_PARTS;
+        let (min_timeout, max_timeout) = RESPONSE_TIMEOUT_BOUNDS.into_inner();
         Self {
             addresses: settings.upstream.clone(),
-            watch_wait: part_of_lease.min(MAX_WATCH_WAIT),
-            response_timeout: part_of_lease.clamp(shortest, longest),
+            watch_wait: lease_part.min(MAX_WATCH_WAIT),
+            response_timeout: lease_part.clamp(min_timeout, max_timeout),
             publisher,
             counts,
             random: fastrand::Rng::new(),
@@ -89,14 +92,16 @@
         }
     }
 
-    /// Calls one address until it fails, and then the next one, for as long as the future lives.
+    /// Calls one address until a call fails, then the next address, until the future is dropped.
     pub async fn run(mut self) {
         let addresses = self.addresses.clone();
         for address in addresses.into_iter().cycle() {
-            let Err(error) = self.follow(address).await;
+            let Err(error) = self.call_until_failure(address).await;
             self.count(|counts| counts.failed_calls += 1);
-            self.log
-                .rate_limited("upstream", &format!("upstream {address}: {error}"));
+            self.log.rate_limited(
+                "upstream",
+                &format!("call to upstream {address} failed: {error}"),
+            );
             if self.addresses.len() > 1 {
                 self.publisher.upstream_changed();
             }
@@ -110,7 +115,7 @@
         let addresses = u32::try_from(self.addresses.len()).unwrap_or(u32::MAX);
         let failed_rounds = self.failures / addresses;
         if failed_rounds > 0 {
-            sleep(after_failed_rounds(failed_rounds, &mut self.random)).await;
+            sleep(pause_after_failed_rounds(failed_rounds, &mut self.random)).await;
         }
     }
 
@@ -120,40 +125,45 @@
         self.counts.set(counts);
     }
 
-    /// Makes calls to this address until one fails.
-    async fn follow(&mut self, address: SocketAddr) -> Result<Infallible, DiscoveryError> {
+    /// Makes calls to this address until a call fails.
+    async fn call_until_failure(
+        &mut self,
+        address: SocketAddr,
+    ) -> Result<Infallible, DiscoveryError> {
         let mut connection = UpstreamConnection::open(address).await?;
         loop {
             let call = self.publisher.next_call(self.may_confirm());
-            let (begun_at, sent_at) = (Instant::now(), self.publisher.now());
+            let (started_at, sent_at) = (Instant::now(), self.publisher.now());
             match self.call(&mut connection, call).await? {
-                // The answer to the abandoned call would come first on its connection.
+                // A new connection, because the answer to the abandoned call would arrive first on
+                // the old one.
                 CallOutcome::Abandoned => connection = UpstreamConnection::open(address).await?,
                 CallOutcome::Answered(update) => {
                     let outcome = self.apply(call, update, sent_at);
-                    self.pause_after(outcome, begun_at.elapsed()).await;
+                    self.pause_after(outcome, started_at.elapsed()).await;
                 }
             }
         }
     }
 
-    /// Pauses after an answer that was of no use. A call that took long enough by itself needs no pause.
+    /// Pauses after an answer without effect. After a call that took at least
+    /// [`UNPRODUCTIVE_CALL_PAUSE`] and changed nothing, no pause is needed.
     async fn pause_after(&self, outcome: UpdateOutcome, call_duration: Duration) {
         match outcome {
             UpdateOutcome::Changed => {}
             UpdateOutcome::Unchanged if call_duration >= UNPRODUCTIVE_CALL_PAUSE => {}
             UpdateOutcome::Unchanged => sleep(UNPRODUCTIVE_CALL_PAUSE).await,
-            UpdateOutcome::Rejected => sleep(after_rejections(self.rejections)).await,
+            UpdateOutcome::Rejected => sleep(pause_after_rejections(self.rejections)).await,
         }
     }
 
-    /// Whether the next call may confirm a client's version.
+    /// Checks whether the next call may confirm a client's version.
     fn may_confirm(&self) -> bool {
         self.last_confirmation
             .is_none_or(|last| last.elapsed() >= MIN_CONFIRMATION_INTERVAL)
     }
 
-    /// Makes a call. A watch is abandoned once a client's version may be confirmed.
+    /// Makes a call. A watch is abandoned as soon as a client's version may be confirmed.
     async fn call(
         &mut self,
         connection: &mut UpstreamConnection,
@@ -182,15 +192,15 @@
         }
     }
 
-    /// Waits until a client's version is to be confirmed and that may be done.
+    /// Waits until a client's version has to be confirmed and the next confirmation is allowed.
     async fn confirmation_due(&self) {
-        self.publisher.confirmation_wanted().await;
+        self.publisher.wait_for_confirmation_request().await;
         if let Some(last) = self.last_confirmation {
             sleep_until(last + MIN_CONFIRMATION_INTERVAL).await;
         }
     }
 
-    /// Applies the answer to a call, and counts and logs what came of it.
+    /// Applies the answer to a call, and counts and logs the result.
     fn apply(
         &mut self,
         call: UpstreamCall,
@@ -213,8 +223,10 @@
             Err(rejected) => {
                 self.rejections = self.rejections.saturating_add(1);
                 self.count(|counts| counts.rejected_updates += 1);
-                self.log
-                    .rate_limited("rejected", &format!("upstream: {rejected}"));
+                self.log.rate_limited(
+                    "rejected",
+                    &format!("update from upstream rejected: {rejected}"),
+                );
                 UpdateOutcome::Rejected
             }
         }
@@ -223,12 +235,12 @@
     fn log_applied(&self, version: Version, outcome: ApplyOutcome) {
         if outcome.new_epoch {
             self.log.line(&format!(
-                "upstream's versions went back: list {version} begins an epoch"
+                "list version {version} from upstream is lower or reused: a new epoch begins"
             ));
         }
         if outcome.duplicates > 0 {
             let text = format!(
-                "list {version} names {} endpoints more than once",
+                "list version {version} contains {} duplicate endpoint records",
                 outcome.duplicates
             );
             self.log.rate_limited("duplicates", &text);
--- a/crates/node/src/relay/upstream_connection.rs
+++ b/crates/node/src/relay/upstream_connection.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use tokio::task::JoinSet;
 
-/// An open connection, closed when dropped. A task of its own drives it.
+/// An open connection, driven by its own task and closed on drop.
 pub struct UpstreamConnection {
     address: SocketAddr,
     sender: RequestSender,
-    /// The task that drives the connection; dropping the set ends it.
+    /// Task that drives the connection; dropping the set aborts the task.
     _driver: JoinSet<hyper::Result<()>>,
 }
 
@@ -26,7 +26,7 @@
         })
     }
 
-    /// Sends a request and reads its answer. It sets no timeout.
+    /// Sends a request and reads its answer, without a timeout.
     pub async fn fetch(&mut self, request: ListRequest) -> Result<ListUpdate, DiscoveryError> {
         let body = exchange(&mut self.sender, self.address, request).await?;
         Ok(ListUpdate::parse(&body)?)
--- a/crates/node/src/relay/waiting_watches.rs
+++ b/crates/node/src/relay/waiting_watches.rs
@@ -1,10 +1,10 @@
-//! The number of watches that wait, by the version that their clients have.
+//! The number of waiting watches, by the version that their clients have.
 
 use slatelink_membership::Version;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Counts the watches that wait. A version without one has no entry.
+/// Counts of waiting watches by version. A version without a waiting watch has no entry.
 #[derive(Debug, Default)]
 pub struct WaitingWatches(RefCell<BTreeMap<Version, usize>>);
 
@@ -18,13 +18,13 @@
         }
     }
 
-    /// Watches of clients that have this version.
+    /// Returns the number of waiting watches of clients that have this version.
     pub fn count(&self, version: Version) -> usize {
         self.0.borrow().get(&version).copied().unwrap_or(0)
     }
 }
 
-/// A watch that is counted while this lives.
+/// Guard of a counted watch; dropping the guard ends the count.
 #[derive(Debug)]
 pub struct WatchGuard<'a> {
     watches: &'a WaitingWatches,
