--- a/crates/admission/tests/budget.rs
+++ b/crates/admission/tests/budget.rs
@@ -74,11 +74,11 @@
 
     fn set_bytes(&mut self) {
         let requested_bytes = self.random.usize(0..2_000);
-        let all = self.bytes();
+        let total_bytes = self.bytes();
         let index = self.random.usize(0..self.leased.len());
         let leased = &mut self.leased[index];
         let fits = requested_bytes <= leased.bytes
-            || all - leased.bytes + requested_bytes <= self.max_bytes;
+            || total_bytes - leased.bytes + requested_bytes <= self.max_bytes;
         assert_eq!(
             leased.lease.try_set_bytes(requested_bytes),
             fits,
--- a/crates/node/src/relay/upstream_client.rs
+++ b/crates/node/src/relay/upstream_client.rs
@@ -119,9 +119,9 @@
         }
     }
 
-    fn count(&self, add: impl FnOnce(&mut UpstreamCounts)) {
+    fn count(&self, increment: impl FnOnce(&mut UpstreamCounts)) {
         let mut counts = self.counts.get();
-        add(&mut counts);
+        increment(&mut counts);
         self.counts.set(counts);
     }
 
