--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,12 +1,14 @@
-//! The driver: takes a request from its arrival to its final response, as the decision module says.
+//! The driver: carries each request from its arrival to its final response, as the decision module
+//! decides.
 //!
-//! It alone owns the decision module and the open requests. Events come in by channel, become events of the
-//! decision module, and its actions are carried out in order; no endpoint is chosen, nothing retried and nothing shed
-//! here.
+//! The driver is the only owner of the decision module and of the open requests. Events arrive by
+//! channel and are passed to the decision module, whose actions are executed in order. The driver
+//! itself never chooses an endpoint, retries a request or sheds one.
 //!
-//! The way of a request: `on_request_received` opens it, `start_attempt` forwards it, `on_attempt_ended` reports an
-//! attempt's result to the decision module, `respond` gives the final response, and `remove_if_finished` forgets it. Two
-//! events can cut that short: `on_client_disconnected` and `on_response_deadline`.
+//! Course of a request: `on_request_received` opens it, `start_attempt` forwards it,
+//! `on_attempt_ended` reports the result of an attempt to the decision module, `respond` sends the
+//! final response, and `remove_if_finished` removes the request. Two events can end a request
+//! early: `on_client_disconnected` and `on_response_deadline`.
 
 mod messages;
 mod open_request;
@@ -34,30 +36,30 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What the driver does at a point in time.
+/// Purpose of a timer of the driver.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
-    /// The decision module asked for a timer event.
+    /// Passes a timer event to the decision module, which requested it.
     PolicyWake,
-    /// This request must have been sent a response.
+    /// Fails the request if it has no final response yet.
     ResponseDeadline(RequestId),
 }
 
-/// What a driver is made of.
+/// Components of a [`Driver`].
 pub struct DriverOptions {
     /// The decision module.
     pub balancer: Balancer,
-    /// Makes the attempts.
+    /// Connection pools through which attempts are made.
     pub upstream: Rc<Upstream>,
-    /// Notified when the decision module asks for a poll of discovery.
+    /// Notified when the decision module requests a poll of discovery.
     pub poll_requested: Rc<Notify>,
-    /// Set once clients may come.
+    /// Set once the node is ready for clients.
     pub ready: Rc<Cell<bool>>,
-    /// Whether the node is not ready before discovery has sent its first list.
+    /// Whether the node waits for the first list from discovery before it is ready.
     pub awaits_first_list: bool,
-    /// Where attempts report their ends: the sending end of the events that `run` reads.
+    /// Sender of the events that `run` reads; attempts report their results through it.
     pub events: UnboundedSender<DriverEvent>,
-    /// Is called with everything that happens to requests.
+    /// Observer of requests, attempts, endpoint lists and opened breakers.
     pub observer: Rc<dyn Observer>,
 }
 
@@ -74,7 +76,7 @@
 }
 
 impl Driver {
-    /// A driver without endpoints and requests.
+    /// Creates a driver without endpoints or requests.
     pub fn new(options: DriverOptions) -> Self {
         Self {
             policy: PolicyRunner::new(options.balancer),
@@ -88,10 +90,11 @@
         }
     }
 
-    /// Runs for as long as the node does, from the endpoints that it knew last.
+    /// Runs for the lifetime of the node, starting from the last known endpoints.
     ///
-    /// Events of discovery come by a channel of their own and go before all others: in one queue they would wait until
-    /// the whole of a burst of requests has been decided by the old list.
+    /// Events of discovery have their own channel, which is read before all others. In a shared
+    /// queue an endpoint list would wait until a whole burst of requests had been decided by the
+    /// old list.
     pub async fn run(
         mut self,
         known_endpoints: EndpointList,
@@ -144,7 +147,7 @@
     }
 }
 
-/// The way of a request.
+/// Handling of requests.
 impl Driver {
     fn on_request_received(&mut self, request: ClientRequest) {
         let id = request_id(request.number);
@@ -159,7 +162,7 @@
         self.policy.enqueue(Event::Request(decision_request));
     }
 
-    /// A client's request as the decision module sees it.
+    /// Converts a client's request to the decision module's type.
     fn decision_request(&self, id: RequestId, request: &ClientRequest) -> Request {
         Request {
             id,
@@ -189,7 +192,7 @@
             let result = upstream
                 .attempt(&endpoint, &attempt.message, attempt.limits)
                 .await;
-            // Only fails once the driver is gone, with which the node ends.
+            // Fails only after the driver has ended, and with it the node.
             let _ = events.send(DriverEvent::AttemptEnded {
                 id,
                 attempt: attempt.number,
@@ -220,7 +223,7 @@
         }));
     }
 
-    /// Gives the final response that the decision module has decided on.
+    /// Sends the final response that the decision module has chosen.
     fn respond(&mut self, id: &RequestId, response: FinalResponse) {
         if let Some(open) = self.open_requests.get_mut(id) {
             open.respond(response, &*self.observer);
@@ -241,8 +244,9 @@
         self.policy.enqueue(Event::RequestCanceled(id));
     }
 
-    /// Fails a request that the decision module has left without a response, and cancels it there. The results of
-    /// its attempts in flight are still reported to it.
+    /// Fails a request for which the decision module has chosen no response in time, and cancels it
+    /// in the decision module. The results of its attempts in flight are still reported to the
+    /// decision module.
     fn on_response_deadline(&mut self, id: RequestId) {
         let Some(open) = self
             .open_requests
@@ -260,7 +264,7 @@
         let Some(open) = self.open_requests.get(id).filter(|open| open.is_finished()) else {
             return;
         };
-        // Left to expire, the timers of finished requests would outnumber the open requests.
+        // Without this, timers of finished requests would outnumber the open requests.
         self.timers.cancel(
             open.response_deadline(),
             Timer::ResponseDeadline(id.clone()),
@@ -269,9 +273,9 @@
     }
 }
 
-/// Endpoint lists.
+/// Handling of endpoint lists.
 impl Driver {
-    /// Begins with the endpoints that the node knew last, of which discovery may think otherwise.
+    /// Applies the last known endpoints, which may differ from the current list of discovery.
     fn apply_known_endpoints(&mut self, known_endpoints: EndpointList) {
         let snapshot = EndpointList {
             complete: true,
@@ -293,8 +297,9 @@
             .enqueue(Event::Endpoints(EndpointUpdate::Unavailable));
     }
 
-    /// Applies a list to the connections to endpoints and to readiness, and returns its endpoints for the decision
-    /// module. The caller queues them in the same step, so that no attempt is made by a list that the connections lack.
+    /// Applies a list to the connection pools and to readiness, and returns its endpoints for the
+    /// decision module. The caller queues the endpoints in the same step, so that no attempt is
+    /// based on a list that the connection pools do not have yet.
     fn apply_endpoint_list(&mut self, list: &EndpointList) -> Arc<[Endpoint]> {
         self.observer.endpoints_updated(list);
         let endpoints = endpoints(list);
@@ -344,7 +349,7 @@
     }
 }
 
-/// The decision module's id of the client's request of this number.
+/// Returns the decision module's id of the request with this number.
 fn request_id(number: u64) -> RequestId {
     RequestId::from(number.to_string().as_str())
 }
--- a/crates/node/src/driver/messages.rs
+++ b/crates/node/src/driver/messages.rs
@@ -9,24 +9,24 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Taken off a client's timeout, which runs from when the client sent its request until it has read the response: the
-/// request's way here and the response's way back are part of it.
+/// Subtracted from a client's timeout. The timeout covers the time from sending the request to
+/// reading the response, and so includes the network time in both directions.
 pub(super) const NETWORK_MARGIN: Duration = Duration::from_millis(5);
 
-/// What the node's other parts report to the driver.
+/// An event that another part of the node reports to the driver.
 #[derive(Debug)]
 pub enum DriverEvent {
-    /// A client's request was read whole.
+    /// A client's request was read completely.
     RequestReceived(Box<ClientRequest>),
-    /// The client of the request of this number has disconnected.
+    /// The client of the request with this number has disconnected.
     ClientDisconnected(u64),
     /// An attempt that the driver started has ended.
     AttemptEnded {
-        /// The attempt's request.
+        /// Id of the attempt's request.
         id: RequestId,
         /// The attempt's number within its request, from zero.
         attempt: u32,
-        /// How it ended.
+        /// Result of the attempt.
         result: AttemptResult,
     },
     /// Discovery has sent an endpoint list.
@@ -35,33 +35,33 @@
     DiscoveryFailed,
 }
 
-/// A client's request, read whole.
+/// A client's request, completely read.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Unique within the process; the client's own id may be used again for a later request.
+    /// Unique within the process, unlike the client's own id, which a later request may reuse.
     pub number: u64,
-    /// When its head was read.
+    /// Time at which the head was read.
     pub received_at: Instant,
-    /// Time from `received_at` after which the client gives up.
+    /// Time after `received_at` at which the client stops waiting.
     pub timeout: Duration,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// The number that its key is hashed by; `None` for a request without a key.
+    /// Number by which the key is hashed; `None` for a request without a key.
     pub key: Option<u64>,
-    /// What the client expects it to cost at an endpoint.
+    /// Work at an endpoint that the client expects the request to cost.
     pub expected_work: Option<Duration>,
-    /// Whether it changes what is stored.
+    /// Whether the request changes stored data.
     pub write: bool,
-    /// Whether its class, or all requests, already use their whole quota.
+    /// Whether its class, or all requests together, already use the whole quota.
     pub over_quota: bool,
-    /// What is forwarded to an endpoint.
+    /// Message to forward to an endpoint.
     pub message: ForwardedRequest,
-    /// Takes its final response; its receiver is dropped when the client disconnects.
+    /// Sender of the final response; its receiver is dropped when the client disconnects.
     pub response_sender: oneshot::Sender<FinalResponse>,
 }
 
 impl ClientRequest {
-    /// Point in time after which no endpoint's answer reaches the client in time.
+    /// Returns the time after which an endpoint's response no longer reaches the client in time.
     pub fn deadline(&self) -> Instant {
         self.received_at + self.timeout.saturating_sub(NETWORK_MARGIN)
     }
@@ -72,17 +72,17 @@
 pub enum FinalResponse {
     /// The body of the endpoint's 200 response.
     Served(Bytes),
-    /// Never done, and safe to send again.
+    /// Not carried out, or safe to repeat: the client may send the request again.
     Shed {
-        /// The client should wait this long before it does.
+        /// Time that the client should wait before it sends the request again.
         retry_after: Duration,
     },
-    /// Not done, or not known to be.
+    /// Not carried out, or with an unknown result.
     Failed,
 }
 
 impl FinalResponse {
-    /// The status code that the client reads.
+    /// Returns the status code of the response to the client.
     pub const fn status(&self) -> StatusCode {
         match self {
             Self::Served(_) => StatusCode::OK,
--- a/crates/node/src/driver/open_request.rs
+++ b/crates/node/src/driver/open_request.rs
@@ -1,4 +1,4 @@
-//! A request from its arrival until it has its final response and none of its attempts is in flight.
+//! Open requests: requests that have no final response yet, or an attempt in flight.
 
 use super::messages::{ClientRequest, FinalResponse, NETWORK_MARGIN};
 use crate::upstream::{AttemptLimits, ForwardedRequest};
@@ -11,28 +11,29 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// How long past a request's deadline the decision module's own response is waited for. Less than `NETWORK_MARGIN`, so
-/// that the driver's response still comes before the client gives up.
+/// Time after a request's deadline in which the decision module may still choose the response.
+/// Shorter than `NETWORK_MARGIN`, so that the driver's own response still arrives before the client
+/// stops waiting.
 const RESPONSE_GRACE: Duration = Duration::from_millis(4);
 const _: () = assert!(RESPONSE_GRACE.as_micros() < NETWORK_MARGIN.as_micros());
 
-/// A request that is not finished.
+/// A request that is not finished yet.
 pub struct OpenRequest {
     message: Rc<ForwardedRequest>,
-    /// `None` once the final response is given, or the client has disconnected.
+    /// `None` once the final response was sent or the client has disconnected.
     response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// Shared with its attempts, and set with `response_sender` to `None`: an attempt that has not written its first
-    /// byte by then never does.
+    /// Shared with the attempts, and set when `response_sender` becomes `None`. An attempt that has
+    /// not written its first byte by then never writes it.
     canceled: Rc<Cell<bool>>,
     class: ClassId,
     received_at: Instant,
-    /// No attempt is waited for beyond this.
+    /// Latest deadline of an attempt.
     deadline: Instant,
-    /// By number.
+    /// Indexed by attempt number.
     attempts: Vec<Attempt>,
 }
 
-/// One try at one endpoint.
+/// An attempt at one endpoint.
 struct Attempt {
     endpoint: EndpointId,
     started_at: Instant,
@@ -43,17 +44,17 @@
 pub struct NewAttempt {
     /// Its number within its request, from zero.
     pub number: u32,
-    /// What it sends.
+    /// Message to send.
     pub message: Rc<ForwardedRequest>,
-    /// Its deadlines.
+    /// Deadlines and cancellation of the attempt.
     pub limits: AttemptLimits,
 }
 
 /// An attempt that has ended.
 pub struct EndedAttempt {
-    /// Where it was sent.
+    /// Endpoint of the attempt.
     pub endpoint: EndpointId,
-    /// From its start to its end.
+    /// Time from the start to the end of the attempt.
     pub latency: Duration,
 }
 
@@ -72,33 +73,33 @@
         }
     }
 
-    /// The request's class.
+    /// Returns the request's class.
     pub const fn class(&self) -> ClassId {
         self.class
     }
 
-    /// Point in time by which its client must have been sent a response.
+    /// Returns the latest time at which the client is sent a response.
     pub fn response_deadline(&self) -> Instant {
         self.deadline + RESPONSE_GRACE
     }
 
-    /// The path that the client asked for.
+    /// Returns the path of the client's request.
     pub fn path(&self) -> &str {
         self.message.target.path()
     }
 
-    /// Whether a client waits for its final response.
+    /// Checks whether a client still waits for the final response.
     pub const fn awaits_response(&self) -> bool {
         self.response_sender.is_some()
     }
 
-    /// Whether nothing more can happen to it: no client waits, and no attempt is in flight.
+    /// Checks whether the request is finished: no client waits, and no attempt is in flight.
     pub fn is_finished(&self) -> bool {
         !self.awaits_response() && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
 
-    /// Records an attempt that starts now, with the decision module's bounds on how long it may take, and how long until
-    /// its first byte is written.
+    /// Records an attempt that starts now. The decision module limits its duration (`timeout`) and
+    /// the time until its first byte is written (`begin_within`).
     pub fn start_attempt(
         &mut self,
         endpoint: EndpointId,
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Records the end of an attempt, and sends its client the body if it brought one. `None` if there is no attempt of
-    /// this number.
+    /// Records the end of an attempt, and sends the client the response body if there is one.
+    /// Returns `None` if there is no attempt with this number.
     pub fn end_attempt(
         &mut self,
         number: u32,
@@ -147,13 +148,15 @@
         Some(ended)
     }
 
-    /// Gives the client its final response, unless it has one or has disconnected.
+    /// Sends the client its final response, unless the client has already received one or has
+    /// disconnected.
     pub fn respond(&mut self, response: FinalResponse, observer: &dyn Observer) {
         let endpoint = self.last_endpoint().cloned();
         self.respond_from(endpoint.as_ref(), response, observer);
     }
 
-    /// The same, with the endpoint that is reported as having served it or failed to.
+    /// Sends the final response like `respond`, and reports `endpoint` to the observer as its
+    /// source.
     fn respond_from(
         &mut self,
         endpoint: Option<&EndpointId>,
@@ -169,11 +172,11 @@
             FinalResponse::Failed => RequestOutcome::Failed,
         };
         observer.request_completed(self.class, endpoint, self.received_at.elapsed(), outcome);
-        // The client may have disconnected meanwhile: its message is on its way, and nobody is left to answer.
+        // Fails if the client has disconnected and the event has not reached the driver yet.
         let _ = sender.send(response);
     }
 
-    /// Records that its client has disconnected.
+    /// Records that the client has disconnected.
     pub fn disconnect(&mut self, observer: &dyn Observer) {
         drop(self.close());
         observer.request_completed(
@@ -184,13 +187,14 @@
         );
     }
 
-    /// Cancels the attempts that have not begun, and returns where the final response goes if none was given.
+    /// Cancels the attempts that have not written their first byte, and returns the sender of the
+    /// final response unless the request is closed already.
     fn close(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.canceled.set(true);
         self.response_sender.take()
     }
 
-    /// Where the latest attempt was sent.
+    /// Returns the endpoint of the latest attempt.
     fn last_endpoint(&self) -> Option<&EndpointId> {
         self.attempts.last().map(|attempt| &attempt.endpoint)
     }
--- a/crates/node/src/driver/readiness/tests.rs
+++ b/crates/node/src/driver/readiness/tests.rs
@@ -1,4 +1,4 @@
-//! Readiness in virtual time.
+//! Tests of readiness in virtual time.
 
 use super::*;
 use tokio::time::advance;
@@ -9,7 +9,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_is_ready_with_its_first_ready_endpoint_and_stays_so() {
+async fn node_becomes_ready_with_first_ready_endpoint_and_stays_ready() {
     let (mut readiness, ready) = readiness(false);
     readiness.on_list_applied(false);
     assert!(!ready.get());
@@ -20,17 +20,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn where_lists_are_pushed_a_node_is_not_ready_before_its_first_list() {
+async fn node_that_awaits_first_list_is_not_ready_before_it() {
     let (mut readiness, ready) = readiness(true);
     readiness.on_list_applied(true);
-    assert!(!ready.get(), "by the endpoints that it knew last alone");
+    assert!(
+        !ready.get(),
+        "last known endpoints alone must not make the node ready"
+    );
     readiness.on_list_received();
     readiness.on_list_applied(false);
     assert!(ready.get());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_first_list_is_waited_for_while_discovery_fails_but_not_past_its_timeout() {
+async fn wait_for_first_list_ends_at_its_timeout_if_discovery_fails() {
     let (mut readiness, ready) = readiness(true);
     readiness.on_list_applied(true);
     advance(FIRST_LIST_TIMEOUT - Duration::from_millis(1)).await;
@@ -42,7 +45,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_a_ready_endpoint_a_node_is_not_ready_whatever_discovery_does() {
+async fn node_without_ready_endpoint_is_not_ready() {
     let (mut readiness, ready) = readiness(true);
     readiness.on_list_received();
     readiness.on_list_applied(false);
--- a/crates/node/src/policy_runner.rs
+++ b/crates/node/src/policy_runner.rs
@@ -1,8 +1,8 @@
-//! Runs the decision module (`slatelink-policy`): its clock, the queue of events that it is still to handle, and the
-//! loop that carries out its actions.
+//! Runs the decision module (`slatelink-policy`): provides its clock, queues its events and
+//! executes its actions.
 //!
-//! The module itself has no clock and no I/O. Events are handled in the order in which they are queued, and the actions
-//! of each are carried out before the next event is handled.
+//! The decision module itself has no clock and no I/O. Events are handled in the order in which
+//! they are queued, and all actions of an event are executed before the next event is handled.
 
 use slatelink_config::EndpointList;
 use slatelink_policy::{Action, Balancer, Endpoint, EndpointUpdate, Event, Timestamp};
@@ -11,10 +11,10 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A monotonic clock that counts from the system's time at its start.
+/// A monotonic clock that counts from the system time at its start.
 ///
-/// Timestamps are Unix times, since discovery states the start of an endpoint's process in Unix time; being monotonic,
-/// they don't follow later corrections of the system's time.
+/// Timestamps are Unix times, because discovery states the start of an endpoint's process in Unix
+/// time. The clock is monotonic, so later corrections of the system time do not affect timestamps.
 #[derive(Clone, Copy, Debug)]
 struct Clock {
     started_at: Instant,
@@ -48,7 +48,7 @@
 }
 
 impl PolicyRunner {
-    /// An empty queue, and a clock that starts now.
+    /// Creates an empty queue, and a clock that starts now.
     pub fn new(balancer: Balancer) -> Self {
         Self {
             balancer,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// This instant on the module's clock.
+    /// Returns the time of an instant on the decision module's clock.
     pub fn timestamp(&self, instant: Instant) -> Timestamp {
         self.clock.timestamp(instant)
     }
@@ -67,7 +67,8 @@
         self.queue.push_back(event);
     }
 
-    /// Appends an endpoint list that discovery has sent: a snapshot if it is complete, a delta otherwise.
+    /// Appends an endpoint list from discovery: a snapshot if the list is complete, a delta
+    /// otherwise.
     pub fn enqueue_endpoints(&mut self, endpoints: Arc<[Endpoint]>, complete: bool) {
         let update = if complete {
             EndpointUpdate::Snapshot(endpoints)
@@ -77,7 +78,8 @@
         self.enqueue(Event::Endpoints(update));
     }
 
-    /// Has the module handle the oldest queued event, now, and appends its actions. Returns `false` if none is queued.
+    /// Passes the oldest queued event to the decision module and appends the resulting actions.
+    /// Returns `false` if the queue is empty.
     fn handle_next(&mut self, actions: &mut Vec<Action>) -> bool {
         let Some(event) = self.queue.pop_front() else {
             return false;
@@ -88,15 +90,15 @@
     }
 }
 
-/// Carries out the actions of a decision module.
+/// Executes the actions of a decision module.
 pub trait ActionExecutor {
-    /// The module whose actions are carried out.
+    /// Returns the runner of the decision module whose actions are executed.
     fn policy(&mut self) -> &mut PolicyRunner;
 
-    /// Carries out one action. Events that it leads to are queued, not handled.
+    /// Executes one action. Resulting events are queued, not handled.
     fn execute(&mut self, action: Action);
 
-    /// Has the module handle queued events until there are none, those included that its actions queue.
+    /// Handles events until the queue is empty, including the events that the actions queue.
     fn handle_queued_events(&mut self) {
         let mut actions = Vec::new();
         while self.policy().handle_next(&mut actions) {
@@ -107,7 +109,7 @@
     }
 }
 
-/// The endpoints of a list in the decision module's type, in the list's order.
+/// Converts the endpoints of a list to the decision module's type, in the order of the list.
 pub fn endpoints(list: &EndpointList) -> Arc<[Endpoint]> {
     list.endpoints
         .iter()
--- a/crates/node/src/timer_queue.rs
+++ b/crates/node/src/timer_queue.rs
@@ -1,19 +1,20 @@
-//! Timers that are set for a point in time each, and handed out once it has come.
+//! A queue of timers, each returned after the point in time that it was set for.
 
 use std::collections::BTreeSet;
 use std::future::pending;
 use tokio::time::{sleep_until, Instant};
 
-/// Timers in the order of their times; those of one time in their own order. Setting or canceling one costs O(log n).
+/// Timers in the order of their times, and at equal times in the order of `T`. Setting or canceling
+/// a timer costs O(log n).
 ///
-/// The same timer set twice for the same time is one.
+/// A timer that is set twice for the same time is stored once.
 #[derive(Debug)]
 pub struct TimerQueue<T> {
     timers: BTreeSet<(Instant, T)>,
 }
 
 impl<T: Ord> TimerQueue<T> {
-    /// A queue without timers.
+    /// Creates an empty queue.
     pub const fn new() -> Self {
         Self {
             timers: BTreeSet::new(),
@@ -25,12 +26,12 @@
         self.timers.insert((at, timer));
     }
 
-    /// Removes a timer that is set for this time.
+    /// Removes the timer that is set for this time, if there is one.
     pub fn cancel(&mut self, at: Instant, timer: T) {
         self.timers.remove(&(at, timer));
     }
 
-    /// Removes and returns the earliest timer whose time has come by `now`.
+    /// Removes and returns the earliest timer if its time is not after `now`.
     pub fn pop_expired(&mut self, now: Instant) -> Option<T> {
         let (at, _) = self.timers.first()?;
         if *at > now {
@@ -39,7 +40,7 @@
         self.timers.pop_first().map(|(_, timer)| timer)
     }
 
-    /// Waits for the time of the earliest timer; forever if there is none.
+    /// Waits until the time of the earliest timer; forever if there is none.
     pub async fn next_expiry(&self) {
         let earliest = self.timers.first().map(|(at, _)| *at);
         sleep_until_some(earliest).await;
--- a/crates/node/src/timer_queue/tests.rs
+++ b/crates/node/src/timer_queue/tests.rs
@@ -1,4 +1,4 @@
-//! Timers in virtual time.
+//! Tests of timers in virtual time.
 
 use super::*;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[tokio::test(start_paused = true)]
-async fn timers_expire_in_the_order_of_their_times_and_none_before_its_time() {
+async fn timers_expire_in_time_order_and_never_early() {
     let start = Instant::now();
     let mut timers = TimerQueue::new();
     timers.schedule(start + 2 * SECOND, 'b');
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_timer_that_is_canceled_never_expires_and_others_of_its_time_do() {
+async fn canceled_timer_does_not_expire_but_others_at_the_same_time_do() {
     let start = Instant::now();
     let mut timers = TimerQueue::new();
     timers.schedule(start, 'a');
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_timer_set_twice_for_one_time_expires_once() {
+async fn timer_set_twice_for_the_same_time_expires_once() {
     let start = Instant::now();
     let mut timers = TimerQueue::new();
     timers.schedule(start, 'a');
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_timers_the_next_expiry_never_comes() {
+async fn next_expiry_never_completes_without_timers() {
     let timers = TimerQueue::<char>::new();
     let waited = timeout(3600 * SECOND, timers.next_expiry()).await;
     assert!(waited.is_err());
