--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -1,10 +1,11 @@
-//! The endpoint side of HTTP: a pool of connections per endpoint, one request at a time on each, and the attempts made on
-//! them.
+//! The endpoint side of HTTP: a connection pool per endpoint, with one request at a time on each
+//! connection, and the attempts made on these connections.
 //!
-//! An attempt checks a connection out of its endpoint's pool ([`checkout`]), sends its request and reads the response
-//! ([`exchange`]), and returns the connection to the pool if it may be reused ([`attempt`]). An idle connection that turns
-//! out to be stale before any byte was written is replaced by another one within the same attempt; nothing is retried once
-//! a byte was written, for that is the decision module's to say.
+//! An attempt checks a connection out of its endpoint's pool ([`checkout`]), sends its request and
+//! reads the response ([`exchange`]), and returns the connection to the pool if it is reusable
+//! ([`attempt`]). If an idle connection proves stale before any byte was written, the same attempt
+//! uses another connection. Once a byte was written nothing is retried here, because the decision
+//! module decides on retries.
 
 mod attempt;
 mod body;
@@ -35,28 +36,28 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// An idle connection is closed after the endpoints' keep-alive time divided by this: one that its endpoint is about to
-/// close would accept a request only to end it with a reset.
+/// The idle timeout is the endpoints' keep-alive time divided by this. A connection that its
+/// endpoint is about to close would accept a request only to end it with a reset.
 const IDLE_TIMEOUT_DIVISOR: u32 = 2;
-/// How often idle connections are checked for their age.
+/// Interval between checks of the idle connections' age.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The connection pools of all endpoints.
 pub struct Upstream {
     pools: RefCell<HashMap<EndpointId, Rc<EndpointPool>>>,
-    /// Where connections take their descriptors from.
+    /// Budget of the connections' descriptors.
     budget: Budget,
-    /// The clients' connections, which share the budget and are evicted for connections to endpoints.
+    /// Client connections, which share the budget and are evicted for connections to endpoints.
     clients: Rc<ConnectionManager>,
-    /// The longest time that making a connection may take.
+    /// Timeout of connecting to an endpoint.
     connect_timeout: Duration,
-    /// Says for how long idle connections are kept.
+    /// Determines the timeout of idle connections.
     idle_history: RefCell<IdleHistory>,
 }
 
 impl Upstream {
-    /// No endpoints yet. Connections take their descriptors from `budget`; `keepalive` is the time after which endpoints
-    /// close idle connections.
+    /// Creates an instance without endpoints. Connections lease their descriptors from `budget`;
+    /// `keepalive` is the time after which endpoints close idle connections.
     pub fn new(
         budget: Budget,
         clients: Rc<ConnectionManager>,
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Takes in what discovery says of an endpoint. One that is new is added once its address is known.
+    /// Applies discovery's record of an endpoint. A new endpoint is added once its address is
+    /// known.
     pub fn update_endpoint(&self, endpoint: &Endpoint, address: Option<SocketAddr>) {
         let mut pools = self.pools.borrow_mut();
         if let Some(pool) = pools.get(&endpoint.id) {
@@ -84,8 +86,8 @@
         }
     }
 
-    /// Starts no more attempts at the endpoints that are not ready in this list. The rest of the list is left to
-    /// [`Self::update_endpoint`].
+    /// Stops new attempts at endpoints that are not ready in this list. All other changes of the
+    /// list are left to [`Self::update_endpoint`].
     pub fn mark_unready(&self, list: &EndpointList) {
         let pools = self.pools.borrow();
         let unready = list
@@ -97,14 +99,14 @@
         }
     }
 
-    /// Removes an endpoint. An attempt that already holds its pool sees that it accepts no requests any more.
+    /// Removes an endpoint. Its pool, which attempts may still hold, accepts no more requests.
     pub fn remove_endpoint(&self, endpoint: &EndpointId) {
         if let Some(pool) = self.pools.borrow_mut().remove(endpoint) {
             pool.stop_accepting();
         }
     }
 
-    /// Removes all endpoints but those that `keep` names: a complete list lacks the others.
+    /// Removes all endpoints that `keep` rejects, because a complete list lacks them.
     pub fn retain_endpoints(&self, keep: impl Fn(&EndpointId) -> bool) {
         let removed: Vec<_> = self
             .pools
@@ -125,7 +127,8 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest. `false` where none is idle.
+    /// Closes the connection that has been idle the longest. Returns `false` if no connection is
+    /// idle.
     pub fn close_oldest_idle(&self) -> bool {
         let pools = self.pools.borrow();
         let oldest = pools
@@ -137,7 +140,7 @@
             .is_some()
     }
 
-    /// Closes idle connections before their endpoints do, for as long as the node runs.
+    /// Closes idle connections before their endpoints do, for the lifetime of the node.
     pub async fn sweep(self: Rc<Self>) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -149,15 +152,15 @@
         }
     }
 
-    /// Whether an idle connection is likely to be open at its endpoint.
+    /// Checks whether an idle connection is likely to be open at its endpoint.
     fn is_fresh(&self, connection: &PooledConnection) -> bool {
         !connection.sender.is_closed()
             && connection.idle_since.elapsed() < self.idle_history.borrow().idle_timeout()
     }
 }
 
-/// Whether an operation failed because this process ran out of descriptors, memory or addresses: that says nothing of the
-/// other end.
+/// Checks whether an operation failed because this process ran out of descriptors, memory or
+/// addresses. Such an error is no evidence of a fault at the peer.
 pub fn is_local_resource_error(error: &io::Error) -> bool {
     const LOCAL_RESOURCE_ERRORS: [i32; 5] = [
         libc::ENOMEM,
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a connection checked out, one request on it, and what becomes of both.
+//! An attempt: the checkout of a connection, one request on it, and the outcome.
 
 use super::exchange::{exchange, AttemptResult, Exchange, ForwardedRequest};
 use super::pool::{EndpointPool, PooledConnection};
@@ -10,27 +10,30 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Until when an attempt is worth starting, and worth waiting for.
+/// Deadlines and cancellation of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptLimits {
-    /// The first byte of the request is written by then, or none is; no later than `deadline`.
+    /// Latest time for the first byte of the request, after which no byte is written; no later than
+    /// `deadline`.
     pub start_deadline: Instant,
-    /// The response is waited for until then.
+    /// Latest time until which the attempt waits for its response.
     pub deadline: Instant,
-    /// Set once the request has its final response, or its client has disconnected: nothing more starts for it.
+    /// Set once the request has its final response, or its client has disconnected. After that no
+    /// attempt of the request starts.
     pub canceled: Rc<Cell<bool>>,
 }
 
-/// Why an attempt has no response on the connection that it tried.
+/// Why an attempt received no response on the connection that it used.
 enum AttemptError {
-    /// Nothing was written, and another connection may serve.
+    /// Nothing was written; another connection may be used.
     StaleConnection,
-    /// The attempt has ended.
+    /// The attempt has ended with this status.
     Ended(Status),
 }
 
 impl Upstream {
-    /// Makes one attempt, until its response is complete, its connection breaks or its time is up.
+    /// Makes one attempt, which ends when its response is complete, its connection breaks or its
+    /// deadline passes.
     pub async fn attempt(
         &self,
         endpoint: &EndpointId,
@@ -84,13 +87,13 @@
         }
     }
 
-    /// A connection on which the attempt may start now.
+    /// Checks out a connection on which the attempt may start now.
     async fn checkout_within(
         &self,
         pool: &EndpointPool,
         limits: &AttemptLimits,
     ) -> Result<PooledConnection, AttemptError> {
-        // A request may be over before its attempt has its first turn.
+        // The request may have finished before this task was first polled.
         if limits.canceled.get() {
             return Err(AttemptError::Ended(Status::NotSent));
         }
@@ -99,20 +102,22 @@
         }
         let connection = match timeout_at(limits.start_deadline, self.checkout(pool)).await {
             Ok(Ok(connection)) => connection,
-            // A lack of the node's own resources says nothing of the endpoint.
+            // A shortage of the node's own resources is no evidence of a fault at the endpoint.
             Ok(Err(error)) if is_local_resource_error(&error) => {
                 return Err(AttemptError::Ended(Status::NotSent));
             }
             Ok(Err(_)) | Err(_) => return Err(AttemptError::Ended(Status::ConnectError)),
         };
-        // All of this may have changed while the connection was being made. Nothing new starts after a drain.
+        // Each of these conditions may have changed while the connection was being made. No attempt
+        // starts once the endpoint drains.
         if !pool.accepts_requests.get() {
             return Err(AttemptError::Ended(Status::ConnectError));
         }
         if connection.incarnation != pool.incarnation.get() {
             return Err(AttemptError::StaleConnection);
         }
-        // For a client that has disconnected nothing starts, nor does a repeat once endpoints no longer recognise it as one.
+        // No attempt starts for a client that has disconnected, and no repeat starts once endpoints
+        // would no longer recognise it as a repeat.
         if limits.canceled.get() {
             pool.put_idle(connection);
             return Err(AttemptError::Ended(Status::NotSent));
@@ -124,7 +129,7 @@
         Ok(connection)
     }
 
-    /// Records whether a request was lost on a connection that had been idle for so long.
+    /// Records whether a request was lost on a connection that had been idle for this time.
     fn record_idle_time(&self, progress: &WriteProgress, idle_time: Duration, lost: bool) {
         if !progress.started.get() {
             return;
@@ -141,17 +146,17 @@
     }
 }
 
-/// Returns a connection to its pool after a response, if it may carry another request.
+/// Returns a connection to its pool after a response, if it is reusable.
 fn release(pool: &EndpointPool, connection: PooledConnection) {
     if pool.accepts_requests_at(connection.incarnation) && !connection.sender.is_closed() {
         pool.put_idle(connection);
     }
 }
 
-/// What a connection that broke makes of the attempt on it.
+/// Returns the outcome of an attempt whose connection broke.
 fn broken_attempt(progress: &WriteProgress) -> AttemptError {
-    // Not a byte was written: a reused connection was stale, or the request is not permitted any more. Another connection
-    // serves, or the checks before the next one end the attempt.
+    // No byte was written: a reused connection was stale, or the request is no longer permitted.
+    // Either another connection is used, or the checks before the next exchange end the attempt.
     if !progress.started.get() && (progress.reused.get() || !progress.is_permitted()) {
         AttemptError::StaleConnection
     } else if progress.complete.get() {
@@ -161,7 +166,7 @@
     }
 }
 
-/// What the end of its time makes of an attempt.
+/// Returns the outcome of an attempt whose deadline has passed.
 fn timed_out_attempt(progress: &WriteProgress) -> AttemptError {
     if progress.complete.get() {
         AttemptError::Ended(Status::TimedOut)
--- a/crates/node/src/upstream/checkout.rs
+++ b/crates/node/src/upstream/checkout.rs
@@ -1,4 +1,4 @@
-//! Where the connection of an attempt comes from: an idle one of the pool, or a new one.
+//! Checkout of a connection for an attempt: an idle one of the pool, or a new one.
 
 use super::pool::{EndpointPool, PooledConnection};
 use super::socket::EndpointSocket;
@@ -13,15 +13,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// The longest head of a response: a longer one is read no further, and counts as a connection that broke.
+/// Largest head of a response. A larger head is not read to its end, and counts as a broken
+/// connection.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// After the eviction of a client's connection its descriptor is polled for at most this often.
+/// Maximum number of polls for the descriptor of an evicted client connection.
 const EVICTION_POLLS: u32 = 10;
-/// The time between two of these polls.
+/// Interval between two polls for the descriptor of an evicted client connection.
 const EVICTION_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Upstream {
-    /// An idle connection of the pool, or a new one.
+    /// Returns an idle connection of the pool, or a new one.
     pub(super) async fn checkout(&self, pool: &EndpointPool) -> io::Result<PooledConnection> {
         if let Some(connection) = self.reuse(pool).await {
             return Ok(connection);
@@ -32,7 +33,7 @@
             .unwrap_or(Err(io::ErrorKind::TimedOut.into()))
     }
 
-    /// The connection used last of those that may be reused.
+    /// Returns the most recently used idle connection that is reusable.
     async fn reuse(&self, pool: &EndpointPool) -> Option<PooledConnection> {
         loop {
             let mut connection = pool.take_idle()?;
@@ -42,9 +43,10 @@
         }
     }
 
-    /// A descriptor for a new connection. Where clients hold the one that is missing, an unused client connection is evicted
-    /// and its descriptor polled for. Otherwise, and as a last resort (clients that wait may take every descriptor that is
-    /// released), the upstream connection that has been idle for longest closes.
+    /// Leases a descriptor for a new connection. If client connections hold the missing descriptor,
+    /// an unused client connection is evicted and its descriptor is polled for. Otherwise, and as a
+    /// last resort (waiting clients may take every descriptor that is released), the upstream
+    /// connection that has been idle the longest is closed.
     async fn lease(&self) -> io::Result<Lease> {
         let mut evicting = false;
         for polls_left in (0..=EVICTION_POLLS).rev() {
@@ -65,7 +67,7 @@
     }
 }
 
-/// Connects to the endpoint, at the address that it has now.
+/// Connects to the endpoint at its current address.
 async fn connect(pool: &EndpointPool, lease: Lease) -> io::Result<PooledConnection> {
     let incarnation = pool.incarnation.get();
     let stream = TcpStream::connect(pool.address.get()).await?;
@@ -77,10 +79,10 @@
     };
     let mut http = http1::Builder::new();
     http.max_buf_size(MAX_HEAD_BYTES);
-    let (sender, driving) = http.handshake(socket).await.map_err(io::Error::other)?;
+    let (sender, connection_driver) = http.handshake(socket).await.map_err(io::Error::other)?;
     let task = tokio::task::spawn_local(async move {
-        // How the connection ends shows at the attempt on it, or when it is taken from the pool.
-        let _ = driving.await;
+        // The end of the connection is detected by the attempt on it, or at its next checkout.
+        let _ = connection_driver.await;
     });
     Ok(PooledConnection {
         incarnation,
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its response over HTTP, as an endpoint reads and writes them.
+//! One HTTP request to an endpoint, and its response.
 
 use super::body::{read_body, BodyError};
 use super::request_ids::OpenRequestId;
@@ -14,38 +14,39 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The id of a request, of the client's choice.
+/// Id of a request, chosen by the client.
 pub const REQ_ID: HeaderName = HeaderName::from_static("req-id");
-/// For how many milliseconds the sender of a request waits for the response.
+/// Time in milliseconds for which the sender of a request waits for the response.
 pub const REQ_DEADLINE: HeaderName = HeaderName::from_static("req-deadline-ms");
-/// By this key endpoints recognise a repeat of a request.
+/// Key by which endpoints recognise a repeat of a request.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// In a response: `1` where the endpoint rejected the request and did nothing for it.
+/// In a response: `1` if the endpoint rejected the request and did nothing for it.
 const SRV_DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 /// In a response: the endpoint's load report.
 const SRV_LOAD: HeaderName = HeaderName::from_static("srv-load");
 /// In a response: `hit` or `miss`.
 const SRV_CACHE: HeaderName = HeaderName::from_static("srv-cache");
-/// Between the name and the value of each entry of a load report.
+/// Separator between the name and the value of each entry of a load report.
 const LOAD_SEPARATOR: char = '=';
 
-/// What of a client's request is forwarded to an endpoint.
+/// The part of a client's request that is forwarded to an endpoint.
 #[derive(Debug)]
 pub struct ForwardedRequest {
     /// GET or PUT.
     pub method: Method,
     /// The path and query as the client sent them.
     pub target: PathAndQuery,
-    /// The client's id of the request.
+    /// The client's id for the request.
     pub id: OpenRequestId,
-    /// The client's key, if it sent one.
+    /// The client's idempotency key, if it sent one.
     pub idempotency_key: Option<HeaderValue>,
     /// The complete body.
     pub body: Bytes,
 }
 
 impl ForwardedRequest {
-    /// The request for the endpoint at this address, with the time that is left of the attempt.
+    /// Builds the HTTP request to the endpoint at `address`. Its deadline header is the time left
+    /// until `deadline`.
     pub(super) fn to_http(
         &self,
         address: SocketAddr,
@@ -65,21 +66,21 @@
     }
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// What the attempt came to.
+    /// Status of the attempt.
     pub status: Status,
-    /// Whether the endpoint had the key cached, where it says so.
+    /// Whether the endpoint had the key cached, if it reports that.
     pub cache_result: Option<CacheResult>,
-    /// The endpoint's load report; empty where it sent none.
+    /// The endpoint's load report; empty if it sent none.
     pub load: LoadReport,
     /// The complete body of a 200 response.
     pub body: Option<Bytes>,
 }
 
 impl AttemptResult {
-    /// The end of an attempt that had no response.
+    /// Returns the result of an attempt without a response.
     pub fn without_response(status: Status) -> Self {
         Self {
             status,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// What the head of a response says.
+    /// Reads the result from the head of a response; the body is not read.
     fn from_head(response: &Response<Incoming>) -> Self {
         let header = |name: &HeaderName| {
             response
@@ -115,9 +116,9 @@
 
 /// A request and its response.
 pub(super) struct Exchange {
-    /// What the response says.
+    /// Result of the attempt.
     pub(super) result: AttemptResult,
-    /// Whether the connection may carry another request: the response was read to its end.
+    /// Whether the connection may carry another request, because the response was read to its end.
     pub(super) reusable: bool,
 }
 
@@ -136,7 +137,7 @@
                 reusable: true,
             })
         }
-        // The endpoint has carried it out, and what it says is of no use.
+        // The endpoint has carried out the request, but its response cannot be used.
         Err(BodyError::TooLarge) => {
             result.status = Status::Failed;
             Ok(Exchange {
@@ -148,7 +149,7 @@
     }
 }
 
-/// What the head of a response says of the attempt.
+/// Returns the status of the attempt according to the head of a response.
 fn response_status(response: &Response<Incoming>) -> Status {
     let declined = response
         .headers()
--- a/crates/node/src/upstream/idle_history.rs
+++ b/crates/node/src/upstream/idle_history.rs
@@ -1,51 +1,54 @@
-//! For how long an idle connection to an endpoint is worth keeping, learnt from the requests lost on those that were kept.
+//! Timeout of idle connections to endpoints, learnt from the requests lost on reused connections.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Fewest requests lost on connections of about the same idle time that show that endpoints drop connections silently after
-/// that time.
+/// Minimum number of requests lost on connections of about the same idle time that shows that
+/// endpoints silently drop connections after that time.
 const MIN_DROPS: u32 = 3;
-/// Least rate of requests lost among all on connections of about the same idle time that shows the same; both must be met.
+/// Minimum rate of requests lost on connections of about the same idle time that shows the same.
+/// Both minimums must be met.
 const MIN_DROP_RATE: f64 = 0.2;
-/// Connections break for other causes as well, whatever their idle time: only losses above this multiple of that rate
-/// count as drops.
+/// Connections also break for causes that are independent of their idle time. Losses count as drops
+/// only from this multiple of the loss rate at shorter idle times.
 const MIN_DROP_EXCESS: f64 = 3.0;
-/// The history is discarded after this: the cause of the drops may be gone.
+/// The history is discarded after this time, because the cause of the drops may no longer exist.
 pub(super) const HISTORY_LIFETIME: Duration = Duration::from_secs(120);
-/// The buckets of idle times: one for each power of two of milliseconds, the last for all above about half a minute.
+/// Number of buckets of idle times: one for each power of two of milliseconds, the last one for all
+/// idle times above about half a minute.
 const BUCKETS: usize = 17;
 
-/// The requests on connections of about the same idle time.
+/// Requests on connections of about the same idle time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
-    /// All of them.
+    /// Number of all requests.
     requests: u32,
-    /// Those whose connection broke before their response.
+    /// Number of requests whose connection broke before the response.
     lost: u32,
 }
 
 impl Bucket {
-    /// Requests lost among all, from 0 to 1; 0 without requests.
+    /// Returns the share of lost requests, from 0 to 1; 0 without requests.
     fn loss_rate(self) -> f64 {
         f64::from(self.lost) / f64::from(self.requests.max(1))
     }
 }
 
-/// The requests and their losses by the idle time of their connections, and the idle timeout that follows from them.
-/// Endpoints state when they close idle connections at the latest; some drop them far earlier without notice, and the
-/// next request there is lost: its class may not allow a retry.
+/// Requests and losses by the idle time of their connections, and the resulting idle timeout.
+/// Endpoints state the latest time at which they close idle connections. Some drop connections far
+/// earlier without notice, and the next request on such a connection is lost: its class may not
+/// allow a retry.
 pub(super) struct IdleHistory {
-    /// The idle timeout where no drops are known.
+    /// Idle timeout if no drops are known.
     max_idle_timeout: Duration,
-    /// Bucket `n` holds the idle times under 2^n ms that the buckets before do not.
+    /// Bucket `n` holds the idle times below 2^n ms that belong to no earlier bucket.
     buckets: [Bucket; BUCKETS],
-    /// When the history began.
+    /// Start of the history.
     since: Instant,
 }
 
 impl IdleHistory {
-    /// No history: the idle timeout is the longest.
+    /// Creates an empty history, whose idle timeout is the maximum.
     pub(super) fn new(max_idle_timeout: Duration, now: Instant) -> Self {
         Self {
             max_idle_timeout,
@@ -54,7 +57,8 @@
         }
     }
 
-    /// Records a request on a connection that had been idle for so long, and whether it was lost.
+    /// Records a request on a connection that had been idle for this time, and whether the request
+    /// was lost.
     pub(super) fn record(&mut self, idle_time: Duration, lost: bool, now: Instant) {
         if now - self.since >= HISTORY_LIFETIME {
             *self = Self::new(self.max_idle_timeout, now);
@@ -64,7 +68,8 @@
         bucket.lost += u32::from(lost);
     }
 
-    /// The shortest idle time that costs requests, at most the longest timeout.
+    /// Returns the shortest idle time at which requests are lost to drops; at most the maximum
+    /// timeout.
     pub(super) fn idle_timeout(&self) -> Duration {
         let mut shorter = Bucket::default();
         for (index, bucket) in self.buckets.iter().enumerate() {
@@ -80,13 +85,13 @@
     }
 }
 
-/// The bucket that an idle time belongs to.
+/// Returns the bucket of an idle time.
 fn bucket_index(idle_time: Duration) -> usize {
     let significant_bits = u64::BITS - (idle_time.as_millis() as u64).leading_zeros();
     (significant_bits as usize).min(BUCKETS - 1)
 }
 
-/// The shortest idle time of a bucket.
+/// Returns the shortest idle time of a bucket.
 fn min_idle_time(index: usize) -> Duration {
     Duration::from_millis(1 << index >> 1)
 }
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -13,25 +13,25 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// After it was returned to the pool a connection is not reused for this long: a duplicate of the last response, some
-/// milliseconds late, would be taken for the response to the next request. One that comes in this time closes the
-/// connection.
+/// Time after its return to the pool for which a connection is not reused. A duplicate of the last
+/// response that arrives some milliseconds late would be taken for the response to the next
+/// request. A duplicate that arrives within this time closes the connection.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 
-/// A connection to an endpoint. Dropping it closes the socket at once, also with a response under way: that is how an
-/// attempt is given up.
+/// A connection to an endpoint. Dropping it closes the socket at once, even while a response is
+/// being received; attempts are abandoned this way.
 pub(super) struct PooledConnection {
-    /// The pool's incarnation when the connection was made.
+    /// Incarnation of the pool when the connection was made.
     pub(super) incarnation: u64,
-    /// Where requests are handed to hyper.
+    /// Sender through which requests are passed to hyper.
     pub(super) sender: SendRequest<Full<Bytes>>,
-    /// How far the present request has been written; shared with the socket.
+    /// Write progress of the current request; shared with the socket.
     pub(super) progress: Rc<WriteProgress>,
-    /// The task in which hyper drives the connection.
+    /// Task in which hyper drives the connection.
     pub(super) task: AbortHandle,
-    /// When it was made, or returned to the pool last.
+    /// Time at which the connection was made or last returned to the pool.
     pub(super) idle_since: Instant,
-    /// The descriptor that it uses.
+    /// Lease of the connection's descriptor.
     pub(super) _lease: Lease,
 }
 
@@ -43,20 +43,21 @@
 
 /// An endpoint and its idle connections.
 pub(super) struct EndpointPool {
-    /// Where connections to it are made.
+    /// Address for new connections.
     pub(super) address: Cell<SocketAddr>,
-    /// When its process started, as discovery says; `None` for long ago.
+    /// Start of the endpoint's process as stated by discovery; `None` for long ago.
     process_started: Cell<Option<Timestamp>>,
-    /// Counts how often the endpoint moved or restarted: connections made before lead elsewhere, or nowhere.
+    /// Number of times that the endpoint moved or restarted. Connections of an earlier incarnation
+    /// lead to another process, or to none.
     pub(super) incarnation: Cell<u64>,
-    /// Whether new attempts may start: the endpoint is ready.
+    /// Whether new attempts may start, because the endpoint is ready.
     pub(super) accepts_requests: Cell<bool>,
-    /// Idle connections; the one used last comes last.
+    /// Idle connections, the most recently used one last.
     pub(super) idle: RefCell<Vec<PooledConnection>>,
 }
 
 impl EndpointPool {
-    /// The pool of an endpoint at this address, without connections.
+    /// Creates the pool of an endpoint at this address, without connections.
     pub(super) fn new(endpoint: &Endpoint, address: SocketAddr) -> Self {
         Self {
             address: Cell::new(address),
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Takes in what discovery says of the endpoint; without an address it stays at the one that it has.
+    /// Applies discovery's record of the endpoint. Without an address, the pool keeps its current
+    /// one.
     pub(super) fn update(&self, endpoint: &Endpoint, address: Option<SocketAddr>) {
         let moved = address.is_some_and(|address| self.address.replace(address) != address);
         let restarted = self.process_started.replace(endpoint.started) != endpoint.started;
@@ -81,13 +83,13 @@
         }
     }
 
-    /// Starts no more attempts, and closes the idle connections.
+    /// Stops new attempts, and closes the idle connections.
     pub(super) fn stop_accepting(&self) {
         self.accepts_requests.set(false);
         self.close_idle();
     }
 
-    /// Whether a connection that was made at this incarnation may carry a request now.
+    /// Checks whether a connection of this incarnation may carry a request now.
     pub(super) fn accepts_requests_at(&self, incarnation: u64) -> bool {
         self.accepts_requests.get() && self.incarnation.get() == incarnation
     }
@@ -99,7 +101,7 @@
         self.idle.borrow_mut().push(connection);
     }
 
-    /// Takes the connection used last out of the pool, of those that may be reused already.
+    /// Removes and returns the most recently used connection that may already be reused.
     pub(super) fn take_idle(&self) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let index = idle
--- a/crates/node/src/upstream/request_ids.rs
+++ b/crates/node/src/upstream/request_ids.rs
@@ -1,16 +1,18 @@
-//! The ids of open requests: one that is open must not be sent again under the same id.
+//! Ids of open requests: while a request is open, no other request may be sent under the same id.
 
 use hyper::header::HeaderValue;
 use std::cell::RefCell;
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// The ids of the requests that have no final response yet, or an attempt in flight. Clones are the same set.
+/// Ids of the requests that have no final response yet, or an attempt in flight. Clones share one
+/// set.
 #[derive(Clone, Debug, Default)]
 pub struct OpenRequestIds(Rc<RefCell<HashSet<HeaderValue>>>);
 
 impl OpenRequestIds {
-    /// Registers an id until the result is dropped. `None` for one that is open already.
+    /// Registers an id until the returned value is dropped. Returns `None` if the id is registered
+    /// already.
     pub fn register(&self, value: HeaderValue) -> Option<OpenRequestId> {
         let new = self.0.borrow_mut().insert(value.clone());
         new.then(|| OpenRequestId {
@@ -20,12 +22,13 @@
     }
 }
 
-/// A registered id. It is part of the request's message, and open until the last holder of that drops it.
+/// A registered id. It is part of the request's message, and stays registered until the last holder
+/// of the message drops it.
 #[derive(Debug)]
 pub struct OpenRequestId {
-    /// As the client sent it.
+    /// Value sent by the client.
     pub(super) value: HeaderValue,
-    /// Where it is registered.
+    /// Set in which it is registered.
     ids: OpenRequestIds,
 }
 
--- a/crates/node/src/upstream/socket.rs
+++ b/crates/node/src/upstream/socket.rs
@@ -11,20 +11,22 @@
 use std::task::{Context, Poll};
 use tokio::net::TcpStream;
 
-/// A socket that checks whether a request may start before it writes its first byte, and records when the first and last
-/// byte are written. hyper puts a head and a body that is at hand into one buffer and flushes the socket only when that is
-/// empty: a flush after a write is the end of the request.
+/// A socket that checks whether a request may start before it writes its first byte, and records
+/// when the first and last bytes are written. hyper puts a head and an available body into one
+/// buffer, and flushes the socket only when that buffer is empty: a flush after a write marks the
+/// end of the request.
 pub(super) struct EndpointSocket {
     /// The socket itself.
     pub(super) stream: TokioIo<TcpStream>,
-    /// Shared with the connection in its pool.
+    /// Write progress, shared with the pooled connection.
     pub(super) progress: Rc<WriteProgress>,
 }
 
 impl EndpointSocket {
-    /// Fails where a request must not start: it is not permitted any more, or a reused connection has something to be
-    /// read. hyper looks for that as well, but only as far as the runtime has polled, and would take what lies in the
-    /// socket (a duplicate of the last response, noise) for the response to this request.
+    /// Fails if the request must not start, because it is no longer permitted or because a reused
+    /// connection has data to read. hyper also checks for such data, but only as far as the runtime
+    /// has polled, and would take data left in the socket (a duplicate of the last response, noise)
+    /// for the response to this request.
     fn check_start(&self) -> io::Result<()> {
         if self.progress.started.get() {
             return Ok(());
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -1,4 +1,5 @@
-//! The idle time that is learnt, what may start on a reused connection, and which errors are the node's own.
+//! Tests of the learnt idle timeout, of the checks before a request starts on a reused connection,
+//! and of the classification of local errors.
 
 use super::idle_history::{IdleHistory, HISTORY_LIFETIME};
 use super::is_local_resource_error;
@@ -22,7 +23,8 @@
 
 const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Records so many requests on connections that had been idle for so many milliseconds, the first `lost` of them as lost.
+/// Records `requests` requests on connections that had been idle for `idle_ms`, the first `lost` of
+/// these requests as lost.
 fn record(history: &mut IdleHistory, idle_ms: u64, requests: u32, lost: u32, now: Instant) {
     for request in 0..requests {
         history.record(Duration::from_millis(idle_ms), request < lost, now);
@@ -31,7 +33,7 @@
 
 // Guards against requests lost on connections that endpoints have dropped without notice.
 #[test]
-fn the_idle_time_after_which_endpoints_drop_connections_is_learnt_and_later_discarded() {
+fn idle_timeout_is_learnt_from_dropped_connections_and_later_discarded() {
     let now = Instant::now();
     let mut history = IdleHistory::new(MAX_IDLE_TIMEOUT, now);
     record(&mut history, 5, 100, 4, now);
@@ -51,9 +53,10 @@
     );
 }
 
-// Guards against a handshake for each request where connections break at any time.
+// Guards against a short idle timeout, and thus a handshake for each request, where connections
+// break independently of their idle time.
 #[test]
-fn losses_that_do_not_grow_with_idle_time_leave_the_idle_timeout_unchanged() {
+fn losses_independent_of_idle_time_leave_the_idle_timeout_unchanged() {
     let now = Instant::now();
     let mut history = IdleHistory::new(MAX_IDLE_TIMEOUT, now);
     for idle_ms in [0, 1, 10, 100, 1_000, 10_000, 100_000] {
@@ -62,7 +65,7 @@
     assert_eq!(history.idle_timeout(), MAX_IDLE_TIMEOUT);
 }
 
-/// A socket connected to a listener, with the progress that it shares.
+/// Connects a socket to a listener, and returns the socket with its write progress.
 async fn connect_to(listener: &TcpListener) -> (EndpointSocket, Rc<WriteProgress>) {
     let stream = TcpStream::connect(listener.local_addr().unwrap())
         .await
@@ -80,17 +83,18 @@
     hyper::rt::Write::poll_write(Pin::new(socket), &mut cx, b"GET")
 }
 
-// Guards against what is left in a reused connection's socket, a duplicate of a response or noise, taken for the response
-// to the request that is written next. hyper sees it only where the runtime has polled in between.
+// Guards against data left in a reused connection's socket (a duplicate of a response, or noise)
+// being taken for the response to the next request. hyper detects such data only if the runtime has
+// polled the socket in between.
 #[tokio::test]
-async fn no_request_starts_on_a_reused_connection_that_has_something_to_read() {
+async fn request_does_not_start_on_a_reused_connection_with_data_to_read() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut socket, progress) = connect_to(&listener).await;
     let mut endpoint = listener.accept().unwrap().0;
     progress.reused.set(true);
     assert!(
         matches!(poll_write(&mut socket), Poll::Ready(Ok(3))),
-        "nothing is there to be read"
+        "the socket has no data to read"
     );
     endpoint.write_all(b"HTTP/1.1 200 OK\r\n").unwrap();
     while SockRef::from(socket.stream.inner())
@@ -99,29 +103,30 @@
     {
         std::thread::yield_now();
     }
-    // A response may come while a request is still being written.
+    // A response may arrive while its request is still being written.
     assert!(
         matches!(poll_write(&mut socket), Poll::Ready(Ok(3))),
-        "the request's own response"
+        "the data is the request's own response"
     );
     progress.started.set(false);
-    let refused = poll_write(&mut socket);
+    let rejected_write = poll_write(&mut socket);
     assert!(
-        matches!(&refused, Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::ConnectionAborted),
-        "{refused:?}"
+        matches!(&rejected_write, Poll::Ready(Err(error)) if error.kind() == io::ErrorKind::ConnectionAborted),
+        "{rejected_write:?}"
     );
     assert!(
         !progress.started.get(),
-        "not a byte was written: another connection serves"
+        "no byte was written, so another connection may be used"
     );
-    // On a new one there can be nothing of an earlier request.
+    // A new connection cannot hold data of an earlier request.
     progress.reused.set(false);
     assert!(matches!(poll_write(&mut socket), Poll::Ready(Ok(3))));
 }
 
-// Guards against a node's own lack of memory that counts against the endpoint it meant to connect to.
+// Guards against a shortage of the node's own resources that counts against the endpoint to which
+// the node meant to connect.
 #[test]
-fn a_lack_of_descriptors_memory_or_addresses_is_a_local_resource_error() {
+fn shortage_of_descriptors_memory_or_addresses_is_a_local_resource_error() {
     for code in [
         libc::ENOMEM,
         libc::ENFILE,
@@ -139,15 +144,16 @@
     )));
 }
 
-// Guards against a connection that is returned to the pool unused and then taken for a new one: only a reused one is
-// checked for something to read.
+// Guards against a connection that is returned to the pool unused and then treated as new: only
+// reused connections are checked for data to read.
 #[tokio::test]
-async fn a_connection_returned_to_the_pool_unused_counts_as_reused() {
+async fn connection_returned_to_the_pool_unused_counts_as_reused() {
     let run = async {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let (socket, progress) = connect_to(&listener).await;
-        let (sender, driving) = http1::Builder::new().handshake(socket).await.unwrap();
-        let task = tokio::task::spawn_local(async move { drop(driving.await) }).abort_handle();
+        let (sender, connection_driver) = http1::Builder::new().handshake(socket).await.unwrap();
+        let task =
+            tokio::task::spawn_local(async move { drop(connection_driver.await) }).abort_handle();
         let quota = Quota {
             reserved: 0,
             limit: 1,
@@ -162,7 +168,7 @@
             _lease: budget.lease(ConnectionKind::Upstream).unwrap(),
         };
         let pool = EndpointPool::new(&Endpoint::new("a"), listener.local_addr().unwrap());
-        assert!(!progress.reused.get(), "a new one");
+        assert!(!progress.reused.get(), "the connection is new");
         pool.put_idle(connection);
         assert!(progress.reused.get());
         assert_eq!(pool.idle.borrow().len(), 1);
--- a/crates/node/src/upstream/write_progress.rs
+++ b/crates/node/src/upstream/write_progress.rs
@@ -1,25 +1,25 @@
-//! Whether a request may start on a connection, and how far it has been written.
+//! Write progress of the request on a connection, and the permission to start it.
 
 use super::pool::EndpointPool;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// How far the request of a connection has been written.
+/// Write progress of a connection's current request.
 #[derive(Default)]
 pub(super) struct WriteProgress {
-    /// Its first byte was written: the endpoint may have read it.
+    /// Whether the first byte was written: the endpoint may have read it.
     pub(super) started: Cell<bool>,
-    /// Its last byte was written: the endpoint may have carried it out.
+    /// Whether the last byte was written: the endpoint may have carried out the request.
     pub(super) complete: Cell<bool>,
-    /// The connection has been idle in its pool before, most often after a response.
+    /// Whether the connection has been idle in its pool before, most often after a response.
     pub(super) reused: Cell<bool>,
-    /// What must still hold as the first byte is written.
+    /// Conditions that must still hold when the first byte is written.
     permit: RefCell<Option<SendPermit>>,
 }
 
 impl WriteProgress {
-    /// Begins a request, which may be written for as long as its permit is valid.
+    /// Begins a request, which may start as long as its permit is valid.
     pub(super) fn reset(&self, permit: SendPermit) {
         self.started.set(false);
         self.complete.set(false);
@@ -29,11 +29,12 @@
     /// Records that bytes of the request were written.
     pub(super) fn on_written(&self) {
         self.started.set(true);
-        // The permit holds the pool, which may hold this connection: kept, neither would ever be dropped.
+        // The permit holds the pool, which may hold this connection. Dropping the permit breaks
+        // this reference cycle; otherwise neither would ever be freed.
         self.permit.take();
     }
 
-    /// Whether the request may start, as far as its permit says; without one it may.
+    /// Checks whether the permit allows the request to start; without a permit it may start.
     pub(super) fn is_permitted(&self) -> bool {
         self.permit
             .borrow()
@@ -42,21 +43,22 @@
     }
 }
 
-/// Permission to start a request. Between the attempt's own check and the first byte the connection's task has to be
-/// scheduled, which takes long on a busy node: the endpoint may begin to drain, or the client may leave, meanwhile.
+/// Permission to start a request. Between the attempt's own check and the first byte, the
+/// connection's task has to be scheduled, which takes long on a busy node. Meanwhile the endpoint
+/// may begin to drain, or the client may disconnect.
 pub(super) struct SendPermit {
-    /// The pool of the endpoint that the request goes to.
+    /// Pool of the request's endpoint.
     pub(super) pool: Rc<EndpointPool>,
-    /// The pool's incarnation when the connection was made.
+    /// Incarnation of the pool when the connection was made.
     pub(super) incarnation: u64,
-    /// As in [`AttemptLimits`](super::AttemptLimits).
+    /// See [`AttemptLimits`](super::AttemptLimits).
     pub(super) start_deadline: Instant,
-    /// As in [`AttemptLimits`](super::AttemptLimits).
+    /// See [`AttemptLimits`](super::AttemptLimits).
     pub(super) canceled: Rc<Cell<bool>>,
 }
 
 impl SendPermit {
-    /// Whether the request may start now.
+    /// Checks whether the request may start now.
     fn is_valid(&self) -> bool {
         self.pool.accepts_requests_at(self.incarnation)
             && !self.canceled.get()
