--- a/crates/node/src/multiget.rs
+++ b/crates/node/src/multiget.rs
@@ -1,8 +1,9 @@
-//! Multi-get: many keys in one HTTP request, at a port of its own.
+//! Multi-get: many keys in one HTTP request, at a separate port.
 //!
-//! A `POST /multi` lists items, each a key with a request id. Every item becomes an ordinary GET request of this node, and
-//! the response has a line of JSON for each as it ends, in any order. The headers of the request hold for all of its
-//! items: class, deadline and owner are theirs too.
+//! A `POST /multi` lists items, each with a key and a request id. Every item becomes an ordinary
+//! GET request of this node, and the response contains a line of JSON for each item, sent when the
+//! item ends, in any order. The headers of the request apply to all of its items, including class,
+//! deadline and owner.
 
 mod items;
 mod request;
@@ -30,30 +31,33 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Unfinished items are canceled this long before the client's deadline. Later the driver would fail them at its own
-/// deadline, and they would read as failed instead of unfinished.
+/// Unfinished items are canceled this long before the client's deadline. Later the driver would
+/// fail them at its own deadline, and the client would see them as failed instead of unfinished.
 const CANCEL_MARGIN: Duration = Duration::from_millis(10);
-/// How long a connection has beside the longest deadline of its items, for sending the request and reading the response.
+/// Time that a connection has in addition to the longest deadline of its items, for sending the
+/// request and reading the response.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(6);
-/// Lines that wait for the one before to be taken by the connection: few, since each may be large.
-const LINE_QUEUE: usize = 1;
+/// Capacity of the queue of lines that wait for the connection; small, because each line may be
+/// large.
+const LINE_QUEUE_CAPACITY: usize = 1;
 
-/// Why a multi-get request cannot be used: nothing was begun for it. Its client reads the text.
+/// Why a multi-get request cannot be used. No work was started for the request, and its client
+/// receives the text.
 #[derive(Debug, Error)]
 enum MultiGetError {
-    /// Its head, parameters or body cannot be used.
+    /// The head, parameters or body cannot be used.
     #[error(transparent)]
     Request(#[from] RequestError),
-    /// Its body is no JSON of the form asked for.
+    /// The body is not JSON of the required form.
     #[error("not a list of items with key and req_id")]
     Malformed,
-    /// It has more items than the settings allow.
+    /// The request has more items than the settings allow.
     #[error("too many items")]
     TooManyItems,
-    /// A key is no segment of a path, or an id no value of a header.
+    /// A key is not a path segment, or an id is not a header value.
     #[error("a key or req_id is empty or not usable")]
     InvalidItem,
-    /// Two of its items have the same id.
+    /// Two items have the same id.
     #[error("a req_id stands twice")]
     DuplicateId,
 }
@@ -71,22 +75,22 @@
     }
 }
 
-/// The server of the multi-get port.
+/// Server of the multi-get port.
 pub struct MultiGet {
-    /// Shared with the clients' port: items are requests like those that come there.
+    /// Shared with the client port, because items are handled like the requests of that port.
     context: Rc<ServerContext>,
     settings: MultiGetSettings,
-    /// Where this port takes its descriptors from.
+    /// Source of the descriptors of this port's connections.
     descriptors: Rc<DescriptorSource>,
 }
 
 impl MultiGet {
-    /// Descriptors that it holds beside its connections: its listener's.
+    /// Number of descriptors held in addition to the connections: one for the listener.
     pub const DESCRIPTORS: usize = 1;
-    /// Connections that it may hold at once.
+    /// Maximum number of connections at once.
     pub const CONNECTIONS: usize = 8;
 
-    /// A server without connections.
+    /// Creates a server without connections.
     pub fn new(
         context: Rc<ServerContext>,
         settings: MultiGetSettings,
@@ -104,12 +108,13 @@
         let sweep = spawn_local(self.descriptors.connections.clone().sweep());
         let descriptors = self.descriptors.clone();
         let (stage, log) = (self.context.stage.clone(), self.context.log.clone());
-        let connection = move |handle| self.clone().serve_connection(handle);
-        server::serve(listener, descriptors, stage, log, connection).await;
+        let connection_handler = move |handle| self.clone().serve_connection(handle);
+        server::serve(listener, descriptors, stage, log, connection_handler).await;
         sweep.abort();
     }
 
-    /// Serves one request. With one a connection, its time has a bound however slowly its client takes the response.
+    /// Serves one request. With a single request per connection, the duration is limited however
+    /// slowly the client reads the response.
     async fn serve_connection(self: Rc<Self>, handle: ConnectionHandle) {
         let handle = Rc::new(handle);
         let service = service_fn(async |request| {
@@ -125,22 +130,25 @@
         });
         let mut http = http1::Builder::new();
         http.max_buf_size(MAX_HEAD_BYTES).keep_alive(false);
-        let mut serving = http.serve_connection(ReportingSocket(handle.clone()), service);
-        // A connection of one request is never idle for long: parked is as good as closed.
-        let driven = handle.drive(&mut serving, |serving| serving.graceful_shutdown());
-        // Past the timeout it ends as if its client had disconnected.
-        let _ = timeout(self.max_timeout() + TRANSFER_TIMEOUT, driven).await;
-        drop(serving);
+        let mut http_connection = http.serve_connection(ReportingSocket(handle.clone()), service);
+        // A connection with a single request is never idle for long, so parking it equals closing
+        // it.
+        let drive_future = handle.drive(&mut http_connection, |http_connection| {
+            http_connection.graceful_shutdown()
+        });
+        // On timeout the connection ends as if its client had disconnected.
+        let _ = timeout(self.max_timeout() + TRANSFER_TIMEOUT, drive_future).await;
+        drop(http_connection);
         handle.linger().await;
     }
 
-    /// The longest time for which a client of any class waits.
+    /// Returns the longest timeout of all classes.
     fn max_timeout(&self) -> Duration {
         let timeouts = self.context.classes.iter().map(|class| class.max_timeout);
         timeouts.max().unwrap_or_default()
     }
 
-    /// Reads a request, starts its items and responds with their lines to come.
+    /// Reads a request, starts its items and returns a response that streams their lines.
     async fn handle_request(
         &self,
         handle: &ConnectionHandle,
@@ -150,7 +158,7 @@
         let request = MultiGetRequest::read(request, &self.context, &self.settings).await?;
         handle.on_request(request.parameters.class.0);
         let deadline = received_at + request.parameters.timeout;
-        let (sender, lines) = channel(LINE_QUEUE);
+        let (sender, lines) = channel(LINE_QUEUE_CAPACITY);
         let items = Items {
             context: self.context.clone(),
             parameters: request.parameters,
@@ -161,7 +169,8 @@
         let cancel_at = deadline - CANCEL_MARGIN.min(deadline - received_at);
         let mut task = JoinSet::new();
         task.spawn_local(async move {
-            // Items that are unfinished then are canceled, as if their client had disconnected.
+            // Items that are unfinished at `cancel_at` are canceled, as if the client had
+            // disconnected.
             let _ = timeout_at(cancel_at, running_items).await;
         });
         Ok(lines_response(lines, task))
--- a/crates/node/src/multiget/items.rs
+++ b/crates/node/src/multiget/items.rs
@@ -1,4 +1,4 @@
-//! The items of a multi-get request, run as requests of this node.
+//! Items of a multi-get request, run as requests of this node.
 
 use super::request::Item;
 use super::response::ResponseLine;
@@ -12,22 +12,23 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// What the items of one request share.
+/// State shared by the items of one request.
 #[derive(Clone)]
 pub(super) struct Items {
-    /// The context that the clients' port shares.
+    /// Context shared with the client port.
     pub context: Rc<ServerContext>,
-    /// What holds for each item, but for its time.
+    /// Parameters of each item, except its timeout.
     pub parameters: RequestParameters,
-    /// Point in time at which the client gives up.
+    /// Time at which the client stops waiting.
     pub deadline: Instant,
-    /// Items that run at once, at most.
+    /// Maximum number of items in flight.
     pub max_in_flight: usize,
 }
 
 impl Items {
-    /// Runs the items, and sends a line for each as it ends. Dropped, it cancels those in flight; so does a
-    /// receiver that is dropped because its client disconnected.
+    /// Runs the items, and sends a line for each item when it ends. The items in flight are
+    /// canceled if this future is dropped, or if the receiver of the lines is dropped because the
+    /// client disconnected.
     pub async fn run(self, items: Vec<Item>, lines: Sender<Bytes>) {
         let mut pending = items.into_iter().enumerate();
         let mut in_flight = JoinSet::new();
@@ -38,10 +39,10 @@
                 };
                 in_flight.spawn_local(self.clone().run_item(index, item));
             }
-            let Some(ended) = in_flight.join_next().await else {
+            let Some(join_result) = in_flight.join_next().await else {
                 return;
             };
-            let Ok(Some(line)) = ended else {
+            let Ok(Some(line)) = join_result else {
                 continue;
             };
             if lines.send(line).await.is_err() {
@@ -50,8 +51,9 @@
         }
     }
 
-    /// Runs one item and returns its line. It is a client's request in all but its connection; for that it takes a
-    /// descriptor of the clients' all the same, so that items and clients share one bound.
+    /// Runs one item and returns its line. An item is a client's request without a connection of
+    /// its own. It still leases a descriptor of the client connections, so that items and clients
+    /// share one limit.
     async fn run_item(self, index: usize, item: Item) -> Option<Bytes> {
         let key_number = item.key_number();
         let Some(id) = self.context.open_ids.register(item.id) else {
--- a/crates/node/src/multiget/request.rs
+++ b/crates/node/src/multiget/request.rs
@@ -1,4 +1,4 @@
-//! A multi-get request, read and checked.
+//! Reading and checking of multi-get requests.
 
 use super::MultiGetError;
 use crate::server::{
@@ -13,19 +13,19 @@
 use slatelink_config::operators::MultiGetSettings;
 use std::collections::HashSet;
 
-/// The one path that is served.
+/// The only path that is served.
 const PATH: &str = "/multi";
 
-/// A request that can be served.
+/// A valid multi-get request.
 pub(super) struct MultiGetRequest {
-    /// What holds for each of its items.
+    /// Parameters of each item.
     pub parameters: RequestParameters,
-    /// In the client's order; no two have the same id.
+    /// Items in the client's order, with unique ids.
     pub items: Vec<Item>,
 }
 
 impl MultiGetRequest {
-    /// Reads a request whole and checks it.
+    /// Reads a complete request and checks it.
     pub async fn read(
         request: Request<Incoming>,
         context: &ServerContext,
@@ -47,15 +47,15 @@
     if head.method != Method::POST {
         return Err(RequestError::MethodNotAllowed { allowed: "POST" });
     }
-    // hyper ignores a Content-Length beside it, and another parser may not: where the two disagree on the end of the body,
-    // it may hide another request (request smuggling).
+    // hyper ignores a Content-Length beside Transfer-Encoding, and another parser may not. If the
+    // two disagree on the end of the body, the body may hide another request (request smuggling).
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::LengthRequired);
     }
     Ok(())
 }
 
-/// Items of a body of JSON, at most `max_items`.
+/// Parses the items of a JSON body, at most `max_items`.
 fn parse_items(body: &[u8], max_items: usize) -> Result<Vec<Item>, MultiGetError> {
     let items: Vec<ItemJson> =
         serde_json::from_slice(body).map_err(|_| MultiGetError::Malformed)?;
@@ -71,7 +71,7 @@
     Ok(items)
 }
 
-/// An item as the client writes it.
+/// An item as sent by the client.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ItemJson {
@@ -79,19 +79,19 @@
     req_id: String,
 }
 
-/// An item that can be forwarded.
+/// A valid item, which can be forwarded.
 pub(super) struct Item {
-    /// As the client wrote it.
+    /// Key as sent by the client.
     pub key: String,
-    /// What an endpoint is asked for.
+    /// Target of the request to an endpoint.
     pub target: PathAndQuery,
-    /// The request's id.
+    /// Id of the request.
     pub id: HeaderValue,
 }
 
 impl Item {
-    /// `None` for a key that is no segment of a path, or an id that is no value of a header. Any other key would make
-    /// the target another one than the key names.
+    /// Returns `None` if the key is not a path segment or the id is not a header value. With any
+    /// other key, the target would name a different key.
     fn new(item: ItemJson) -> Option<Self> {
         if item.req_id.is_empty() || !is_path_segment(&item.key) {
             return None;
@@ -105,13 +105,13 @@
         })
     }
 
-    /// The number that the decision module knows the key by.
+    /// Returns the number of the key in the decision module.
     pub fn key_number(&self) -> u64 {
         key_number(&self.key)
     }
 }
 
-/// Whether a text is one segment of a path, not empty, by the characters of RFC 3986.
+/// Checks whether a text is one non-empty path segment, by the characters of RFC 3986.
 fn is_path_segment(text: &str) -> bool {
     let is_allowed =
         |byte: u8| byte.is_ascii_alphanumeric() || b"-._~!$&'()*+,;=:@%".contains(&byte);
--- a/crates/node/src/multiget/response.rs
+++ b/crates/node/src/multiget/response.rs
@@ -1,4 +1,4 @@
-//! The response to a multi-get request: a line of JSON for each item, sent as it ends.
+//! The response to a multi-get request: a line of JSON for each item, sent when the item ends.
 
 use bytes::Bytes;
 use http_body_util::{Either, Full};
@@ -12,28 +12,28 @@
 use tokio::sync::mpsc::Receiver;
 use tokio::task::JoinSet;
 
-/// A text for a request that cannot be used, or the lines of its items.
+/// The text response to an unusable request, or the lines of its items.
 pub(super) type HttpResponse = Response<Either<Full<Bytes>, ResponseLines>>;
 
-/// How an item ended.
+/// Result of an item.
 #[derive(Debug, Serialize)]
 pub(super) struct ResponseLine<'a> {
-    /// Its place in the request, from 0.
+    /// Index of the item in the request, from 0.
     #[serde(rename = "i")]
     index: usize,
     key: &'a str,
-    /// The code that a request of its own would have been answered with.
+    /// Status code that a separate request would have received.
     status: u16,
-    /// The body of a 200 response that is UTF-8.
+    /// Body of a 200 response, if it is UTF-8.
     #[serde(skip_serializing_if = "Option::is_none")]
     body: Option<&'a str>,
-    /// Any other, in hexadecimal.
+    /// Body of a 200 response that is not UTF-8, in hexadecimal.
     #[serde(skip_serializing_if = "Option::is_none")]
     body_hex: Option<String>,
 }
 
 impl<'a> ResponseLine<'a> {
-    /// A line without a body.
+    /// Creates a line without a body.
     pub fn new(index: usize, key: &'a str, status: StatusCode) -> Self {
         Self {
             index,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The line with its end; `None` if it cannot be written as JSON.
+    /// Returns the line with its line feed; `None` if it cannot be written as JSON.
     pub fn to_bytes(&self) -> Option<Bytes> {
         let mut line = serde_json::to_vec(self).ok()?;
         line.push(b'\n');
@@ -63,10 +63,10 @@
     }
 }
 
-/// A body of lines to come. Dropped with its response, it cancels the items in flight.
+/// A body of lines that is streamed. Dropped with its response, it cancels the items in flight.
 pub(super) struct ResponseLines {
     lines: Receiver<Bytes>,
-    /// The task that runs the items: a `JoinSet` aborts it when dropped.
+    /// Task that runs the items: a `JoinSet` aborts it when dropped.
     _task: JoinSet<()>,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// The response whose body is these lines, from this task.
+/// Builds the response that streams the lines sent by `task`.
 pub(super) fn lines_response(lines: Receiver<Bytes>, task: JoinSet<()>) -> HttpResponse {
     let mut response = Response::new(Either::Right(ResponseLines { lines, _task: task }));
     response.headers_mut().insert(
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -1,8 +1,9 @@
 //! The client side of HTTP.
 //!
-//! Connections are accepted ([`accept`], [`descriptors`]) and served until they end ([`connection`]); a request is read and checked
-//! ([`request`], [`parameters`]) and handed to the driver, which gives the final response ([`submit`]). Nothing is decided
-//! here: what cannot be used is answered at once, and everything else goes to the driver.
+//! Connections are accepted ([`accept`], [`descriptors`]) and served until they end
+//! ([`connection`]). A request is read and checked ([`request`], [`parameters`]) and passed to the
+//! driver, which provides the final response ([`submit`]). The server makes no routing decision: it
+//! answers unusable requests and health checks itself, and passes all other requests to the driver.
 
 mod accept;
 mod connection;
@@ -34,43 +35,43 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
-/// The longest head of a request that is read; a longer one is answered 431. Together with a body it is the most that a
-/// connection can make the node hold.
+/// Largest head of a request that is read; a larger head is answered with 431. Together with a body
+/// it is the most that a connection can make the node hold in memory.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// A class of requests, as clients may ask for it.
+/// A request class that clients may name.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// What `Req-Kind` says of its requests.
+    /// Name of the class in `Req-Kind`.
     pub name: Name,
-    /// The longest time for which a client of the class waits; a longer `Req-Deadline-Ms` counts as this.
+    /// Longest timeout of a request of the class; a longer `Req-Deadline-Ms` is reduced to it.
     pub max_timeout: Duration,
 }
 
-/// What all client connections share.
+/// State shared by all client connections.
 pub struct ServerContext {
-    /// Every request class, by [`ClassId`](slatelink_policy::ClassId).
+    /// All request classes, indexed by [`ClassId`](slatelink_policy::ClassId).
     pub classes: Vec<RequestClass>,
-    /// The tenants that a request may name as its owner; empty where requests have none.
+    /// Tenants that a request may name as its owner; empty if requests have none.
     pub tenants: Vec<Name>,
     /// Whether the health check succeeds while the node is serving.
     pub ready: Rc<Cell<bool>>,
-    /// The stage of the node's shutdown.
+    /// Stage of the node's shutdown.
     pub stage: watch::Receiver<ShutdownStage>,
-    /// Where the driver takes requests.
+    /// Channel to the driver.
     pub events: UnboundedSender<DriverEvent>,
-    /// Where the client port takes its descriptors from.
+    /// Source of the descriptors of the client port's connections.
     pub descriptors: Rc<DescriptorSource>,
     /// The node's log.
     pub log: Log,
-    /// Ids of the requests that are open, or have an attempt in flight.
+    /// Ids of the requests that have no final response yet, or an attempt in flight.
     pub open_ids: OpenRequestIds,
-    /// Counts up from 0.
+    /// Number of the next request, counted from 0.
     next_request_number: Cell<u64>,
 }
 
 impl ServerContext {
-    /// The classes and tenants are those of `settings`.
+    /// Creates a context with the classes and tenants of `settings`.
     pub fn new(
         settings: &Settings,
         ready: Rc<Cell<bool>>,
@@ -96,12 +97,12 @@
         }
     }
 
-    /// The present stage of the node's shutdown.
+    /// Returns the current stage of the node's shutdown.
     fn stage(&self) -> ShutdownStage {
         *self.stage.borrow()
     }
 
-    /// A number that no other request of this process has.
+    /// Returns a number that no other request of this process has.
     fn take_request_number(&self) -> u64 {
         let number = self.next_request_number.get();
         self.next_request_number.set(number + 1);
--- a/crates/node/src/server/accept.rs
+++ b/crates/node/src/server/accept.rs
@@ -12,11 +12,13 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// After a failed accept (no descriptor left, say) the next one waits: tried at once, it would fail and spin.
+/// Delay after a failed accept (no descriptor left, for example). Without it, the next accept would
+/// fail at once and the loop would spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts connections and serves each in a task of its own until the node closes, then returns when all have ended. A
-/// connection that there is no descriptor for is accepted and waits, and those behind it wait unaccepted.
+/// Accepts connections and serves each in a task of its own until the node closes, then returns
+/// when all connections have ended. A connection without an available descriptor is accepted and
+/// waits; later connections wait unaccepted.
 pub async fn serve<F: Future<Output = ()> + 'static>(
     listener: TcpListener,
     descriptors: Rc<DescriptorSource>,
@@ -27,18 +29,19 @@
     let mut closing = pin!(stage.wait_for(|stage| *stage == ShutdownStage::Closing));
     loop {
         let accepted = tokio::select! {
-            // What is ready to be accepted by then is served: it comes before the end.
+            // `biased`: connections that are ready to be accepted at closing time are still served.
             biased;
             accepted = listener.accept() => accepted,
             _ = &mut closing => break,
         };
         let admitted = match accepted {
-            // Not cancelled at shutdown: its first request may be on its way.
+            // Not canceled at shutdown, because the first request may already be in transit.
             Ok((stream, address)) => descriptors.admit(stream, address.ip()).await,
             Err(error) => Err(error),
         };
         match admitted {
-            // It is in the connection table at once: an eviction before it is first polled must see it.
+            // The connection is in the connection table already, so that an eviction before the
+            // first poll of its task finds it.
             Ok(Some(handle)) => drop(tokio::task::spawn_local(serve_connection(handle))),
             Ok(None) => {}
             Err(error) => {
--- a/crates/node/src/server/connection.rs
+++ b/crates/node/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! The life of a client connection: parked between requests, served while it has some, lingering at its end.
+//! A client connection: parked between requests, served during requests, lingering at its end.
 
 use super::request::handle_request;
 use super::{ServerContext, MAX_HEAD_BYTES};
@@ -11,20 +11,21 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 
-/// A client connection, which ends with this future. Between requests it holds nothing but its socket: hyper's part, with
-/// buffers and parser, is in a box of its own, made when the client sends something and dropped a while after its response.
+/// A client connection, which ends with this future. Between requests it holds only its socket:
+/// hyper's state, with buffers and parser, is in a separate box, created when the client sends data
+/// and dropped some time after the response.
 pub struct ClientConnection {
-    /// Its socket, and its entry in the connection table.
+    /// Socket of the connection, and its entry in the connection table.
     handle: Rc<ConnectionHandle>,
     /// Shared by all client connections.
     context: Rc<ServerContext>,
-    /// Whether hyper has the socket at present.
+    /// Whether hyper currently uses the socket.
     state: State,
 }
 
-/// What a client connection holds beside its socket.
+/// State of a client connection, apart from its socket.
 enum State {
-    /// Waits for bytes.
+    /// The connection waits for data from the client.
     Parked,
     /// hyper reads requests and writes responses.
     Serving(Pin<Box<dyn Future<Output = DriveOutcome>>>),
@@ -33,7 +34,7 @@
 }
 
 impl ClientConnection {
-    /// A connection that was just admitted.
+    /// Creates the future of a newly admitted connection.
     pub fn new(handle: ConnectionHandle, context: Rc<ServerContext>) -> Self {
         Self {
             handle: Rc::new(handle),
@@ -68,7 +69,7 @@
     }
 }
 
-/// Serves requests until the connection ends, or has been idle for a while: then its socket is given back.
+/// Serves requests until the connection ends, or parks it after it has been idle for a while.
 async fn serve_requests(
     connection: Rc<ConnectionHandle>,
     context: Rc<ServerContext>,
--- a/crates/node/src/server/descriptors.rs
+++ b/crates/node/src/server/descriptors.rs
@@ -1,4 +1,4 @@
-//! The descriptors of a port's connections.
+//! Descriptors for the connections of a port.
 
 use crate::connections::{ConnectionHandle, ConnectionManager};
 use crate::upstream::Upstream;
@@ -8,28 +8,31 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// Where a port takes the descriptors of its connections from.
+/// Source of the descriptors for a port's connections.
 pub struct DescriptorSource {
-    /// The connections of the port.
+    /// Connections of the port.
     pub connections: Rc<ConnectionManager>,
-    /// The connections to endpoints, which share the budget: idle ones are closed for connections of this port.
+    /// Connections to endpoints, which share the budget; idle ones are closed to free descriptors
+    /// for this port.
     pub upstream: Rc<Upstream>,
 }
 
 impl DescriptorSource {
-    /// Has a connection of another kind close. `false` where none can.
+    /// Closes a connection of the given other kind. Returns `false` if none can be closed.
     fn evict_other_kind(&self, kind: ConnectionKind) -> bool {
         kind == ConnectionKind::Upstream && self.upstream.close_oldest_idle()
     }
 
-    /// Waits for a descriptor and leases it for a multi-get item, which counts as a client connection.
+    /// Waits for a descriptor and leases it for a multi-get item, which counts as a client
+    /// connection.
     pub async fn lease(&self) -> Lease {
         self.connections
             .lease(|kind| self.evict_other_kind(kind))
             .await
     }
 
-    /// Waits for a descriptor for an accepted connection. `None` where its address has as many connections as it may.
+    /// Waits for a descriptor for an accepted connection. Returns `None` if the address already has
+    /// its maximum number of connections.
     pub(super) async fn admit(
         &self,
         stream: TcpStream,
--- a/crates/node/src/server/error.rs
+++ b/crates/node/src/server/error.rs
@@ -1,4 +1,4 @@
-//! Why a request cannot be used, and the response that says so.
+//! Errors of unusable requests, and the responses to them.
 
 use super::parameters::ParameterError;
 use super::response::{method_not_allowed, text_response, HttpResponse};
@@ -6,40 +6,41 @@
 use hyper::StatusCode;
 use thiserror::Error;
 
-/// Why a request cannot be used: nothing was begun for it. Its client reads the text.
+/// Why a request cannot be used. No work was started for the request, and its client receives the
+/// text.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// Its target has no path.
+    /// The target has no path.
     #[error("no path")]
     MissingPath,
-    /// Nothing is served at its path.
+    /// Nothing is served at the path.
     #[error("no such path")]
     UnknownPath,
-    /// Its path has no such method.
+    /// The path does not support the method.
     #[error("no such method")]
     MethodNotAllowed {
-        /// The value of `Allow`.
+        /// Value of the `Allow` header.
         allowed: &'static str,
     },
-    /// The length of its body is not stated.
+    /// The length of the body is not stated.
     #[error("a body needs a Content-Length")]
     LengthRequired,
-    /// Its headers cannot be used.
+    /// The headers cannot be used.
     #[error(transparent)]
     Parameters(#[from] ParameterError),
-    /// Its body could not be read.
+    /// The body could not be read.
     #[error(transparent)]
     Body(#[from] BodyError),
-    /// Its client disconnected before it was read.
+    /// The client disconnected before the request was read.
     #[error("its client has gone")]
     ClientDisconnected,
-    /// A request of the same id is open.
+    /// A request with the same id is open.
     #[error("Req-Id is open already")]
     DuplicateId,
 }
 
 impl RequestError {
-    /// The status of the response.
+    /// Returns the status code of the response.
     const fn status(&self) -> StatusCode {
         match self {
             Self::UnknownPath => StatusCode::NOT_FOUND,
--- a/crates/node/src/server/parameters.rs
+++ b/crates/node/src/server/parameters.rs
@@ -1,4 +1,4 @@
-//! What the headers of a request say of it.
+//! Parameters of a request, read from its headers.
 
 use super::ServerContext;
 use crate::upstream::{IDEMPOTENCY_KEY, REQ_DEADLINE, REQ_ID};
@@ -8,23 +8,23 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The class of a request, by its name.
+/// Name of the request's class.
 const REQ_KIND: HeaderName = HeaderName::from_static("req-kind");
-/// The tenant of a request, by its name.
+/// Name of the request's tenant.
 const REQ_OWNER: HeaderName = HeaderName::from_static("req-owner");
-/// The work that the client expects of a request, in microseconds.
+/// Work that the client expects the request to cost, in microseconds.
 const REQ_COST: HeaderName = HeaderName::from_static("req-cost");
 
-/// Why the headers of a request cannot be used. Its client reads the text.
+/// Why the headers of a request cannot be used. The client receives the text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ParameterError {
-    /// A header that may stand only once.
+    /// A header that may occur only once occurs again.
     #[error("a header stands twice")]
     DuplicateHeader,
-    /// A value that is not visible ASCII.
+    /// A header value is not visible ASCII.
     #[error("unreadable header")]
     UnreadableHeader,
-    /// Also for an empty one.
+    /// The request has no id, or an empty one.
     #[error("no Req-Id")]
     MissingId,
     /// The request names no class.
@@ -33,35 +33,35 @@
     /// No class has this name.
     #[error("unknown Req-Kind")]
     UnknownKind,
-    /// There are tenants, and the request names none.
+    /// Tenants are configured, but the request names none.
     #[error("no Req-Owner")]
     MissingOwner,
-    /// There are tenants, and none has this name.
+    /// Tenants are configured, but none has this name.
     #[error("unknown Req-Owner")]
     UnknownOwner,
     /// The request states no deadline.
     #[error("no Req-Deadline-Ms")]
     MissingDeadline,
-    /// Not a whole number of milliseconds in 32 bits.
+    /// The deadline is not a whole number of milliseconds in 32 bits.
     #[error("unreadable Req-Deadline-Ms")]
     UnreadableDeadline,
-    /// Not a whole number of microseconds in 32 bits.
+    /// The cost is not a whole number of microseconds in 32 bits.
     #[error("unreadable Req-Cost")]
     UnreadableCost,
 }
 
-/// The headers of a request.
+/// Parsed headers of a request.
 pub(super) struct RequestHeaders {
     /// `Req-Id`, not empty.
     pub(super) id: HeaderValue,
     /// `Idempotency-Key`, if the client sent one.
     pub(super) idempotency_key: Option<HeaderValue>,
-    /// Everything that is passed to the decision module.
+    /// Parameters for the decision module.
     pub(super) parameters: RequestParameters,
 }
 
 impl RequestHeaders {
-    /// Reads the headers of a request to the client port.
+    /// Parses the headers of a request to the client port.
     pub(super) fn parse(
         context: &ServerContext,
         headers: &HeaderMap,
@@ -77,20 +77,21 @@
     }
 }
 
-/// What is passed to the decision module about a request, beside its key.
+/// Parameters of a request for the decision module, apart from its key.
 #[derive(Clone, Copy)]
 pub struct RequestParameters {
-    /// How long the client waits for the response.
+    /// Time for which the client waits for the response.
     pub timeout: Duration,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// How long an endpoint will work on it, as the client expects.
+    /// Work at an endpoint that the client expects the request to cost.
     pub expected_work: Option<Duration>,
-    /// Its class, or all requests, use all of their quota already.
+    /// Whether its class, or all requests together, already use the whole quota.
     pub over_quota: bool,
 }
 
-/// Reads the parameters of a request, within its quota as far as the headers show.
+/// Parses the parameters of a request. `over_quota` is `false`, because the headers do not
+/// determine it.
 pub fn parse_parameters(
     context: &ServerContext,
     headers: &HeaderMap,
@@ -100,7 +101,8 @@
     let timeout = parse_number(headers, &REQ_DEADLINE, ParameterError::UnreadableDeadline)?
         .ok_or(ParameterError::MissingDeadline)?;
     let cost = parse_number(headers, &REQ_COST, ParameterError::UnreadableCost)?;
-    // No client waits longer than its class does, and what the node holds for a request it would hold as long.
+    // No client waits longer than the timeout of its class, and a longer timeout would keep the
+    // request's memory in use for as long.
     let max_timeout = context.classes[class.0].max_timeout;
     Ok(RequestParameters {
         timeout: Duration::from_millis(timeout.into()).min(max_timeout),
@@ -110,7 +112,7 @@
     })
 }
 
-/// The class that the request names.
+/// Parses the class that the request names.
 fn parse_class(context: &ServerContext, headers: &HeaderMap) -> Result<ClassId, ParameterError> {
     let kind = text_value(headers, &REQ_KIND)?.ok_or(ParameterError::MissingKind)?;
     context
@@ -121,7 +123,8 @@
         .ok_or(ParameterError::UnknownKind)
 }
 
-/// Checks that the owner is a tenant. Where there are no tenants, any owner means nothing.
+/// Checks that the owner is a tenant. Without tenants, the owner has no meaning and any value is
+/// accepted.
 fn check_owner(context: &ServerContext, headers: &HeaderMap) -> Result<(), ParameterError> {
     let owner = text_value(headers, &REQ_OWNER)?;
     if context.tenants.is_empty() {
@@ -135,8 +138,8 @@
     }
 }
 
-/// The value of a header that must not stand twice: the parsers on the client side and at the endpoint could pick
-/// different values (request smuggling).
+/// Returns the value of a header that must not occur twice: the parsers on the client side and at
+/// the endpoint could choose different values (request smuggling).
 fn single_value<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -149,7 +152,7 @@
     }
 }
 
-/// The value of a header as text.
+/// Returns the value of a header as text.
 fn text_value<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -159,7 +162,8 @@
         .transpose()
 }
 
-/// A number in 32 bits: as milliseconds that is under 50 days, and safe to add to a clock.
+/// Parses a 32-bit number: in milliseconds it is less than 50 days, which is safe to add to a
+/// clock.
 fn parse_number(
     headers: &HeaderMap,
     name: &HeaderName,
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, from its head to its response.
+//! Handling of a client's request, from its head to its response.
 
 use super::error::RequestError;
 use super::parameters::RequestHeaders;
@@ -16,12 +16,12 @@
 use std::hash::{DefaultHasher, Hasher};
 use tokio::time::Instant;
 
-/// The path of the health check.
+/// Path of the health check.
 const HEALTH_PATH: &str = "/healthz";
-/// What the paths of all other requests begin with; the last segment is the key.
+/// Prefix of the paths of all other requests; the last segment is the key.
 const API_PREFIX: &str = "/api/";
 
-/// Answers a request, and closes the connection with the response where it should not be reused.
+/// Answers a request, and closes the connection after the response if it must not be reused.
 pub(super) async fn handle_request(
     context: &ServerContext,
     connection: &ConnectionHandle,
@@ -31,10 +31,10 @@
         Ok(response) => (response, true),
         Err(error) => (HttpResponse::from(error), false),
     };
-    // Closes after an invalid request: its client probably repeats it at once, and on an open connection it could do so at
-    // the expense of other clients without the delay of a reconnect.
-    // Closes where descriptors run out, too: kept open, the connection would hold its descriptor while idle, and others
-    // would wait unaccepted or could not connect at all.
+    // Closes after an invalid request: the client probably repeats it at once, and on an open
+    // connection it could do so without the delay of a reconnect, at the expense of other clients.
+    // Closes when descriptors run out, too: an open connection would hold its descriptor while
+    // idle, and others would wait unaccepted or could not connect at all.
     if !usable
         || connection.closes_with_response()
         || connection.read_ahead_exceeded()
@@ -47,7 +47,7 @@
     response
 }
 
-/// Checks a request step by step, and has the driver give its final response.
+/// Checks a request step by step, and obtains its final response from the driver.
 async fn respond(
     context: &ServerContext,
     connection: &ConnectionHandle,
@@ -67,11 +67,13 @@
     check_framing(&head)?;
     let headers = RequestHeaders::parse(context, &head.headers)?;
     let body = receive_body(connection, body).await?;
-    // Its client may have disconnected before it was read: nobody waits for a response.
+    // The client may have disconnected before its request was read, and would not receive a
+    // response.
     if connection.client_has_disconnected() {
         return Err(RequestError::ClientDisconnected);
     }
-    // Forwarded, it would be a duplicate of another client's request.
+    // A second request with an open id, if forwarded, would be a duplicate of another client's
+    // request.
     let id = context
         .open_ids
         .register(headers.id)
@@ -86,13 +88,14 @@
         idempotency_key: headers.idempotency_key,
         body: body.bytes,
     };
-    let answer = submit_request(context, received_at, key, parameters, message).await;
-    // Not before: hyper drains a body that is dropped unread, or reads no more from the connection.
+    let final_response = submit_request(context, received_at, key, parameters, message).await;
+    // Dropped only now, because hyper drains a body that is dropped unread, or reads no more from
+    // the connection.
     drop(body.unread);
-    Ok(client_response(answer))
+    Ok(client_response(final_response))
 }
 
-/// The response to a health check.
+/// Returns the response to a health check.
 fn health(context: &ServerContext, method: &Method) -> Result<HttpResponse, RequestError> {
     if method != Method::GET {
         return Err(RequestError::MethodNotAllowed { allowed: "GET" });
@@ -105,14 +108,14 @@
     })
 }
 
-/// The key that a path names, if it names one.
+/// Returns the number of the key that a path names, if it names one.
 fn path_key(path: &str) -> Option<u64> {
     let name = path.strip_prefix(API_PREFIX)?.rsplit('/').next()?;
     (!name.is_empty()).then(|| key_number(name))
 }
 
-/// The number by which a key is placed: keys are 64-bit numbers in hexadecimal; any other name goes by its hash, the same
-/// at every node.
+/// Returns the number by which a key is placed. Keys are 64-bit numbers in hexadecimal; any other
+/// name is placed by its hash, which is the same at every node.
 pub fn key_number(name: &str) -> u64 {
     u64::from_str_radix(name, 16).unwrap_or_else(|_| {
         let mut hasher = DefaultHasher::new();
@@ -121,30 +124,30 @@
     })
 }
 
-/// Checks the method and that the body's length is stated.
+/// Checks the method, and that the length of the body is stated.
 fn check_framing(head: &Parts) -> Result<(), RequestError> {
     if head.method != Method::GET && head.method != Method::PUT {
         return Err(RequestError::MethodNotAllowed {
             allowed: "GET, PUT",
         });
     }
-    // hyper ignores a Content-Length beside it, and another parser may not: where the two disagree on the end of the body,
-    // it may hide another request (request smuggling).
+    // hyper ignores a Content-Length beside Transfer-Encoding, and another parser may not. If the
+    // two disagree on the end of the body, the body may hide another request (request smuggling).
     if head.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::LengthRequired);
     }
     Ok(())
 }
 
-/// The body of a request.
+/// Body of a request.
 struct RequestBody {
-    /// What was read: all of it, or nothing.
+    /// The complete body, or nothing if `unread` is set.
     bytes: Bytes,
-    /// The body where there was no memory to read it: the request is to be shed.
+    /// A body that was not read for lack of memory; its request is to be shed.
     unread: Option<Incoming>,
 }
 
-/// Reads the body if there is memory for it.
+/// Reads the body if memory is available for it.
 async fn receive_body(
     connection: &ConnectionHandle,
     body: Incoming,
--- a/crates/node/src/server/response.rs
+++ b/crates/node/src/server/response.rs
@@ -9,14 +9,14 @@
 /// A response with its complete body.
 pub type HttpResponse = Response<Full<Bytes>>;
 
-/// The HTTP response that carries a request's final response.
-pub(super) fn client_response(answer: FinalResponse) -> HttpResponse {
-    let status = answer.status();
-    match answer {
+/// Builds the HTTP response that carries a request's final response.
+pub(super) fn client_response(final_response: FinalResponse) -> HttpResponse {
+    let status = final_response.status();
+    match final_response {
         FinalResponse::Served(body) => Response::new(Full::new(body)),
         FinalResponse::Shed { retry_after } => {
             let mut response = text_response(status, "refused: try again later");
-            // Always valid: digits and a point.
+            // Always valid, because the text consists of digits and a point.
             if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after.as_secs_f64()))
             {
                 response.headers_mut().insert(RETRY_AFTER, seconds);
@@ -27,7 +27,8 @@
     }
 }
 
-/// The response to a request whose path has no such method; `allowed` is the value of `Allow`.
+/// Builds the response to a request whose path does not support its method; `allowed` is the value
+/// of the `Allow` header.
 pub fn method_not_allowed(allowed: &'static str) -> HttpResponse {
     let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "no such method");
     response
@@ -36,7 +37,7 @@
     response
 }
 
-/// A response whose body is a text for people.
+/// Builds a response with a plain text as its body.
 pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
--- a/crates/node/src/server/submit.rs
+++ b/crates/node/src/server/submit.rs
@@ -1,4 +1,4 @@
-//! Requests on their way to the driver and back.
+//! Submission of client requests to the driver.
 
 use super::{RequestParameters, ServerContext};
 use crate::driver::{ClientRequest, DriverEvent, FinalResponse};
@@ -8,7 +8,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Hands a request to the driver and waits for its final response. Dropped before that, its client has disconnected.
+/// Passes a request to the driver and waits for its final response. If this future is dropped
+/// earlier, the client counts as disconnected.
 pub async fn submit_request(
     context: &ServerContext,
     received_at: Instant,
@@ -33,31 +34,34 @@
     let mut disconnect = DisconnectGuard {
         number,
         events: &context.events,
-        answered: false,
+        response_received: false,
     };
-    // The driver only ends when the node does; its silence is a failure all the same.
+    // The driver ends only when the node does. If the driver sends no response nevertheless, the
+    // request fails.
     let _ = context
         .events
         .send(DriverEvent::RequestReceived(Box::new(request)));
-    let answer = response.await.unwrap_or(FinalResponse::Failed);
-    disconnect.answered = true;
-    answer
+    let final_response = response.await.unwrap_or(FinalResponse::Failed);
+    disconnect.response_received = true;
+    final_response
 }
 
-/// Notifies the driver of a client that disconnected: hyper drops the future of the response with its connection.
+/// Notifies the driver that the client has disconnected: hyper drops the future of the response
+/// when the connection ends.
 struct DisconnectGuard<'a> {
-    /// Of the request.
+    /// Number of the request.
     number: u64,
-    /// Where the driver takes its events.
+    /// Channel to the driver.
     events: &'a UnboundedSender<DriverEvent>,
-    /// Its final response has come: a disconnect does not cancel it any more.
-    answered: bool,
+    /// Whether the final response has arrived, after which a disconnect no longer cancels the
+    /// request.
+    response_received: bool,
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if !self.answered {
-            // The driver only ends when the node does.
+        if !self.response_received {
+            // Fails only after the driver has ended, and with it the node.
             let _ = self
                 .events
                 .send(DriverEvent::ClientDisconnected(self.number));
--- a/crates/node/src/server/tests.rs
+++ b/crates/node/src/server/tests.rs
@@ -1,4 +1,4 @@
-//! The statuses and texts of responses that no endpoint gives, and the numbers of keys.
+//! Tests of the statuses and texts of the node's own responses, and of key numbers.
 
 use super::error::RequestError;
 use super::key_number;
@@ -15,9 +15,10 @@
     response.into_body().collect().await.unwrap().to_bytes()
 }
 
-// Guards against a status or text that changes with the code: clients and their operators read them.
+// Guards against a status or text that changes with the code: clients and their operators rely on
+// both.
 #[tokio::test]
-async fn each_unusable_request_is_answered_by_its_status_and_text() {
+async fn each_request_error_has_the_expected_status_and_text() {
     let cases: [(RequestError, u16, &str); 17] = [
         (RequestError::MissingPath, 400, "no path"),
         (RequestError::UnknownPath, 404, "no such path"),
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_method_that_is_not_allowed_is_answered_with_those_that_are() {
+fn response_to_a_disallowed_method_lists_the_allowed_methods() {
     let response = HttpResponse::from(RequestError::MethodNotAllowed {
         allowed: "GET, PUT",
     });
@@ -89,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn a_shed_request_is_answered_with_retry_after_in_seconds() {
+async fn response_to_a_shed_request_has_retry_after_in_seconds() {
     let response = client_response(FinalResponse::Shed {
         retry_after: Duration::from_millis(1_250),
     });
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn a_key_in_hexadecimal_is_its_number_and_any_other_name_has_the_same_hash_each_time() {
+fn hexadecimal_key_maps_to_its_number_and_any_other_name_to_a_stable_hash() {
     assert_eq!(key_number("00ff"), 255);
     assert_eq!(key_number("not-hex"), key_number("not-hex"));
     assert_ne!(key_number("not-hex"), key_number("not-hex-2"));
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -71,11 +71,11 @@
             canceled: limits.canceled.clone(),
         });
         let idle_time = connection.idle_since.elapsed();
-        let exchanging = exchange(&mut connection.sender, http_request);
-        let exchanged = timeout_at(limits.deadline, exchanging).await;
-        let broken = matches!(exchanged, Ok(Err(_)));
+        let exchange_future = exchange(&mut connection.sender, http_request);
+        let exchange_result = timeout_at(limits.deadline, exchange_future).await;
+        let broken = matches!(exchange_result, Ok(Err(_)));
         self.record_idle_time(&connection.progress, idle_time, broken);
-        match exchanged {
+        match exchange_result {
             Ok(Ok(Exchange { result, reusable })) => {
                 if reusable {
                     release(pool, connection);
--- a/crates/node/src/upstream/body.rs
+++ b/crates/node/src/upstream/body.rs
@@ -27,7 +27,7 @@
     match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) => match error.downcast::<hyper::Error>() {
-            Ok(broken) => Err(BodyError::Incomplete(*broken)),
+            Ok(connection_error) => Err(BodyError::Incomplete(*connection_error)),
             // The only other error of a limited body is that it exceeds the limit.
             Err(_) => Err(BodyError::TooLarge),
         },
--- a/crates/node/src/upstream/idle_history.rs
+++ b/crates/node/src/upstream/idle_history.rs
@@ -71,15 +71,15 @@
     /// Returns the shortest idle time at which requests are lost to drops; at most the maximum
     /// timeout.
     pub(super) fn idle_timeout(&self) -> Duration {
-        let mut shorter = Bucket::default();
+        let mut shorter_idle_times = Bucket::default();
         for (index, bucket) in self.buckets.iter().enumerate() {
-            let min_rate = MIN_DROP_RATE.max(shorter.loss_rate() * MIN_DROP_EXCESS);
-            let drops = bucket.lost >= MIN_DROPS && bucket.loss_rate() >= min_rate;
-            if drops && shorter.requests > 0 {
+            let min_rate = MIN_DROP_RATE.max(shorter_idle_times.loss_rate() * MIN_DROP_EXCESS);
+            let has_drops = bucket.lost >= MIN_DROPS && bucket.loss_rate() >= min_rate;
+            if has_drops && shorter_idle_times.requests > 0 {
                 return min_idle_time(index).min(self.max_idle_timeout);
             }
-            shorter.requests += bucket.requests;
-            shorter.lost += bucket.lost;
+            shorter_idle_times.requests += bucket.requests;
+            shorter_idle_times.lost += bucket.lost;
         }
         self.max_idle_timeout
     }
--- a/crates/node/src/upstream/socket.rs
+++ b/crates/node/src/upstream/socket.rs
@@ -45,8 +45,8 @@
     }
 
     /// Records the result of a write.
-    fn record_write(&self, written: &Poll<io::Result<usize>>) {
-        if matches!(written, Poll::Ready(Ok(bytes)) if *bytes > 0) {
+    fn record_write(&self, write_result: &Poll<io::Result<usize>>) {
+        if matches!(write_result, Poll::Ready(Ok(bytes)) if *bytes > 0) {
             self.progress.on_written();
         }
     }
@@ -69,17 +69,17 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         self.check_start()?;
-        let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.record_write(&written);
-        written
+        let write_result = Pin::new(&mut self.stream).poll_write(cx, buf);
+        self.record_write(&write_result);
+        write_result
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let flushed = Pin::new(&mut self.stream).poll_flush(cx);
-        if matches!(flushed, Poll::Ready(Ok(()))) && self.progress.started.get() {
+        let flush_result = Pin::new(&mut self.stream).poll_flush(cx);
+        if matches!(flush_result, Poll::Ready(Ok(()))) && self.progress.started.get() {
             self.progress.complete.set(true);
         }
-        flushed
+        flush_result
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -96,8 +96,8 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         self.check_start()?;
-        let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.record_write(&written);
-        written
+        let write_result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
+        self.record_write(&write_result);
+        write_result
     }
 }
