--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,5 +1,5 @@
-//! The driver: carries each request from its arrival to its final response, as the decision module
-//! decides.
+//! The driver: handles each request from its arrival to its final response by executing the
+//! decision module's actions.
 //!
 //! The driver is the only owner of the decision module and of the open requests. Events arrive by
 //! channel and are passed to the decision module, whose actions are executed in order. The driver
--- a/crates/node/src/driver/open_request.rs
+++ b/crates/node/src/driver/open_request.rs
@@ -155,8 +155,8 @@
         self.respond_from(endpoint.as_ref(), response, observer);
     }
 
-    /// Sends the final response like `respond`, and reports `endpoint` to the observer as its
-    /// source.
+    /// Sends the final response like `respond`, and reports `endpoint` to the observer as the
+    /// endpoint that served the request or failed to.
     fn respond_from(
         &mut self,
         endpoint: Option<&EndpointId>,
--- a/crates/node/src/driver/readiness.rs
+++ b/crates/node/src/driver/readiness.rs
@@ -13,7 +13,7 @@
 pub struct Readiness {
     /// Flag that `/healthz` reads.
     ready: Rc<Cell<bool>>,
-    /// End of the wait for the first list; `None` if there is no such wait, or no longer.
+    /// End of the wait for the first list; `None` if there is no such wait or the wait is over.
     first_list_deadline: Option<Instant>,
     has_ready_endpoint: bool,
 }
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -36,7 +36,7 @@
 use tokio::sync::watch;
 
 /// Largest head of a request that is read; a larger head is answered with 431. Together with a body
-/// it is the most that a connection can make the node hold in memory.
+/// it is the most that a connection can make the node hold.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// A request class that clients may name.
--- a/crates/node/src/server/parameters.rs
+++ b/crates/node/src/server/parameters.rs
@@ -102,7 +102,7 @@
         .ok_or(ParameterError::MissingDeadline)?;
     let cost = parse_number(headers, &REQ_COST, ParameterError::UnreadableCost)?;
     // No client waits longer than the timeout of its class, and a longer timeout would keep the
-    // request's memory in use for as long.
+    // request's resources in use for as long.
     let max_timeout = context.classes[class.0].max_timeout;
     Ok(RequestParameters {
         timeout: Duration::from_millis(timeout.into()).min(max_timeout),
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Removes all endpoints that `keep` rejects, because a complete list lacks them.
+    /// Removes all endpoints that `keep` rejects: the endpoints that a complete list lacks.
     pub fn retain_endpoints(&self, keep: impl Fn(&EndpointId) -> bool) {
         let removed: Vec<_> = self
             .pools
--- a/crates/node/src/upstream/attempt.rs
+++ b/crates/node/src/upstream/attempt.rs
@@ -16,7 +16,7 @@
     /// Latest time for the first byte of the request, after which no byte is written; no later than
     /// `deadline`.
     pub start_deadline: Instant,
-    /// Latest time until which the attempt waits for its response.
+    /// Time until which the attempt waits for its response.
     pub deadline: Instant,
     /// Set once the request has its final response, or its client has disconnected. After that no
     /// attempt of the request starts.
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -50,7 +50,7 @@
     /// Number of times that the endpoint moved or restarted. Connections of an earlier incarnation
     /// lead to another process, or to none.
     pub(super) incarnation: Cell<u64>,
-    /// Whether new attempts may start, because the endpoint is ready.
+    /// Whether new attempts may start, which requires that the endpoint is ready.
     pub(super) accepts_requests: Cell<bool>,
     /// Idle connections, the most recently used one last.
     pub(super) idle: RefCell<Vec<PooledConnection>>,
