--- a/crates/node/src/timer_queue.rs
+++ b/crates/node/src/timer_queue.rs
@@ -1,4 +1,4 @@
-//! A queue of timers, each returned after the point in time that it was set for.
+//! A queue of timers that expire at set points in time.
 
 use std::collections::BTreeSet;
 use std::future::pending;
--- a/crates/node/src/upstream/idle_history.rs
+++ b/crates/node/src/upstream/idle_history.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Minimum number of requests lost on connections of about the same idle time that shows that
-/// endpoints silently drop connections after that time.
+/// Minimum number of requests lost at about the same idle time from which endpoints count as
+/// silently dropping connections after that time.
 const MIN_DROPS: u32 = 3;
-/// Minimum rate of requests lost on connections of about the same idle time that shows the same.
-/// Both minimums must be met.
+/// Minimum share of requests lost at about the same idle time for the same conclusion. Both
+/// minimums must be met.
 const MIN_DROP_RATE: f64 = 0.2;
 /// Connections also break for causes that are independent of their idle time. Losses count as drops
 /// only from this multiple of the loss rate at shorter idle times.
