--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,21 +1,22 @@
 //! The client of discovery: keeps the node's endpoint list up to date.
 //!
-//! While the client holds a list it has a *watch* open, a long poll that discovery answers with the next change. It
-//! *renews* the watch at intervals, because one that has fallen silent looks like one without changes. Without a list it
-//! *polls* for the complete one. After a failed call it waits: for the policy's request to poll, which comes with the
-//! policy's backoff, and for a backoff of its own where discovery's state calls for one. The watch that it then opens is
-//! *verified* by a poll, and calls after late failures are *hedged*.
+//! While the client holds a list it keeps a *watch* open: a long poll that discovery answers with
+//! the next change. It *renews* the watch at intervals, because a stalled watch, which no longer
+//! delivers changes, looks like a watch without changes. Without a list it *polls* for the complete
+//! list. After a failed call it waits for the policy's request to poll, which follows the policy's
+//! backoff, and for a backoff of its own where the state of discovery requires one. The next watch
+//! is *verified* by a poll, and calls after late failures are *hedged*.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `notified` | the rules by which discovery counts a node as notified, from which the rest follows |
+//! | `notified` | the rules by which discovery counts a node as notified; basis of the other modules |
 //! | `timing` | timeouts, intervals and backoffs |
-//! | `client` | the client's state, its loop of calls, its backoff after failures |
-//! | `lists` | what happens with a list that was received |
-//! | `watch`, `renewal` | a watch from its opening to its answer; its verification and renewal |
-//! | `poll` | polls, with their hedged calls |
-//! | `call`, `in_flight`, `watches` | one call; all calls in flight; the open watches among them |
-//! | `stale_lists` | lists that arrive after newer ones |
+//! | `client` | the client's state, its call loop and its backoff after failures |
+//! | `lists` | acceptance of received lists and their forwarding to the driver |
+//! | `watch`, `renewal` | lifetime of a watch; its verification and renewal |
+//! | `poll` | polls and their hedged calls |
+//! | `call`, `in_flight`, `watches` | a single call; all calls in flight; the open watches |
+//! | `stale_lists` | lists that arrive after newer lists |
 
 mod call;
 mod client;
@@ -39,31 +40,36 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What the client of discovery begins with.
+/// Initial state, settings and channels of the client.
 pub struct DiscoveryOptions {
-    /// Discovery's address. A change supersedes all calls to the old address.
+    /// Discovery's address. A change supersedes all calls to the previous address.
     pub address: tokio::sync::watch::Receiver<SocketAddr>,
-    /// Version of the endpoint list that the node holds, if it holds one.
+    /// Version of the endpoint list that the node holds; `None` if it holds no list.
     pub version: Option<u64>,
-    /// Whether an agent beside the node receives the lists. A watch is always open there then, without a request to poll.
+    /// Whether a sidecar agent receives the lists. The client then always keeps a watch open at the
+    /// agent, without a request to poll.
     pub pushed: bool,
-    /// The node sends nothing to an endpoint later than this after it was notified that the endpoint is draining or removed.
+    /// Grace period after the notification that an endpoint is draining or removed. Once it is
+    /// over, the node sends nothing to the endpoint.
     pub drain_grace: Duration,
-    /// A node that hasn't called for so long is notified of all changes.
+    /// Time without a call after which the node counts as notified of all changes.
     pub max_poll_interval: Duration,
     /// Source of jitter.
     pub random: fastrand::Rng,
-    /// Receives the lists, and an event for each failure after which the policy is to request a poll.
+    /// Channel to the driver for the lists, and for an event after each failure that requires the
+    /// policy to request a poll.
     pub events: UnboundedSender<DriverEvent>,
-    /// Receives a line, at a limited rate, for each failure and each stale list.
+    /// Log of failures and stale lists; its lines are rate-limited.
     pub log: Log,
 }
 
-/// Keeps the endpoint list up to date until the receiver of the events, or the sender of the address, is dropped.
+/// Keeps the endpoint list up to date until the receiver of the events or the sender of the address
+/// is dropped.
 ///
-/// `poll_requested` starts the first call, and the next one after a failure. A change of the address starts a poll for the
-/// complete list there at once: versions of the old discovery mean nothing at the new one. Until that list has come the
-/// node keeps the one that it has.
+/// `poll_requested` starts the first call, and the next call after a failure. A change of the
+/// address immediately starts a poll for the complete list at the new address, because versions of
+/// the old discovery are meaningless there. The node keeps its current list until the new list
+/// arrives.
 pub async fn run(options: DiscoveryOptions, poll_requested: Rc<Notify>) {
     let mut address = options.address.clone();
     let mut client = DiscoveryClient::new(options);
@@ -74,7 +80,7 @@
             _driver_stopped = client.run_at_address(current, &poll_requested, address_changed_at) => return,
             changed = address.changed() => if changed.is_err() { return },
         }
-        client.leave_address();
+        client.prepare_for_address_change();
         address_changed_at = Some(Instant::now());
     }
 }
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One call to discovery over HTTP/1.1: its connection, its request and its answer.
+//! A single call to discovery over HTTP/1.1: its connection, request and answer.
 
 use crate::list_client::{
     connect, exchange, ClientConnection, DiscoveryError, ListRequest, RequestSender,
@@ -10,20 +10,21 @@
 use std::pin::{pin, Pin};
 use std::task::Poll;
 
-/// The connection and what waits for it are polled in turn so often at a time: an answer that has arrived at the socket is
-/// read completely by one poll, however busy the node's other tasks are.
+/// Maximum number of alternating polls of the connection and of the work that depends on the
+/// connection, within one poll of the task. With several rounds, an answer that has arrived at the
+/// socket is read completely by one poll, however busy the node's other tasks are.
 const POLL_ROUNDS: usize = 4;
 
-/// How a call ended.
+/// Result of a call, and its connection.
 pub struct CallOutcome {
-    /// The list that it brought.
+    /// The received list, or the error.
     pub result: Result<EndpointList, DiscoveryError>,
-    /// Its connection, for the next call.
+    /// The call's connection, for reuse by the next call.
     pub connection: Option<DiscoveryConnection>,
 }
 
 impl CallOutcome {
-    /// A failure that leaves no connection.
+    /// Returns the outcome of a failed call without a connection.
     pub fn failed(error: DiscoveryError) -> Self {
         Self {
             result: Err(error),
@@ -34,15 +35,16 @@
 
 type ConnectionDriver = Pin<Box<ClientConnection>>;
 
-/// An open connection to discovery. The call that uses it drives it, not a task of its own: such a task would have to wait
-/// for its turn among those of all requests before an answer is read.
+/// An open connection to discovery. It is driven by the call that uses the connection, not by a
+/// separate task: a separate task would be scheduled behind the tasks of all requests before an
+/// answer is read.
 pub struct DiscoveryConnection {
     sender: RequestSender,
     /// `None` once the connection has ended.
     driver: Option<ConnectionDriver>,
 }
 
-/// Calls discovery, on the given connection if that is still open, otherwise on a new one.
+/// Calls discovery on the given connection if it is still open, otherwise on a new connection.
 pub async fn call(
     address: SocketAddr,
     request: ListRequest,
@@ -62,7 +64,8 @@
     }
 }
 
-/// The connection, unless discovery has closed it since its last call. That is no failure of the next one.
+/// Returns the connection unless discovery has closed it since the last call. A closed idle
+/// connection does not fail the next call.
 async fn reusable(connection: Option<DiscoveryConnection>) -> Option<DiscoveryConnection> {
     let mut connection = connection?;
     let ready = drive_while(&mut connection.driver, connection.sender.ready()).await;
@@ -89,7 +92,8 @@
     }
 }
 
-/// Completes work that needs the connection to be driven meanwhile. A failure of the connection shows in the work.
+/// Runs `work` to completion while driving the connection. A failure of the connection surfaces as
+/// an error of `work`.
 async fn drive_while<T>(driver: &mut Option<ConnectionDriver>, work: impl Future<Output = T>) -> T {
     let mut work = pin!(work);
     poll_fn(|context| {
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! The client's state, its loop of calls, and its backoff after failures.
+//! The client's state, its call loop and its backoff after failures.
 
 use super::call::{call, DiscoveryConnection};
 use super::in_flight::{AddressGeneration, CallId, CallsInFlight, CompletedCall};
@@ -23,9 +23,9 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-/// The state of the client. Its methods stand in the modules of their concern.
+/// State of the client. Its methods are implemented in the modules of their concern.
 pub(super) struct DiscoveryClient {
-    /// Version of the list that is held; `None` where the next call has to bring the complete one.
+    /// Version of the held list; `None` if the next call has to fetch the complete list.
     pub(super) version: Option<u64>,
     /// `DiscoveryOptions::pushed`.
     pub(super) pushed: bool,
@@ -35,36 +35,37 @@
     pub(super) max_poll_interval: Duration,
     /// Source of jitter.
     pub(super) random: fastrand::Rng,
-    /// To the driver.
+    /// Channel to the driver.
     pub(super) events: UnboundedSender<DriverEvent>,
-    /// Where failures and stale lists are logged.
+    /// Log of failures and stale lists.
     pub(super) log: Log,
-    /// When discovery last answered a call; before the first answer it may not know this node.
+    /// When discovery last answered a call. Before the first answer, discovery may not know this
+    /// node.
     pub(super) last_answer: Option<Instant>,
-    /// A call has failed, and none has been answered since.
+    /// Whether a call has failed and none has been answered since.
     pub(super) failing: bool,
-    /// The last failure was a late one (`LATE_FAILURE_THRESHOLD`).
+    /// Whether the last failure was late (`LATE_FAILURE_THRESHOLD`).
     pub(super) failed_late: bool,
-    /// Of the current address.
+    /// Generation of the current address.
     pub(super) generation: AddressGeneration,
-    /// All calls, superseded ones too.
+    /// All calls in flight, including superseded calls.
     pub(super) in_flight: CallsInFlight,
-    /// What every list passes on its way to the driver.
+    /// Filter that every list passes before it is forwarded to the driver.
     pub(super) stale_lists: StaleListFilter,
-    /// An endpoint was marked as draining against a list that calls it ready: when to poll for the complete list, which
-    /// shows whether it still drains.
+    /// When to poll for the complete list, after an endpoint was marked as draining although a list
+    /// contained it as ready. The complete list shows whether the endpoint is still draining.
     pub(super) complete_list_due: Option<Instant>,
 }
 
-/// A call after whose failure the next one has to wait.
+/// A failed call.
 struct FailedCall {
     error: DiscoveryError,
-    /// A call before it had failed too, and none was answered between them.
+    /// Whether an earlier call had failed too, with no answer in between.
     repeated: bool,
 }
 
 impl DiscoveryClient {
-    /// A client that has made no call yet.
+    /// Creates a client that has made no call yet.
     pub(super) fn new(options: DiscoveryOptions) -> Self {
         let DiscoveryOptions {
             version,
@@ -94,15 +95,17 @@
         }
     }
 
-    /// Supersedes the calls to the address so far. Their answers are read on: the node is notified of them.
-    pub(super) fn leave_address(&mut self) {
+    /// Supersedes all calls to the current address and discards the held version. The answers to
+    /// these calls are still read, because the node is notified of their content.
+    pub(super) fn prepare_for_address_change(&mut self) {
         self.in_flight.supersede_all(LATE_ANSWER_READ_TIME);
         self.generation = self.generation.next();
         self.version = None;
     }
 
-    /// Makes calls to one address, one after the other, until the driver stops. `address_changed_at` is the time of the
-    /// change to this address; after one, the first call doesn't wait for a request to poll.
+    /// Calls one address repeatedly until the driver stops. `address_changed_at` is the time of the
+    /// change to this address, if the address was changed. The first call then doesn't wait for a
+    /// request to poll.
     pub(super) async fn run_at_address(
         &mut self,
         address: SocketAddr,
@@ -114,7 +117,7 @@
             if !self.pushed && !poll_at_once {
                 self.read_answers_during(poll_requested.notified()).await;
             }
-            // A failed call's connection stays open for the time of the backoff.
+            // The connection of a failed call stays open during the backoff.
             let mut connection = None;
             let failed = self.receive_lists(address, &mut connection).await?;
             self.log
@@ -123,8 +126,8 @@
                 && address_changed_at
                     .is_some_and(|at| at.elapsed() < NOTIFIED_AFTER_ADDRESS_CHANGE);
             poll_at_once = awaits_first_list || self.failed_late;
-            // Report the failure to the policy only where the policy's backoff decides the next poll, or where lists are pushed
-            // and it requests none.
+            // The failure is reported to the policy only if the policy's backoff determines the
+            // next poll, or if lists are pushed and the policy requests no polls.
             if self.pushed || !poll_at_once {
                 self.events
                     .send(DriverEvent::DiscoveryFailed)
@@ -136,7 +139,7 @@
         }
     }
 
-    /// Receives lists until a call fails. `connection` is that of the last call.
+    /// Receives lists until a call fails. `connection` is the connection of the last call.
     async fn receive_lists(
         &mut self,
         address: SocketAddr,
@@ -154,17 +157,17 @@
             self.last_answer = Some(Instant::now());
             let is_early =
                 self.version == Some(list.version) && called_at.elapsed() < EARLY_ANSWER_THRESHOLD;
-            let pauses = match self.accept_list(list)? {
+            let needs_pause = match self.accept_list(list)? {
                 ListStatus::Outdated => true,
                 ListStatus::Current => is_early && !repeated,
             };
-            if pauses {
+            if needs_pause {
                 self.read_answers_during(sleep(EARLY_ANSWER_PAUSE)).await;
             }
         }
     }
 
-    /// The client's own backoff, beside the policy's.
+    /// Returns the client's own backoff, which is independent of the policy's backoff.
     fn backoff_after(&self, failed: &FailedCall, awaits_first_list: bool) -> Jittered {
         let mean = match failed.error {
             _ if self.pushed && !failed.repeated => Duration::ZERO,
@@ -201,7 +204,7 @@
         self.in_flight.start(self.generation, future)
     }
 
-    /// Waits for the first of `calls` to end. Answers to other calls are handled meanwhile.
+    /// Waits for the first of `calls` to complete. Handles the answers to other calls meanwhile.
     pub(super) async fn first_completed(&mut self, calls: &[CallId]) -> CompletedCall {
         loop {
             let completed = self.in_flight.next_completed().await;
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Does something that isn't a call, and handles the answers to superseded calls meanwhile.
+    /// Awaits `work` and handles the answers to superseded calls meanwhile.
     async fn read_answers_during<T>(&mut self, work: impl Future<Output = T>) -> T {
         let mut work = pin!(work);
         loop {
--- a/crates/node/src/discovery/in_flight.rs
+++ b/crates/node/src/discovery/in_flight.rs
@@ -1,7 +1,7 @@
 //! The calls to discovery in flight.
 //!
-//! A call that another has superseded is kept for a while, because the node is notified of an answer once it is written
-//! (see `notified`), whether or not the node still waits for it.
+//! A superseded call is kept for a while, because the node is notified of an answer once discovery
+//! has written it (see `notified`), whether or not the node still waits for the answer.
 
 use super::call::CallOutcome;
 use std::future::{poll_fn, Future};
@@ -10,22 +10,23 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Bound on the calls in flight. Beyond it the oldest superseded one is dropped.
+/// Maximum number of calls in flight. Beyond it the oldest superseded call is dropped.
 const MAX_CALLS: usize = 8;
 
-/// The future that makes a call.
+/// Future of a call.
 pub type CallFuture = Pin<Box<dyn Future<Output = CallOutcome>>>;
 
-/// Identifies a call.
+/// Identifier of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallId(u64);
 
-/// Counts the addresses that discovery has had. Versions of lists compare within one generation only.
+/// Sequence number of discovery's addresses. Versions of lists are comparable only within one
+/// generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AddressGeneration(u32);
 
 impl AddressGeneration {
-    /// The generation of the address that follows.
+    /// Returns the generation of the next address.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
@@ -35,21 +36,22 @@
     id: CallId,
     generation: AddressGeneration,
     future: CallFuture,
-    /// Until when a superseded call's answer is read; `None` for a call that isn't superseded.
+    /// End of the time in which a superseded call's answer is read; `None` for a call that isn't
+    /// superseded.
     read_until: Option<Instant>,
 }
 
-/// A call that has ended.
+/// A completed call.
 pub struct CompletedCall {
-    /// Which one it was.
+    /// Identifier of the call.
     pub id: CallId,
-    /// The address that it was made to.
+    /// Generation of the address that was called.
     pub generation: AddressGeneration,
-    /// How it ended.
+    /// Result of the call.
     pub outcome: CallOutcome,
 }
 
-/// All calls in flight, the oldest first.
+/// All calls in flight, oldest first.
 #[derive(Default)]
 pub struct CallsInFlight {
     calls: Vec<CallInFlight>,
@@ -57,7 +59,7 @@
 }
 
 impl CallsInFlight {
-    /// Adds a call. It makes progress while `next_completed` is awaited.
+    /// Adds a call. Calls make progress only while `next_completed` is awaited.
     pub fn start(&mut self, generation: AddressGeneration, future: CallFuture) -> CallId {
         self.drop_expired();
         if self.calls.len() >= MAX_CALLS {
@@ -75,7 +77,7 @@
         id
     }
 
-    /// Marks calls as superseded: their answers are read for `read_for` from now.
+    /// Marks calls as superseded. Their answers are read for another `read_for`.
     pub fn supersede(&mut self, ids: impl IntoIterator<Item = CallId>, read_for: Duration) {
         let until = Instant::now() + read_for;
         for id in ids {
@@ -86,7 +88,7 @@
         }
     }
 
-    /// Marks all calls as superseded that aren't yet.
+    /// Marks all calls as superseded. Calls that are already superseded keep their time limit.
     pub fn supersede_all(&mut self, read_for: Duration) {
         let until = Instant::now() + read_for;
         for call in &mut self.calls {
@@ -94,8 +96,8 @@
         }
     }
 
-    /// Waits for the next call that ends, for ever where none is in flight. Cancel-safe: no outcome is lost when this
-    /// future is dropped.
+    /// Waits for the next call to complete; never returns while no call is in flight. Cancel-safe:
+    /// no outcome is lost when this future is dropped.
     pub async fn next_completed(&mut self) -> CompletedCall {
         poll_fn(|context| self.poll_next_completed(context)).await
     }
@@ -111,7 +113,8 @@
                 });
             }
         }
-        // Only after the polls above, which have read what had arrived in time.
+        // Expired calls are dropped only after the polls above, which read the answers that arrived
+        // in time.
         self.drop_expired();
         Poll::Pending
     }
--- a/crates/node/src/discovery/lists.rs
+++ b/crates/node/src/discovery/lists.rs
@@ -1,5 +1,5 @@
-//! What happens with an endpoint list that was received: whether it becomes the one that is held, and what of it reaches
-//! the driver.
+//! Handling of received endpoint lists: decides whether a list replaces the held list, and which of
+//! its records are forwarded to the driver.
 
 use super::call::CallOutcome;
 use super::client::DiscoveryClient;
@@ -11,21 +11,22 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// The driver has stopped, so that nobody receives lists any more.
+/// The driver has stopped and no longer receives lists.
 #[derive(Debug, Error)]
 #[error("the driver has stopped")]
 pub(super) struct DriverStopped;
 
-/// How a received list compares with the one that was held.
+/// Comparison of a received list with the held list.
 pub(super) enum ListStatus {
-    /// It is the one that is held now.
+    /// The received list is now the held list.
     Current,
-    /// It is older. Discovery may have lost its versions, so the complete list is needed.
+    /// The received list is older. Discovery may have lost its versions, so the complete list is
+    /// needed.
     Outdated,
 }
 
 impl DiscoveryClient {
-    /// Accepts a list of the current address, unless it is older than the one that is held.
+    /// Accepts a list from the current address unless it is older than the held list.
     pub(super) fn accept_list(&mut self, list: EndpointList) -> Result<ListStatus, DriverStopped> {
         if let Some(held) = self.version.filter(|held| list.version < *held) {
             let text = format!(
@@ -42,7 +43,7 @@
         Ok(ListStatus::Current)
     }
 
-    /// Accepts the answer to a superseded call: the node is notified of it.
+    /// Accepts the answer to a superseded call, because the node is notified of its content.
     pub(super) fn accept_superseded(&mut self, completed: CompletedCall) {
         let CompletedCall {
             generation,
@@ -57,21 +58,23 @@
         if generation != self.generation || self.version.is_none() {
             self.forward_unready_endpoints(list, generation);
         } else if self.version.is_some_and(|held| list.version > held) {
-            // Whether the driver has stopped shows at the next list.
+            // The next list of a regular call detects whether the driver has stopped.
             let _ = self.accept_list(list);
         }
     }
 
-    /// Forwards what a list that isn't accepted says of draining and removed endpoints: that holds whatever its version is.
+    /// Forwards only the draining and removed endpoints of a list that isn't accepted. These states
+    /// are valid whatever the version of the list is.
     fn forward_unready_endpoints(&mut self, mut list: EndpointList, generation: AddressGeneration) {
         list.complete = false;
         list.endpoints
             .retain(|endpoint| endpoint.availability() != Availability::Ready);
-        // Whether the driver has stopped shows at the next list.
+        // The next list of a regular call detects whether the driver has stopped.
         let _ = self.forward(list, generation);
     }
 
-    /// Forwards a list to the driver, less what it knows from before an endpoint's drain or removal.
+    /// Forwards a list to the driver. Endpoints that the list contains as ready, from before their
+    /// drain or removal, are marked as draining.
     fn forward(
         &mut self,
         mut list: EndpointList,
@@ -79,7 +82,7 @@
     ) -> Result<(), DriverStopped> {
         let now = Instant::now();
         if self.stale_lists.apply(&mut list, generation, now) {
-            let text = "discovery: an endpoint that drains is not taken for ready from a list that is not newer";
+            let text = "discovery: a list that is not newer reports a draining or removed endpoint as ready; the endpoint is marked as draining";
             self.log.rate_limited("discovery", text);
             self.complete_list_due = Some(now + ANNOUNCEMENT_LIFETIME);
         }
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -1,4 +1,4 @@
-//! Polls: calls that discovery answers in their turn, without waiting for a change.
+//! Polls: calls that discovery answers without waiting for a change.
 
 use super::call::{CallOutcome, DiscoveryConnection};
 use super::client::DiscoveryClient;
@@ -13,25 +13,25 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// What a poll consists of.
+/// Parameters of a poll.
 pub(super) struct Poll {
     /// Discovery's address.
     pub(super) address: SocketAddr,
-    /// The request of all its calls.
+    /// Request that all calls of the poll send.
     pub(super) request: ListRequest,
-    /// The connection of the first call.
+    /// Connection of the first call.
     pub(super) connection: Option<DiscoveryConnection>,
     /// Time without an answer after which a hedged call is made; `None` for no hedged call.
     pub(super) hedge_delay: Option<Duration>,
 }
 
-/// How a poll beside open watches ended.
+/// Result of a poll made beside open watches.
 pub(super) enum PollOutcome {
-    /// One of its calls was answered.
+    /// A call of the poll was answered.
     Answered(CallOutcome),
-    /// One of the watches was answered first.
+    /// A watch was answered first.
     WatchAnswered(CallOutcome),
-    /// All of its calls failed. Watches may have failed meanwhile, too.
+    /// All calls of the poll failed. Watches may have failed meanwhile too.
     Failed(DiscoveryError),
 }
 
@@ -57,8 +57,9 @@
         outcome
     }
 
-    /// Polls beside open watches. An answer supersedes the other calls of the poll; one to a watch supersedes the watches,
-    /// too. Calls that time out are superseded, and watches that fail are removed.
+    /// Polls beside open watches. An answer supersedes the other calls of the poll; an answer to a
+    /// watch supersedes the other watches too. Calls that time out are superseded, and watches that
+    /// fail are removed.
     pub(super) async fn poll(&mut self, poll: Poll, watches: &mut Watches) -> PollOutcome {
         let Poll {
             address,
--- a/crates/node/src/discovery/renewal.rs
+++ b/crates/node/src/discovery/renewal.rs
@@ -16,18 +16,18 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// What became of the open watches by a check.
+/// Result of a check of the open watches.
 pub(super) enum CheckOutcome {
-    /// They are superseded by an answer, or have failed: a new watch has to be opened.
+    /// The watches are superseded by an answer or have failed. A new watch has to be opened.
     WatchesEnded(CallOutcome),
-    /// They stand, verified or renewed.
-    WatchesStand,
-    /// The check failed, and the watches stay as they were.
+    /// The watches remain open, verified or renewed.
+    WatchesRemainOpen,
+    /// The check failed; the watches are unchanged.
     Failed(DiscoveryError),
 }
 
 impl DiscoveryClient {
-    /// Finds out by a poll whether a watch that was opened after a failed call has missed a change.
+    /// Polls to check whether a watch that was opened after a failed call has missed a change.
     pub(super) async fn verify_watch(&mut self, session: &mut WatchSession) -> CheckOutcome {
         let poll = Poll {
             address: session.address,
@@ -45,14 +45,15 @@
                 self.failing = false;
                 self.failed_late = false;
                 self.last_answer = Some(Instant::now());
-                CheckOutcome::WatchesStand
+                CheckOutcome::WatchesRemainOpen
             }
             outcome => self.check_outcome(outcome, &mut session.watches),
         }
     }
 
-    /// Renews the newest watch. After a failed renewal, or where the complete list is due, a poll stands in for that: its
-    /// answer shows what the watch has missed, and a new one is opened.
+    /// Renews the newest watch. After a failed renewal, or when the complete list is due, polls
+    /// instead: the answer contains the changes that the watch has missed, and a new watch is then
+    /// opened.
     pub(super) async fn renew_watch(&mut self, session: &mut WatchSession) -> CheckOutcome {
         let needs_complete_list = self
             .complete_list_due
@@ -81,8 +82,9 @@
         self.check_outcome(outcome, &mut session.watches)
     }
 
-    /// What follows for the watches from a poll beside them: an answer supersedes them, and a failure is theirs where the
-    /// newest one has failed, too.
+    /// Derives the state of the watches from a poll made beside them. An answer to the poll
+    /// supersedes the watches. A failed poll ends the watches only if the newest watch has failed
+    /// too.
     fn check_outcome(&mut self, outcome: PollOutcome, watches: &mut Watches) -> CheckOutcome {
         match outcome {
             PollOutcome::Answered(outcome) => {
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Opens a watch beside the open ones. It takes the newest one's place unless a call is answered, or it fails, within
-    /// `RENEWAL_OVERLAP`.
+    /// Opens a watch beside the open watches. It replaces the newest watch unless, within
+    /// `RENEWAL_OVERLAP`, a watch is answered or the renewal fails.
     async fn open_renewal(&mut self, session: &mut WatchSession) -> CheckOutcome {
         let request = ListRequest::ChangesAfter {
             version: session.version,
@@ -111,7 +113,7 @@
             let completed = timeout_at(deadline, self.first_completed(&awaited)).await;
             let Ok(CompletedCall { id, outcome, .. }) = completed else {
                 session.watches.renew(renewal, &mut self.in_flight);
-                return CheckOutcome::WatchesStand;
+                return CheckOutcome::WatchesRemainOpen;
             };
             match outcome.result {
                 Ok(_) => {
@@ -126,7 +128,7 @@
                     }
                     return CheckOutcome::WatchesEnded(outcome);
                 }
-                // The renewal may still take the place of a watch that has failed.
+                // The renewal may still replace a failed watch.
                 Err(_) if id != renewal => session.watches.remove(id),
                 Err(_) if session.watches.newest_failed() => {
                     return CheckOutcome::WatchesEnded(outcome)
@@ -142,14 +144,14 @@
         };
         if list.version > version {
             let text = format!(
-                "discovery: list {} came by a renewal, not by the watch before it",
+                "discovery: list {} was delivered by a renewal, not by the watch that it renews",
                 list.version
             );
             self.log.rate_limited("discovery", &text);
         }
     }
 
-    /// Time from the opening of a watch to its first check.
+    /// Returns the time from the opening of a watch to its first check.
     pub(super) fn first_check_delay(&mut self) -> Duration {
         match self.failing {
             true if self.failed_late => LATE_FAILURE_HEDGE_DELAY,
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Time from the opening of a watch to its renewal.
+    /// Returns the time from the opening of a watch to its renewal.
     pub(super) fn renewal_delay(&mut self) -> Duration {
         if self.last_answer.is_some() || self.pushed {
             return WATCH_RENEWAL_INTERVAL.draw(&mut self.random);
--- a/crates/node/src/discovery/stale_lists.rs
+++ b/crates/node/src/discovery/stale_lists.rs
@@ -1,8 +1,10 @@
-//! Keeps stale lists from bringing back an endpoint that was announced as draining or removed.
+//! Prevents stale lists from making an endpoint ready again after it was announced as draining or
+//! removed.
 //!
-//! Lists reach a node on several connections: a watch and its renewal, the old discovery and the new one after a change of
-//! address. One that was made earlier may arrive later, and a discovery that has lost its state may begin with old
-//! versions again. Time comes in as an argument.
+//! Lists reach a node on several connections: those of a watch and its renewal, and those to the
+//! old and the new discovery after a change of address. An older list may therefore arrive after a
+//! newer list, and a discovery that has lost its state may start again with old versions. The
+//! module reads no clock: the current time is an argument.
 
 use super::in_flight::AddressGeneration;
 use slatelink_config::{EndpointList, EndpointRecord};
@@ -11,40 +13,41 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long an announcement takes precedence over lists that aren't known to be newer. By then an older list that was on
-/// its way has arrived, and a discovery that had lost its state has it again.
+/// How long an announcement takes precedence over lists that aren't known to be newer. By then an
+/// older list in transit has arrived, and a discovery that lost its state has recovered it.
 pub const ANNOUNCEMENT_LIFETIME: Duration = Duration::from_secs(30);
 
-/// Latest notice that an endpoint is draining or removed.
+/// Latest announcement that an endpoint is draining or removed.
 struct Announcement {
     generation: AddressGeneration,
     version: u64,
-    /// Start of the endpoint's process, in milliseconds of Unix time.
+    /// Start time of the endpoint's process, in milliseconds of Unix time.
     started_ms: Option<u64>,
     announced_at: Instant,
 }
 
-/// The newest list so far.
+/// The newest list received so far.
 struct NewestList {
     generation: AddressGeneration,
     version: u64,
     received_at: Instant,
 }
 
-/// Recent announcements, and what the newest list contained. Bounded by the endpoints that the lists of the last
-/// `ANNOUNCEMENT_LIFETIME` and the last complete list name.
+/// Recent announcements, and the endpoints of the newest list. The size is bounded by the number of
+/// endpoints in the lists of the last `ANNOUNCEMENT_LIFETIME` and in the last complete list.
 #[derive(Default)]
 pub struct StaleListFilter {
-    /// By the endpoint's id.
+    /// Announcements by endpoint id.
     announcements: HashMap<String, Announcement>,
     newest: Option<NewestList>,
-    /// Ids of the listed endpoints, once there was a complete list. What that lacks is removed.
+    /// Ids of the listed endpoints; `None` before the first complete list. An endpoint that a
+    /// complete list lacks is removed.
     listed: Option<HashSet<String>>,
 }
 
 impl StaleListFilter {
-    /// Records the announcements of a list, and marks as draining the endpoints that it calls ready by older knowledge.
-    /// Returns whether there were any of these.
+    /// Records the announcements of a list, and marks as draining the endpoints that the list
+    /// contains as ready against a known drain or removal. Returns whether any endpoint was marked.
     pub fn apply(
         &mut self,
         list: &mut EndpointList,
@@ -75,8 +78,8 @@
         marked_any
     }
 
-    /// Whether what is known of an endpoint takes precedence over a list that calls it ready. `newest` says that no list
-    /// before was newer.
+    /// Returns whether the known state of an endpoint takes precedence over a list that contains it
+    /// as ready. `newest` is whether the list is the newest so far, as returned by `update_newest`.
     fn known_state_takes_precedence(
         &self,
         endpoint: &EndpointRecord,
@@ -96,8 +99,8 @@
         !newer && !restarted
     }
 
-    /// Takes in which endpoints a list contains, unless a recent one of the same generation is as new. Returns whether it
-    /// did.
+    /// Records the endpoints of a list, unless a recent list of the same generation is as new or
+    /// newer. Returns whether the endpoints were recorded.
     fn update_newest(
         &mut self,
         list: &EndpointList,
@@ -143,7 +146,8 @@
 
     fn record(&mut self, id: &str, announcement: Announcement) {
         match self.announcements.get_mut(id) {
-            // An older list that repeats the announcement doesn't make it any older.
+            // An older list that repeats the announcement doesn't lower the recorded version and
+            // start time.
             Some(known) if known.generation == announcement.generation => {
                 known.version = known.version.max(announcement.version);
                 known.started_ms = known.started_ms.max(announcement.started_ms);
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! A watch on the endpoint list, from its opening to its answer.
+//! The lifetime of a watch on the endpoint list, from its opening to its answer.
 
 use super::call::{CallOutcome, DiscoveryConnection};
 use super::client::DiscoveryClient;
@@ -14,31 +14,32 @@
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// A watch and its renewals, up to an answer.
+/// A watch and its renewals until one of them is answered.
 pub(super) struct WatchSession {
     /// Discovery's address.
     pub(super) address: SocketAddr,
-    /// The version after which they wait for changes.
+    /// Version after which the watches wait for changes.
     pub(super) version: u64,
-    /// The open ones.
+    /// The open watches.
     pub(super) watches: Watches,
-    /// When the newest of them was opened.
+    /// When the newest watch was opened.
     opened_at: Instant,
-    /// Opened after a failed call, and not verified since.
+    /// Whether the watch was opened after a failed call and has not been verified since.
     unverified: bool,
-    /// When to verify or renew it.
+    /// When to verify or renew the newest watch.
     next_check: Instant,
 }
 
 impl WatchSession {
-    /// When the watches have failed if there is no answer.
+    /// Returns the time at which the watches have failed without an answer.
     fn deadline(&self) -> Instant {
         self.opened_at + WATCH_WAIT + WATCH_ANSWER_GRACE
     }
 }
 
 impl DiscoveryClient {
-    /// Waits for discovery's next list: the complete one where none is held, otherwise what a watch brings.
+    /// Waits for the next list from discovery: the complete list if none is held, otherwise the
+    /// answer to a watch.
     pub(super) async fn next_list(
         &mut self,
         address: SocketAddr,
@@ -50,7 +51,8 @@
         }
     }
 
-    /// Opens a watch and waits for its answer, or that of one of its renewals. Meanwhile it is checked at intervals.
+    /// Opens a watch and waits for its answer, or for the answer to one of its renewals. Checks the
+    /// watch at intervals meanwhile.
     async fn watch(
         &mut self,
         address: SocketAddr,
@@ -102,7 +104,8 @@
         }
     }
 
-    /// Checks the watches: by a verification after a failed call, otherwise by a renewal. Breaks where they have ended.
+    /// Checks the watches: by a verification after a failed call, otherwise by a renewal. Breaks if
+    /// the watches have ended.
     async fn check(&mut self, session: &mut WatchSession) -> ControlFlow<CallOutcome> {
         let checked_at = Instant::now();
         let outcome = if session.unverified {
@@ -112,8 +115,8 @@
         };
         match outcome {
             CheckOutcome::WatchesEnded(outcome) => return ControlFlow::Break(outcome),
-            CheckOutcome::WatchesStand => {
-                // A verification opens no watch.
+            CheckOutcome::WatchesRemainOpen => {
+                // A verification does not open a watch.
                 if !session.unverified {
                     session.opened_at = checked_at;
                 }
@@ -121,14 +124,15 @@
                 session.next_check = checked_at + self.renewal_delay();
             }
             CheckOutcome::Failed(error) if checked_at.elapsed() >= LATE_FAILURE_THRESHOLD => {
-                // The next call can't wait. The open watches are read until their wait would be over.
+                // The next call must start now. The open watches are read until their deadline.
                 self.failed_late = true;
                 let remaining = session.deadline().saturating_duration_since(Instant::now());
                 session.watches.supersede(&mut self.in_flight, remaining);
                 return ControlFlow::Break(CallOutcome::failed(error));
             }
             CheckOutcome::Failed(error) => {
-                let text = format!("discovery: watch not renewed: {error}");
+                let text =
+                    format!("discovery: the renewal or verification of the watch failed: {error}");
                 self.log.rate_limited("discovery", &text);
                 self.failing = true;
                 session.next_check = Instant::now() + RENEWAL_BACKOFF.draw(&mut self.random);
@@ -137,7 +141,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Waits for the answer to one of the watches, or the failure of the newest one. The others are superseded then.
+    /// Waits for the answer to a watch, or the failure of the newest watch. The remaining watches
+    /// are then superseded.
     async fn watch_outcome(&mut self, watches: &mut Watches) -> CallOutcome {
         loop {
             let open: Vec<_> = watches.open().collect();
--- a/crates/node/src/list_client.rs
+++ b/crates/node/src/list_client.rs
@@ -1,9 +1,9 @@
-//! The client side of discovery's protocol, as far as the node and a relay share it: connecting, a call for the endpoint list
-//! and its answer, and the errors of both.
+//! The client side of discovery's protocol that the node and a relay share: connecting, calls for
+//! the endpoint list with their answers, and errors.
 //!
-//! How a connection is driven differs and stays with each of them. A node drives it by the call on it, because a task of its
-//! own would have to take its turn among those of all requests before an answer is read. A relay drives it by a task
-//! of its own.
+//! Driving a connection is left to the caller. The node drives a connection within the call that
+//! uses it, because a separate task would be scheduled behind the tasks of all requests before an
+//! answer is read. A relay drives each connection by a separate task.
 
 #[cfg(test)]
 mod tests;
@@ -24,61 +24,63 @@
 
 /// Path of the endpoint list.
 pub const LIST_PATH: &str = "/v1/servers";
-/// How long a connection may take to be established.
+/// Timeout for establishing a connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Upper bound of an answer's body, in bytes; a longer one is no list.
+/// Maximum length of an answer's body, in bytes.
 const MAX_BODY_BYTES: usize = 8 << 20;
 
-/// Sends requests on a connection.
+/// Handle that sends requests on a connection.
 pub type RequestSender = SendRequest<Empty<Bytes>>;
 /// The connection behind a [`RequestSender`]; requests make progress only while it is polled.
 pub type ClientConnection = Connection<TokioIo<TcpStream>, Empty<Bytes>>;
 
-/// Why a call brought no endpoint list.
+/// Reason why a call returned no endpoint list.
 #[derive(Debug, Error)]
 pub enum DiscoveryError {
     /// The connection could not be established or set up.
     #[error("cannot connect: {0}")]
     Connect(#[from] std::io::Error),
     /// The connection was not established within [`CONNECT_TIMEOUT`].
-    #[error("not connected within {CONNECT_TIMEOUT:?}")]
+    #[error("connection not established within {CONNECT_TIMEOUT:?}")]
     ConnectTimedOut,
-    /// The connection failed, or its other end does not speak HTTP/1.1.
+    /// The connection failed, or the peer does not use HTTP/1.1.
     #[error("{0}")]
     Http(#[from] hyper::Error),
     /// The request could not be built.
     #[error("cannot build the request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The answer has another status than 200; 503 says that discovery's queue is full, or that a relay has no list.
-    #[error("answered {0}")]
+    /// The status of the answer is not 200. Status 503 means that discovery's queue is full, or
+    /// that a relay has no list.
+    #[error("unexpected status of the answer: {0}")]
     Status(StatusCode),
-    /// The body of the answer exceeds its bound.
-    #[error("answer of more than {MAX_BODY_BYTES} bytes")]
+    /// The body of the answer is longer than the maximum.
+    #[error("answer exceeds {MAX_BODY_BYTES} bytes")]
     TooLarge,
     /// The body of the answer is not an endpoint list.
     #[error("cannot read the answer: {0}")]
     Malformed(#[from] MessageError),
-    /// No answer came within the time that the caller allows.
-    #[error("no answer in time")]
+    /// No answer was received within the caller's timeout.
+    #[error("answer timed out")]
     AnswerTimedOut,
 }
 
 /// A request for the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRequest {
-    /// For the complete list.
+    /// Request for the complete list.
     Complete,
-    /// For what changed after a version.
+    /// Request for the changes after a version.
     ChangesAfter {
         /// The version that the client holds.
         version: u64,
-        /// How long the answer may wait for a change; a long poll if it is not zero.
+        /// Maximum time that discovery waits for a change before it answers. A non-zero wait makes
+        /// the call a long poll.
         wait: Duration,
     },
 }
 
 impl ListRequest {
-    /// Path and query of the request.
+    /// Returns the path and query of the request.
     fn target(self) -> String {
         match self {
             Self::Complete => LIST_PATH.to_owned(),
@@ -89,7 +91,7 @@
     }
 }
 
-/// Connects to a discovery or a relay, for at most [`CONNECT_TIMEOUT`].
+/// Connects to a discovery or a relay within [`CONNECT_TIMEOUT`].
 pub async fn connect(
     address: SocketAddr,
 ) -> Result<(RequestSender, ClientConnection), DiscoveryError> {
@@ -101,7 +103,8 @@
     Ok(http1::handshake(TokioIo::new(stream)).await?)
 }
 
-/// Makes a call on the connection to this address and reads the answer's body. It sets no timeout.
+/// Sends a request on a connection to this address and returns the body of the answer. Sets no
+/// timeout.
 pub async fn exchange(
     sender: &mut RequestSender,
     address: SocketAddr,
@@ -120,7 +123,7 @@
 async fn read_body(mut body: Incoming) -> Result<Vec<u8>, DiscoveryError> {
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
-        // Trailers are not read.
+        // Trailers are ignored.
         let Ok(data) = frame?.into_data() else {
             continue;
         };
--- a/crates/node/src/list_client/tests.rs
+++ b/crates/node/src/list_client/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of calls for the list, against a listener that answers once with given bytes.
+//! Tests of calls for the endpoint list, against a listener that answers one connection with given
+//! bytes.
 
 use super::{connect, exchange, DiscoveryError, ListRequest, MAX_BODY_BYTES};
 use std::net::SocketAddr;
@@ -6,18 +7,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Answers the first connection with a head and a body, and returns the head of its request.
+/// Answers the first connection with a head and a body. Returns the head of the request.
 async fn answer_once(listener: TcpListener, head: String, body: Vec<u8>) -> String {
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut request = vec![0; 4096];
     let length = stream.read(&mut request).await.unwrap();
     stream.write_all(head.as_bytes()).await.unwrap();
-    // The client may close the connection before it has read all.
+    // The client may close the connection before it has read the whole body.
     let _ = stream.write_all(&body).await;
     String::from_utf8(request[..length].to_vec()).unwrap()
 }
 
-/// What a call brings if it is answered with this status and body, and the head of its request.
+/// Returns the result of a call that is answered with this status and body, the head of its
+/// request, and the address that was called.
 async fn call_answered_with(
     list_request: ListRequest,
     status: &str,
@@ -38,9 +40,9 @@
     (result, request, address)
 }
 
-// Guards against a request that discovery does not know.
+// Guards against a request in a form that discovery does not support.
 #[tokio::test]
-async fn a_call_asks_for_its_version_and_wait_at_the_path_of_the_list() {
+async fn request_target_contains_list_path_version_and_wait() {
     let calls = [
         (ListRequest::Complete, "/v1/servers"),
         (
@@ -61,9 +63,10 @@
     }
 }
 
-// Guards against an answer that fills the memory, and against one at the bound that is refused.
+// Guards against an answer of unbounded size that exhausts memory, and against the rejection of an
+// answer of exactly the maximum length.
 #[tokio::test]
-async fn a_body_past_its_bound_is_an_error_of_its_own() {
+async fn body_longer_than_the_maximum_returns_too_large() {
     let longest = vec![b' '; MAX_BODY_BYTES];
     let (result, ..) = call_answered_with(ListRequest::Complete, "200 OK", longest).await;
     assert_eq!(result.unwrap().len(), MAX_BODY_BYTES);
@@ -75,12 +78,15 @@
     );
 }
 
-// Guards against an error page that is read as a list.
+// Guards against an error response whose body is read as a list.
 #[tokio::test]
-async fn an_answer_with_another_status_is_an_error() {
+async fn answer_with_status_other_than_200_is_an_error() {
     let body = br#"{"seq":1,"whole":true,"hosts":[]}"#.to_vec();
     let (result, ..) =
         call_answered_with(ListRequest::Complete, "503 Service Unavailable", body).await;
     let error = result.unwrap_err();
-    assert_eq!(error.to_string(), "answered 503 Service Unavailable");
+    assert_eq!(
+        error.to_string(),
+        "unexpected status of the answer: 503 Service Unavailable"
+    );
 }
