--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -9,7 +9,7 @@
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `notified` | the rules by which discovery counts a node as notified; basis of the other modules |
+//! | `notified` | when discovery counts a node as notified; the basis of the other modules |
 //! | `timing` | timeouts, intervals and backoffs |
 //! | `client` | the client's state, its call loop and its backoff after failures |
 //! | `lists` | acceptance of received lists and their forwarding to the driver |
--- a/crates/node/src/discovery/lists.rs
+++ b/crates/node/src/discovery/lists.rs
@@ -82,7 +82,7 @@
     ) -> Result<(), DriverStopped> {
         let now = Instant::now();
         if self.stale_lists.apply(&mut list, generation, now) {
-            let text = "discovery: a list that is not newer reports a draining or removed endpoint as ready; the endpoint is marked as draining";
+            let text = "discovery: a draining or removed endpoint is ready in a list that is not newer: marked as draining";
             self.log.rate_limited("discovery", text);
             self.complete_list_due = Some(now + ANNOUNCEMENT_LIFETIME);
         }
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! The client of discovery in virtual time, against fake discoveries.
+//! Tests of the discovery client in virtual time, against fake discoveries.
 
 mod address_change;
 mod concurrent_answers;
--- a/crates/node/src/discovery/tests/address_change.rs
+++ b/crates/node/src/discovery/tests/address_change.rs
@@ -1,16 +1,16 @@
-//! A change of discovery's address.
+//! Tests of a change of discovery's address.
 
 use super::fake_discovery::{changes, ManualDiscovery, Reply, ScriptedDiscovery};
-use super::harness::{run_in_virtual_time, TestClient, PROMPTLY};
+use super::harness::{run_in_virtual_time, TestClient, MAX_FORWARDING_DELAY};
 use crate::discovery::notified::{NOTIFIED_AFTER_ADDRESS_CHANGE, QUEUE_LIMIT};
 use crate::driver::DriverEvent;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-// Guards against a node whose first call at the new address is lost, or refused because the queue is full, and that has no
-// list from there when it is notified of all of it.
+// Guards against a node that is notified of the new discovery's list before it has that list,
+// because the first call to the new address was lost, or refused by a full queue.
 #[test]
-fn after_an_address_change_failed_calls_are_retried_while_an_answer_would_be_in_time() {
+fn failed_calls_after_address_change_are_retried_until_list_arrives_in_time() {
     let lost: fn(usize, &str) -> Reply = |call, _| match call {
         0 => Reply::Nothing,
         _ => Reply::List(7),
@@ -23,7 +23,7 @@
             version: 7,
         },
     };
-    for (script, least) in [(lost, Duration::ZERO), (refused, QUEUE_LIMIT)] {
+    for (script, min_elapsed) in [(lost, Duration::ZERO), (refused, QUEUE_LIMIT)] {
         for seed in 0..4 {
             run_in_virtual_time(async |log| {
                 let old = ScriptedDiscovery::start(|_, _| Reply::Nothing).await;
@@ -32,11 +32,11 @@
                 sleep(Duration::from_secs(1)).await;
                 let changed_at = Instant::now();
                 client.address.send_replace(new.address);
-                let took = client.list_forwarded(7).await - changed_at;
+                let elapsed = client.list_forwarded(7).await - changed_at;
                 let calls = new.calls.borrow();
                 assert!(
-                    took >= least && took < NOTIFIED_AFTER_ADDRESS_CHANGE,
-                    "{took:?}, {calls:?}"
+                    elapsed >= min_elapsed && elapsed < NOTIFIED_AFTER_ADDRESS_CHANGE,
+                    "{elapsed:?}, {calls:?}"
                 );
                 assert!(calls.iter().all(|call| call.path == "/v1/servers"));
             });
@@ -44,10 +44,11 @@
     }
 }
 
-// Guards against an answer that the old discovery writes while the address changes, and that nobody reads: the node is
-// notified of it, and the new discovery's list may be a queue away.
+// Guards against an answer that the old discovery writes during the address change and that is
+// never read. The node is notified of the answer, and the new discovery's list may wait in its
+// queue.
 #[test]
-fn drains_announced_by_the_old_discovery_are_forwarded_until_the_new_one_has_answered() {
+fn drains_from_old_discovery_are_forwarded_until_new_discovery_answers() {
     run_in_virtual_time(async |log| {
         let old = ScriptedDiscovery::start(|call, _| match call {
             0 => Reply::ListAfter {
@@ -73,7 +74,7 @@
         let changed_at = Instant::now();
         let first = client.next_event().await;
         let DriverEvent::EndpointListReceived(list) = first.event else {
-            panic!("a list: {:?}", first.event)
+            panic!("expected a list, got {:?}", first.event)
         };
         let endpoints: Vec<_> = list
             .endpoints
@@ -83,22 +84,25 @@
         assert_eq!(
             endpoints,
             [("s-leaving".into(), "draining")],
-            "and nothing of those that stay"
+            "only the draining endpoint is forwarded"
         );
-        let took = first.at - changed_at;
-        assert!(!list.complete && took < Duration::from_secs(1), "{took:?}");
-        let took = client.list_forwarded(7).await - changed_at;
-        assert!(took < NOTIFIED_AFTER_ADDRESS_CHANGE, "{took:?}");
+        let elapsed = first.at - changed_at;
+        assert!(
+            !list.complete && elapsed < Duration::from_secs(1),
+            "{elapsed:?}"
+        );
+        let elapsed = client.list_forwarded(7).await - changed_at;
+        assert!(elapsed < NOTIFIED_AFTER_ADDRESS_CHANGE, "{elapsed:?}");
         new.received(2).await;
         let calls = new.calls.borrow();
         assert!(calls[1].path.contains("after=7&"), "{calls:?}");
     });
 }
 
-// Guards against an answer of the old discovery that is dropped with its watch, because the new one's list comes in that
-// moment.
+// Guards against an answer of the old discovery that is dropped with its watch, because the new
+// discovery's list arrives at the same moment.
 #[test]
-fn a_drain_announced_by_the_old_discovery_beside_the_new_ones_list_is_forwarded_at_once() {
+fn drain_from_old_discovery_is_forwarded_beside_list_of_new_discovery() {
     run_in_virtual_time(async |log| {
         let mut old = ManualDiscovery::start().await;
         let mut new = ManualDiscovery::start().await;
@@ -109,8 +113,11 @@
         assert_eq!(poll.path, "/v1/servers");
         poll.answer(&changes(5, &[("s-2", "ready")]));
         watch.answer(&changes(6, &[("s-1", "draining")]));
-        // The call that follows is not answered.
-        let forwarded = client.drain_forwarded("s-1", PROMPTLY).await;
-        assert!(forwarded.is_some(), "a drain that the node is notified of");
+        // The next call is not answered.
+        let forwarded = client.drain_forwarded("s-1", MAX_FORWARDING_DELAY).await;
+        assert!(
+            forwarded.is_some(),
+            "the drain from the old discovery was not forwarded"
+        );
     });
 }
--- a/crates/node/src/discovery/tests/failures.rs
+++ b/crates/node/src/discovery/tests/failures.rs
@@ -1,7 +1,9 @@
-//! Failed calls, and the changes that are made meanwhile.
+//! Tests of failed calls, with changes made during the failures.
 
 use super::fake_discovery::{changes, ManualDiscovery, Reply, ScriptedDiscovery};
-use super::harness::{run_in_virtual_time, TestClient, LONGEST_POLICY_BACKOFF, PROMPTLY};
+use super::harness::{
+    run_in_virtual_time, TestClient, LONGEST_POLICY_BACKOFF, MAX_FORWARDING_DELAY,
+};
 use crate::discovery::notified::{NOTIFIED_AFTER_FAILED_CALL, QUEUE_LIMIT};
 use crate::driver::DriverEvent;
 use crate::list_client::CONNECT_TIMEOUT;
@@ -13,23 +15,23 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use Failure::{Lost, Refused, RefusedAfterQueue, Reset};
 
-/// How a call fails.
+/// Kind of failure of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Failure {
     Refused,
-    /// Refused once it has stood in the queue.
+    /// Refused after waiting in the queue.
     RefusedAfterQueue,
-    /// Its connection is closed.
+    /// The call's connection is closed.
     Reset,
-    /// It is never answered.
+    /// The call is never answered.
     Lost,
 }
 
-// Guards against a node that has lost its watch and returns, by calls that fail again or by a watch that is lost, only once
-// it is notified of the changes of meanwhile.
+// Guards against a node that receives a change only after it is notified of the change, because its
+// watch was lost and the following calls failed or the new watch was lost as well.
 #[test]
-fn after_failed_calls_a_change_arrives_before_the_node_is_notified_of_it() {
-    // The first failure is that of the open watch, or of a renewal beside one that has fallen silent.
+fn change_after_failed_calls_arrives_before_node_is_notified() {
+    // The first failure is a reset of the open watch, or a stalled watch whose renewal fails next.
     let sequences: [&[Failure]; 9] = [
         &[Reset],
         &[Reset, Refused],
@@ -58,20 +60,21 @@
                 };
                 let discovery = ScriptedDiscovery::start(script).await;
                 let mut client = TestClient::start(discovery.address, seed, &log);
-                let arrived = client.list_forwarded(2).await;
+                let arrived_at = client.list_forwarded(2).await;
                 let calls = discovery.calls.borrow();
-                let took = arrived - calls[first_failed].at;
+                let elapsed = arrived_at - calls[first_failed].at;
                 assert!(
-                    took < NOTIFIED_AFTER_FAILED_CALL,
-                    "{failures:?}: {took:?} of {calls:?}"
+                    elapsed < NOTIFIED_AFTER_FAILED_CALL,
+                    "{failures:?}: {elapsed:?} of {calls:?}"
                 );
-                assert!(took >= QUEUE_LIMIT, "{failures:?}: {took:?}");
+                assert!(elapsed >= QUEUE_LIMIT, "{failures:?}: {elapsed:?}");
             });
         }
     }
 }
 
-/// A listener whose queue of connections is full, so that no further one is established, and what fills it.
+/// Returns a listener with a full accept queue, so that no further connection is established, and
+/// the connections that fill the queue.
 fn unreachable_listener() -> (socket2::Socket, Vec<std::net::TcpStream>) {
     let listener =
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -90,9 +93,10 @@
     (listener, connections)
 }
 
-// The same for a discovery that is cut off, and back while the node still waits for a connection that is never established.
+// Guards against the same delay when discovery is unreachable and becomes reachable while the node
+// still waits for a connection that is never established.
 #[test]
-fn after_discovery_was_unreachable_a_change_arrives_before_the_node_is_notified_of_it() {
+fn change_after_unreachable_discovery_arrives_before_node_is_notified() {
     run_in_virtual_time(async |log| {
         let (listener, connections) = unreachable_listener();
         let address = listener.local_addr().unwrap().as_socket().unwrap();
@@ -114,18 +118,21 @@
                 },
                 false => Reply::Nothing,
             });
-        let took = client.list_forwarded(2).await - reachable_at;
+        let elapsed = client.list_forwarded(2).await - reachable_at;
         let calls = discovery.calls.borrow();
-        assert!(took < NOTIFIED_AFTER_FAILED_CALL, "{took:?}, {calls:?}");
         assert!(
-            took > QUEUE_LIMIT + CONNECT_TIMEOUT / 2,
-            "the node was not waiting for a connection: {took:?}"
+            elapsed < NOTIFIED_AFTER_FAILED_CALL,
+            "{elapsed:?}, {calls:?}"
+        );
+        assert!(
+            elapsed > QUEUE_LIMIT + CONNECT_TIMEOUT / 2,
+            "the node was not waiting for a connection: {elapsed:?}"
         );
     });
 }
 
-/// How long after the start of the call of number `first_failed` a change arrives, where the first calls fail like this and
-/// the one after them is answered at the end of the queue.
+/// Returns the time from the start of call number `first_failed` to the arrival of a change. The
+/// first calls fail as given by `failures`, and the next call is answered after `QUEUE_LIMIT`.
 fn change_after_failures(first_failed: usize, failures: &[Failure], seed: u64) -> Duration {
     run_in_virtual_time(async |log| {
         let mut discovery = ManualDiscovery::start().await;
@@ -139,7 +146,7 @@
             }
             match failure {
                 Refused => call.refuse(),
-                // In the queue from when it came, also beside another call.
+                // The call waits in the queue from its arrival, even beside another call.
                 RefusedAfterQueue => {
                     spawn_local(async move {
                         sleep_until(call.at + QUEUE_LIMIT).await;
@@ -156,16 +163,17 @@
             call.answer(&changes(2, &[("s-1", "draining")]));
             std::future::pending::<()>().await;
         });
-        client.list_forwarded(2).await - failed_at.expect("a call that fails")
+        client.list_forwarded(2).await - failed_at.expect("call `first_failed` failed")
     })
 }
 
-// Guards against two failed calls in a row that together outlast the time until the node is notified: two refusals that each
-// stood in the queue, two calls that are lost.
+// Guards against two failed calls in a row that together take longer than the time until the node
+// is notified: two calls that are refused after waiting in the queue, or two lost calls.
 #[test]
-fn after_two_late_failures_in_a_row_a_change_arrives_before_the_node_is_notified_of_it() {
+fn change_after_two_late_failures_in_a_row_arrives_before_node_is_notified() {
     let mut late = Vec::new();
-    // An open watch that is reset, or a renewal beside a silent one that is refused, and two more.
+    // The first failure is a reset of the open watch, or the refusal or loss of a renewal beside a
+    // stalled watch. The next two calls fail as well.
     let sequences: [(usize, &[Failure]); 6] = [
         (0, &[Reset, RefusedAfterQueue, RefusedAfterQueue]),
         (0, &[Reset, Lost, Lost]),
@@ -175,19 +183,19 @@
         (1, &[Lost, Refused, Lost, Lost]),
     ];
     for (first_failed, failures) in sequences {
-        let took = (0..2)
+        let elapsed = (0..2)
             .map(|seed| change_after_failures(first_failed, failures, seed))
             .max()
             .unwrap();
-        println!("{failures:?}: {took:?}");
-        assert!(took >= QUEUE_LIMIT, "{failures:?}: {took:?}");
-        if took >= NOTIFIED_AFTER_FAILED_CALL {
-            late.push((failures, took));
+        println!("{failures:?}: {elapsed:?}");
+        assert!(elapsed >= QUEUE_LIMIT, "{failures:?}: {elapsed:?}");
+        if elapsed >= NOTIFIED_AFTER_FAILED_CALL {
+            late.push((failures, elapsed));
         }
     }
     assert!(
         late.is_empty(),
-        "later than {NOTIFIED_AFTER_FAILED_CALL:?}: {late:?}"
+        "change arrived later than {NOTIFIED_AFTER_FAILED_CALL:?}: {late:?}"
     );
 }
 
@@ -202,27 +210,31 @@
     })
 }
 
-// Guards against a first call that fails, or is still in the queue, when a drain is announced.
+// Guards against a drain that arrives late because the first call fails or is still in the queue
+// when the drain is announced.
 #[test]
-fn a_first_call_that_is_refused_or_queued_brings_a_drain_in_time() {
+fn drain_arrives_in_time_when_first_call_is_refused_or_queued() {
     for seed in 0..3 {
-        let took = drain_answered_after_queue(seed);
-        assert!(took < QUEUE_LIMIT + PROMPTLY, "{took:?}");
+        let elapsed = drain_answered_after_queue(seed);
+        assert!(elapsed < QUEUE_LIMIT + MAX_FORWARDING_DELAY, "{elapsed:?}");
         for failure in [Refused, RefusedAfterQueue] {
-            let took = change_after_failures(0, &[failure], seed);
-            assert!(took < NOTIFIED_AFTER_FAILED_CALL, "{failure:?}: {took:?}");
+            let elapsed = change_after_failures(0, &[failure], seed);
+            assert!(
+                elapsed < NOTIFIED_AFTER_FAILED_CALL,
+                "{failure:?}: {elapsed:?}"
+            );
         }
     }
 }
 
-// Guards against a first call that is lost and noticed only when it is renewed: discovery doesn't know of the node, which is
-// notified once it has neither watched nor polled for the settings' interval.
+// Guards against a lost first call that is detected only at the regular renewal. Discovery doesn't
+// know the node, which counts as notified after `max_poll_interval` without a watch or poll.
 #[test]
-fn a_lost_first_call_is_followed_by_another_within_the_maximum_poll_interval() {
+fn lost_first_call_is_repeated_within_max_poll_interval() {
     let within = Settings::default().max_poll_interval;
-    let took = (0..3)
+    let elapsed = (0..3)
         .map(|seed| change_after_failures(0, &[Lost], seed))
         .max()
         .unwrap();
-    assert!(took < within, "{took:?} of {within:?}");
+    assert!(elapsed < within, "{elapsed:?} of {within:?}");
 }
--- a/crates/node/src/discovery/tests/fake_discovery.rs
+++ b/crates/node/src/discovery/tests/fake_discovery.rs
@@ -1,4 +1,5 @@
-//! Fake discoveries: one that follows a script, and one whose calls the test answers.
+//! Fake discoveries: `ScriptedDiscovery` answers by a script, `ManualDiscovery` leaves the answers
+//! to the test.
 
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -19,7 +20,7 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// The path of the next request; `None` at the end of the connection.
+/// Reads the path of the next request; `None` at the end of the connection.
 async fn read_path(stream: &mut (impl AsyncRead + Unpin)) -> Option<String> {
     let mut head = Vec::new();
     while matches!(stream.read_buf(&mut head).await, Ok(n) if n > 0) {
@@ -31,12 +32,13 @@
     None
 }
 
-/// The wait that a long poll asks for.
+/// Returns the wait that a long poll requests.
 pub fn wait_of(path: &str) -> Duration {
     Duration::from_millis(path.split_once("wait_ms=").unwrap().1.parse().unwrap())
 }
 
-/// Discovery's JSON for a list, or for its changes, with endpoints by id and health.
+/// Returns the JSON of a list, or of its changes, in discovery's format. Endpoints are pairs of id
+/// and health.
 fn list(version: u64, complete: bool, endpoints: &[(&str, &str)]) -> String {
     let endpoints: Vec<_> = endpoints
         .iter()
@@ -48,16 +50,17 @@
     )
 }
 
-/// The changes up to a version.
+/// Returns the JSON of the changes up to a version.
 pub fn changes(version: u64, endpoints: &[(&str, &str)]) -> String {
     list(version, false, endpoints)
 }
 
-/// What a scripted discovery does with a call.
+/// Reaction of a scripted discovery to a call.
 pub enum Reply {
     /// Answers at once with the complete list of this version.
     List(u64),
-    /// Answers with the complete list of `version`, `delay` after the call of number `call` has come.
+    /// Answers with the complete list of `version`, `delay` after the arrival of call number
+    /// `call`.
     ListAfter {
         call: usize,
         delay: Duration,
@@ -71,17 +74,18 @@
     Nothing,
 }
 
-/// A call as it came.
+/// A received call.
 #[derive(Clone, Debug)]
 pub struct ReceivedCall {
     pub at: Instant,
     pub path: String,
 }
 
-/// The calls so far.
+/// The calls received so far.
 pub type ReceivedCalls = Rc<RefCell<Vec<ReceivedCall>>>;
 
-/// A discovery that answers the calls, numbered from 0 as they come, as its script says.
+/// A discovery that answers calls according to a script. Calls are numbered from 0 in the order of
+/// their arrival.
 pub struct ScriptedDiscovery {
     pub address: SocketAddr,
     pub calls: ReceivedCalls,
@@ -107,7 +111,7 @@
         Self { address, calls }
     }
 
-    /// Waits until at least so many calls have come.
+    /// Waits until at least this number of calls has been received.
     pub async fn received(&self, calls: usize) {
         while self.calls.borrow().len() < calls {
             sleep(Duration::from_millis(10)).await;
@@ -153,7 +157,7 @@
     }
 }
 
-/// A call that the test answers.
+/// A received call that the test answers.
 pub struct PendingCall {
     pub at: Instant,
     pub path: String,
@@ -166,7 +170,7 @@
         let written = self
             .stream
             .try_write(text.as_bytes())
-            .expect("an open connection");
+            .expect("connection is open");
         assert_eq!(written, text.len());
     }
 
@@ -183,7 +187,7 @@
         !self.closed_by_client.get()
     }
 
-    /// Closes its connection.
+    /// Closes the call's connection.
     pub fn reset(&self) {
         SockRef::from((*self.stream).as_ref())
             .shutdown(Shutdown::Both)
@@ -191,7 +195,7 @@
     }
 }
 
-/// A discovery whose calls the test answers.
+/// A discovery that passes received calls to the test, which answers them.
 pub struct ManualDiscovery {
     pub address: SocketAddr,
     pub calls: UnboundedReceiver<PendingCall>,
@@ -204,7 +208,7 @@
         let (received, calls) = unbounded_channel();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                spawn_local(hand_over_calls(stream, received.clone()));
+                spawn_local(forward_calls(stream, received.clone()));
             }
         });
         Self { address, calls }
@@ -215,12 +219,12 @@
     }
 }
 
-async fn hand_over_calls(stream: TcpStream, received: UnboundedSender<PendingCall>) {
+async fn forward_calls(stream: TcpStream, received: UnboundedSender<PendingCall>) {
     let (mut read_half, write_half) = stream.into_split();
     let write_half = Rc::new(write_half);
     let closed_by_client = Rc::new(Cell::new(false));
     while let Some(path) = read_path(&mut read_half).await {
-        // A test that is over takes no more calls.
+        // Calls are dropped once the test has ended.
         let _ = received.send(PendingCall {
             at: Instant::now(),
             path,
--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many nodes that lose their watches together.
+//! Test of many nodes that lose their watches at the same time.
 
 use super::fake_discovery::{changes, wait_of, ManualDiscovery, PendingCall};
 use super::harness::{polling_settings, run_in_virtual_time, PolicyBackoff, TestClient};
@@ -12,23 +12,26 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How long a call takes discovery, by the number of nodes: as measured at 6 and 300, and the latter for 350.
+/// Duration of a call in discovery by the number of nodes. Measured with 6 and 300 nodes; the value
+/// for 300 nodes is also used for 350.
 const FLEETS: [(u64, Duration); 3] = [
     (6, Duration::from_millis(350)),
     (300, Duration::from_micros(13_600)),
     (350, Duration::from_micros(13_600)),
 ];
 
-/// A discovery that handles calls in turn and refuses at once those that would wait longer than `QUEUE_LIMIT`.
+/// A discovery that handles calls one after the other, and immediately refuses calls that would
+/// wait longer than `QUEUE_LIMIT`.
 struct QueuingDiscovery {
     address: SocketAddr,
-    /// Resets all open calls once. Calls after that are answered with a new version at their turn.
+    /// Resets all open calls once. Later calls are answered with a new version when they leave the
+    /// queue.
     reset: Rc<Notify>,
     refused: Rc<Cell<u32>>,
 }
 
 impl QueuingDiscovery {
-    /// Each call takes `call_duration`.
+    /// Starts a discovery that takes `call_duration` for each call.
     async fn start(call_duration: Duration) -> Self {
         let ManualDiscovery { address, calls } = ManualDiscovery::start().await;
         let reset = Rc::new(Notify::new());
@@ -78,20 +81,21 @@
     }
 }
 
-async fn answer_at(turn: Instant, call: PendingCall) {
-    sleep_until(turn).await;
+async fn answer_at(processed_at: Instant, call: PendingCall) {
+    sleep_until(processed_at).await;
     if call.path.contains("after=1&") {
         call.answer(&changes(2, &[("s-1", "draining")]));
         return;
     }
-    // There is no newer version.
+    // The call already names the newest version.
     sleep(wait_of(&call.path)).await;
     if call.is_open() {
         call.answer(&changes(2, &[]));
     }
 }
 
-/// How long after the loss of their watches the nodes have the new list, in ascending order.
+/// Returns the times from the loss of the watches to the arrival of the new list at each node, in
+/// ascending order.
 fn list_arrivals(nodes: u64, call_duration: Duration) -> Vec<Duration> {
     run_in_virtual_time(async |log| {
         let discovery = QueuingDiscovery::start(call_duration).await;
@@ -103,38 +107,38 @@
         sleep(Duration::from_secs(3)).await;
         discovery.reset.notify_one();
         let lost_at = Instant::now();
-        let mut took = Vec::new();
+        let mut arrivals = Vec::new();
         for client in &mut fleet {
-            took.push(client.list_forwarded(2).await - lost_at);
+            arrivals.push(client.list_forwarded(2).await - lost_at);
         }
-        took.sort_unstable();
+        arrivals.sort_unstable();
         println!(
-            "{nodes} nodes: refused {}, half {:?}, last {:?}",
+            "{nodes} nodes: {} calls refused, median arrival {:?}, last {:?}",
             discovery.refused.get(),
-            took[took.len() / 2],
-            took[took.len() - 1]
+            arrivals[arrivals.len() / 2],
+            arrivals[arrivals.len() - 1]
         );
-        took
+        arrivals
     })
 }
 
-// Guards against a fleet that has lost its watches together and makes more calls than discovery can answer until the nodes are
-// notified.
+// Guards against a fleet that loses all watches at once and then makes more calls than discovery
+// can answer before the nodes are notified.
 #[test]
-fn a_large_fleet_that_loses_its_watches_together_has_the_list_before_it_is_notified() {
+fn fleet_that_loses_all_watches_receives_list_before_it_is_notified() {
     let mut late = Vec::new();
     for (nodes, call_duration) in FLEETS {
-        let took = list_arrivals(nodes, call_duration);
-        let missed = took
+        let arrivals = list_arrivals(nodes, call_duration);
+        let late_nodes = arrivals
             .iter()
-            .filter(|took| **took >= NOTIFIED_AFTER_FAILED_CALL)
+            .filter(|elapsed| **elapsed >= NOTIFIED_AFTER_FAILED_CALL)
             .count();
-        if missed > 0 {
-            late.push((nodes, missed, took[took.len() - 1]));
+        if late_nodes > 0 {
+            late.push((nodes, late_nodes, arrivals[arrivals.len() - 1]));
         }
     }
     assert!(
         late.is_empty(),
-        "of so many nodes so many were late, the last one by then: {late:?}"
+        "fleets with late nodes (nodes, late nodes, last arrival): {late:?}"
     );
 }
--- a/crates/node/src/discovery/tests/harness.rs
+++ b/crates/node/src/discovery/tests/harness.rs
@@ -1,4 +1,4 @@
-//! A client under test in virtual time, with what it forwards to the driver.
+//! Runs a client in virtual time and collects the events that the client forwards to the driver.
 
 use crate::discovery::{self, DiscoveryOptions};
 use crate::driver::DriverEvent;
@@ -12,14 +12,15 @@
 use tokio::task::{spawn_local, yield_now, LocalSet};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// The policy's longest backoff after it was told of a failure.
+/// Longest backoff of the policy after a reported failure.
 pub const LONGEST_POLICY_BACKOFF: Duration = Duration::from_millis(840);
-/// An answer reaches the driver within this time of its writing. The rule leaves 0.25 s, which also has to cover the way
-/// from the node to an endpoint.
-pub const PROMPTLY: Duration = Duration::from_millis(200);
+/// Maximum time from the writing of an answer to its arrival at the driver. The rule allows 0.25 s,
+/// which also has to cover the transit time from the node to an endpoint.
+pub const MAX_FORWARDING_DELAY: Duration = Duration::from_millis(200);
 
-/// Runs a test in virtual time. That moves on in small steps between which the sockets have their turns: left to itself a
-/// paused clock jumps to the next timer whenever no task is ready, also over bytes that are on their way.
+/// Runs a test in virtual time. The clock is advanced in small steps, and socket I/O is polled in
+/// between. Otherwise a paused clock would jump to the next timer whenever no task is ready, even
+/// while bytes are in transit.
 pub fn run_in_virtual_time<T>(test: impl AsyncFnOnce(Log) -> T) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -40,7 +41,7 @@
     })
 }
 
-/// The defaults, with discovery polled. The default is lists that are pushed.
+/// Returns the default settings with polled discovery. By default lists are pushed.
 pub fn polling_settings() -> Settings {
     Settings {
         polls_discovery: true,
@@ -48,37 +49,37 @@
     }
 }
 
-/// How long the policy waits after a failure until it requests a poll.
+/// Time from a failure until the policy requests a poll.
 #[derive(Clone, Copy)]
 pub enum PolicyBackoff {
-    /// `LONGEST_POLICY_BACKOFF`.
+    /// Always `LONGEST_POLICY_BACKOFF`.
     Longest,
-    /// Drawn as the policy does.
+    /// Drawn from the range that the policy uses.
     Drawn,
 }
 
-/// An event that the client forwarded to the driver.
+/// Event that the client forwarded to the driver.
 #[derive(Debug)]
 pub struct ForwardedEvent {
     pub at: Instant,
     pub event: DriverEvent,
 }
 
-/// A client that began with the list of version 1.
+/// A client that initially holds the list of version 1.
 pub struct TestClient {
     pub events: UnboundedReceiver<ForwardedEvent>,
-    /// Sets discovery's address.
+    /// Changes discovery's address.
     pub address: Rc<watch::Sender<SocketAddr>>,
 }
 
 impl TestClient {
-    /// Starts a client where discovery is polled, with the defaults of the other settings.
+    /// Starts a client with polled discovery and the defaults of the other settings.
     pub fn start(address: SocketAddr, seed: u64, log: &Log) -> Self {
         let backoff = PolicyBackoff::Longest;
         Self::start_with(address, seed, &polling_settings(), backoff, log)
     }
 
-    /// Starts a client. Where the settings have lists pushed, nobody requests polls.
+    /// Starts a client. If the settings select pushed lists, no polls are requested.
     pub fn start_with(
         address: SocketAddr,
         seed: u64,
@@ -86,7 +87,7 @@
         policy_backoff: PolicyBackoff,
         log: &Log,
     ) -> Self {
-        let (events, mut from_client) = unbounded_channel();
+        let (events, mut client_events) = unbounded_channel();
         let (forwarded, forwarded_events) = unbounded_channel();
         let (address_sender, address) = watch::channel(address);
         let address_sender = Rc::new(address_sender);
@@ -109,7 +110,7 @@
         spawn_local(discovery::run(options, poll_requested.clone()));
         spawn_local(async move {
             let mut random = fastrand::Rng::with_seed(seed ^ 0x9e37);
-            while let Some(event) = from_client.recv().await {
+            while let Some(event) = client_events.recv().await {
                 let failed = matches!(event, DriverEvent::DiscoveryFailed);
                 let at = Instant::now();
                 if forwarded.send(ForwardedEvent { at, event }).is_err() {
@@ -132,12 +133,12 @@
         }
     }
 
-    /// The next event.
+    /// Waits for the next event.
     pub async fn next_event(&mut self) -> ForwardedEvent {
-        self.events.recv().await.expect("a client that runs")
+        self.events.recv().await.expect("client is running")
     }
 
-    /// Waits for the list of a version; when it was forwarded.
+    /// Waits for the list of a version. Returns when the list was forwarded.
     pub async fn list_forwarded(&mut self, version: u64) -> Instant {
         loop {
             let ForwardedEvent { at, event } = self.next_event().await;
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Waits until a list says that an endpoint is draining or removed; `None` if none does within this time.
+    /// Waits for a list in which an endpoint is draining or removed. Returns when the list was
+    /// forwarded, or `None` if no such list is forwarded within this time.
     pub async fn drain_forwarded(&mut self, id: &str, within: Duration) -> Option<Instant> {
         let deadline = Instant::now() + within;
         while let Ok(Some(ForwardedEvent { at, event })) =
@@ -156,10 +158,10 @@
             let DriverEvent::EndpointListReceived(list) = event else {
                 continue;
             };
-            let drains = list.endpoints.iter().any(|endpoint| {
+            let is_draining = list.endpoints.iter().any(|endpoint| {
                 endpoint.id() == id && endpoint.availability() != Availability::Ready
             });
-            if drains {
+            if is_draining {
                 return Some(at);
             }
         }
--- a/crates/node/src/discovery/tests/pushed.rs
+++ b/crates/node/src/discovery/tests/pushed.rs
@@ -1,4 +1,5 @@
-//! Lists that an agent beside the node receives: the node is notified of what the agent has at once.
+//! Tests of pushed lists: a sidecar agent receives the lists, and the node is immediately notified
+//! of the agent's list.
 
 use super::fake_discovery::{Reply, ScriptedDiscovery};
 use super::harness::{run_in_virtual_time, PolicyBackoff, TestClient};
@@ -12,9 +13,9 @@
     TestClient::start_with(address, seed, settings, PolicyBackoff::Longest, log)
 }
 
-// Guards against a node without a watch there.
+// Guards against a node that has no open watch at the agent.
 #[test]
-fn where_lists_are_pushed_a_lost_watch_is_reopened_at_once() {
+fn lost_watch_at_agent_is_reopened_at_once() {
     run_in_virtual_time(async |log| {
         let discovery = ScriptedDiscovery::start(|call, _| match call {
             0 => Reply::List(2),
@@ -53,14 +54,15 @@
             / 2;
         assert!(
             pauses[4] >= shortest,
-            "calls to a failing agent spin: {pauses:?}"
+            "calls to a failing agent follow too quickly: {pauses:?}"
         );
     });
 }
 
-// Guards against a fixed time in place of the settings' one: the grace period of a drain may be as short as this.
+// Guards against a fixed backoff in place of a backoff derived from the configured `drain_grace`,
+// which may be as short as the shortest value below.
 #[test]
-fn where_lists_are_pushed_a_failing_agent_is_called_again_within_the_drain_grace() {
+fn failing_agent_is_called_again_within_drain_grace() {
     for grace in [60, 250, 1_000].map(Duration::from_millis) {
         for seed in 0..4 {
             let pauses = run_in_virtual_time(async |log| {
@@ -73,7 +75,7 @@
                 let _client = start_client(discovery.address, seed, &settings, &log);
                 discovery.received(18).await;
                 let calls = discovery.calls.borrow();
-                // The first pause after an open watch is none.
+                // The pause after the first call is left out: the first failure has no backoff.
                 calls[1..]
                     .windows(2)
                     .map(|pair| pair[1].at - pair[0].at)
@@ -81,13 +83,13 @@
             });
             assert!(
                 pauses.iter().all(|pause| *pause <= grace),
-                "{pauses:?} of {grace:?}"
+                "pauses {pauses:?} exceed the drain grace {grace:?}"
             );
             let total: Duration = pauses.iter().sum();
             let shortest = grace.mul_f64(PUSHED_BACKOFF_DRAIN_GRACE_FRACTION / 2.0);
             assert!(
                 total >= shortest * pauses.len() as u32,
-                "calls to a failing agent spin: {pauses:?} of {grace:?}"
+                "calls to a failing agent follow too quickly: {pauses:?}, drain grace {grace:?}"
             );
         }
     }
--- a/crates/node/src/discovery/tests/renewal.rs
+++ b/crates/node/src/discovery/tests/renewal.rs
@@ -1,9 +1,9 @@
-//! Watches that fall silent, and their renewal.
+//! Tests of stalled watches and of watch renewal.
 
 use super::fake_discovery::{
     changes, wait_of, ManualDiscovery, PendingCall, Reply, ScriptedDiscovery,
 };
-use super::harness::{run_in_virtual_time, TestClient, PROMPTLY};
+use super::harness::{run_in_virtual_time, TestClient, MAX_FORWARDING_DELAY};
 use crate::discovery::notified::{
     NOTIFIED_AFTER_FAILED_CALL, NOTIFIED_AFTER_WATCH_WAIT, QUEUE_LIMIT,
 };
@@ -14,10 +14,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 
-// Guards against a silent watch that is noticed only once the node is notified of what it misses: the node then sends to
-// draining endpoints.
+// Guards against a stalled watch that is detected only after the node is notified of the missed
+// changes, so that the node sends requests to draining endpoints.
 #[test]
-fn what_a_silent_watch_misses_arrives_well_before_the_node_is_notified_of_it() {
+fn change_missed_by_stalled_watch_arrives_well_before_node_is_notified() {
     for seed in 0..4 {
         run_in_virtual_time(async |log| {
             let discovery = ScriptedDiscovery::start(|call, _| match call {
@@ -26,25 +26,27 @@
             })
             .await;
             let mut client = TestClient::start(discovery.address, seed, &log);
-            let arrived = client.list_forwarded(2).await;
+            let arrived_at = client.list_forwarded(2).await;
             let watch = discovery.calls.borrow()[0].clone();
-            let notified = watch.at + wait_of(&watch.path) + NOTIFIED_AFTER_WATCH_WAIT;
-            // Discovery's queue is 2 s long at times, and its connection may fail: there must be time for retries.
-            let latest = notified - Duration::from_secs(10);
-            let took = arrived - watch.at;
+            let notified_at = watch.at + wait_of(&watch.path) + NOTIFIED_AFTER_WATCH_WAIT;
+            // A call may wait 2 s in discovery's queue, and connections may fail: there must be
+            // time for retries.
+            let latest = notified_at - Duration::from_secs(10);
+            let elapsed = arrived_at - watch.at;
             assert!(
-                arrived <= latest,
-                "{took:?} after the call, notified at {:?}",
-                notified - watch.at
+                arrived_at <= latest,
+                "arrived {elapsed:?} after the call, node notified {:?} after the call",
+                notified_at - watch.at
             );
-            assert!(took < Duration::from_secs(20), "{took:?}");
+            assert!(elapsed < Duration::from_secs(20), "{elapsed:?}");
         });
     }
 }
 
-// Guards against a watch that is dropped for its renewal with an answer on its way: the node is notified of that.
+// Guards against a watch that is dropped for its renewal while its answer is in transit: the node
+// is notified of that answer.
 #[test]
-fn an_answer_on_the_old_watch_while_its_renewal_waits_is_forwarded_at_once() {
+fn answer_on_old_watch_during_its_renewal_is_forwarded_at_once() {
     run_in_virtual_time(async |log| {
         let delay = Duration::from_millis(1500);
         let discovery = ScriptedDiscovery::start(move |call, _| match call {
@@ -57,16 +59,16 @@
         })
         .await;
         let mut client = TestClient::start(discovery.address, 1, &log);
-        let arrived = client.list_forwarded(2).await;
-        let late = arrived - (discovery.calls.borrow()[1].at + delay);
-        assert!(late < Duration::from_millis(200), "{late:?}");
+        let arrived_at = client.list_forwarded(2).await;
+        let lateness = arrived_at - (discovery.calls.borrow()[1].at + delay);
+        assert!(lateness < Duration::from_millis(200), "{lateness:?}");
     });
 }
 
-// Guards against a healthy watch that is lost, and a policy told that there is none, because discovery had no time for a
-// renewal.
+// Guards against a healthy watch that is closed, and reported as failed to the policy, because an
+// overloaded discovery did not accept the renewal.
 #[test]
-fn a_refused_or_reset_renewal_leaves_the_watch_open() {
+fn refused_or_reset_renewal_leaves_watch_open() {
     run_in_virtual_time(async |log| {
         let delay = Duration::from_millis(500);
         let discovery = ScriptedDiscovery::start(move |call, _| match call {
@@ -84,11 +86,11 @@
         let first = client.next_event().await;
         assert!(
             matches!(first.event, DriverEvent::EndpointListReceived(list) if list.version == 2),
-            "no failure before"
+            "first event is not the list: a failure was reported"
         );
         let calls = discovery.calls.borrow();
-        let late = first.at - (calls[4].at + delay);
-        assert!(late < Duration::from_millis(200), "{late:?}");
+        let lateness = first.at - (calls[4].at + delay);
+        assert!(lateness < Duration::from_millis(200), "{lateness:?}");
         assert!(
             calls[1..5]
                 .windows(2)
@@ -98,8 +100,8 @@
     });
 }
 
-// Guards against nodes that, having called discovery together once, do so for ever: its queue is short, and a node that is
-// refused there learns late of what its watch has missed.
+// Guards against nodes that call discovery together once and then keep doing so. Discovery's queue
+// is short, and a node that is refused receives the changes that its watch missed late.
 #[test]
 fn watches_opened_together_are_renewed_at_different_times() {
     run_in_virtual_time(async |log| {
@@ -113,25 +115,25 @@
         }
         let calls = discovery.calls.borrow();
         let renewals = &calls[NODES..2 * NODES];
-        let within_a_queue = |from: Instant| {
+        let renewals_within_queue_limit = |from: Instant| {
             renewals
                 .iter()
                 .filter(|renewal| renewal.at >= from && renewal.at - from < QUEUE_LIMIT)
                 .count()
         };
-        let most = renewals
+        let max_renewals = renewals
             .iter()
-            .map(|renewal| within_a_queue(renewal.at))
+            .map(|renewal| renewals_within_queue_limit(renewal.at))
             .max()
             .unwrap();
         assert!(
-            most <= NODES / 2,
-            "{most} of {NODES} within discovery's queue"
+            max_renewals <= NODES / 2,
+            "{max_renewals} of {NODES} renewals within one period of QUEUE_LIMIT"
         );
     });
 }
 
-/// A client that has just renewed its watch.
+/// A client that has just opened a renewal of its watch.
 struct RenewedClient {
     client: TestClient,
     discovery: ManualDiscovery,
@@ -154,8 +156,9 @@
     }
 }
 
-/// How long after a renewal that falls silent a change arrives which is made `change_after` the renewal.
-fn change_after_silent_renewal(change_after: Duration, seed: u64) -> Duration {
+/// Returns the time from a change to its arrival, where the change is made `change_after` the
+/// opening of a renewal that stalls.
+fn change_after_stalled_renewal(change_after: Duration, seed: u64) -> Duration {
     run_in_virtual_time(async |log| {
         let RenewedClient {
             mut client,
@@ -168,7 +171,8 @@
         while let Ok(Some(call)) = timeout_at(changed_at, discovery.calls.recv()).await {
             watches.push(call);
         }
-        // It is written to all watches that are still open but the silent one, and to later calls at their turn.
+        // The change is written to all open watches except the stalled renewal, and to later calls
+        // after `QUEUE_LIMIT`.
         let change = changes(2, &[("s-1", "draining")]);
         watches
             .iter()
@@ -184,31 +188,34 @@
     })
 }
 
-// Guards against an old watch that is closed for a renewal which is silent: a closed call counts as failed.
+// Guards against an old watch that is closed in favor of a stalled renewal: a closed call counts as
+// failed.
 #[test]
-fn after_a_renewal_that_falls_silent_a_change_arrives_before_the_node_is_notified_of_it() {
+fn change_after_stalled_renewal_arrives_before_node_is_notified() {
     let mut late = Vec::new();
-    // While the renewal may wait for its turn, once it no longer may, and up to the next renewal.
+    // The change is made while the renewal may wait in the queue, after that, and up to the next
+    // renewal.
     for change_after in [0, 1_000, 3_100, 6_000, 9_000, 12_000, 16_000].map(Duration::from_millis) {
         for seed in 0..3 {
-            let took = change_after_silent_renewal(change_after, seed);
-            if took >= NOTIFIED_AFTER_FAILED_CALL {
-                late.push((change_after, seed, took));
+            let elapsed = change_after_stalled_renewal(change_after, seed);
+            if elapsed >= NOTIFIED_AFTER_FAILED_CALL {
+                late.push((change_after, seed, elapsed));
             }
         }
     }
     assert!(
         late.is_empty(),
-        "change after the renewal, seed, arrived so long after it: {late:?}"
+        "late changes (time after the renewal, seed, delay of the arrival): {late:?}"
     );
 }
 
-// Guards against a node that gets a change by the watch that it renewed, and goes on with the silent renewal: it is notified
-// of the next changes at once unless a call follows the answer.
+// Guards against a node that receives a change on the old watch and keeps the stalled renewal as
+// its only call: without a new call after the answer, the node is immediately notified of the next
+// changes.
 #[test]
-fn after_an_answer_on_the_old_watch_only_another_call_follows() {
+fn answer_on_old_watch_is_followed_by_a_new_call() {
     for seed in 0..3 {
-        let took = run_in_virtual_time(async |log| {
+        let elapsed = run_in_virtual_time(async |log| {
             let RenewedClient {
                 mut client,
                 mut discovery,
@@ -216,7 +223,10 @@
                 renewal,
             } = RenewedClient::start(seed, &log).await;
             sleep_until(renewal.at + RENEWAL_OVERLAP + Duration::from_secs(1)).await;
-            assert!(old_watch.is_open(), "a closed watch is a failed call");
+            assert!(
+                old_watch.is_open(),
+                "the old watch is closed, which counts as a failed call"
+            );
             let answered_at = Instant::now();
             old_watch.answer(&changes(2, &[("s-1", "draining")]));
             spawn_local(async move {
@@ -228,6 +238,9 @@
             });
             client.list_forwarded(3).await - answered_at
         });
-        assert!(took < QUEUE_LIMIT + PROMPTLY, "seed {seed}: {took:?}");
+        assert!(
+            elapsed < QUEUE_LIMIT + MAX_FORWARDING_DELAY,
+            "seed {seed}: {elapsed:?}"
+        );
     }
 }
