--- a/crates/membership/src/history.rs
+++ b/crates/membership/src/history.rs
@@ -1,38 +1,41 @@
-//! The most recent changes of the list, one for each endpoint, within bounds.
+//! Bounded history of the list: the latest change of each endpoint.
 
 use crate::message::Version;
 use crate::record::EndpointRecord;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Upper bound of the changes kept, in bytes. Beyond it the oldest are dropped, and a client that is behind them gets a
-/// snapshot. A release that changes all of 4,600 endpoints takes about 1 MiB.
+/// Maximum memory of the stored changes, in bytes. Beyond it the oldest changes are dropped, and a
+/// client with an older version receives a snapshot. A release that changes all of 4,600 endpoints
+/// takes about 1 MiB.
 pub const MAX_HISTORY_BYTES: usize = 2 << 20;
-/// Upper bound of the versions from which a delta can be given; beyond it the oldest are dropped.
+/// Maximum number of versions from which a delta can be computed. Beyond it the oldest versions are
+/// dropped.
 pub const MAX_HISTORY_VERSIONS: usize = 1 << 16;
 
-/// The latest change of each endpoint that changed since the oldest version kept.
+/// The latest change of each endpoint that changed since the oldest stored version.
 #[derive(Debug, Default)]
 pub(crate) struct History {
-    /// By the version that brought the change.
+    /// Changed records by the version of the change and the endpoint's name.
     changes: BTreeMap<(Version, Arc<str>), EndpointRecord>,
-    /// Each endpoint's version in the keys of `changes`.
+    /// Version of each endpoint in the keys of `changes`.
     changed_at: HashMap<Arc<str>, Version>,
-    /// Versions that this replica itself held, which are those from which a delta is known. A skipped
-    /// version may contain intermediate states that this history never saw.
+    /// Versions that this replica has held. Deltas are known only from these versions, because a
+    /// skipped version may contain intermediate states that are not in this history.
     held: BTreeSet<Version>,
-    /// Memory of the records in `changes`.
+    /// Memory of the records in `changes`, in bytes.
     bytes: usize,
 }
 
 impl History {
-    /// Drops everything; from here on only this version is known.
+    /// Clears the history; only this version is then known.
     pub(crate) fn restart(&mut self, version: Version) {
         *self = Self::default();
         self.held.insert(version);
     }
 
-    /// Adds the version that is held from now on, with its changes. It must not be older than the one before.
+    /// Adds the newly held version with its changes. The version must not be older than the
+    /// previous version.
     pub(crate) fn record(
         &mut self,
         version: Version,
@@ -61,7 +64,8 @@
         self.changes.insert((version, name), change);
     }
 
-    /// Drops the oldest change, and with it the versions before it: a delta from these would lack the change.
+    /// Drops the oldest change, and the versions before the change: a delta from an earlier version
+    /// would lack the change.
     fn drop_oldest_change(&mut self) {
         let Some(((version, name), change)) = self.changes.pop_first() else {
             return;
@@ -71,26 +75,27 @@
         self.held = self.held.split_off(&version);
     }
 
-    /// Whether a delta from this version is known.
+    /// Returns whether a delta from this version is known.
     pub(crate) fn holds(&self, version: Version) -> bool {
         self.held.contains(&version)
     }
 
-    /// The delta from this version, the latest state of each endpoint that changed; `None` where it is not known.
+    /// Returns the delta from this version, with the latest record of each changed endpoint; `None`
+    /// if the delta is not known.
     pub(crate) fn changes_since(&self, version: Version) -> Option<Vec<EndpointRecord>> {
         if !self.holds(version) {
             return None;
         }
-        // After the last possible version there is nothing.
+        // No version follows the highest possible version.
         let Some(next) = version.0.checked_add(1).map(Version) else {
             return Some(Vec::new());
         };
-        // No name sorts before the empty one.
+        // The empty name sorts before all other names.
         let newer = self.changes.range((next, Arc::from(""))..);
         Some(newer.map(|(_, change)| change.clone()).collect())
     }
 
-    /// Memory of the changes kept, in bytes.
+    /// Returns the memory of the stored changes, in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,8 +1,10 @@
-//! A relay's replica of the endpoint list, between upstream and downstream clients.
+//! A relay's replica of the endpoint list: receives updates from upstream and serves downstream
+//! clients.
 //!
-//! Owns the versioned copy of the list: applies upstream's snapshots and deltas, answers clients with what changed since
-//! their version, and tells by a lease how long the copy may be served. It does no I/O and reads no clock: time is passed
-//! in as the duration since an arbitrary origin, the same one for all calls on a replica.
+//! Owns the versioned copy of the list: applies upstream's snapshots and deltas, answers clients
+//! with the changes since their version, and limits by a lease how long the copy may be served. The
+//! crate does no I/O and reads no clock: the current time is an argument, as the duration since an
+//! arbitrary origin that all calls on a replica share.
 
 mod history;
 mod message;
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list in discovery's JSON.
+//! Updates of the endpoint list in discovery's JSON format.
 
 use crate::record::EndpointRecord;
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,8 @@
 use std::fmt;
 use thiserror::Error;
 
-/// A version of the endpoint list, as upstream numbers it; on the wire `seq`. It grows within an epoch.
+/// Version number that upstream assigns to the endpoint list; `seq` on the wire. It only grows
+/// within an epoch.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -20,36 +21,38 @@
     }
 }
 
-/// Why a message could not be read as an update.
+/// Reason why a message could not be parsed as an update.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// It is not JSON of the expected form.
-    #[error("not a list: {0}")]
+    /// The message is not JSON of the expected form.
+    #[error("message is not an endpoint list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A record lacks a field that each record has.
-    #[error("entry {index} of list {version} has no name or no health: {error}")]
+    /// A record lacks a mandatory field.
+    #[error("record {index} of list {version} has no valid name or health: {error}")]
     InvalidRecord {
         /// Version of the update.
         version: Version,
         /// Index of the record in the message, from 0.
         index: usize,
-        /// What the parser found.
+        /// Error of the JSON parser.
         error: serde_json::Error,
     },
 }
 
-/// A snapshot, or a delta to the version that the call named.
+/// A snapshot, or a delta from the version in the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListUpdate {
-    /// Version of the list once the update is applied.
+    /// Version of the list after the update is applied.
     pub version: Version,
-    /// Whether this is a snapshot: an endpoint that it lacks is removed. On the wire `whole`.
+    /// Whether the update is a snapshot; `whole` on the wire. Applying a snapshot removes the
+    /// endpoints that it lacks.
     pub complete: bool,
-    /// The records of all endpoints in a snapshot, of those that changed in a delta.
+    /// Records of all endpoints in a snapshot, or of the changed endpoints in a delta.
     pub records: Vec<EndpointRecord>,
 }
 
-/// An update as it is read. Records are read one by one afterwards, so that an error can name the record.
+/// An update as received. Its records are parsed separately, so that an error can name the index of
+/// the record.
 #[derive(Deserialize)]
 struct ReceivedUpdate {
     #[serde(rename = "seq")]
@@ -60,7 +63,7 @@
     records: Vec<Box<RawValue>>,
 }
 
-/// An update as it is written.
+/// An update as encoded.
 #[derive(Serialize)]
 struct EncodedUpdate<'a> {
     #[serde(rename = "seq")]
@@ -72,11 +75,11 @@
 }
 
 impl ListUpdate {
-    /// Reads a message of discovery.
+    /// Parses a message from discovery.
     ///
     /// # Errors
     ///
-    /// If the message or one of its records has not the expected form.
+    /// If the message or a record in it does not have the expected form.
     pub fn parse(body: &[u8]) -> Result<Self, MessageError> {
         let ReceivedUpdate {
             version,
@@ -102,11 +105,11 @@
         })
     }
 
-    /// Writes the update in the form in which discovery does.
+    /// Encodes the update in discovery's format.
     ///
     /// # Errors
     ///
-    /// If the serializer fails; no value of this type is known to make it.
+    /// If the serializer fails, which is not known to happen for any value of this type.
     pub fn encode(&self) -> serde_json::Result<Vec<u8>> {
         let records = self.records.iter().map(EndpointRecord::raw).collect();
         serde_json::to_vec(&EncodedUpdate {
@@ -116,7 +119,8 @@
         })
     }
 
-    /// The last record of each endpoint, in the order of the message: a later record replaces an earlier one.
+    /// Returns the last record of each endpoint, in the order of the message. A later record of an
+    /// endpoint replaces an earlier record.
     pub(crate) fn effective_records(&self) -> impl Iterator<Item = &EndpointRecord> {
         let last_index: HashMap<&str, usize> = self
             .records
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,4 +1,4 @@
-//! One endpoint as discovery's messages list it.
+//! The record of an endpoint in discovery's messages.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -8,10 +8,10 @@
 /// Value of `health` for an endpoint that was removed from the list.
 const REMOVED_HEALTH: &str = "gone";
 
-/// An endpoint's record in a message. Cheap to clone.
+/// The record of an endpoint in a message. Cheap to clone.
 ///
-/// Only its name and whether it was removed are read; the text is kept and passed on byte for byte, so that a relay needs
-/// no change when discovery adds a field.
+/// Only the endpoint's name and whether it was removed are parsed. The JSON text is stored and
+/// forwarded byte for byte, so that a relay needs no change when discovery adds a field.
 #[derive(Clone, Debug)]
 pub struct EndpointRecord {
     name: Arc<str>,
@@ -19,7 +19,7 @@
     json: Arc<RawValue>,
 }
 
-/// The fields that are read of a record.
+/// The parsed fields of a record.
 #[derive(Deserialize)]
 struct RecordFields {
     #[serde(rename = "host")]
@@ -28,11 +28,11 @@
 }
 
 impl EndpointRecord {
-    /// Reads a record.
+    /// Parses a record.
     ///
     /// # Errors
     ///
-    /// If the text is no object, or has no name or no health.
+    /// If the text is not a JSON object, or has no name or no health.
     pub fn parse(json: Box<RawValue>) -> serde_json::Result<Self> {
         let RecordFields { name, health } = serde_json::from_str(json.get())?;
         Ok(Self {
@@ -42,29 +42,30 @@
         })
     }
 
-    /// The endpoint's name, unique in a list; on the wire `host`.
+    /// Returns the endpoint's name, unique in a list; `host` on the wire.
     pub fn name(&self) -> &Arc<str> {
         &self.name
     }
 
-    /// Whether the endpoint was removed from the list.
+    /// Returns whether the endpoint was removed from the list.
     pub fn is_removed(&self) -> bool {
         self.removed
     }
 
-    /// The record as upstream wrote it.
+    /// Returns the JSON text of the record as received from upstream.
     pub fn json(&self) -> &str {
         self.json.get()
     }
 
-    /// The record as a JSON value that is written without change.
+    /// Returns the record as a JSON value that is serialized unchanged.
     pub(crate) fn raw(&self) -> &RawValue {
         &self.json
     }
 
-    /// The record of the same endpoint after its removal, for a snapshot that no longer has it.
+    /// Returns the record of the same endpoint after its removal, for an endpoint that a snapshot
+    /// no longer contains.
     pub(crate) fn to_removed(&self) -> Self {
-        // The text was read as an object before, so it is one.
+        // The text was parsed as an object before, so parsing does not fail here.
         let mut fields: Map<String, Value> =
             serde_json::from_str(self.json.get()).unwrap_or_default();
         fields.insert("host".to_owned(), Value::from(&*self.name));
@@ -78,13 +79,13 @@
         }
     }
 
-    /// Approximate memory that the record takes, in bytes.
+    /// Returns the approximate memory use of the record, in bytes.
     pub(crate) fn memory_bytes(&self) -> usize {
         size_of::<Self>() + self.name.len() + self.json.get().len()
     }
 }
 
-/// Records are equal if their texts are.
+/// Records are equal if their JSON texts are equal.
 impl PartialEq for EndpointRecord {
     fn eq(&self, other: &Self) -> bool {
         self.json.get() == other.json.get()
--- a/crates/membership/src/replica.rs
+++ b/crates/membership/src/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: updates from upstream go in, answers to clients come out.
+//! The replica: applies updates from upstream and answers clients.
 
 mod answer;
 mod apply;
@@ -24,36 +24,38 @@
 /// A call to upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamCall {
-    /// For a snapshot.
+    /// Requests a snapshot.
     Snapshot,
-    /// A watch for what is newer than the version held.
+    /// Watches for changes after the held version.
     Watch(Version),
-    /// For what is newer than a version that a client has and this replica has not, without a wait.
+    /// Requests the changes after a client's version that is newer than the held version, without a
+    /// wait.
     Confirm(Version),
 }
 
-/// Why a snapshot is needed before another update can be applied.
+/// Reason why a snapshot is needed before another update can be applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SnapshotReason {
-    /// Upstream's versions went back.
+    /// Upstream's versions regressed.
     VersionRegressed,
-    /// A snapshot had far fewer endpoints than are held, and a second one has to confirm that.
+    /// A snapshot had far fewer endpoints than the held list, and a second snapshot has to confirm
+    /// the decrease.
     Shrunk,
 }
 
-/// A version that upstream did not know.
+/// A version that is unknown to upstream.
 #[derive(Clone, Copy, Debug)]
 struct UnknownVersion {
     version: Version,
-    /// Send time of the call that revealed it.
+    /// Send time of the call whose answer showed that the version is unknown.
     call_sent_at: Duration,
 }
 
-/// A copy of the endpoint list with its recent changes.
+/// A copy of the endpoint list with the history of recent changes.
 #[derive(Debug)]
 pub struct Replica {
     version: Option<Version>,
-    /// The endpoints of the version held, by name; none of them is removed.
+    /// Endpoints of the held version by name, without removed endpoints.
     endpoints: BTreeMap<Arc<str>, EndpointRecord>,
     /// Memory of the records in `endpoints`, in bytes.
     endpoint_bytes: usize,
@@ -62,16 +64,18 @@
     epochs: Epochs,
     /// Set while only a snapshot can be applied.
     snapshot_reason: Option<SnapshotReason>,
-    /// The newest version that a client has and this replica has not.
+    /// Newest client version that is newer than the held version and not yet confirmed by upstream.
     unconfirmed: Option<Version>,
-    /// Upstream has shown that it is ahead: a watch fetches what is newer there before a version is confirmed.
+    /// Whether upstream is known to have a newer version. A watch then fetches the newer version
+    /// before a client's version is confirmed.
     upstream_is_ahead: bool,
-    /// The last version that upstream turned out not to know.
+    /// The last version found to be unknown to upstream.
     unknown: Option<UnknownVersion>,
 }
 
 impl Replica {
-    /// Creates a replica without a list. Each applied update allows it to answer for the duration of the lease.
+    /// Creates a replica without a list. Each applied update renews the lease, during which the
+    /// replica answers clients.
     pub fn new(lease: Duration) -> Self {
         Self {
             version: None,
@@ -87,32 +91,34 @@
         }
     }
 
-    /// The version held; `None` before the first list.
+    /// Returns the held version; `None` before the first list.
     pub fn version(&self) -> Option<Version> {
         self.version
     }
 
-    /// Number of endpoints in the list held.
+    /// Returns the number of endpoints in the held list.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Epochs begun: one with the first list, and one each time upstream's versions went back.
+    /// Returns the number of epochs begun: one with the first list, and one for each regression of
+    /// upstream's versions.
     pub fn epochs(&self) -> u64 {
         self.epochs.count()
     }
 
-    /// Memory of the changes kept for deltas, in bytes; at most [`MAX_HISTORY_BYTES`](crate::MAX_HISTORY_BYTES).
+    /// Returns the memory of the changes stored for deltas, in bytes; at most
+    /// [`MAX_HISTORY_BYTES`](crate::MAX_HISTORY_BYTES).
     pub fn history_bytes(&self) -> usize {
         self.history.bytes()
     }
 
-    /// The last moment of the lease; `None` before the first list.
+    /// Returns the end of the lease; `None` before the first list.
     pub fn lease_expires_at(&self) -> Option<Duration> {
         self.lease.expires_at()
     }
 
-    /// The next call to make upstream, which may be one that confirms a client's version.
+    /// Returns the next call to upstream, which may be a call that confirms a client's version.
     pub fn next_call(&self) -> UpstreamCall {
         match (self.next_list_call(), self.unconfirmed) {
             (UpstreamCall::Watch(_), Some(version)) if !self.upstream_is_ahead => {
@@ -122,14 +128,15 @@
         }
     }
 
-    /// The next call to make upstream while no client's version may be confirmed.
+    /// Returns the next call to upstream, excluding calls that confirm a client's version.
     pub fn next_list_call(&self) -> UpstreamCall {
         self.version
             .filter(|_| self.snapshot_reason.is_none())
             .map_or(UpstreamCall::Snapshot, UpstreamCall::Watch)
     }
 
-    /// Notes that the next call goes to another upstream, of which the state of the previous one says nothing.
+    /// Records that the next call goes to another upstream. The state observed at the previous
+    /// upstream does not apply there.
     pub fn upstream_changed(&mut self) {
         self.snapshot_reason = None;
         self.upstream_is_ahead = false;
--- a/crates/membership/src/replica/answer.rs
+++ b/crates/membership/src/replica/answer.rs
@@ -7,11 +7,12 @@
 /// A client's query for the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListQuery {
-    /// The version that the client has; `None` if it requests a snapshot.
+    /// Version that the client holds; `None` to request a snapshot.
     pub after: Option<Version>,
     /// When the query was received.
     pub received_at: Duration,
-    /// Whether the client's wait is over, so that it is answered even if nothing is newer.
+    /// Whether the client's wait has expired, so that the query is answered even without a newer
+    /// version.
     pub wait_expired: bool,
 }
 
@@ -20,21 +21,22 @@
 pub enum Answer {
     /// A snapshot.
     Snapshot,
-    /// A delta from this version; without records if it is the one held.
+    /// A delta from this version; without records if this is the held version.
     DeltaSince(Version),
-    /// None yet: there is nothing newer.
+    /// No answer yet: there is no newer version.
     Wait,
-    /// None yet: the client has a version that this replica has not, and a call upstream has to confirm it first.
+    /// No answer yet: the client's version is newer than the held version, and a call to upstream
+    /// has to confirm it first.
     Confirm,
 }
 
 impl Replica {
-    /// Decides how a query is answered at `now`. If the answer is [`Answer::Confirm`], the version is remembered and
-    /// [`Replica::next_call`] calls upstream for it.
+    /// Determines the answer to a query at `now`. If the answer is [`Answer::Confirm`], the version
+    /// is stored and [`Replica::next_call`] returns a call that confirms it.
     ///
     /// # Errors
     ///
-    /// If there is no list or its lease has expired.
+    /// If there is no list or the lease has expired.
     pub fn answer(&mut self, query: ListQuery, now: Duration) -> Result<Answer, Unavailable> {
         let held = self.version.ok_or(Unavailable::NoList)?;
         self.lease.check(now)?;
@@ -57,8 +59,9 @@
         })
     }
 
-    /// Answers a client whose version may be of an earlier epoch by a snapshot. A client that named the version held after
-    /// the present epoch began waits: it would call without end otherwise.
+    /// Answers a client whose version may belong to an earlier epoch with a snapshot. A client that
+    /// named the held version after the start of the present epoch waits instead. Otherwise the
+    /// client would call again without a pause.
     fn answer_ambiguous(&self, after: Version, held: Version, query: ListQuery) -> Answer {
         let is_of_present_epoch = self.epochs.follows_change(query.received_at);
         if after == held && is_of_present_epoch && !query.wait_expired {
@@ -67,8 +70,9 @@
         Answer::Snapshot
     }
 
-    /// Answers a client whose version is newer than the one held. Either this replica is behind or upstream does not know
-    /// the version any more; only upstream can tell which.
+    /// Answers a client whose version is newer than the held version. Either this replica is
+    /// behind, or upstream no longer knows the version. Only a call to upstream can determine
+    /// which.
     fn answer_newer(&mut self, after: Version, received_at: Duration) -> Answer {
         let is_unknown_upstream = self
             .unknown
@@ -80,7 +84,8 @@
         Answer::Confirm
     }
 
-    /// The message of an answer; `None` if it has none, or the delta is not known any more.
+    /// Returns the message of an answer; `None` if the answer has no message, or the delta is no
+    /// longer known.
     pub fn message(&self, answer: Answer) -> Option<ListUpdate> {
         let version = self.version?;
         match answer {
--- a/crates/membership/src/replica/apply.rs
+++ b/crates/membership/src/replica/apply.rs
@@ -7,23 +7,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The effect of an update that was applied.
+/// Effect of an applied update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ApplyOutcome {
-    /// Whether clients that wait are to be answered.
+    /// Whether waiting clients have to be answered.
     pub changed: bool,
-    /// Whether upstream's versions went back, so that an epoch began.
+    /// Whether a new epoch began because upstream's versions regressed.
     pub new_epoch: bool,
-    /// Number of records that a later one of the same message replaced.
+    /// Number of records replaced by a later record of the same message.
     pub duplicates: usize,
 }
 
 impl Replica {
-    /// Applies the answer to a call that was sent at `sent_at` and whose answer was read at `read_at`.
+    /// Applies the answer to a call that was sent at `sent_at`. The answer was read at `read_at`.
     ///
     /// # Errors
     ///
-    /// If the update must not be applied; the list held and its lease stay as they are.
+    /// If the update must not be applied. The held list and its lease are then unchanged.
     pub fn apply(
         &mut self,
         call: UpstreamCall,
@@ -46,8 +46,8 @@
         })
     }
 
-    /// Notes that upstream was called to confirm a client's version, also if its update is then rejected: a client that
-    /// needs another confirmation queries again.
+    /// Records that upstream was called to confirm a client's version, even if the update is then
+    /// rejected. A client that needs another confirmation queries again.
     fn note_confirmation(&mut self, version: Version, update: &ListUpdate, sent_at: Duration) {
         self.unconfirmed = None;
         if update.version < version {
@@ -61,7 +61,7 @@
     fn apply_snapshot(&mut self, snapshot: ListUpdate, now: Duration) -> ApplyOutcome {
         let version = snapshot.version;
         let record_count = snapshot.records.len();
-        // Of the records of one endpoint the last one stays.
+        // The last record of an endpoint replaces earlier records.
         let mut endpoints: BTreeMap<_, _> = snapshot
             .records
             .into_iter()
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The records that turn the endpoints held into these.
+    /// Returns the records that change the held endpoints into `endpoints`.
     fn changes_to(&self, endpoints: &BTreeMap<Arc<str>, EndpointRecord>) -> Vec<EndpointRecord> {
         let removed = self
             .endpoints
--- a/crates/membership/src/replica/epoch.rs
+++ b/crates/membership/src/replica/epoch.rs
@@ -1,29 +1,30 @@
-//! Epochs: periods within which upstream's versions only grow.
+//! Epochs: periods in which upstream's versions only grow.
 //!
-//! Upstream begins an epoch when it restarts with lower versions. A number alone does not tell to which epoch a client's
-//! version belongs, so for a while after the change every version that an earlier epoch may have used is ambiguous.
+//! Upstream begins an epoch when it restarts with lower versions. A version number alone does not
+//! identify the epoch of a client's version. For some time after the change, every version that an
+//! earlier epoch may have used is therefore ambiguous.
 
 use crate::message::Version;
 use std::time::Duration;
 
-/// How long after an epoch began the versions of earlier epochs may still be named by clients. Clients that name a version
-/// which may be of either epoch get snapshots. A watch lasts 60 s at most, so each client has had an answer of the new epoch
-/// by then.
+/// Time after the start of an epoch in which clients may still name versions of earlier epochs.
+/// Clients that name an ambiguous version receive snapshots. A watch lasts at most 60 s, so every
+/// client has received an answer of the new epoch within this time.
 pub const EPOCH_AMBIGUITY_WINDOW: Duration = Duration::from_secs(120);
 
-/// The epochs before the present one.
+/// The epochs before the present epoch.
 #[derive(Clone, Copy, Debug)]
 struct EarlierEpochs {
-    /// The highest version of them that was held here.
+    /// Highest version of the earlier epochs that this replica held.
     highest: Version,
     /// When the present epoch began.
     ended_at: Duration,
 }
 
-/// The present epoch, and what has to be remembered of earlier ones.
+/// Number of epochs, with the highest version and the end time of the earlier epochs.
 #[derive(Debug, Default)]
 pub(super) struct Epochs {
-    /// Epochs begun.
+    /// Number of epochs begun.
     count: u64,
     earlier: Option<EarlierEpochs>,
 }
@@ -34,7 +35,8 @@
         self.count
     }
 
-    /// Begins an epoch at `now`. `last_version` is the version held until then; `None` for the first epoch.
+    /// Begins an epoch at `now`. `last_version` is the version held until then; `None` for the
+    /// first epoch.
     pub(super) fn begin(&mut self, last_version: Option<Version>, now: Duration) {
         self.count += 1;
         let Some(last_version) = last_version else {
@@ -57,7 +59,8 @@
         recent.is_some_and(|earlier| version <= earlier.highest)
     }
 
-    /// Whether a query that was received at this time came after the change to the present epoch, if there was one.
+    /// Whether a query that was received at this time came after the change to the present epoch,
+    /// if there was one.
     pub(super) fn follows_change(&self, received_at: Duration) -> bool {
         self.earlier
             .is_some_and(|earlier| received_at >= earlier.ended_at)
--- a/crates/membership/src/replica/lease.rs
+++ b/crates/membership/src/replica/lease.rs
@@ -1,25 +1,25 @@
-//! The lease: for how long after an applied update the replica may answer.
+//! The lease: the time after an applied update during which the replica may answer.
 
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why clients get an error in place of an answer.
+/// Reason why clients receive an error instead of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Unavailable {
     /// No list has been applied yet.
     #[error("no list has come from upstream yet")]
     NoList,
     /// The lease has expired.
-    #[error("nothing was heard from upstream for {} ms; the lease is {} ms", silent.as_millis(), lease.as_millis())]
+    #[error("nothing was heard from upstream for {} ms; the lease is {} ms", since_renewal.as_millis(), lease.as_millis())]
     LeaseExpired {
         /// Time since the last applied update was read.
-        silent: Duration,
+        since_renewal: Duration,
         /// Duration of the lease.
         lease: Duration,
     },
 }
 
-/// A lease that each applied update renews.
+/// A lease that is renewed by each applied update.
 #[derive(Debug)]
 pub(super) struct Lease {
     duration: Duration,
@@ -28,7 +28,7 @@
 }
 
 impl Lease {
-    /// Creates a lease that begins with its first renewal.
+    /// Creates a lease that starts with its first renewal.
     pub(super) fn new(duration: Duration) -> Self {
         Self {
             duration,
@@ -36,27 +36,27 @@
         }
     }
 
-    /// Renews the lease from `now` on.
+    /// Renews the lease at `now`.
     pub(super) fn renew(&mut self, now: Duration) {
         self.renewed_at = Some(now);
     }
 
-    /// The last moment at which the lease holds; `None` before its first renewal.
+    /// Returns the last time at which the lease is valid; `None` before the first renewal.
     pub(super) fn expires_at(&self) -> Option<Duration> {
         self.renewed_at.map(|renewed_at| renewed_at + self.duration)
     }
 
-    /// Checks that the lease holds at `now`.
+    /// Checks that the lease is valid at `now`.
     ///
     /// # Errors
     ///
-    /// If it was never renewed, or has expired.
+    /// If the lease was never renewed, or has expired.
     pub(super) fn check(&self, now: Duration) -> Result<(), Unavailable> {
         let renewed_at = self.renewed_at.ok_or(Unavailable::NoList)?;
-        let silent = now.saturating_sub(renewed_at);
-        if silent > self.duration {
+        let since_renewal = now.saturating_sub(renewed_at);
+        if since_renewal > self.duration {
             return Err(Unavailable::LeaseExpired {
-                silent,
+                since_renewal,
                 lease: self.duration,
             });
         }
--- a/crates/membership/src/replica/validation.rs
+++ b/crates/membership/src/replica/validation.rs
@@ -1,64 +1,71 @@
-//! Checks of an update from upstream before any of it is applied.
+//! Validation of updates from upstream before they are applied.
 
 use super::{Replica, SnapshotReason, UpstreamCall};
 use crate::message::{ListUpdate, Version};
 use crate::record::EndpointRecord;
 use thiserror::Error;
 
-/// A snapshot with fewer endpoints than those held divided by this, or with none, is only applied if the next snapshot is
-/// as small: a fault that empties the list would take the whole fleet out of service.
+/// A snapshot with fewer endpoints than the held number divided by this factor, or with none, is
+/// applied only if the next snapshot is as small. A fault that empties the list would otherwise
+/// take the whole fleet out of service.
 pub const UNCONFIRMED_SHRINK_FACTOR: usize = 2;
-/// Upper bound of the memory of the endpoints held, in bytes. An update that would exceed it is rejected. Fifty times the
-/// memory of 4,600 endpoints.
+/// Maximum memory of the held endpoints, in bytes. An update that would exceed it is rejected. The
+/// limit is fifty times the memory of 4,600 endpoints.
 pub const MAX_LIST_BYTES: usize = 32 << 20;
 
-/// Why an update was not applied. The list held stays as it is, and [`Replica::next_call`] is another call.
+/// Reason why an update was not applied. The held list is unchanged, and [`Replica::next_call`]
+/// returns another call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RejectedUpdate {
-    /// The update shows that upstream numbers its lists anew.
-    #[error("delta {received} does not follow on list {held}: a snapshot is fetched")]
+    /// The update shows that upstream has restarted its version numbers.
+    #[error("delta {received} does not follow held list {held}: fetching a snapshot")]
     VersionRegressed {
-        /// Version held.
+        /// Held version.
         held: Version,
         /// Version of the update.
         received: Version,
     },
-    /// A delta from another version than the one held.
-    #[error("delta {received} is based on a version that is not held: another call is made")]
+    /// The delta is based on a version other than the held version.
+    #[error(
+        "delta {received} is based on a version other than the held one: calling upstream again"
+    )]
     BaseMismatch {
         /// Version of the update.
         received: Version,
     },
-    /// The list would take too much memory. The one held stays until its lease expires.
-    #[error("list {received} would take {bytes} bytes: at most {MAX_LIST_BYTES} are kept")]
+    /// The list would take too much memory. The held list is served until its lease expires.
+    #[error(
+        "list {received} would take {bytes} bytes, more than the limit of {MAX_LIST_BYTES} bytes"
+    )]
     TooLarge {
         /// Version of the update.
         received: Version,
-        /// Memory of all records that would be held, in bytes.
+        /// Memory of all records after the update, in bytes.
         bytes: usize,
     },
-    /// A snapshot has far fewer endpoints than are held.
+    /// The snapshot has far fewer endpoints than the held list.
     #[error(
-        "snapshot {received} has {endpoints} endpoints and list {held} has {held_endpoints}: it is fetched again"
+        "snapshot {received} has {endpoints} endpoints, held list {held} has {held_endpoints}: fetching the snapshot again"
     )]
     Shrunk {
-        /// Version held.
+        /// Held version.
         held: Version,
         /// Version of the update.
         received: Version,
-        /// Endpoints held.
+        /// Number of held endpoints.
         held_endpoints: usize,
-        /// Endpoints in the update.
+        /// Number of endpoints in the update.
         endpoints: usize,
     },
 }
 
 impl Replica {
-    /// Checks an update, the answer to `call`, and returns the memory of the list once it is applied, in bytes.
+    /// Checks an update, the answer to `call`. Returns the memory of the list after the update, in
+    /// bytes.
     ///
     /// # Errors
     ///
-    /// If the update must not be applied. What has to be called for instead is noted.
+    /// If the update must not be applied. The state for the next call to upstream is then updated.
     pub(super) fn validate(
         &mut self,
         call: UpstreamCall,
@@ -79,7 +86,8 @@
         Ok(bytes)
     }
 
-    /// Rejects a snapshot that is far smaller than the list held, unless it is the second one in a row.
+    /// Rejects a snapshot that is far smaller than the held list, unless it is the second such
+    /// snapshot in a row.
     fn validate_snapshot(
         &mut self,
         update: &ListUpdate,
@@ -103,7 +111,8 @@
         Ok(())
     }
 
-    /// Rejects a delta that is not based on the version held, or shows that upstream's versions went back.
+    /// Rejects a delta that is not based on the held version, or that shows a regression of
+    /// upstream's versions.
     fn validate_delta(
         &mut self,
         call: UpstreamCall,
@@ -127,7 +136,7 @@
         Ok(())
     }
 
-    /// Memory of the records held once this update is applied, in bytes.
+    /// Returns the memory of the held records after this update, in bytes.
     fn bytes_after(&self, update: &ListUpdate) -> usize {
         let added: usize = update
             .effective_records()
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Replicas and messages to test with.
+//! Test fixtures: replicas and messages.
 #![allow(dead_code)]
 
 use slatelink_membership::{
@@ -6,15 +6,15 @@
 };
 use std::time::Duration;
 
-/// Duration of the lease of [`replica_holding`].
+/// Lease duration of replicas created by [`replica_holding`].
 pub const LEASE: Duration = Duration::from_secs(10);
 
-/// Milliseconds since the origin of time.
+/// Returns a time in milliseconds since the time origin.
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-/// A message as discovery writes it, of these endpoints by name and health.
+/// Returns a message in discovery's format. Endpoints are pairs of name and health.
 pub fn update(version: u64, complete: bool, endpoints: &[(&str, &str)]) -> ListUpdate {
     let records: Vec<_> = endpoints
         .iter()
@@ -29,7 +29,7 @@
     ListUpdate::parse(text.as_bytes()).unwrap()
 }
 
-/// Name and health of each record, in the order of the message.
+/// Returns the name and health of each record, in the order of the message.
 pub fn name_and_health(update: &ListUpdate) -> Vec<(String, String)> {
     let parts = |record: &EndpointRecord| {
         let json: serde_json::Value = serde_json::from_str(record.json()).unwrap();
@@ -41,7 +41,7 @@
     update.records.iter().map(parts).collect()
 }
 
-/// The same pairs as owned strings, to compare with [`name_and_health`].
+/// Returns the pairs as owned strings, for comparison with [`name_and_health`].
 pub fn owned_pairs(endpoints: &[(&str, &str)]) -> Vec<(String, String)> {
     endpoints
         .iter()
@@ -49,7 +49,7 @@
         .collect()
 }
 
-/// A replica that applied this snapshot at the origin of time.
+/// Returns a replica that applied this snapshot at the time origin.
 pub fn replica_holding(version: u64, endpoints: &[(&str, &str)]) -> Replica {
     let mut replica = Replica::new(LEASE);
     replica
@@ -63,7 +63,7 @@
     replica
 }
 
-/// The answer at this time to a client that does not wait.
+/// Returns the answer at `now` to a client that does not wait.
 pub fn answer_now(
     replica: &mut Replica,
     after: Option<u64>,
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Property tests: whatever upstream does, clients end with upstream's list.
+//! Property tests: for any sequence of upstream events, clients end with upstream's list.
 
 mod common;
 
@@ -11,16 +11,17 @@
 
 const SEEDS: std::ops::Range<u8> = 0..4;
 const CASES: u32 = 150;
-/// A step takes a second: a case stays within the time in which clients may name versions of an earlier epoch.
+/// A step takes one second, so that a case ends within the time in which clients may name versions
+/// of an earlier epoch.
 const STEPS: usize = 80;
 const STEP: Duration = Duration::from_secs(1);
-/// Endpoints that a case changes.
+/// Number of endpoints that a case changes.
 const ENDPOINTS: u8 = 6;
 const CLIENTS: u8 = 3;
-/// High enough for all restarts to go back.
+/// High enough that all restarts can lower the version.
 const FIRST_VERSION: u64 = 10_000;
 
-/// Health by an endpoint's name; `gone` does not occur.
+/// Health by endpoint name, without endpoints whose health is `gone`.
 type HealthByName = BTreeMap<String, String>;
 
 #[derive(Clone, Debug)]
@@ -29,9 +30,9 @@
     Change(u8, u8),
     /// Upstream restarts at a lower version and with fewer endpoints.
     Restart(u8),
-    /// A replica makes its next call; upstream may have forgotten its changes.
-    Call { replica: u8, forgets: bool },
-    /// A client calls a replica, which may not answer yet.
+    /// A replica makes its next call. Upstream may have lost its history of changes.
+    Call { replica: u8, history_lost: bool },
+    /// A client queries a replica, which may have no answer yet.
     Query {
         client: u8,
         replica: u8,
@@ -45,14 +46,14 @@
         4 => (0..ENDPOINTS, 0..3u8).prop_map(|(host, health)| Step::Change(host, health)),
         u32::from(restarts) => (0..20u8).prop_map(Step::Restart),
         5 => (0..replicas, prop::bool::weighted(0.2))
-            .prop_map(|(replica, forgets)| Step::Call { replica, forgets }),
+            .prop_map(|(replica, history_lost)| Step::Call { replica, history_lost }),
         5 => (0..CLIENTS, 0..replicas, prop::bool::weighted(0.1), any::<bool>()).prop_map(
             |(client, replica, wants_snapshot, wait_expired)| Step::Query { client, replica, wants_snapshot, wait_expired }
         ),
     ]
 }
 
-/// Discovery: the list of each version since its last restart.
+/// Discovery, with the list of each version since the last restart.
 struct Upstream {
     lists: BTreeMap<u64, HealthByName>,
 }
@@ -102,14 +103,15 @@
         update(self.version(), true, &endpoints)
     }
 
-    fn answer(&self, call: UpstreamCall, forgets: bool) -> ListUpdate {
+    fn answer(&self, call: UpstreamCall, history_lost: bool) -> ListUpdate {
         let (UpstreamCall::Watch(after) | UpstreamCall::Confirm(after)) = call else {
             return self.snapshot();
         };
-        if forgets || !self.lists.contains_key(&after.0) {
+        if history_lost || !self.lists.contains_key(&after.0) {
             return self.snapshot();
         }
-        // All that was changed since, also what has its earlier state again.
+        // All endpoints that changed since then, including endpoints that returned to their earlier
+        // state.
         let mut changes = BTreeMap::new();
         let mut before = &self.lists[&after.0];
         for endpoints in self
@@ -150,15 +152,16 @@
     }
 }
 
-/// One or more replicas; replica 2 has replica 0 as its upstream, all others have discovery.
-struct World {
+/// Discovery, replicas and clients. The upstream of replica 2 is replica 0; the upstream of all
+/// other replicas is discovery.
+struct Simulation {
     upstream: Upstream,
     replicas: Vec<Replica>,
     clients: Vec<Client>,
     now: Duration,
 }
 
-impl World {
+impl Simulation {
     fn new(replicas: u8) -> Self {
         Self {
             upstream: Upstream::new(),
@@ -168,8 +171,8 @@
         }
     }
 
-    /// What a replica answers a client now.
-    fn ask(
+    /// Queries a replica at the current time. Returns the message of its answer, if any.
+    fn query_replica(
         &mut self,
         replica: usize,
         after: Option<u64>,
@@ -182,7 +185,7 @@
         };
         let reply = self.replicas[replica].answer(query, self.now).ok()?;
         if reply == Answer::Confirm {
-            // It calls upstream at once, and fetches what it lacks.
+            // The replica immediately calls upstream, and then fetches the missing changes.
             (0..2).for_each(|_| self.call(replica, false));
             let reply = self.replicas[replica].answer(query, self.now).ok()?;
             return self.replicas[replica].message(reply);
@@ -190,30 +193,31 @@
         self.replicas[replica].message(reply)
     }
 
-    fn call(&mut self, replica: usize, forgets: bool) {
+    fn call(&mut self, replica: usize, history_lost: bool) {
         let call = self.replicas[replica].next_call();
         let answer = match (replica, call) {
-            (2, UpstreamCall::Snapshot) => self.ask(0, None, true),
+            (2, UpstreamCall::Snapshot) => self.query_replica(0, None, true),
             (2, UpstreamCall::Watch(after) | UpstreamCall::Confirm(after)) => {
-                self.ask(0, Some(after.0), true)
+                self.query_replica(0, Some(after.0), true)
             }
-            _ => Some(self.upstream.answer(call, forgets)),
+            _ => Some(self.upstream.answer(call, history_lost)),
         };
         let Some(answer) = answer else { return };
         let now = self.now;
-        // A rejected update has another call made.
+        // After a rejected update the replica calls again.
         let _ = self.replicas[replica].apply(call, answer, now, now);
     }
 
-    /// Whether upstream's next version is held by a replica from before a restart. If that had not called since, nothing
-    /// in the protocol could show the difference.
+    /// Returns whether a replica still holds upstream's next version from before a restart. If the
+    /// replica has not called since, the protocol cannot distinguish the two lists of that version.
     fn would_reuse_held_version(&self) -> bool {
         self.replicas
             .iter()
             .any(|replica| replica.version() == Some(Version(self.upstream.version() + 1)))
     }
 
-    /// Restarts upstream below all versions held: one that was reused could not be told apart.
+    /// Restarts upstream at a version below all held versions, because a reused version could not
+    /// be distinguished from the original.
     fn restart(&mut self, steps_back: u8) {
         let held = self
             .replicas
@@ -225,13 +229,16 @@
             .restart(lowest - 1 - u64::from(steps_back), steps_back);
     }
 
-    fn play(&mut self, step: &Step) {
+    fn run_step(&mut self, step: &Step) {
         self.now += STEP;
         match *step {
             Step::Change(..) if self.would_reuse_held_version() => {}
             Step::Change(host, health) => self.upstream.change(host, health),
             Step::Restart(steps_back) => self.restart(steps_back),
-            Step::Call { replica, forgets } => self.call(usize::from(replica), forgets),
+            Step::Call {
+                replica,
+                history_lost,
+            } => self.call(usize::from(replica), history_lost),
             Step::Query {
                 client,
                 replica,
@@ -240,7 +247,7 @@
             } => {
                 let (client, replica) = (usize::from(client), usize::from(replica));
                 let after = self.clients[client].version.filter(|_| !wants_snapshot);
-                if let Some(list) = self.ask(replica, after, wait_expired) {
+                if let Some(list) = self.query_replica(replica, after, wait_expired) {
                     self.clients[client].apply(&list);
                 }
             }
@@ -248,7 +255,11 @@
     }
 }
 
-fn check(replicas: u8, restarts: bool, holds: impl Fn(&[Step]) -> Result<(), TestCaseError>) {
+fn check_property(
+    replicas: u8,
+    restarts: bool,
+    property: impl Fn(&[Step]) -> Result<(), TestCaseError>,
+) {
     for seed in SEEDS {
         let config = Config {
             cases: CASES,
@@ -257,85 +268,94 @@
         };
         let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
         let steps = prop::collection::vec(step(replicas, restarts), 1..STEPS);
-        let result = TestRunner::new_with_rng(config, random).run(&steps, |steps| holds(&steps));
+        let result = TestRunner::new_with_rng(config, random).run(&steps, |steps| property(&steps));
         if let Err(error) = result {
             panic!("seed {seed}: {error}");
         }
     }
 }
 
-// Guards against any order of snapshots, deltas and restarts that leaves a client with another list than upstream's.
+// Guards against any order of snapshots, deltas and restarts that leaves a client with a list other
+// than upstream's list.
 #[test]
-fn a_client_ends_with_exactly_the_list_of_upstream() {
-    check(1, true, |steps| {
-        let mut world = World::new(1);
+fn client_ends_with_exactly_the_list_of_upstream() {
+    check_property(1, true, |steps| {
+        let mut simulation = Simulation::new(1);
         for step in steps {
-            world.play(step);
+            simulation.run_step(step);
         }
-        // A smaller snapshot is applied the second time; a regressed delta has a snapshot fetched.
-        (0..4).for_each(|_| world.call(0, false));
+        // A much smaller snapshot is applied only the second time, and a regressed delta requires a
+        // snapshot.
+        (0..4).for_each(|_| simulation.call(0, false));
         for client in 0..usize::from(CLIENTS) {
-            let after = world.clients[client].version;
-            let list = world.ask(0, after, true);
-            prop_assert!(list.is_some(), "it is answered");
-            world.clients[client].apply(&list.unwrap());
-            prop_assert_eq!(&world.clients[client].endpoints, world.upstream.endpoints());
+            let after = simulation.clients[client].version;
+            let list = simulation.query_replica(0, after, true);
+            prop_assert!(list.is_some(), "the replica did not answer");
+            simulation.clients[client].apply(&list.unwrap());
+            prop_assert_eq!(
+                &simulation.clients[client].endpoints,
+                simulation.upstream.endpoints()
+            );
             prop_assert_eq!(
-                world.clients[client].version,
-                Some(world.upstream.version())
+                simulation.clients[client].version,
+                Some(simulation.upstream.version())
             );
         }
         Ok(())
     });
 }
 
-// The same through a second tier, whose upstream is a relay.
+// Guards against the same failure with a second-tier replica, whose upstream is a relay.
 #[test]
-fn a_client_of_a_second_tier_ends_with_exactly_the_list_of_upstream() {
-    const SITE: u8 = 2;
-    check(3, true, |steps| {
-        let mut world = World::new(3);
+fn client_of_second_tier_ends_with_exactly_the_list_of_upstream() {
+    const SECOND_TIER: u8 = 2;
+    check_property(3, true, |steps| {
+        let mut simulation = Simulation::new(3);
         for step in steps {
             match step.clone() {
-                // No client changes its relay: it cannot tell a relay that noticed a restart from one that did not.
+                // Clients keep to one relay: a client cannot distinguish a relay that has detected
+                // a restart from a relay that has not.
                 Step::Query {
                     client,
                     wants_snapshot,
                     wait_expired,
                     ..
                 } => {
-                    world.play(&Step::Query {
+                    simulation.run_step(&Step::Query {
                         client,
-                        replica: SITE,
+                        replica: SECOND_TIER,
                         wants_snapshot,
                         wait_expired,
                     });
                 }
-                step => world.play(&step),
+                step => simulation.run_step(&step),
             }
         }
-        for replica in [0, usize::from(SITE)] {
-            (0..4).for_each(|_| world.call(replica, false));
+        for replica in [0, usize::from(SECOND_TIER)] {
+            (0..4).for_each(|_| simulation.call(replica, false));
         }
         for client in 0..usize::from(CLIENTS) {
-            let after = world.clients[client].version;
-            let list = world.ask(usize::from(SITE), after, true);
-            prop_assert!(list.is_some(), "it is answered");
-            world.clients[client].apply(&list.unwrap());
-            prop_assert_eq!(&world.clients[client].endpoints, world.upstream.endpoints());
+            let after = simulation.clients[client].version;
+            let list = simulation.query_replica(usize::from(SECOND_TIER), after, true);
+            prop_assert!(list.is_some(), "the replica did not answer");
+            simulation.clients[client].apply(&list.unwrap());
+            prop_assert_eq!(
+                &simulation.clients[client].endpoints,
+                simulation.upstream.endpoints()
+            );
         }
         Ok(())
     });
 }
 
-// Guards against a removed endpoint that comes back by a relay which is behind: no client goes back to an older version, and
-// what it has is always upstream's list of that version.
+// Guards against a removed endpoint that a relay with an older list restores at a client. No client
+// returns to an older version, and its list is always upstream's list of its version.
 #[test]
-fn a_client_that_changes_its_relay_never_applies_an_older_list() {
-    check(3, false, |steps| {
-        let mut world = World::new(3);
+fn client_that_changes_its_relay_never_applies_an_older_list() {
+    check_property(3, false, |steps| {
+        let mut simulation = Simulation::new(3);
         for step in steps {
-            // A client that asks for a snapshot has given up what it had.
+            // A client that requests a snapshot discards its list, so its version may decrease.
             if matches!(
                 step,
                 Step::Query {
@@ -345,16 +365,20 @@
             ) {
                 continue;
             }
-            let before: Vec<_> = world.clients.iter().map(|client| client.version).collect();
-            world.play(step);
-            for (client, before) in world.clients.iter().zip(before) {
+            let before: Vec<_> = simulation
+                .clients
+                .iter()
+                .map(|client| client.version)
+                .collect();
+            simulation.run_step(step);
+            for (client, before) in simulation.clients.iter().zip(before) {
                 prop_assert!(
                     client.version >= before,
                     "{:?} after {before:?}",
                     client.version
                 );
                 if let Some(version) = client.version {
-                    prop_assert_eq!(&client.endpoints, &world.upstream.lists[&version]);
+                    prop_assert_eq!(&client.endpoints, &simulation.upstream.lists[&version]);
                 }
             }
         }
@@ -362,11 +386,11 @@
     });
 }
 
-// Guards against properties that hold only because nothing is ever answered.
+// Guards against properties that hold only because no query is ever answered.
 #[test]
-fn the_properties_cover_answers_of_each_kind() {
-    let mut world = World::new(3);
-    let ask = |client, replica| Step::Query {
+fn steps_produce_answers_of_each_kind() {
+    let mut simulation = Simulation::new(3);
+    let query_step = |client, replica| Step::Query {
         client,
         replica,
         wants_snapshot: false,
@@ -374,25 +398,32 @@
     };
     let call = |replica| Step::Call {
         replica,
-        forgets: false,
+        history_lost: false,
     };
     for step in [
         call(0),
         call(2),
-        ask(0, 2),
+        query_step(0, 2),
         Step::Change(1, 2),
         call(0),
-        ask(1, 0),
-        ask(1, 2),
-        ask(0, 2),
+        query_step(1, 0),
+        query_step(1, 2),
+        query_step(0, 2),
     ] {
-        world.play(&step);
+        simulation.run_step(&step);
     }
-    let versions: Vec<_> = world.clients.iter().map(|client| client.version).collect();
+    let versions: Vec<_> = simulation
+        .clients
+        .iter()
+        .map(|client| client.version)
+        .collect();
     assert_eq!(
         versions,
         [Some(FIRST_VERSION + 1), Some(FIRST_VERSION + 1), None]
     );
-    assert_eq!(world.clients[0].endpoints, *world.upstream.endpoints());
-    assert_eq!(world.now, ms(8_000));
+    assert_eq!(
+        simulation.clients[0].endpoints,
+        *simulation.upstream.endpoints()
+    );
+    assert_eq!(simulation.now, ms(8_000));
 }
--- a/crates/membership/tests/replica/confirmation.rs
+++ b/crates/membership/tests/replica/confirmation.rs
@@ -1,13 +1,13 @@
-//! Clients whose version is newer than the replica's.
+//! Tests of clients whose version is newer than the replica's version.
 
 use crate::common::{answer_now, ms, replica_holding, update};
 use crate::{watch, THREE_READY};
 use slatelink_membership::{Answer, ListQuery, RejectedUpdate, UpstreamCall, Version};
 
-// Guards against an older list for a client that moved here from a relay that was ahead, and against a client that gets
-// errors forever because upstream has lost its versions.
+// Guards against an older list for a client that previously used a relay with a newer version, and
+// against a client that receives errors forever because upstream has lost its versions.
 #[test]
-fn a_client_with_a_newer_version_is_answered_after_upstream_was_asked_for_it() {
+fn client_with_newer_version_is_answered_after_confirmation_by_upstream() {
     let mut behind = replica_holding(5, &THREE_READY);
     assert_eq!(
         answer_now(&mut behind, Some(9), ms(10)),
@@ -15,7 +15,7 @@
     );
     let call = behind.next_call();
     assert_eq!(call, UpstreamCall::Confirm(Version(9)));
-    // Upstream knows the version: this replica was behind, and fetches what it lacks.
+    // Upstream knows the version: this replica was behind and fetches the missing changes.
     let mismatch = behind.apply(call, update(9, false, &[]), ms(11), ms(12));
     assert_eq!(
         mismatch,
@@ -26,7 +26,7 @@
     assert_eq!(
         answer_now(&mut behind, Some(9), ms(12)),
         Ok(Answer::Confirm),
-        "also while it fetches that"
+        "still unconfirmed while the missing changes are fetched"
     );
     assert_eq!(behind.next_call(), watch(5));
     behind
@@ -42,7 +42,7 @@
         answer_now(&mut restarted, Some(9), ms(10)),
         Ok(Answer::Confirm)
     );
-    // The answer to a call that was sent before says nothing about the version.
+    // The answer to a call that was sent before the query does not confirm the version.
     restarted
         .apply(watch(5), update(5, false, &[]), ms(9), ms(11))
         .unwrap();
@@ -62,18 +62,18 @@
     assert_eq!(
         restarted.answer(query_at(10), ms(13)),
         Ok(Answer::Snapshot),
-        "upstream does not know that version"
+        "upstream does not know the version"
     );
     assert_eq!(
         restarted.answer(query_at(13), ms(13)),
         Ok(Answer::Confirm),
-        "it was received after that call"
+        "the query was received after the call"
     );
 }
 
-// Guards against clients that wait forever if upstream answers an unknown version by a delta.
+// Guards against clients that wait forever if upstream answers an unknown version with a delta.
 #[test]
-fn an_older_delta_for_a_newer_version_makes_the_replica_fetch_a_snapshot() {
+fn older_delta_for_newer_client_version_triggers_snapshot() {
     let mut replica = replica_holding(5, &THREE_READY);
     assert_eq!(
         answer_now(&mut replica, Some(9), ms(1)),
--- a/crates/membership/tests/replica/delta.rs
+++ b/crates/membership/tests/replica/delta.rs
@@ -1,4 +1,4 @@
-//! Deltas to clients, and the history they are made of.
+//! Tests of deltas to clients and of the history from which they are built.
 
 use crate::common::{answer_now, ms, owned_pairs, replica_holding, update, LEASE};
 use crate::{message_parts, watch, THREE_READY};
@@ -6,9 +6,10 @@
     Answer, ApplyOutcome, Replica, UpstreamCall, Version, MAX_HISTORY_BYTES,
 };
 
-// Guards against deltas that repeat an endpoint, lack a removed one, or begin at another version than the client's.
+// Guards against deltas that repeat an endpoint, lack a removed endpoint, or start at a version
+// other than the client's version.
 #[test]
-fn a_delta_has_the_latest_record_of_each_endpoint_that_changed() {
+fn delta_contains_latest_record_of_each_changed_endpoint() {
     let mut replica = replica_holding(1, &THREE_READY);
     let changes = [
         (2, ("b", "draining")),
@@ -49,9 +50,9 @@
     );
 }
 
-// Guards against a delta from a version that was skipped: states that were taken and left in between are not known.
+// Guards against a delta from a skipped version, whose intermediate states are not known.
 #[test]
-fn a_client_with_a_version_that_was_never_held_gets_a_snapshot() {
+fn client_with_version_that_was_never_held_receives_snapshot() {
     let mut replica = replica_holding(5, &THREE_READY);
     replica
         .apply(
@@ -74,9 +75,9 @@
     );
 }
 
-// Guards against a snapshot that keeps endpoints which it lacks.
+// Guards against clients that keep endpoints which a snapshot from upstream no longer contains.
 #[test]
-fn a_snapshot_is_passed_on_as_a_delta() {
+fn upstream_snapshot_is_forwarded_as_delta() {
     let mut replica = replica_holding(1, &THREE_READY);
     let snapshot = update(
         4,
@@ -94,9 +95,10 @@
     );
 }
 
-// Guards against memory that grows with every change, and against a client behind the bound that misses some.
+// Guards against memory that grows with every change, and against a client with a version older
+// than the history that misses changes.
 #[test]
-fn the_history_is_bounded_and_a_client_behind_it_gets_a_snapshot() {
+fn history_is_bounded_and_client_older_than_history_receives_snapshot() {
     let mut replica = replica_holding(1, &THREE_READY);
     let padding = "x".repeat(MAX_HISTORY_BYTES / 8);
     for version in 2..40 {
@@ -125,9 +127,9 @@
     );
 }
 
-// Guards against two records of one endpoint in an answer, of which a client might apply either.
+// Guards against two records of the same endpoint in an answer: a client might apply either record.
 #[test]
-fn of_duplicate_records_the_last_one_is_applied() {
+fn last_of_duplicate_records_is_applied() {
     let mut replica = Replica::new(LEASE);
     let twice = [("a", "ready"), ("b", "ready"), ("a", "draining")];
     let outcome = replica
--- a/crates/membership/tests/replica/epoch.rs
+++ b/crates/membership/tests/replica/epoch.rs
@@ -1,4 +1,4 @@
-//! Epochs of upstream's versions.
+//! Tests of epochs of upstream's versions.
 
 use crate::common::{answer_now, ms, replica_holding, update};
 use crate::{watch, THREE_READY};
@@ -6,13 +6,14 @@
     Answer, ListQuery, RejectedUpdate, UpstreamCall, Version, EPOCH_AMBIGUITY_WINDOW,
 };
 
-// Guards against endpoints that come back by an old delta, and against deltas between versions of two epochs.
+// Guards against removed endpoints that an old delta restores, and against deltas between versions
+// of different epochs.
 #[test]
-fn clients_get_snapshots_only_while_their_version_is_ambiguous() {
+fn clients_receive_snapshots_only_while_their_version_is_ambiguous() {
     let mut replica = replica_holding(50, &THREE_READY);
-    let back = replica.apply(watch(50), update(4, false, &[("a", "ready")]), ms(0), ms(0));
+    let regressed = replica.apply(watch(50), update(4, false, &[("a", "ready")]), ms(0), ms(0));
     assert_eq!(
-        back,
+        regressed,
         Err(RejectedUpdate::VersionRegressed {
             held: Version(50),
             received: Version(4)
@@ -35,7 +36,7 @@
         .unwrap();
     assert!(outcome.new_epoch && outcome.changed);
     assert_eq!(replica.epochs(), 2);
-    // A watch that was open when versions went back is answered, whatever its version.
+    // A watch that was open when the versions regressed is answered, whatever its version.
     let waiting = ListQuery {
         after: Some(Version(4)),
         received_at: ms(999),
@@ -43,12 +44,12 @@
     };
     assert_eq!(replica.answer(waiting, now), Ok(Answer::Snapshot));
     // A watch that was received in the present epoch waits.
-    let new = ListQuery {
+    let current = ListQuery {
         after: Some(Version(4)),
         received_at: now,
         wait_expired: false,
     };
-    assert_eq!(replica.answer(new, now), Ok(Answer::Wait));
+    assert_eq!(replica.answer(current, now), Ok(Answer::Wait));
     replica
         .apply(watch(4), update(5, false, &[("a", "gone")]), now, now)
         .unwrap();
@@ -59,7 +60,7 @@
             "{version}"
         );
     }
-    // By then each client has had an answer of this epoch.
+    // After the window every client has received an answer of this epoch.
     let later = now + EPOCH_AMBIGUITY_WINDOW + ms(1);
     replica
         .apply(watch(5), update(5, false, &[]), later, later)
@@ -70,19 +71,20 @@
     );
 }
 
-// Guards against a version that upstream reuses for another list: a client that has the first would never get the second.
+// Guards against a version that upstream reuses for another list: a client with the first list
+// would never receive the second list.
 #[test]
-fn a_version_reused_for_another_list_begins_an_epoch() {
+fn version_reused_for_another_list_begins_an_epoch() {
     let mut replica = replica_holding(7, &THREE_READY);
-    let again = replica.apply(
+    let reused = replica.apply(
         watch(7),
         update(7, false, &[("a", "draining")]),
         ms(0),
         ms(0),
     );
     assert!(
-        matches!(again, Err(RejectedUpdate::VersionRegressed { .. })),
-        "{again:?}"
+        matches!(reused, Err(RejectedUpdate::VersionRegressed { .. })),
+        "{reused:?}"
     );
     let other_endpoints = [("a", "draining"), ("b", "ready"), ("c", "ready")];
     let outcome = replica
--- a/crates/membership/tests/replica/lease.rs
+++ b/crates/membership/tests/replica/lease.rs
@@ -1,12 +1,13 @@
-//! The lease.
+//! Tests of the lease.
 
 use crate::common::{answer_now, ms, update, LEASE};
 use crate::{watch, THREE_READY};
 use slatelink_membership::{Answer, Replica, Unavailable, UpstreamCall, Version};
 
-// Guards against an outdated list that is served as a recent one, and against answers before the first list.
+// Guards against an outdated list that is served as a current list, and against answers before the
+// first list.
 #[test]
-fn clients_get_an_error_without_a_list_and_after_the_lease_expired() {
+fn clients_receive_error_without_list_and_after_lease_expires() {
     let mut replica = Replica::new(LEASE);
     assert_eq!(replica.next_call(), UpstreamCall::Snapshot);
     assert_eq!(
@@ -26,11 +27,11 @@
     assert_eq!(answer_now(&mut replica, None, end), Ok(Answer::Snapshot));
     let late = end + ms(1);
     for after in [None, Some(1), Some(3), Some(9)] {
-        let silent = LEASE + ms(1);
+        let since_renewal = LEASE + ms(1);
         assert_eq!(
             answer_now(&mut replica, after, late),
             Err(Unavailable::LeaseExpired {
-                silent,
+                since_renewal,
                 lease: LEASE
             })
         );
--- a/crates/membership/tests/replica/message.rs
+++ b/crates/membership/tests/replica/message.rs
@@ -1,11 +1,11 @@
-//! Messages as they are read and written.
+//! Tests of message parsing and encoding.
 
 use crate::common::{ms, LEASE};
 use slatelink_membership::{Answer, ListUpdate, Replica, UpstreamCall};
 
-// Guards against a relay that drops or rewrites fields it does not know.
+// Guards against a relay that drops or rewrites unknown fields.
 #[test]
-fn records_are_passed_on_byte_for_byte() {
+fn records_are_forwarded_byte_for_byte() {
     let text =
         br#"{"seq":7,"whole":true,"hosts":[{"host":"a","health":"odd","share":1.0,"later":{"x": [1]}}]}"#;
     let read = ListUpdate::parse(text).unwrap();
@@ -20,19 +20,19 @@
     );
 }
 
-// Guards against a message of which a part is applied.
+// Guards against a malformed message that is applied partially.
 #[test]
-fn a_malformed_message_is_rejected_with_the_index_of_the_record() {
+fn malformed_message_is_rejected_with_index_of_the_record() {
     let error = ListUpdate::parse(
         br#"{"seq":7,"whole":true,"hosts":[{"host":"a","health":"ready"},{"host":"b"}]}"#,
     );
     let text = error.unwrap_err().to_string();
     assert!(
-        text.starts_with("entry 1 of list 7 has no name or no health: missing field `health`"),
+        text.starts_with("record 1 of list 7 has no valid name or health: missing field `health`"),
         "{text}"
     );
     assert!(ListUpdate::parse(b"{\"seq\":-1}")
         .unwrap_err()
         .to_string()
-        .starts_with("not a list: "));
+        .starts_with("message is not an endpoint list: "));
 }
--- a/crates/membership/tests/replica/validation.rs
+++ b/crates/membership/tests/replica/validation.rs
@@ -1,12 +1,12 @@
-//! Updates that must not be applied.
+//! Tests of updates that must not be applied.
 
 use crate::common::{answer_now, ms, replica_holding, update, LEASE};
 use crate::{message_parts, watch, THREE_READY};
 use slatelink_membership::{RejectedUpdate, UpstreamCall, Version, MAX_LIST_BYTES};
 
-// Guards against a fault upstream that empties the list and takes the whole fleet out of service.
+// Guards against an upstream fault that empties the list and takes the whole fleet out of service.
 #[test]
-fn a_snapshot_of_fewer_than_half_the_endpoints_is_applied_only_when_repeated() {
+fn snapshot_with_fewer_than_half_the_endpoints_is_applied_only_when_repeated() {
     let four = [
         ("a", "ready"),
         ("b", "ready"),
@@ -27,12 +27,12 @@
         assert_eq!(
             (replica.endpoint_count(), replica.lease_expires_at()),
             (4, Some(LEASE)),
-            "and it does not renew the lease"
+            "a rejected snapshot changes neither the list nor the lease"
         );
         assert_eq!(
             replica.next_call(),
             UpstreamCall::Snapshot,
-            "it is fetched again at once"
+            "the snapshot is fetched again immediately"
         );
         replica
             .apply(
@@ -47,13 +47,16 @@
         assert_eq!(
             message_parts(&replica, answer).2.len(),
             4 - small.len(),
-            "those that were removed"
+            "the delta contains the removed endpoints"
         );
     }
     let mut replica = replica_holding(1, &four);
     let half = replica.apply(watch(1), update(2, true, &four[..2]), ms(0), ms(0));
-    assert!(half.is_ok(), "half of them is not too few: {half:?}");
-    // A small snapshot of one upstream does not confirm one of another upstream.
+    assert!(
+        half.is_ok(),
+        "a snapshot with half the endpoints is rejected: {half:?}"
+    );
+    // A small snapshot from one upstream does not confirm a small snapshot from another upstream.
     let mut replica = replica_holding(1, &four);
     replica
         .apply(watch(1), update(2, true, &[]), ms(0), ms(0))
@@ -65,9 +68,9 @@
         .unwrap_err();
 }
 
-// Guards against an upstream that adds endpoints without end.
+// Guards against unbounded memory use when upstream keeps adding endpoints.
 #[test]
-fn an_update_past_the_memory_bound_is_rejected_and_a_removal_frees_memory() {
+fn update_beyond_memory_limit_is_rejected_and_removal_frees_memory() {
     let padding = "x".repeat(MAX_LIST_BYTES / 8);
     let host = |number: u64| format!("{number}-{padding}");
     let mut replica = replica_holding(1, &THREE_READY);
@@ -87,14 +90,16 @@
     assert_eq!(
         replica.lease_expires_at(),
         Some(ms(version - 1) + LEASE),
-        "it does not renew the lease"
+        "a rejected update does not renew the lease"
     );
-    let again = update(
+    let removal = update(
         version + 1,
         false,
         &[(&host(1), "draining"), (&host(2), "gone")],
     );
-    replica.apply(watch(version), again, ms(0), ms(0)).unwrap();
+    replica
+        .apply(watch(version), removal, ms(0), ms(0))
+        .unwrap();
     let added = update(version + 2, false, &[(&host(version), "ready")]);
     replica
         .apply(watch(version + 1), added, ms(0), ms(0))
--- a/crates/node/src/discovery/tests/verification.rs
+++ b/crates/node/src/discovery/tests/verification.rs
@@ -42,10 +42,10 @@
                 answered_after < NOTIFIED_AFTER_FAILED_CALL,
                 "the poll's answer may be too late: {answered_after:?}"
             );
-            let delay = arrived_at - (calls[2].at + Duration::from_secs(5));
+            let lateness = arrived_at - (calls[2].at + Duration::from_secs(5));
             assert!(
-                delay < Duration::from_millis(200),
-                "the answer to the open watch was forwarded late: {delay:?}"
+                lateness < Duration::from_millis(200),
+                "the answer to the open watch was forwarded late: {lateness:?}"
             );
             assert!(
                 calls
