--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -62,8 +62,8 @@
         &self.json
     }
 
-    /// Returns the record of the same endpoint after its removal, for an endpoint that a snapshot
-    /// no longer contains.
+    /// Returns a record that marks the endpoint as removed, for an endpoint that a snapshot no
+    /// longer contains.
     pub(crate) fn to_removed(&self) -> Self {
         // The text was parsed as an object before, so parsing does not fail here.
         let mut fields: Map<String, Value> =
--- a/crates/membership/src/replica.rs
+++ b/crates/membership/src/replica.rs
@@ -101,8 +101,8 @@
         self.endpoints.len()
     }
 
-    /// Returns the number of epochs begun: one with the first list, and one for each regression of
-    /// upstream's versions.
+    /// Returns the number of epochs begun: one with the first list, and one each time upstream's
+    /// versions regressed or a version was reused.
     pub fn epochs(&self) -> u64 {
         self.epochs.count()
     }
--- a/crates/membership/src/replica/apply.rs
+++ b/crates/membership/src/replica/apply.rs
@@ -12,7 +12,7 @@
 pub struct ApplyOutcome {
     /// Whether waiting clients have to be answered.
     pub changed: bool,
-    /// Whether a new epoch began because upstream's versions regressed.
+    /// Whether a new epoch began, because upstream's versions regressed or a version was reused.
     pub new_epoch: bool,
     /// Number of records replaced by a later record of the same message.
     pub duplicates: usize,
--- a/crates/membership/src/replica/epoch.rs
+++ b/crates/membership/src/replica/epoch.rs
@@ -30,7 +30,7 @@
 }
 
 impl Epochs {
-    /// Number of epochs begun.
+    /// Returns the number of epochs begun.
     pub(super) fn count(&self) -> u64 {
         self.count
     }
@@ -51,7 +51,7 @@
         });
     }
 
-    /// Whether a version that a client names at `now` may be one of an earlier epoch.
+    /// Returns whether a version that a client names at `now` may belong to an earlier epoch.
     pub(super) fn is_ambiguous(&self, version: Version, now: Duration) -> bool {
         let recent = self
             .earlier
@@ -59,8 +59,8 @@
         recent.is_some_and(|earlier| version <= earlier.highest)
     }
 
-    /// Whether a query that was received at this time came after the change to the present epoch,
-    /// if there was one.
+    /// Returns whether `received_at` is at or after the start of the present epoch; false while
+    /// there was no earlier epoch.
     pub(super) fn follows_change(&self, received_at: Duration) -> bool {
         self.earlier
             .is_some_and(|earlier| received_at >= earlier.ended_at)
--- a/crates/node/src/discovery/lists.rs
+++ b/crates/node/src/discovery/lists.rs
@@ -58,7 +58,7 @@
         if generation != self.generation || self.version.is_none() {
             self.forward_unready_endpoints(list, generation);
         } else if self.version.is_some_and(|held| list.version > held) {
-            // The next list of a regular call detects whether the driver has stopped.
+            // A stopped driver is detected with the next list that `receive_lists` accepts.
             let _ = self.accept_list(list);
         }
     }
@@ -69,7 +69,7 @@
         list.complete = false;
         list.endpoints
             .retain(|endpoint| endpoint.availability() != Availability::Ready);
-        // The next list of a regular call detects whether the driver has stopped.
+        // A stopped driver is detected with the next list that `receive_lists` accepts.
         let _ = self.forward(list, generation);
     }
 
--- a/crates/node/src/discovery/poll.rs
+++ b/crates/node/src/discovery/poll.rs
@@ -25,7 +25,7 @@
     pub(super) hedge_delay: Option<Duration>,
 }
 
-/// Result of a poll made beside open watches.
+/// Result of a poll that is made while watches are open.
 pub(super) enum PollOutcome {
     /// A call of the poll was answered.
     Answered(CallOutcome),
@@ -57,9 +57,9 @@
         outcome
     }
 
-    /// Polls beside open watches. An answer supersedes the other calls of the poll; an answer to a
-    /// watch supersedes the other watches too. Calls that time out are superseded, and watches that
-    /// fail are removed.
+    /// Polls while `watches` stay open. An answer supersedes the other calls of the poll; an answer
+    /// to a watch supersedes the other watches too. Calls that time out are superseded, and watches
+    /// that fail are removed.
     pub(super) async fn poll(&mut self, poll: Poll, watches: &mut Watches) -> PollOutcome {
         let Poll {
             address,
--- a/crates/node/src/discovery/renewal.rs
+++ b/crates/node/src/discovery/renewal.rs
@@ -82,9 +82,9 @@
         self.check_outcome(outcome, &mut session.watches)
     }
 
-    /// Derives the state of the watches from a poll made beside them. An answer to the poll
-    /// supersedes the watches. A failed poll ends the watches only if the newest watch has failed
-    /// too.
+    /// Derives the state of the watches from a poll that was made while they were open. An answer
+    /// to the poll supersedes the watches. A failed poll ends the watches only if the newest watch
+    /// has failed too.
     fn check_outcome(&mut self, outcome: PollOutcome, watches: &mut Watches) -> CheckOutcome {
         match outcome {
             PollOutcome::Answered(outcome) => {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Opens a watch beside the open watches. It replaces the newest watch unless, within
-    /// `RENEWAL_OVERLAP`, a watch is answered or the renewal fails.
+    /// Opens a renewal in addition to the open watches. The renewal replaces the newest watch
+    /// unless, within `RENEWAL_OVERLAP`, a call is answered or the renewal fails.
     async fn open_renewal(&mut self, session: &mut WatchSession) -> CheckOutcome {
         let request = ListRequest::ChangesAfter {
             version: session.version,
--- a/crates/node/src/discovery/stale_lists.rs
+++ b/crates/node/src/discovery/stale_lists.rs
@@ -47,7 +47,8 @@
 
 impl StaleListFilter {
     /// Records the announcements of a list, and marks as draining the endpoints that the list
-    /// contains as ready against a known drain or removal. Returns whether any endpoint was marked.
+    /// contains as ready although a known drain or removal takes precedence. Returns whether any
+    /// endpoint was marked.
     pub fn apply(
         &mut self,
         list: &mut EndpointList,
--- a/crates/node/src/discovery/tests/address_change.rs
+++ b/crates/node/src/discovery/tests/address_change.rs
@@ -102,7 +102,7 @@
 // Guards against an answer of the old discovery that is dropped with its watch, because the new
 // discovery's list arrives at the same moment.
 #[test]
-fn drain_from_old_discovery_is_forwarded_beside_list_of_new_discovery() {
+fn drain_from_old_discovery_is_forwarded_when_new_list_arrives_simultaneously() {
     run_in_virtual_time(async |log| {
         let mut old = ManualDiscovery::start().await;
         let mut new = ManualDiscovery::start().await;
--- a/crates/node/src/discovery/tests/failures.rs
+++ b/crates/node/src/discovery/tests/failures.rs
@@ -146,7 +146,7 @@
             }
             match failure {
                 Refused => call.refuse(),
-                // The call waits in the queue from its arrival, even beside another call.
+                // The call waits in the queue from its arrival, even while another call is queued.
                 RefusedAfterQueue => {
                     spawn_local(async move {
                         sleep_until(call.at + QUEUE_LIMIT).await;
