--- a/crates/node/src/discovery/tests/verification.rs
+++ b/crates/node/src/discovery/tests/verification.rs
@@ -6,10 +6,9 @@
 use crate::discovery::timing::{CATCH_UP_WAIT, WATCH_WAIT};
 use std::time::Duration;
 
-// Guards against a stalled watch after a failure that is mistaken for a watch without changes, and
-// against a poll ahead of the watch in discovery's queue, which doubles the queue when many nodes
-// lose their watches. The watch stays open: the node is immediately notified of changes right after
-// an answer.
+// Guards against a stalled watch that goes unnoticed after a failure, and against a poll queued
+// ahead of the watch, which doubles the queue when many nodes lose watches. The watch stays open:
+// the node is immediately notified of changes right after an answer.
 #[test]
 fn watch_opened_after_failure_is_verified_by_a_later_poll() {
     for seed in 0..8 {
