--- a/crates/cli/tests/node_features/audit_trail.rs
+++ b/crates/cli/tests/node_features/audit_trail.rs
@@ -199,7 +199,10 @@
         (Some(1), 1),
         "{error}"
     );
-    assert!(error.contains("another node writes there"), "{error}");
+    assert!(
+        error.contains("the file is locked by another process"),
+        "{error}"
+    );
     assert_eq!(node.read("read", 1).status(), 200);
     std::fs::remove_file(path).unwrap();
 }
--- a/crates/telemetry/src/audit.rs
+++ b/crates/telemetry/src/audit.rs
@@ -1,5 +1,6 @@
-//! The audit trail: who started, stopped and reconfigured the node, and what discovery said of endpoints. Each record is
-//! a line that names the hash of the one before it, so that no line can be changed or taken out unseen.
+//! The audit trail: starts, stops and configurations of the node, and state changes of endpoints as
+//! reported by discovery. Each record is one line that holds the hash of the previous line, so that
+//! changing or removing a line is detected.
 
 mod record;
 mod signals;
@@ -22,30 +23,33 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use trail::{OpenedTrail, Trail};
 
-/// Records that may wait for the disk; those past them are counted.
+/// Maximum number of records queued for the disk; records beyond it are lost and counted.
 const MAX_QUEUED_RECORDS: usize = 768;
-/// Longer names, of the node, an endpoint or a state, are cut: a record must fit a line of the trail.
+/// Names of the node, of endpoints and of states are cut to this length: a record must fit in one
+/// line of the trail.
 const MAX_NAME_BYTES: usize = 256;
-/// The state of an endpoint before discovery names it, and once a complete list lacks it.
+/// State of an endpoint before discovery lists it, and after a complete list omits it.
 const ABSENT: &str = "absent";
 
-/// Records events in the audit trail. Records are made on the node's thread and written by the writer's thread.
+/// Records events in the audit trail. The node's thread creates the records; the writer's thread
+/// writes them.
 pub struct Audit {
     sender: BoundedSender,
     trail: Arc<Mutex<Trail>>,
-    /// Records that did not fit the queue since the last one that did.
+    /// Records that did not fit in the queue since the last record that did.
     lost: Cell<u64>,
-    /// The record of the stop is made: no other follows it.
+    /// Whether the stop record has been created: no record follows it.
     stopped: Cell<bool>,
-    /// The state of each endpoint, as discovery said it last.
+    /// Latest state of each endpoint as reported by discovery.
     states: RefCell<BTreeMap<EndpointId, String>>,
 }
 
 impl Audit {
-    /// Descriptors that it holds.
+    /// Number of file descriptors held by the audit trail.
     pub const DESCRIPTORS: usize = 1;
 
-    /// Opens the trail for this node alone; without a path it goes to standard error.
+    /// Opens the trail for exclusive use by this node; without a path, records are written to
+    /// standard error.
     pub fn open(path: Option<&Path>, writer: &Writer) -> Result<Self, TelemetryError> {
         let OpenedTrail { trail, torn } = match path {
             None => OpenedTrail {
@@ -70,7 +74,7 @@
         Ok(audit)
     }
 
-    /// The node of this name listens.
+    /// Records that the node with this name listens.
     pub fn node_started(&self, node: &str) {
         self.record(Event::Start {
             node: truncated(node),
@@ -79,13 +83,16 @@
         });
     }
 
-    /// The node stops, by this signal. No record follows this one.
-    pub fn node_stopped(&self, stop: StopSignal) {
-        self.record(Event::Stop { signal: stop.name });
+    /// Records that the node stops because of this signal. No record follows this one.
+    pub fn node_stopped(&self, stop_signal: StopSignal) {
+        self.record(Event::Stop {
+            signal: stop_signal.name,
+        });
         self.stopped.set(true);
     }
 
-    /// A configuration is in force: `file` says which of the node's two.
+    /// Records that a configuration is in force; `file` names which of the node's two configuration
+    /// files was loaded.
     pub fn config_loaded(&self, file: &'static str, path: &Path, sha256: String) {
         self.record(Event::Config {
             file,
@@ -94,10 +101,10 @@
         });
     }
 
-    /// A list of discovery is in force: each endpoint whose state it changes has a record.
+    /// Records each endpoint state that the discovery list changes.
     pub fn endpoints_updated(&self, list: &EndpointList) {
         let mut states = self.states.borrow_mut();
-        // Those that a complete list lacks remain here.
+        // After the loop, holds the known endpoints that a complete list omits.
         let mut unlisted = if list.complete {
             std::mem::take(&mut *states)
         } else {
@@ -122,7 +129,7 @@
         }
     }
 
-    /// Records that an endpoint has gone from one state to another.
+    /// Records a state change of an endpoint.
     fn state_changed(&self, id: &EndpointId, from: String, to: String) {
         self.record(Event::Health {
             endpoint: truncated(id.as_str()),
@@ -131,7 +138,7 @@
         });
     }
 
-    /// Has the writer append a record, made at this time. Never waits.
+    /// Queues a record for the writer, with the current time. Never blocks.
     fn record(&self, event: Event) {
         if self.stopped.get() {
             return;
@@ -144,7 +151,7 @@
             trail.lost += lost;
             if let Err(error) = trail.record(stderr, at_ms, &event) {
                 trail.lost += 1;
-                // There is nowhere else to report it to.
+                // The error cannot be reported anywhere else.
                 let _ = writeln!(stderr, "audit: a record is not written: {error}");
             }
         });
@@ -152,7 +159,7 @@
     }
 }
 
-/// The present time in milliseconds of Unix time.
+/// Returns the current time in milliseconds of Unix time.
 fn unix_time_ms() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -160,7 +167,7 @@
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// At most [`MAX_NAME_BYTES`] of the text, cut at the end of a character.
+/// Returns the text cut to at most [`MAX_NAME_BYTES`], at a character boundary.
 fn truncated(text: &str) -> String {
     text[..text.floor_char_boundary(MAX_NAME_BYTES)].to_owned()
 }
--- a/crates/telemetry/src/audit/record.rs
+++ b/crates/telemetry/src/audit/record.rs
@@ -1,82 +1,85 @@
-//! The format of an audit trail: what a record holds, and the chain of hashes that binds each record to the one before it.
+//! The format of an audit trail: the contents of a record, and the hash chain that links each
+//! record to the previous one.
 //!
-//! A record is one line, a JSON object. Its last two fields are `prev`, the hash of the record before it, and `hash`, the
-//! SHA-256 of the line without that field.
+//! A record is one line that holds a JSON object. Its last two fields are `prev`, the hash of the
+//! previous record, and `hash`, the SHA-256 of the line without the `hash` field.
 
 use serde::{Deserialize, Serialize};
 use slatelink_config::sha256_hex;
 
-/// Longest line of a trail. It bounds what is read at the end of a file to find the last record.
+/// Maximum length of a line of the trail. It bounds the number of bytes read from the end of a file
+/// to find the last record.
 pub(super) const MAX_LINE_BYTES: usize = 64 << 10;
-/// What the first record names in place of the hash of one before it.
+/// Value of `prev` in the first record, which has no previous record.
 pub(super) const FIRST_PREVIOUS_HASH: &str =
     "0000000000000000000000000000000000000000000000000000000000000000";
-/// How the first record of a trail begins.
+/// Leading bytes of the first record of a trail.
 pub(super) const FIRST_RECORD_START: &[u8] = b"{\"seq\":1,";
-/// Length of the last field and the closing brace: `,"hash":"` and 64 digits, `"}`.
+/// Length of the last field and the closing brace: `,"hash":"`, 64 digits and `"}`.
 const HASH_FIELD_BYTES: usize = ",\"hash\":\"\"}".len() + FIRST_PREVIOUS_HASH.len();
 
-/// What a record is about. The variants' names are stored, in lower case, as the field `event`.
+/// The event of a record. The variant names are stored in lower case as the field `event`.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "lowercase")]
 pub(super) enum Event {
-    /// The node listens.
+    /// The node listens for connections.
     Start {
         /// The node's name.
         node: String,
-        /// Its process.
+        /// The node's process id.
         pid: u32,
-        /// The program's version.
+        /// Version of the program.
         version: &'static str,
     },
     /// The node stops.
     Stop {
-        /// The name of the signal that ended it.
+        /// Name of the signal that ended the node.
         signal: &'static str,
     },
     /// A configuration is in force.
     Config {
-        /// Which of the two: `platform` or `features`.
+        /// Which configuration file: `platform` or `features`.
         file: &'static str,
-        /// Where it was read.
+        /// Path of the file.
         path: String,
-        /// SHA-256 of what was read.
+        /// SHA-256 of the file's contents.
         sha256: String,
     },
-    /// An endpoint's state in discovery's list has changed.
+    /// An endpoint's state in the discovery list has changed.
     Health {
-        /// The endpoint's name.
+        /// Name of the endpoint.
         #[serde(rename = "host")]
         endpoint: String,
-        /// The state before.
+        /// Previous state.
         from: String,
-        /// The state now.
+        /// New state.
         to: String,
     },
-    /// The file ended within a line, which was cut off.
+    /// The file ended with an incomplete line, which was removed.
     Torn {
-        /// How long the part of the line was.
+        /// Length of the incomplete line.
         bytes: usize,
-        /// SHA-256 of it.
+        /// SHA-256 of the incomplete line.
         sha256: String,
-        /// How it begins.
+        /// First bytes of the incomplete line.
         text: String,
     },
-    /// So many records before this one could not be written.
+    /// Records before this one could not be written.
     Lost {
-        /// How many.
+        /// Number of lost records.
         records: u64,
     },
-    /// The file that the trail was in has lost its name, by a move or removal. The trail begins anew here.
+    /// The trail's file was moved or removed, and the trail starts a new chain in a file at the
+    /// same path.
     Vanished {
-        /// Records in the file that has lost its name.
+        /// Number of records in the previous file.
         records: u64,
-        /// The hash of the last of them.
+        /// Hash of the last record of the previous file.
         last: String,
     },
 }
 
-/// The fields of a line, in their order, less the hash.
+/// The fields of a line in their written order, without `hash`.
 #[derive(Serialize)]
 struct Record<'a> {
     seq: u64,
@@ -86,12 +89,12 @@
     prev: &'a str,
 }
 
-/// Where a trail ends: what the next record continues.
+/// The end of a trail's hash chain, which the next record continues.
 #[derive(Debug)]
 pub(super) struct ChainPosition {
-    /// The number of the last record; 0 before the first.
+    /// Sequence number of the last record; 0 before the first record.
     pub(super) seq: u64,
-    /// The hash of the last record.
+    /// Hash of the last record.
     pub(super) hash: String,
 }
 
@@ -104,16 +107,16 @@
     }
 }
 
-/// A record as it is written.
+/// A record in its written form.
 pub(super) struct EncodedRecord {
-    /// The line, with its line feed.
+    /// The line, including its line feed.
     pub(super) line: String,
-    /// Where the trail ends once the line is written.
+    /// End of the chain after the line is written.
     pub(super) position: ChainPosition,
 }
 
 impl ChainPosition {
-    /// The record of `event`, as the next one of the trail. `at_ms` is milliseconds of Unix time.
+    /// Encodes `event` as the next record of the trail. `at_ms` is in milliseconds of Unix time.
     pub(super) fn next_record(
         &self,
         at_ms: u64,
@@ -137,24 +140,25 @@
     }
 }
 
-/// A record that was read, and whose own hash holds.
+/// A record read from a trail, with a valid hash.
 pub(super) struct ParsedRecord {
-    /// Its number. `None` where the line has none, which the chain of hashes does not need.
+    /// Sequence number. `None` if the line has none: the hash chain does not need it.
     pub(super) seq: Option<u64>,
-    /// The hash of the record before it.
+    /// Hash of the previous record.
     pub(super) previous_hash: String,
-    /// Its own hash.
+    /// Hash of this record.
     pub(super) hash: String,
 }
 
-/// Reads a line, less its line feed; `None` where it is no record or its hash does not hold.
+/// Parses a line without its line feed; returns `None` if the line is not a record or its hash does
+/// not match.
 pub(super) fn parse(line: &[u8]) -> Option<ParsedRecord> {
     #[derive(Deserialize)]
     struct Fields {
         seq: Option<u64>,
         prev: String,
     }
-    // The hash covers what stands before its field, and the closing brace.
+    // The hash covers the bytes before the `hash` field, and the closing brace.
     let (covered, stored_hash) =
         line.split_at_checked(line.len().checked_sub(HASH_FIELD_BYTES)?)?;
     let hash = sha256_hex(&[covered, b"}"].concat());
@@ -169,7 +173,7 @@
     })
 }
 
-/// The end of a line with this hash, less the line feed.
+/// Returns the end of a line that holds this hash, without the line feed.
 fn hash_field(hash: &str) -> String {
     format!(",\"hash\":\"{hash}\"}}")
 }
--- a/crates/telemetry/src/audit/signals.rs
+++ b/crates/telemetry/src/audit/signals.rs
@@ -1,23 +1,23 @@
-//! The signals that end a node, caught so that the trail can name them.
+//! Handlers for the signals that end a node, so that the audit trail can record the signal's name.
 
 use std::io;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 
-/// A signal that ended the node.
+/// A signal that ends the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StopSignal {
-    /// Its name, as `SIGTERM`.
+    /// Name, for example `SIGTERM`.
     pub name: &'static str,
-    /// Its number.
+    /// Signal number.
     pub number: u8,
 }
 
 impl StopSignal {
-    /// Sent by the platform for a graceful shutdown.
+    /// The signal sent by the platform for a graceful shutdown.
     pub const TERMINATE: Self = Self::new("SIGTERM", libc::SIGTERM);
 
-    /// `number` is one of Linux's signals, 1 to 64, and so fits a byte.
+    /// `number` is a Linux signal number, 1 to 64, and so fits in a byte.
     const fn new(name: &'static str, number: i32) -> Self {
         Self {
             name,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Signals that end a process which does nothing about them, and that can be caught without harm.
+/// Signals whose default action terminates the process and that can be handled safely.
 const TERMINATING_SIGNALS: [StopSignal; 12] = [
     StopSignal::new("SIGINT", libc::SIGINT),
     StopSignal::new("SIGQUIT", libc::SIGQUIT),
@@ -42,23 +42,24 @@
     StopSignal::new("SIGSTKFLT", libc::SIGSTKFLT),
 ];
 
-/// Catches them from now on, but for those whose numbers are in `except`, which have another use. Fails where a handler
-/// cannot be installed. To be called within a `LocalSet`.
+/// Installs handlers for the signals that would otherwise terminate the node, except for the signal
+/// numbers in `except`, which have another use. Fails if a handler cannot be installed. Must be
+/// called within a `LocalSet`.
 pub fn catch_signals(except: &[i32]) -> io::Result<UnboundedReceiver<StopSignal>> {
-    let (caught, stops) = unbounded_channel();
-    for stop in TERMINATING_SIGNALS {
-        let number = i32::from(stop.number);
+    let (stop_sender, stop_receiver) = unbounded_channel();
+    for stop_signal in TERMINATING_SIGNALS {
+        let number = i32::from(stop_signal.number);
         if except.contains(&number) {
             continue;
         }
         let mut signals = signal(SignalKind::from_raw(number))?;
-        let caught = caught.clone();
+        let stop_sender = stop_sender.clone();
         tokio::task::spawn_local(async move {
             if signals.recv().await.is_some() {
-                // The first of them ends the node.
-                let _ = caught.send(stop);
+                // The first signal ends the node, so a failed send of a later one is ignored.
+                let _ = stop_sender.send(stop_signal);
             }
         });
     }
-    Ok(stops)
+    Ok(stop_receiver)
 }
--- a/crates/telemetry/src/audit/tests.rs
+++ b/crates/telemetry/src/audit/tests.rs
@@ -6,13 +6,13 @@
 use std::io::Read;
 use std::path::PathBuf;
 
-fn file(name: &str) -> PathBuf {
+fn temp_path(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("slatelink-audit-{}-{name}", std::process::id()));
     let _ = std::fs::remove_file(&path);
     path
 }
 
-fn stderr() -> File {
+fn null_device() -> File {
     File::options().write(true).open("/dev/null").unwrap()
 }
 
@@ -24,14 +24,14 @@
     }
 }
 
-fn trail(name: &str, records: usize) -> (PathBuf, Vec<u8>) {
-    let path = file(name);
+fn trail_with_records(name: &str, records: usize) -> (PathBuf, Vec<u8>) {
+    let path = temp_path(name);
     let OpenedTrail { mut trail, torn } = Trail::open(&path).unwrap();
     assert!(torn.is_none());
     for i in 0..records {
         trail
             .append(
-                &mut stderr(),
+                &mut null_device(),
                 1_718_000_000_123,
                 &health(&format!("s-\u{e9}{i}")),
             )
@@ -41,11 +41,11 @@
     (path, bytes)
 }
 
-// Guards against a hash of anything but the line without it, or in another form than the operators' own tools
-// would make it.
+// Guards against a hash that covers anything but the line without the `hash` field, or that differs
+// in form from the hash computed by the operators' own tools.
 #[test]
-fn a_record_is_as_the_operators_describe_it() {
-    let (path, bytes) = trail("form", 2);
+fn records_have_the_documented_format_and_hash() {
+    let (path, bytes) = trail_with_records("form", 2);
     let lines: Vec<_> = std::str::from_utf8(&bytes).unwrap().lines().collect();
     let mut prev = FIRST_PREVIOUS_HASH.to_owned();
     for (i, line) in lines.iter().enumerate() {
@@ -65,10 +65,11 @@
     std::fs::remove_file(path).unwrap();
 }
 
-// The operators' own check, for each byte of a trail and several edits of it.
+// Guards against an undetected edit: applies the operators' own check to several edits of each byte
+// of a trail.
 #[test]
-fn any_edited_byte_is_broken_at_its_line() {
-    let (path, bytes) = trail("edits", 3);
+fn any_edited_byte_is_reported_as_broken_at_its_line() {
+    let (path, bytes) = trail_with_records("edits", 3);
     assert_eq!(
         verify(&bytes[..]).unwrap(),
         Verification::Intact { records: 3 }
@@ -102,10 +103,11 @@
     std::fs::remove_file(path).unwrap();
 }
 
-// Guards against a crash in mid-write that reads as an edit, and against an edit that hides behind one.
+// Guards against a crash during a write being reported as an edit, and against an edit being hidden
+// by an incomplete last line.
 #[test]
-fn a_last_line_without_its_end_is_torn_unless_one_before_it_is_broken() {
-    let (path, bytes) = trail("torn", 3);
+fn incomplete_last_line_is_torn_unless_an_earlier_line_is_broken() {
+    let (path, bytes) = trail_with_records("torn", 3);
     let start = bytes[..bytes.len() - 1]
         .iter()
         .rposition(|&byte| byte == b'\n')
@@ -141,7 +143,7 @@
         verify(&[&long[..], b"\n"].concat()[..]).unwrap(),
         Verification::Broken { line: 1 }
     );
-    // A line taken out breaks the one that came after it.
+    // Removing a line breaks the line after it.
     assert_eq!(
         verify(&bytes[bytes.iter().position(|&b| b == b'\n').unwrap() + 1..]).unwrap(),
         Verification::Broken { line: 1 }
@@ -149,38 +151,43 @@
     std::fs::remove_file(path).unwrap();
 }
 
-// Guards against a record glued to half a line, and against a tail that vanishes without a word.
+// Guards against a record appended directly to an incomplete line, and against an incomplete line
+// being removed without a record of it.
 #[test]
-fn a_start_cuts_a_torn_tail_off_and_says_so_in_the_trail() {
-    let (path, bytes) = trail("tail", 2);
-    let half = &bytes[..bytes.len() - 20];
-    std::fs::write(&path, half).unwrap();
+fn opening_a_trail_removes_a_torn_last_line_and_records_the_removal() {
+    let (path, bytes) = trail_with_records("tail", 2);
+    let torn_file = &bytes[..bytes.len() - 20];
+    std::fs::write(&path, torn_file).unwrap();
     let OpenedTrail { mut trail, torn } = Trail::open(&path).unwrap();
-    let torn = torn.expect("word of the tail");
-    trail.append(&mut stderr(), 1, &torn).unwrap();
+    let torn = torn.expect("event for the torn line");
+    trail.append(&mut null_device(), 1, &torn).unwrap();
     let text = std::fs::read_to_string(&path).unwrap();
     assert_eq!(
         verify(text.as_bytes()).unwrap(),
         Verification::Intact { records: 2 }
     );
     let last: serde_json::Value = serde_json::from_str(text.lines().last().unwrap()).unwrap();
-    let start = half.iter().rposition(|&byte| byte == b'\n').unwrap() + 1;
+    let start = torn_file.iter().rposition(|&byte| byte == b'\n').unwrap() + 1;
     assert_eq!((&last["event"], &last["seq"]), (&"torn".into(), &2.into()));
-    assert_eq!(last["text"], std::str::from_utf8(&half[start..]).unwrap());
-    assert_eq!(last["sha256"], sha256_hex(&half[start..]));
+    assert_eq!(
+        last["text"],
+        std::str::from_utf8(&torn_file[start..]).unwrap()
+    );
+    assert_eq!(last["sha256"], sha256_hex(&torn_file[start..]));
     std::fs::remove_file(path).unwrap();
 }
 
-// Guards against two nodes in one trail, and against a trail written into a file that is none.
+// Guards against two nodes writing to one trail, and against a trail being appended to a file that
+// is not a trail.
 #[test]
-fn a_trail_that_is_in_use_or_is_none_is_not_opened() {
-    let (path, bytes) = trail("use", 1);
-    let in_use = Trail::open(&path).unwrap();
+fn locked_or_invalid_trail_is_not_opened() {
+    let (path, bytes) = trail_with_records("use", 1);
+    let locked_trail = Trail::open(&path).unwrap();
     assert_eq!(
         Trail::open(&path).err().unwrap().to_string(),
-        "another node writes there"
+        "the file is locked by another process"
     );
-    drop(in_use);
+    drop(locked_trail);
     for other in [
         &b"some words"[..],
         b"a line\n",
@@ -189,15 +196,19 @@
     ] {
         std::fs::write(&path, other).unwrap();
         assert!(Trail::open(&path).is_err(), "{other:?}");
-        assert_eq!(std::fs::read(&path).unwrap(), other, "left as it was");
+        assert_eq!(
+            std::fs::read(&path).unwrap(),
+            other,
+            "the file is unchanged"
+        );
     }
     std::fs::remove_file(path).unwrap();
 }
 
-// Guards against a failed write that breaks the chain for all that follow.
+// Guards against a failed write that breaks the hash chain for all later records.
 #[test]
-fn what_a_failed_write_left_goes_before_the_next_record() {
-    let (path, _) = trail("spoiled", 1);
+fn partial_record_of_a_failed_write_is_removed_before_the_next_record() {
+    let (path, _) = trail_with_records("spoiled", 1);
     let OpenedTrail { mut trail, .. } = Trail::open(&path).unwrap();
     let Destination::Regular { file, .. } = &mut trail.destination else {
         panic!("the trail is in a regular file");
@@ -205,7 +216,7 @@
     file.write_all(b"{\"seq\":2,\"at").unwrap();
     trail.write_failed = true;
     trail
-        .append(&mut stderr(), 1, &Event::Lost { records: 1 })
+        .append(&mut null_device(), 1, &Event::Lost { records: 1 })
         .unwrap();
     assert_eq!(
         verify(&std::fs::read(&path).unwrap()[..]).unwrap(),
@@ -214,14 +225,14 @@
     std::fs::remove_file(path).unwrap();
 }
 
-// Guards against a trail that goes on in a file which nobody can find, without a word.
+// Guards against a trail that silently continues in a file which was moved away from its path.
 #[test]
-fn a_trail_whose_file_lost_its_name_begins_anew_and_says_where_it_was() {
-    let (path, _) = trail("vanished", 2);
+fn moved_trail_restarts_at_its_path_with_a_reference_to_the_previous_file() {
+    let (path, _) = trail_with_records("vanished", 2);
     let OpenedTrail { mut trail, .. } = Trail::open(&path).unwrap();
     let moved = path.with_extension("1");
     std::fs::rename(&path, &moved).unwrap();
-    trail.record(&mut stderr(), 1, &health("s-1")).unwrap();
+    trail.record(&mut null_device(), 1, &health("s-1")).unwrap();
     let [old, new] = [&moved, &path].map(|path| std::fs::read_to_string(path).unwrap());
     assert_eq!(
         verify(old.as_bytes()).unwrap(),
@@ -244,30 +255,34 @@
         .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
-// Guards against a record glued to half of one that a FIFO's full buffer has cut.
+// Guards against a record appended directly to a partial record, which a full FIFO buffer leaves
+// behind.
 #[test]
-fn a_fifo_that_was_full_gets_the_rest_of_the_record_that_it_has_begun() {
-    let path = file("fifo");
-    // Not by a program: a forked process holds the locks of other tests' trails until it has begun.
+fn remainder_of_a_partly_written_record_goes_to_the_fifo_first() {
+    let path = temp_path("fifo");
+    // Not created by a child process: a forked process holds the locks of other tests' trails until
+    // it calls exec.
     nix::unistd::mkfifo(&path, nix::sys::stat::Mode::S_IRWXU).unwrap();
     let mut reader = File::options().read(true).write(true).open(&path).unwrap();
     let OpenedTrail { mut trail, .. } = Trail::open(&path).unwrap();
-    // Longer than what a pipe takes whole or not at all: it is cut in the middle.
+    // Longer than the size that a pipe accepts atomically, so that the record is split.
     let long = health(&"h".repeat(5_000));
     let mut lost = 0;
     while lost < 3 {
-        if trail.record(&mut stderr(), 1, &long).is_err() {
+        if trail.record(&mut null_device(), 1, &long).is_err() {
             trail.lost += 1;
             lost += 1;
         }
     }
     let (mut text, mut bytes) = (Vec::new(), [0; 1 << 16]);
-    let n = reader.read(&mut bytes).unwrap();
-    text.extend_from_slice(&bytes[..n]);
-    trail.record(&mut stderr(), 1, &health("after")).unwrap();
+    let byte_count = reader.read(&mut bytes).unwrap();
+    text.extend_from_slice(&bytes[..byte_count]);
+    trail
+        .record(&mut null_device(), 1, &health("after"))
+        .unwrap();
     while !text.ends_with(b"\n") || !String::from_utf8_lossy(&text).contains("after") {
-        let n = reader.read(&mut bytes).unwrap();
-        text.extend_from_slice(&bytes[..n]);
+        let byte_count = reader.read(&mut bytes).unwrap();
+        text.extend_from_slice(&bytes[..byte_count]);
     }
     assert!(
         matches!(verify(&text[..]).unwrap(), Verification::Intact { .. }),
@@ -278,30 +293,31 @@
     std::fs::remove_file(path).unwrap();
 }
 
-// Guards against records that are lost behind a stuck disk without a word, or break the chain.
+// Guards against records that are lost without a count while the disk is blocked, and against a
+// hash chain broken by lost records.
 #[test]
-fn records_past_those_that_may_wait_are_counted_in_the_trail() {
-    let path = file("lost");
+fn records_beyond_the_queue_capacity_are_counted_in_the_trail() {
+    let path = temp_path("lost");
     let writer = Writer::start().unwrap();
     let audit = Audit::open(Some(&path), &writer).unwrap();
-    let (release, released) = std::sync::mpsc::channel::<()>();
+    let (release_sender, release_receiver) = std::sync::mpsc::channel::<()>();
     assert!(writer
         .sender(1)
-        .try_send(move |_| released.recv().unwrap_or_default()));
+        .try_send(move |_| release_receiver.recv().unwrap_or_default()));
     (0..MAX_QUEUED_RECORDS + 5).for_each(|i| audit.record(health(&i.to_string())));
-    release.send(()).unwrap();
+    release_sender.send(()).unwrap();
     let lines = || std::fs::read_to_string(&path).unwrap().lines().count();
     let start = std::time::Instant::now();
-    let wait = |count| {
+    let wait_for_lines = |count| {
         while lines() < count {
             assert!(start.elapsed().as_secs() < 60, "{} lines", lines());
             std::thread::sleep(std::time::Duration::from_millis(5));
         }
     };
-    wait(MAX_QUEUED_RECORDS);
+    wait_for_lines(MAX_QUEUED_RECORDS);
     audit.node_stopped(StopSignal::TERMINATE);
     audit.record(health("after the stop"));
-    wait(MAX_QUEUED_RECORDS + 2);
+    wait_for_lines(MAX_QUEUED_RECORDS + 2);
     let text = std::fs::read_to_string(&path).unwrap();
     assert_eq!(
         verify(text.as_bytes()).unwrap(),
@@ -323,9 +339,10 @@
     std::fs::remove_file(path).unwrap();
 }
 
-// Guards against a stored name that changes with one in the code: old trails and the operators' tools have it.
+// Guards against a stored name that changes when an identifier is renamed: old trails and the
+// operators' tools use the stored names.
 #[test]
-fn each_event_is_stored_under_its_own_names() {
+fn events_are_stored_under_fixed_names() {
     let text = str::to_owned;
     for (event, stored) in [
         (
--- a/crates/telemetry/src/audit/trail.rs
+++ b/crates/telemetry/src/audit/trail.rs
@@ -1,4 +1,4 @@
-//! The file of an audit trail: how it is opened and how a record is appended.
+//! The file of an audit trail: opening it and appending records.
 
 use super::record::{parse, ChainPosition, Event, FIRST_RECORD_START, MAX_LINE_BYTES};
 use crate::error::TrailError;
@@ -9,58 +9,63 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// So much is read from a file's end to find the last whole line, and the part of one after it.
+/// Number of bytes read from the end of a file to find the last complete line and an incomplete
+/// line after it.
 const MAX_END_BYTES: u64 = 2 * MAX_LINE_BYTES as u64;
-/// Bytes of a torn line that the record of it quotes: escaped in JSON, where a byte takes up to 6, they fit a line.
+/// Maximum number of bytes of a torn line quoted in its record. A byte takes up to 6 bytes when
+/// escaped in JSON, and the quote must fit in a line.
 const MAX_TORN_TEXT_BYTES: usize = MAX_LINE_BYTES / 16;
 
-/// Where a trail stands, and where it is written.
+/// An open trail: its destination and the end of its hash chain.
 #[derive(Default)]
 pub(super) struct Trail {
     pub(super) destination: Destination,
-    /// A write failed, and what it may have left of a record is not yet cut off.
+    /// Whether a write failed and the part of the record that it may have written is not yet
+    /// removed.
     pub(super) write_failed: bool,
-    /// Records that could not be written, and whose number is not in the trail yet.
+    /// Number of records that could not be written and are not yet reported in the trail.
     pub(super) lost: u64,
     position: ChainPosition,
 }
 
-/// A trail that was opened.
+/// Result of opening a trail.
 pub(super) struct OpenedTrail {
     pub(super) trail: Trail,
-    /// The event of a line that broke off and was cut off: the first one to record.
+    /// Event for an incomplete last line that was removed; it must be the first event recorded.
     pub(super) torn: Option<Event>,
 }
 
-/// Where records go.
+/// Destination of the records.
 #[derive(Default)]
 pub(super) enum Destination {
-    /// Standard error, which the writer's thread owns.
+    /// Standard error, owned by the writer's thread.
     #[default]
     StandardError,
-    /// A regular file, which can be cut and synced.
+    /// A regular file, which can be truncated and synced.
     Regular {
-        /// Locked for this process.
+        /// The file, locked by this process.
         file: File,
-        /// The name that it was opened by, which it may lose.
+        /// Path used to open the file; the file may since have been moved or removed.
         path: PathBuf,
-        /// Bytes of whole records.
+        /// Length of the complete records in bytes.
         len: u64,
     },
     /// A FIFO or a device.
     Stream {
-        /// Writing to it never waits.
+        /// The file, opened for non-blocking writes.
         file: File,
-        /// What it did not take of a record that it has begun: this goes first.
+        /// Unwritten part of a record that was partly written; it is written before the next
+        /// record.
         unwritten: Vec<u8>,
     },
 }
 
 impl Trail {
-    /// Continues where the file ends, or begins at its first line. A last line that broke off is cut off.
+    /// Opens the trail at the end of the file, or starts a new trail in an empty file. An
+    /// incomplete last line is removed.
     pub(super) fn open(path: &Path) -> Result<OpenedTrail, TrailError> {
         let mut file = open_or_create(path)?;
-        // A FIFO or device needs no lock: it holds no chain that a second writer could break.
+        // A FIFO or device needs no lock: it stores no chain that a second writer could break.
         if !file.metadata()?.is_file() {
             let unwritten = Vec::new();
             let trail = Self {
@@ -91,7 +96,8 @@
         Ok(OpenedTrail { trail, torn })
     }
 
-    /// Writes a record, and before it those of records that were lost and of a file that has vanished.
+    /// Writes a record, preceded by records about a vanished file and about lost records if there
+    /// are any.
     pub(super) fn record(
         &mut self,
         stderr: &mut File,
@@ -99,7 +105,7 @@
         event: &Event,
     ) -> io::Result<()> {
         if let Some(path) = self.vanished_path() {
-            self.begin_anew(&path, stderr, at_ms)?;
+            self.reopen(&path, stderr, at_ms)?;
         }
         if self.lost > 0 {
             self.append(stderr, at_ms, &Event::Lost { records: self.lost })?;
@@ -108,7 +114,7 @@
         self.append(stderr, at_ms, event)
     }
 
-    /// Where the trail's file was, if it has lost its name since.
+    /// Returns the path of the trail's file if the file at that path is no longer the open one.
     fn vanished_path(&self) -> Option<PathBuf> {
         match &self.destination {
             Destination::Regular { file, path, .. } => has_vanished(file, path)
@@ -118,8 +124,9 @@
         }
     }
 
-    /// Changes to the file that has the name now, and records there that the one before has vanished.
-    fn begin_anew(&mut self, path: &Path, stderr: &mut File, at_ms: u64) -> io::Result<()> {
+    /// Switches to the file that is at the path now, and records there that the previous file has
+    /// vanished.
+    fn reopen(&mut self, path: &Path, stderr: &mut File, at_ms: u64) -> io::Result<()> {
         let OpenedTrail { mut trail, torn } = Self::open(path).map_err(io::Error::other)?;
         trail.lost = self.lost;
         let vanished = Event::Vanished {
@@ -133,7 +140,7 @@
         Ok(())
     }
 
-    /// Writes a record and has it on disk before it returns.
+    /// Appends a record and syncs it to disk before returning, if the destination can be synced.
     pub(super) fn append(
         &mut self,
         stderr: &mut File,
@@ -146,7 +153,8 @@
         let record = self.position.next_record(at_ms, event)?;
         if let Err(error) = self.destination.write(stderr, record.line.as_bytes()) {
             self.write_failed = true;
-            // At once, if that can be: a reader must not see half a record longer than need be.
+            // Truncates at once if possible, so that readers see a partial record as briefly as
+            // possible.
             let _ = self.truncate_to_last_record();
             return Err(error);
         }
@@ -154,7 +162,7 @@
         Ok(())
     }
 
-    /// Cuts off what is no whole record.
+    /// Removes bytes after the last complete record.
     fn truncate_to_last_record(&mut self) -> io::Result<()> {
         if let Destination::Regular { file, len, .. } = &self.destination {
             file.set_len(*len)?;
@@ -166,7 +174,7 @@
 }
 
 impl Destination {
-    /// Writes a whole line, and syncs it where that can be.
+    /// Writes a complete line, and syncs it if the destination is a regular file.
     fn write(&mut self, stderr: &mut File, line: &[u8]) -> io::Result<()> {
         match self {
             Self::StandardError => stderr.write_all(line),
@@ -181,8 +189,8 @@
     }
 }
 
-/// Writes what waits and then the line. Once a line is begun it is a record of the trail: its reader gets the rest of it with
-/// the next one.
+/// Writes the unwritten bytes of the previous record and then the line. A partly written line is a
+/// record of the trail: the remaining bytes are written before the next record.
 fn write_to_stream(file: &mut File, unwritten: &mut Vec<u8>, line: &[u8]) -> io::Result<()> {
     let progress = write_part(file, unwritten);
     unwritten.drain(..progress.written);
@@ -195,44 +203,46 @@
     Ok(())
 }
 
-/// Opens the file to read its end and to append to it.
+/// Opens the file for reading its end and for appending.
 fn open_or_create(path: &Path) -> io::Result<File> {
     let is_new = !path.exists();
     let file = File::options()
         .read(true)
         .append(true)
         .create(true)
-        // Neither opening nor writing waits for a FIFO's reader.
+        // Neither opening nor writing waits for a reader of a FIFO.
         .custom_flags(libc::O_NONBLOCK)
         .open(path)?;
     if is_new {
-        // The name must outlive a crash as well. Where the folder cannot be synced the file still is.
+        // The directory entry must survive a crash as well. If the directory cannot be synced, the
+        // file itself is still synced.
         let _ = sync_parent(path);
     }
     Ok(file)
 }
 
-/// Syncs the folder that the file is in, and so the file's name.
+/// Syncs the file's parent directory, and with it the file's directory entry.
 fn sync_parent(path: &Path) -> io::Result<()> {
-    let folder = path
+    let directory = path
         .parent()
-        .filter(|folder| !folder.as_os_str().is_empty())
+        .filter(|directory| !directory.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    File::open(folder)?.sync_all()
+    File::open(directory)?.sync_all()
 }
 
-/// What the end of a trail's regular file says.
+/// Parsed end of a trail's regular file.
 struct TrailEnd {
-    /// Where the last whole record leaves the chain.
+    /// End of the hash chain after the last complete record.
     position: ChainPosition,
-    /// Bytes of whole records.
+    /// Length of the complete records in bytes.
     len: u64,
-    /// The part of a line that follows them.
+    /// Incomplete line after the complete records.
     torn: Vec<u8>,
 }
 
 impl TrailEnd {
-    /// Reads it, with the lock held: before, another node may write.
+    /// Reads the end of the file. The lock must be held: until then another node may write to the
+    /// file.
     fn read(file: &mut File) -> Result<Self, TrailError> {
         let file_len = file.metadata()?.len();
         let start = file_len.saturating_sub(MAX_END_BYTES);
@@ -259,7 +269,8 @@
     }
 }
 
-/// Where the last of these lines leaves the chain; `None` where it is no record.
+/// Returns the end of the hash chain after the last of these lines; `None` if that line is not a
+/// record.
 fn last_position(lines: &[u8]) -> Option<ChainPosition> {
     let last = lines
         .rsplit(|&byte| byte == b'\n')
@@ -272,12 +283,13 @@
     })
 }
 
-/// Whether a file that holds this and no whole line may be a trail whose first record broke off.
+/// Checks whether a file with this content and no complete line may be a trail whose first record
+/// is incomplete.
 fn may_begin_trail(start: &[u8]) -> bool {
     start.starts_with(FIRST_RECORD_START) || FIRST_RECORD_START.starts_with(start)
 }
 
-/// The event of a line that broke off.
+/// Returns the event for an incomplete line.
 fn torn_event(torn: &[u8]) -> Event {
     let quoted = &torn[..torn.len().min(MAX_TORN_TEXT_BYTES)];
     Event::Torn {
--- a/crates/telemetry/src/audit/verify.rs
+++ b/crates/telemetry/src/audit/verify.rs
@@ -1,25 +1,26 @@
-//! The check of a trail: whether each line's hash holds and names the line before it.
+//! Verification of a trail: checks that each line's hash is valid and that each line names the hash
+//! of the previous line.
 
 use super::record::{parse, FIRST_PREVIOUS_HASH, MAX_LINE_BYTES};
 use std::fmt;
 use std::io::{self, BufRead, Read};
 
-/// What a check of a whole trail comes to. Lines count from 1.
+/// Result of verifying a whole trail. Lines count from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verification {
-    /// Every record's hash holds and names the record before it.
+    /// Every record's hash is valid, and every record names the hash of the previous record.
     Intact {
-        /// How many records there are.
+        /// Number of records.
         records: u64,
     },
-    /// This line was changed, or the one before it was changed or removed.
+    /// This line was changed, or the previous line was changed or removed.
     Broken {
-        /// The first such line.
+        /// Number of the first such line.
         line: u64,
     },
-    /// The file ends within this line, as a crash in mid-write leaves it.
+    /// The file ends with an incomplete line, for example after a crash during a write.
     Torn {
-        /// The last line.
+        /// Number of the last line.
         line: u64,
     },
 }
@@ -34,7 +35,7 @@
     }
 }
 
-/// Checks a trail from its first line on. Fails where the trail cannot be read.
+/// Verifies a trail from its first line. Fails if the trail cannot be read.
 pub fn verify(mut trail: impl BufRead) -> io::Result<Verification> {
     let mut previous_hash = FIRST_PREVIOUS_HASH.to_owned();
     let mut line = Vec::new();
@@ -64,9 +65,9 @@
     }
 }
 
-/// Whether a line that is longer than any record ends somewhere before the file does.
-fn contains_line_feed(rest: &mut impl BufRead) -> io::Result<bool> {
-    let line_feed_or_error = rest
+/// Checks whether an overlong line ends before the end of the file.
+fn contains_line_feed(remaining: &mut impl BufRead) -> io::Result<bool> {
+    let line_feed_or_error = remaining
         .bytes()
         .find(|byte| !matches!(byte, Ok(byte) if *byte != b'\n'));
     Ok(line_feed_or_error.transpose()?.is_some())
--- a/crates/telemetry/src/error.rs
+++ b/crates/telemetry/src/error.rs
@@ -1,71 +1,72 @@
-//! Why telemetry cannot start.
+//! Errors that prevent telemetry from starting.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why telemetry cannot start. Each sentence names the section of the operators' file that it is about.
+/// Error that prevents telemetry from starting. A message about a setting starts with the setting's
+/// section in the operators' file.
 #[derive(Debug, Error)]
 pub enum TelemetryError {
-    /// The writer's thread, or its own descriptor of standard error.
+    /// The writer's thread, or its duplicate of the standard error descriptor, cannot be created.
     #[error("cannot start the writer: {0}")]
     Writer(#[source] io::Error),
     /// A signal handler cannot be installed.
     #[error("cannot catch {signal}: {error}")]
     Signal {
-        /// The signal's name.
+        /// Name of the signal.
         signal: &'static str,
-        /// The error of the operating system.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// The file that metrics are appended to.
+    /// The metrics file cannot be opened.
     #[error("figures: cannot open {}: {error}", .path.display())]
     MetricsFile {
-        /// The file, as the settings name it.
+        /// Path of the file from the settings.
         path: PathBuf,
-        /// The error of the operating system.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// The socket that metrics are sent from.
+    /// The metrics socket cannot be bound or connected.
     #[error("figures: cannot send to {address}: {error}")]
     MetricsSocket {
-        /// The receiver, as the settings name it.
+        /// Address of the receiver from the settings.
         address: SocketAddr,
-        /// The error of the operating system.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// The file of the audit trail.
+    /// The file of the audit trail cannot be opened.
     #[error("audit: {}: {error}", .path.display())]
     Audit {
-        /// The file, as the settings name it.
+        /// Path of the file from the settings.
         path: PathBuf,
-        /// Why it is not opened.
+        /// Reason why the file cannot be opened.
         error: TrailError,
     },
-    /// The hot list would take more memory than it may.
+    /// The hot list would exceed its memory limit.
     #[error("hotlist: a capacity of {capacity} would take over 1 MB, {max_capacity} would not")]
     HotListCapacity {
-        /// Entries for each class, as the settings say.
+        /// Configured number of entries for each class.
         capacity: usize,
-        /// The most that fit for as many classes.
+        /// Maximum number of entries for each class that fits in the memory limit.
         max_capacity: usize,
     },
 }
 
-/// Why a file is not opened as an audit trail.
+/// Reason why a file cannot be opened as an audit trail.
 #[derive(Debug, Error)]
 pub enum TrailError {
-    /// The file cannot be opened, read, locked or cut.
+    /// The file cannot be opened, read, locked or truncated.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// Another process holds the file's lock.
-    #[error("another node writes there")]
+    #[error("the file is locked by another process")]
     Locked,
-    /// The last line that ends is none that this program wrote, or was changed.
-    #[error("its last whole line is no record of an audit trail")]
+    /// The last complete line is not a record written by this program, or was changed.
+    #[error("its last complete line is not a valid audit record")]
     InvalidLastRecord,
-    /// The file has no whole record, and what it has does not begin as one.
-    #[error("it is no audit trail")]
+    /// The file has no complete record, and its content does not start like one.
+    #[error("it is not an audit trail")]
     NotATrail,
 }
