--- a/crates/telemetry/src/hotlist.rs
+++ b/crates/telemetry/src/hotlist.rs
@@ -1,4 +1,5 @@
-//! The hottest keys of each class of requests, counted in bounded memory and printed at a signal.
+//! The most requested keys of each class, counted in bounded memory and printed when a signal
+//! arrives.
 
 mod key;
 mod report;
@@ -15,12 +16,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// All lists, and the copy of them that is being printed.
+/// Memory limit of all lists together with the copy being printed.
 const MAX_MEMORY_BYTES: usize = 1_000_000;
 /// Copies of each list in memory: the live one and the one being printed.
 const COPIES: usize = 2;
 
-/// The list of one class.
+/// The hot list of one class.
 #[derive(Clone, Debug)]
 struct ClassList {
     class: Name,
@@ -30,14 +31,15 @@
 /// Counts the keys of requests by class.
 pub struct HotList {
     started_at: Instant,
-    /// Rates are averaged over this.
+    /// Time window over which rates are averaged.
     window: Duration,
     lists: RefCell<Vec<ClassList>>,
     sender: BoundedSender,
 }
 
 impl HotList {
-    /// A list of `capacity` keys for each class, whose rates are averaged over `window`. More than fit the memory is an error.
+    /// Creates a list of `capacity` keys for each class, with rates averaged over `window`. Fails
+    /// if the lists would exceed the memory limit.
     pub fn new(
         capacity: usize,
         window: Duration,
@@ -59,41 +61,44 @@
             started_at: Instant::now(),
             window,
             lists: RefCell::new(classes.iter().map(list).collect()),
-            // One print at a time: another signal meanwhile adds nothing.
+            // One print at a time: another print requested meanwhile would add nothing.
             sender: writer.sender(1),
         })
     }
 
-    /// A request for this key was received.
+    /// Counts a received request for this key.
     pub fn request_received(&self, class: ClassId, key: &str) {
         if let Some(list) = self.lists.borrow_mut().get_mut(class.0) {
             list.keys.count(key, Instant::now());
         }
     }
 
-    /// Writes all lists, as they are now, to standard error. Does nothing while another print is on its way.
+    /// Writes the current state of all lists to standard error. Does nothing while another print is
+    /// queued or running.
     pub fn print(&self) {
         let lists = self.lists.borrow().clone();
         let now = Instant::now();
-        let averaged_seconds = averaged_seconds(now - self.started_at, self.window);
+        let averaging_seconds = averaging_seconds(now - self.started_at, self.window);
         self.sender.try_send(move |stderr: &mut File| {
             let mut out = BufWriter::new(stderr);
-            // There is nowhere to report an error to.
+            // A write error cannot be reported anywhere.
             let _ = lists
                 .into_iter()
-                .try_for_each(|list| print_list(&mut out, list, averaged_seconds, now));
+                .try_for_each(|list| print_list(&mut out, list, averaging_seconds, now));
         });
     }
 }
 
-/// Keys for each of so many classes that fit the memory.
+/// Returns the maximum number of keys for each of `classes` classes that fits in the memory limit.
 fn max_capacity(classes: usize) -> usize {
     MAX_MEMORY_BYTES / (COPIES * MAX_ENTRY_BYTES * classes.max(1))
 }
 
-/// Effective averaging time in seconds at `elapsed`, the time since the start: divide a decayed count by it to get requests per
-/// second. It tends to the window, and is less before, since only the time that has passed can be averaged over.
-fn averaged_seconds(elapsed: Duration, window: Duration) -> f64 {
+/// Returns the effective averaging time in seconds at `elapsed`, the time since the start. A
+/// decayed count divided by the averaging time gives requests per second. The averaging time
+/// approaches the window; it is shorter at first because rates can only be averaged over the time
+/// elapsed so far.
+fn averaging_seconds(elapsed: Duration, window: Duration) -> f64 {
     let elapsed = elapsed.as_secs_f64().max(1.0);
     let window = window.as_secs_f64();
     window * -(-elapsed / window).exp_m1()
--- a/crates/telemetry/src/hotlist/key.rs
+++ b/crates/telemetry/src/hotlist/key.rs
@@ -1,22 +1,24 @@
-//! Keys of bounded length.
+//! Truncation of keys to a bounded length.
 
 use std::hash::{DefaultHasher, Hasher};
 
-/// A longer key is cut to so many bytes, the mark of the cut included.
+/// Maximum length of a stored key; longer keys are truncated to this length, including the
+/// truncation mark.
 pub(super) const MAX_KEY_BYTES: usize = 128;
-/// Stands at the end of a key that was cut.
+/// Last character of a truncated key.
 const TRUNCATION_MARK: char = '…';
 
-/// A key as it is kept: whole, or cut with a mark. It borrows the key, so that a key which is kept already needs no allocation.
+/// A key in its stored form: complete, or truncated with a mark. The key is borrowed, so that
+/// looking up a stored key needs no allocation.
 pub(super) struct TruncatedKey<'a> {
-    /// The key, less what was cut off.
+    /// The key without the truncated part.
     head: &'a str,
-    /// Whether something was cut off.
+    /// Whether the key was truncated.
     truncated: bool,
 }
 
 impl<'a> TruncatedKey<'a> {
-    /// The key, cut at the end of a character where it is too long.
+    /// Wraps the key, truncated at a character boundary if it is too long.
     pub(super) fn new(key: &'a str) -> Self {
         if key.len() <= MAX_KEY_BYTES {
             return Self {
@@ -31,7 +33,7 @@
         }
     }
 
-    /// A hash of what [`TruncatedKey::text`] would give.
+    /// Returns a hash that identifies the text of [`TruncatedKey::text`].
     pub(super) fn hash(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         hasher.write(self.head.as_bytes());
@@ -39,7 +41,7 @@
         hasher.finish()
     }
 
-    /// Whether this is what [`TruncatedKey::text`] would give.
+    /// Checks whether `text` equals [`TruncatedKey::text`], without building it.
     pub(super) fn matches(&self, text: &str) -> bool {
         if self.truncated {
             text.strip_suffix(TRUNCATION_MARK) == Some(self.head)
@@ -48,7 +50,7 @@
         }
     }
 
-    /// The key with its mark.
+    /// Returns the key, with the truncation mark if it was truncated.
     pub(super) fn text(&self) -> Box<str> {
         let mut text = String::with_capacity(MAX_KEY_BYTES);
         text.push_str(self.head);
--- a/crates/telemetry/src/hotlist/report.rs
+++ b/crates/telemetry/src/hotlist/report.rs
@@ -1,15 +1,15 @@
-//! The hot list as lines of text.
+//! Text output of the hot list.
 
 use super::ClassList;
 use std::io::{self, Write};
 use tokio::time::Instant;
 
-/// Writes one line for each entry, those with the highest counts first, and one that says so where there is none. Rates are as
-/// of `now`, and averaged over `averaged_seconds`.
+/// Writes one line for each entry in descending order of counts, or a single line with `none` if
+/// the list is empty. Rates are as of `now` and averaged over `averaging_seconds`.
 pub(super) fn print_list(
     out: &mut impl Write,
     mut list: ClassList,
-    averaged_seconds: f64,
+    averaging_seconds: f64,
     now: Instant,
 ) -> io::Result<()> {
     let class = escaped(list.class.as_str());
@@ -20,7 +20,7 @@
     let max_error = list.keys.max_error();
     for entry in &list.keys.entries {
         let key = escaped(&entry.key);
-        let rate = list.keys.decayed_count(entry, now) / averaged_seconds;
+        let rate = list.keys.decayed_count(entry, now) / averaging_seconds;
         let count = entry.count;
         writeln!(
             out,
@@ -30,7 +30,8 @@
     out.flush()
 }
 
-/// Text that is one word of one line, whatever a client has put into it.
+/// Escapes text so that it stays a single word on a single line, whatever characters a client
+/// sends.
 pub(super) fn escaped(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for c in text.chars() {
@@ -38,7 +39,7 @@
             '\\' => escaped.push_str("\\\\"),
             '\'' | '"' => escaped.push(c),
             c if c.is_whitespace() => escaped.extend(c.escape_unicode()),
-            // What would not be seen as itself.
+            // Escapes non-printable characters.
             c => escaped.extend(c.escape_debug()),
         }
     }
--- a/crates/telemetry/src/hotlist/space_saving.rs
+++ b/crates/telemetry/src/hotlist/space_saving.rs
@@ -1,60 +1,62 @@
-//! Counts of the hottest keys in bounded memory, by the Space-Saving method: of a full list the entry with the least count is
-//! replaced, and its successor goes on from that count.
+//! Counts of the most requested keys in bounded memory, by the Space-Saving method: in a full list,
+//! a new key replaces the entry with the lowest count and continues from that count.
 //!
-//! So a count is over the real one by at most the total divided by the capacity, and a key with more requests than that is in
-//! the list.
+//! A count therefore exceeds the real count by at most the total divided by the capacity, and every
+//! key with more requests than that quotient is in the list.
 
 use super::key::{TruncatedKey, MAX_KEY_BYTES};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What the allocator may add to a key.
+/// Estimated allocator overhead of one key.
 pub(super) const ALLOCATION_OVERHEAD: usize = 16;
-/// The most that an entry takes.
+/// Maximum memory of one entry.
 pub(super) const MAX_ENTRY_BYTES: usize = size_of::<Entry>() + MAX_KEY_BYTES + ALLOCATION_OVERHEAD;
 
-/// What is known of a key.
+/// A key and its counts.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     /// The key, truncated.
     pub(super) key: Box<str>,
-    /// Compared before the key itself.
+    /// Hash of the key, compared before the key itself.
     key_hash: u64,
-    /// The key's requests, and as many more at most as the error's bound says.
+    /// Number of requests for the key, overestimated by at most [`HotKeys::max_error`].
     pub(super) count: u64,
-    /// Its requests since it came in, each of which decays by a factor of e in a window; as of `updated_at`.
+    /// Number of requests since the key entered the list, each decaying by a factor of e per
+    /// window; as of `updated_at`.
     decayed_count: f64,
-    /// When the key was last counted.
+    /// Time of the key's last request.
     updated_at: Instant,
 }
 
 impl Entry {
-    /// The decayed count as of `now`.
+    /// Returns the decayed count as of `now`.
     fn decayed_count(&self, now: Instant, window: Duration) -> f64 {
         let windows = (now - self.updated_at).as_secs_f64() / window.as_secs_f64();
         self.decayed_count * (-windows).exp()
     }
 }
 
-/// The hottest keys of a stream of requests.
+/// The most requested keys of a stream of requests.
 #[derive(Clone, Debug)]
 pub(super) struct HotKeys {
     capacity: usize,
-    /// Decayed counts decay by a factor of e in this time.
+    /// Time in which decayed counts fall by a factor of e.
     window: Duration,
-    /// All requests.
+    /// Total number of requests.
     pub(super) total: u64,
     pub(super) entries: Vec<Entry>,
 }
 
 impl HotKeys {
-    /// An empty list of at most `capacity` keys, whose decayed counts decay over `window`.
+    /// Creates an empty list of at most `capacity` keys, whose decayed counts decay over `window`.
     pub(super) fn new(capacity: usize, window: Duration) -> Self {
         Self {
             capacity,
             window,
             total: 0,
-            // All that it may need: a list that grew would take twice as much.
+            // Reserves the full capacity: a vector that grows on demand could take twice as much
+            // memory.
             entries: Vec::with_capacity(capacity),
         }
     }
@@ -64,7 +66,8 @@
         self.total += 1;
         let key = TruncatedKey::new(key);
         let key_hash = key.hash();
-        // A linear search: of a few hundred entries it takes less than the request's other work.
+        // A linear search over a few hundred entries takes less time than the rest of the request's
+        // processing.
         let index = self
             .entries
             .iter()
@@ -77,7 +80,8 @@
         entry.updated_at = now;
     }
 
-    /// Adds a key that the list lacks, in place of the least one if the list is full. Returns its index.
+    /// Adds a key that is not in the list, replacing the entry with the lowest count if the list is
+    /// full. Returns the index of the new entry.
     fn insert(&mut self, key: &TruncatedKey, key_hash: u64, now: Instant) -> usize {
         let new_entry = |count| Entry {
             key: key.text(),
@@ -104,19 +108,20 @@
         }
     }
 
-    /// By how much a count is over the real one, at most.
+    /// Returns the maximum amount by which a count exceeds the real count.
     pub(super) fn max_error(&self) -> u64 {
-        // Settings with a capacity of 0 turn the hot list off.
+        // A capacity of 0 in the settings turns the hot list off.
         self.total / self.capacity.max(1) as u64
     }
 
-    /// Puts the entries with the highest counts first. In place: a list of references would take more memory.
+    /// Sorts the entries in descending order of counts. Sorts in place, because a list of
+    /// references would take more memory.
     pub(super) fn sort_by_count(&mut self) {
         self.entries
             .sort_unstable_by(|a, b| b.count.cmp(&a.count).then_with(|| a.key.cmp(&b.key)));
     }
 
-    /// The entry's decayed count as of `now`.
+    /// Returns the entry's decayed count as of `now`.
     pub(super) fn decayed_count(&self, entry: &Entry, now: Instant) -> f64 {
         entry.decayed_count(now, self.window)
     }
--- a/crates/telemetry/src/hotlist/tests.rs
+++ b/crates/telemetry/src/hotlist/tests.rs
@@ -6,7 +6,7 @@
 
 const WINDOW: Duration = Duration::from_secs(60);
 
-fn list(capacity: usize) -> HotKeys {
+fn hot_keys(capacity: usize) -> HotKeys {
     HotKeys::new(capacity, WINDOW)
 }
 
@@ -21,11 +21,12 @@
         .collect()
 }
 
-// Guards against a count outside its bound, and against a hot key that is missing: the method's promises.
+// Guards against a count outside its error bound and against a missing hot key, both of which the
+// Space-Saving method rules out.
 #[test]
-fn each_count_is_over_by_no_more_than_total_by_capacity_and_no_hot_key_is_missing() {
+fn count_errors_are_at_most_total_by_capacity_and_every_hot_key_is_listed() {
     const CAPACITY: usize = 16;
-    let (mut list, mut tally) = (list(CAPACITY), HashMap::<String, u64>::new());
+    let (mut list, mut real_counts) = (hot_keys(CAPACITY), HashMap::<String, u64>::new());
     let (mut random, now) = (fastrand::Rng::with_seed(7), Instant::now());
     for i in 1..=20_000 {
         let key = match random.f64() {
@@ -34,7 +35,7 @@
             _ => format!("{:x}", random.u16(..2000)),
         };
         list.count(&key, now);
-        *tally.entry(key).or_default() += 1;
+        *real_counts.entry(key).or_default() += 1;
         let least = list.entries.iter().map(|entry| entry.count).min().unwrap();
         assert!(least <= i / CAPACITY as u64 || i < CAPACITY as u64);
     }
@@ -43,17 +44,17 @@
     assert_eq!(
         list.entries.iter().map(|entry| entry.count).sum::<u64>(),
         list.total,
-        "a newcomer adds to the least"
+        "a new key continues from the lowest count"
     );
     for entry in &list.entries {
-        let real = tally[&*entry.key];
+        let real_count = real_counts[&*entry.key];
         assert!(
-            real <= entry.count && entry.count - real <= bound,
-            "{entry:?} {real}"
+            real_count <= entry.count && entry.count - real_count <= bound,
+            "{entry:?} {real_count}"
         );
     }
     let is_listed = |key: &str| list.entries.iter().any(|entry| *entry.key == *key);
-    assert!(tally
+    assert!(real_counts
         .iter()
         .filter(|(_, &count)| count > bound)
         .all(|(key, _)| is_listed(key)));
@@ -79,15 +80,19 @@
     );
 }
 
-// Guards against a class that is missing where it had no traffic.
+// Guards against a class without traffic missing from the output.
 #[test]
-fn a_class_without_traffic_says_so() {
-    assert_eq!(printed(list(4), Instant::now()), ["hot look\\u{a}up none"]);
+fn class_without_traffic_is_printed_as_none() {
+    assert_eq!(
+        printed(hot_keys(4), Instant::now()),
+        ["hot look\\u{a}up none"]
+    );
 }
 
-// Guards against keys that take more than their share, break within a character or forge lines of the log.
+// Guards against keys that exceed the length limit, are cut within a character, or forge lines of
+// the log.
 #[test]
-fn keys_are_cut_on_a_character_and_escaped() {
+fn keys_are_truncated_at_a_character_boundary_and_escaped() {
     for (key, truncated) in [
         ("k".repeat(128), "k".repeat(128)),
         ("k".repeat(129), "k".repeat(125) + "…"),
@@ -97,7 +102,7 @@
             format!("k{}…", "é".repeat(62)),
         ),
     ] {
-        let mut list = list(4);
+        let mut list = hot_keys(4);
         list.count(&key, Instant::now());
         list.count(&key.clone(), Instant::now());
         assert_eq!(
@@ -112,21 +117,22 @@
     );
 }
 
-// Guards against memory over what the operators allow, at the largest capacity and with the longest keys.
+// Guards against exceeding the memory limit set by the operators, at the maximum capacity and with
+// keys of maximum length.
 #[test]
-fn the_largest_lists_and_their_copy_stay_under_a_megabyte() {
+fn lists_of_maximum_capacity_and_their_copy_fit_in_one_megabyte() {
     let writer = Writer::start().unwrap();
     let classes: Vec<Name> = ["a", "b", "c"].map(Name::from).into();
-    let most = MAX_MEMORY_BYTES / (COPIES * MAX_ENTRY_BYTES * classes.len());
-    assert!(most >= 256, "{most}");
-    assert!(HotList::new(most + 1, WINDOW, &classes, &writer).is_err());
-    let hot = HotList::new(most, WINDOW, &classes, &writer).unwrap();
-    for i in 0..3 * most {
+    let max_capacity = MAX_MEMORY_BYTES / (COPIES * MAX_ENTRY_BYTES * classes.len());
+    assert!(max_capacity >= 256, "{max_capacity}");
+    assert!(HotList::new(max_capacity + 1, WINDOW, &classes, &writer).is_err());
+    let hot_list = HotList::new(max_capacity, WINDOW, &classes, &writer).unwrap();
+    for i in 0..3 * max_capacity {
         for class in 0..3 {
-            hot.request_received(ClassId(class), &format!("{i}{}", "k".repeat(200)));
+            hot_list.request_received(ClassId(class), &format!("{i}{}", "k".repeat(200)));
         }
     }
-    let lists = hot.lists.borrow();
+    let lists = hot_list.lists.borrow();
     let bytes = |list: &HotKeys| {
         let keys: usize = list
             .entries
@@ -135,19 +141,24 @@
             .sum();
         list.entries.capacity() * size_of::<Entry>() + keys
     };
-    let all: usize = lists.iter().map(|list| bytes(&list.keys)).sum();
-    assert!(lists.iter().all(|list| list.keys.entries.len() == most));
-    assert!(2 * all <= MAX_MEMORY_BYTES, "{all}");
+    let total_bytes: usize = lists.iter().map(|list| bytes(&list.keys)).sum();
+    assert!(lists
+        .iter()
+        .all(|list| list.keys.entries.len() == max_capacity));
+    assert!(2 * total_bytes <= MAX_MEMORY_BYTES, "{total_bytes}");
 }
 
-// Guards against a rate that never falls, or a count that does.
+// Guards against a rate that never falls, and against a count that does.
 #[test]
 fn rates_decay_over_the_window_and_counts_do_not() {
-    let (mut list, start) = (list(4), Instant::now());
+    let (mut list, start) = (hot_keys(4), Instant::now());
     (0..600).for_each(|i| list.count("k", start + Duration::from_secs(i)));
     let last = start + Duration::from_secs(599);
     let recent = list.decayed_count(&list.entries[0], last);
-    assert!((recent / 60.0 - 1.0).abs() < 0.02, "one a second: {recent}");
+    assert!(
+        (recent / 60.0 - 1.0).abs() < 0.02,
+        "one request per second: {recent}"
+    );
     let later = list.decayed_count(&list.entries[0], last + WINDOW);
     assert!((later / recent - (-1.0f64).exp()).abs() < 1e-9);
     assert_eq!(list.entries[0].count, 600);
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,7 +1,8 @@
-//! The node's own log: lines of text, or JSON objects, on standard error.
+//! The node's own log: text lines or JSON objects on standard error.
 //!
-//! They go through the bounded writer: a direct write would block the node if stderr is not read. What may come often goes by
-//! topic, a few lines whole and the rest counted: under overload the log must not become the load.
+//! Lines are written by the bounded writer: a direct write would block the node if nobody reads
+//! stderr. Messages that may be frequent are grouped by topic: a few lines of a topic are written
+//! and the others are counted, so that logging does not add to an overload.
 
 mod sink;
 mod topic;
@@ -15,53 +16,54 @@
 use topic::Topic;
 use tracing::{dispatcher, info, Dispatch};
 
-/// Lines that may wait for the writer; those past them are lost, and counted.
+/// Maximum number of lines queued for the writer; lines beyond it are lost and counted.
 const MAX_QUEUED_LINES: usize = 128;
 
-/// How lines are written.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// The words alone.
+    /// The message alone.
     #[default]
     Text,
-    /// A JSON object a line: `timestamp` (RFC 3339, UTC), `level`, `message`.
+    /// One JSON object per line: `timestamp` (RFC 3339, UTC), `level`, `message`.
     Json,
 }
 
-/// The log; cheap to clone.
+/// Handle of the log; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Log {
-    lines: Dispatch,
-    /// By name; the names are the program's own, and so few.
+    subscriber: Dispatch,
+    /// Topics by name; the names are constants of the program, so there are few.
     topics: Rc<RefCell<BTreeMap<&'static str, Topic>>>,
 }
 
 impl Log {
-    /// A log that writes through `writer`.
+    /// Creates a log that writes through `writer`.
     pub(crate) fn new(writer: &Writer, format: LogFormat) -> Self {
         let sink = Sink::new(writer.sender(MAX_QUEUED_LINES), format);
-        let lines = tracing_subscriber::fmt()
+        let subscriber = tracing_subscriber::fmt()
             .with_writer(sink)
             .with_ansi(false)
             .with_target(false);
-        let lines = match format {
-            LogFormat::Text => Dispatch::new(lines.with_level(false).without_time().finish()),
-            LogFormat::Json => Dispatch::new(lines.json().flatten_event(true).finish()),
+        let subscriber = match format {
+            LogFormat::Text => Dispatch::new(subscriber.with_level(false).without_time().finish()),
+            LogFormat::Json => Dispatch::new(subscriber.json().flatten_event(true).finish()),
         };
         Self {
-            lines,
+            subscriber,
             topics: Rc::default(),
         }
     }
 
     /// Writes a line.
     pub fn line(&self, text: &str) {
-        // Its own subscriber, and no global one: a process may hold several nodes.
-        dispatcher::with_default(&self.lines, || info!("{text}"));
+        // The log uses its own subscriber instead of a global one because one process may run
+        // several nodes.
+        dispatcher::with_default(&self.subscriber, || info!("{text}"));
     }
 
-    /// Writes a line of a topic that may have very many: past a few they are suppressed and counted for
-    /// [`Log::report_suppressed`].
+    /// Writes a line of a topic that may have many lines. Lines beyond the topic's rate limit are
+    /// suppressed and counted for [`Log::report_suppressed`].
     pub fn rate_limited(&self, topic: &'static str, text: &str) {
         let now = Instant::now();
         let admitted = self
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Writes a line for each topic of which lines were suppressed, where that is due; to be called about each second.
+    /// Writes a summary line for each topic whose summary of suppressed lines is due. Must be
+    /// called about once per second.
     pub fn report_suppressed(&self) {
         let now = Instant::now();
         let mut reports = Vec::new();
@@ -83,7 +86,7 @@
             if let Some(summary) = topic.summary(now) {
                 reports.push(format!("{name}: {summary}"));
             }
-            !topic.is_over(now)
+            !topic.is_expired(now)
         });
         for report in &reports {
             self.line(report);
--- a/crates/telemetry/src/log/sink.rs
+++ b/crates/telemetry/src/log/sink.rs
@@ -1,4 +1,4 @@
-//! The way of the log's lines from the subscriber to the writer.
+//! Forwards log lines from the subscriber to the writer.
 
 use super::LogFormat;
 use crate::writer::BoundedSender;
@@ -7,17 +7,18 @@
 use std::sync::Arc;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Where lines go.
+/// Destination of the log lines.
 #[derive(Clone, Debug)]
 pub(super) struct Sink {
     sender: Arc<BoundedSender>,
-    /// Lines that did not fit the queue since the last one that did.
+    /// Number of lines that did not fit in the queue since the last line that did.
     lost_lines: Arc<AtomicU64>,
     format: LogFormat,
 }
 
 impl Sink {
-    /// A sink that writes through `sender`, in the form that the subscriber's lines have.
+    /// Creates a sink that writes through `sender`; `format` must match the format of the
+    /// subscriber's lines.
     pub(super) fn new(sender: BoundedSender, format: LogFormat) -> Self {
         Self {
             sender: Arc::new(sender),
@@ -26,12 +27,12 @@
         }
     }
 
-    /// Hands a line to the writer, behind the notice of lines lost before it. Never waits.
+    /// Queues a line for the writer, preceded by a notice of earlier lost lines. Never blocks.
     fn send(&self, line: &[u8]) {
         let lost_lines = self.lost_lines.load(Ordering::Relaxed);
         let mut bytes = self.loss_notice(lost_lines).into_bytes();
         bytes.extend_from_slice(line);
-        // Where it cannot be written there is nowhere to report that to.
+        // A write error cannot be reported anywhere.
         let queued = self
             .sender
             .try_send(move |stderr| drop(stderr.write_all(&bytes)));
@@ -39,12 +40,12 @@
         self.lost_lines.store(lost_lines, Ordering::Relaxed);
     }
 
-    /// The notice of so many lost lines, a line; empty where there are none.
+    /// Returns a line that reports the number of lost lines; empty if no line was lost.
     fn loss_notice(&self, lost_lines: u64) -> String {
         match (lost_lines, self.format) {
             (0, _) => String::new(),
             (_, LogFormat::Text) => {
-                format!("{lost_lines} lines of the log are lost: standard error is not read\n")
+                format!("{lost_lines} log lines lost: standard error is not being read\n")
             }
             (_, LogFormat::Json) => format!("{{\"level\":\"WARN\",\"lost\":{lost_lines}}}\n"),
         }
@@ -62,7 +63,7 @@
     }
 }
 
-/// One line: it goes out whole, when it is dropped.
+/// Buffer of one line, which is queued as a whole on drop.
 pub(super) struct Line {
     sink: Sink,
     bytes: Vec<u8>,
--- a/crates/telemetry/src/log/topic.rs
+++ b/crates/telemetry/src/log/topic.rs
@@ -1,32 +1,33 @@
-//! The rate limit of a topic's lines.
+//! Rate limit of a topic's lines.
 
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Of a topic, so many lines are written whole in each [`WINDOW`].
+/// Maximum number of lines of a topic that are written in each [`WINDOW`].
 pub(super) const LINES_PER_WINDOW: u64 = 8;
-/// The span that they are counted in, and the least one between two summaries of a topic that goes on.
+/// Length of the rate limit's window, and the minimum time between two summaries of a topic that is
+/// still active.
 const WINDOW: Duration = Duration::from_secs(10);
-/// A topic with no line for so long is over.
+/// A topic expires after this time without a line.
 pub(super) const TOPIC_EXPIRY: Duration = Duration::from_secs(2);
 
-/// Lines alike, from the first until there was none for a while.
+/// A group of similar lines, from the first line until the topic expires.
 #[derive(Debug)]
 pub(super) struct Topic {
     started_at: Instant,
     last_line_at: Instant,
-    /// All of its lines.
+    /// Number of lines, written or suppressed.
     count: u64,
     window_start: Instant,
-    /// Lines written whole in the present window.
+    /// Number of lines written in the current window.
     written_in_window: u64,
-    /// Suppressed since the last summary.
+    /// Number of lines suppressed since the last summary.
     suppressed: u64,
     last_suppressed_text: String,
 }
 
 impl Topic {
-    /// A topic whose first line comes now.
+    /// Creates a topic whose first line is logged at `now`.
     pub(super) fn new(now: Instant) -> Self {
         Self {
             started_at: now,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Counts a line; whether it is to be written whole.
+    /// Counts a line and returns whether it may be written.
     pub(super) fn admit(&mut self, now: Instant, text: &str) -> bool {
         self.count += 1;
         self.last_line_at = now;
@@ -57,9 +58,10 @@
         admitted
     }
 
-    /// What there is to say of lines that were suppressed: once a window, and at the end.
+    /// Returns the summary of suppressed lines when it is due: once per window and when the topic
+    /// expires.
     pub(super) fn summary(&mut self, now: Instant) -> Option<String> {
-        let is_due = now - self.window_start >= WINDOW || self.is_over(now);
+        let is_due = now - self.window_start >= WINDOW || self.is_expired(now);
         if !is_due || self.suppressed == 0 {
             return None;
         }
@@ -71,8 +73,8 @@
         ))
     }
 
-    /// Whether there was no line for a while.
-    pub(super) fn is_over(&self, now: Instant) -> bool {
+    /// Checks whether the topic has had no line for [`TOPIC_EXPIRY`].
+    pub(super) fn is_expired(&self, now: Instant) -> bool {
         now - self.last_line_at >= TOPIC_EXPIRY
     }
 }
