--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
-//! Telemetry of a node, as the operators' file asks for it: metrics, the audit trail, the hot list, and the writer behind them;
-//! and the node's log.
+//! Telemetry of a node: the node's log, and the features configured in the operators' file, which
+//! are metrics, the audit trail and the hot list, with the writer that they share.
 //!
-//! The node reports events to an [`Observer`]; [`Telemetry`] passes them on to the features that are on. Nothing here decides
-//! anything, nothing calls back into the node, and nothing here ever makes the node wait.
+//! The node reports events to an [`Observer`]; [`Telemetry`] forwards them to the enabled features.
+//! Telemetry makes no decisions, never calls into the node, and never blocks the node.
 
 pub mod audit;
 mod error;
@@ -32,14 +32,15 @@
 use tokio::task::spawn_local;
 use writer::Writer;
 
-/// At a stop the metrics wait no longer than this for a pipe that is read slowly.
+/// Maximum time spent at shutdown on sending the remaining metrics to a slowly read pipe.
 const METRICS_FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
-/// And then all features for the writer: a record that it has begun should be on disk.
+/// Maximum time that shutdown then waits for the writer to write the queued data of all features: a
+/// started record should reach the disk.
 const WRITER_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
-/// The log's topic of breakers that opened.
+/// Log topic of opened breakers.
 const BREAKER_TOPIC: &str = "module";
 
-/// The features that are on, and the log.
+/// The enabled features, and the log.
 pub struct Telemetry {
     /// The node's log, which shares standard error with the features.
     pub log: Log,
@@ -47,13 +48,14 @@
     metrics: Option<Rc<Metrics>>,
     audit: Option<Audit>,
     hotlist: Option<Rc<HotList>>,
-    /// The operators' file, where there is one.
+    /// The operators' file, if there is one.
     settings_file: Option<SettingsFile>,
 }
 
 impl Telemetry {
-    /// Starts what the settings name, for these classes of requests. Its tasks run on the present local set. Fails where a file,
-    /// a socket, a signal handler or the writer's thread cannot be had.
+    /// Starts the features enabled in the settings, for these classes of requests. The features'
+    /// tasks run on the current local set. Fails if a file, a socket, a signal handler or the
+    /// writer's thread cannot be created or opened.
     pub fn start(
         settings: &Settings,
         classes: &[Name],
@@ -61,7 +63,8 @@
     ) -> Result<Rc<Self>, TelemetryError> {
         let writer = Writer::start().map_err(TelemetryError::Writer)?;
         let log = Log::new(&writer, format);
-        // A file that may grow no further is an error of the write, not the process's end. Standard error may be one.
+        // With a SIGXFSZ handler, exceeding the file size limit is a write error and does not
+        // terminate the process. Standard error may be such a file.
         drop(install_handler(
             "SIGXFSZ",
             SignalKind::from_raw(libc::SIGXFSZ),
@@ -88,7 +91,8 @@
         }))
     }
 
-    /// Descriptors that the features of these settings hold: they come out of the node's limit.
+    /// Returns the number of file descriptors held by the features of these settings, which count
+    /// towards the node's limit.
     pub fn descriptor_count(settings: &Settings) -> usize {
         let metrics = settings
             .metrics
@@ -98,8 +102,9 @@
         Writer::DESCRIPTORS + metrics + audit
     }
 
-    /// The signals, beside those that have a use, which end the node: caught where the audit trail wants their names, and `None`
-    /// where it is off. Fails where a handler cannot be installed.
+    /// Returns a receiver of the signals that end the node, apart from signals with another use.
+    /// `None` if the audit trail, which records the signal's name, is off. Fails if a handler
+    /// cannot be installed.
     pub fn termination_signals(&self) -> io::Result<Option<UnboundedReceiver<StopSignal>>> {
         let except: &[i32] = if self.hotlist.is_some() {
             &[libc::SIGUSR1]
@@ -112,15 +117,15 @@
             .transpose()
     }
 
-    /// The node of this name listens.
+    /// Reports that the node with this name listens.
     pub fn node_started(&self, node: &str) {
         if let Some(audit) = &self.audit {
             audit.node_started(node);
         }
     }
 
-    /// The platform's configuration, read at `path`, is in force, and with it the operators' file: at the start and at each
-    /// SIGHUP.
+    /// Reports that the platform's configuration, read from `path`, and the operators' file are in
+    /// force: at the start and at each SIGHUP.
     pub fn config_loaded(&self, path: &Path, contents: &[u8]) {
         let Some(audit) = &self.audit else {
             return;
@@ -131,13 +136,14 @@
         }
     }
 
-    /// The node stops, by this signal: what waits goes out, or is left after a while.
-    pub async fn shut_down(&self, by: StopSignal) {
+    /// Reports that the node stops because of this signal, and flushes pending data. Data that is
+    /// not written within the timeouts is abandoned.
+    pub async fn shut_down(&self, stop_signal: StopSignal) {
         if let Some(metrics) = &self.metrics {
             metrics.shut_down(METRICS_FLUSH_TIMEOUT).await;
         }
         if let Some(audit) = &self.audit {
-            audit.node_stopped(by);
+            audit.node_stopped(stop_signal);
         }
         self.writer.flush(WRITER_FLUSH_TIMEOUT).await;
     }
@@ -160,7 +166,7 @@
     classes: &[Name],
     writer: &Writer,
 ) -> Result<Rc<HotList>, TelemetryError> {
-    // The SIGUSR1 handler is installed first: without one the signal terminates the process.
+    // The SIGUSR1 handler is installed first: without a handler the signal terminates the process.
     let print_signals = install_handler("SIGUSR1", SignalKind::user_defined1())?;
     let hotlist = Rc::new(HotList::new(
         settings.capacity,
@@ -168,18 +174,19 @@
         classes,
         writer,
     )?);
-    spawn_local(print_at_signals(hotlist.clone(), print_signals));
+    spawn_local(print_on_signals(hotlist.clone(), print_signals));
     Ok(hotlist)
 }
 
-/// Prints the hot list at each signal, for as long as the node runs.
-async fn print_at_signals(hotlist: Rc<HotList>, mut signals: Signal) {
+/// Prints the hot list at each signal while the node runs.
+async fn print_on_signals(hotlist: Rc<HotList>, mut signals: Signal) {
     while signals.recv().await.is_some() {
         hotlist.print();
     }
 }
 
-/// Installs a handler of the signal of this name. It stays for the process's life, also once the receiver is dropped.
+/// Installs a handler for this signal. The handler stays installed for the life of the process,
+/// even after the receiver is dropped.
 fn install_handler(name: &'static str, kind: SignalKind) -> Result<Signal, TelemetryError> {
     signal(kind).map_err(|error| TelemetryError::Signal {
         signal: name,
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,7 +1,9 @@
-//! Counters, gauges and timers of requests and attempts, in batches to a file, standard error or UDP.
+//! Counters, gauges and timers of requests and attempts, sent in batches to a file, standard error
+//! or UDP.
 //!
-//! An event is counted at once and written as a line at the next flush; timers are written at once, up to a bound. Lines wait in
-//! a buffer of bounded size until a batch of them goes out.
+//! Events are counted immediately and written as lines at the next flush; timers are written
+//! immediately, up to a rate limit. Lines are kept in a buffer of bounded size until a batch is
+//! sent.
 
 mod buffer;
 mod counters;
@@ -30,31 +32,31 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::{interval, timeout, Instant, MissedTickBehavior};
 
-/// Value of a tag where there is nothing to name: no endpoint was picked.
+/// Tag value used if no endpoint was picked.
 const NONE_TAG: &str = "none";
-/// While the node stops, what is left is looked at so often.
+/// Interval between checks for unsent data during shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What changes as the node runs.
+/// Mutable state of the metrics.
 struct State {
     emitter: Emitter,
     counters: Counters,
     timer_limit: TimerLimit,
-    /// By class: requests received and not completed.
+    /// By class: number of requests received and not completed.
     open_requests: Vec<u64>,
-    /// As they were sampled last.
+    /// Connection statistics of the last sample.
     connections: ConnectionStats,
-    /// By endpoint: whether its breaker has opened and nothing was sent there since.
+    /// By endpoint: whether its breaker has opened and no attempt has started there since.
     breaker_open: BTreeMap<EndpointId, bool>,
-    /// Dropped batches that are in the log already.
+    /// Number of dropped batches already reported in the log.
     reported_dropped_batches: u64,
 }
 
-/// Counts what happens and sends it out; see the module's page.
+/// Counts events and sends them as metrics; see the module documentation.
 pub struct Metrics {
     format: MetricsFormat,
     flush_interval: Duration,
-    /// By class: its name as a tag's value.
+    /// By class: the class name as a tag value.
     classes: Vec<String>,
     no_endpoint: EndpointId,
     log: Log,
@@ -62,10 +64,10 @@
 }
 
 impl Metrics {
-    /// Descriptors that they hold.
+    /// Number of file descriptors held by the metrics.
     pub const DESCRIPTORS: usize = 1;
 
-    /// Opens what they go to. The receiver is for [`Metrics::run`].
+    /// Opens the output of the metrics. The returned receiver must be passed to [`Metrics::run`].
     pub fn open(
         settings: &MetricsSettings,
         classes: &[Name],
@@ -201,14 +203,15 @@
         }
     }
 
-    /// The breaker of this endpoint has opened.
+    /// Records that the breaker of this endpoint has opened.
     pub fn breaker_opened(&self, endpoint: &EndpointId) {
         if let Some(open) = self.state.borrow_mut().breaker_open.get_mut(endpoint) {
             *open = true;
         }
     }
 
-    /// Sends what waits each `flush_ms`, and on as the writer is done with a batch; never returns.
+    /// Flushes metrics every `flush_ms`, and sends further batches whenever the writer finishes
+    /// one. Never returns.
     pub async fn run(self: Rc<Self>, mut finished_batches: UnboundedReceiver<BatchResult>) {
         let mut flush_timer = interval(self.flush_interval);
         flush_timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -224,8 +227,8 @@
         }
     }
 
-    /// Flushes and waits until all is out, or for `limit`; what a stuck pipe does not take by then is lost.
-    /// [`Metrics::run`] must be running.
+    /// Flushes and waits until all lines are sent, at most for `limit`; lines that a blocked pipe
+    /// does not accept by then are lost. [`Metrics::run`] must be running.
     pub async fn shut_down(&self, limit: Duration) {
         let _ = timeout(limit, self.drain()).await;
         self.report_dropped(&mut self.state.borrow_mut());
@@ -242,7 +245,7 @@
         }
     }
 
-    /// Turns what was counted and what is open into lines, and sends them.
+    /// Emits counters and gauges as lines, and sends them.
     fn flush(&self) {
         let state = &mut *self.state.borrow_mut();
         if !state.emitter.buffer.is_half_full() {
@@ -269,7 +272,7 @@
         }
     }
 
-    /// Turns what was counted into lines.
+    /// Emits the counters as lines.
     fn emit_counters(&self, state: &mut State) {
         for (series, count) in state.counters.take() {
             let endpoint = escape_tag(self.format, series.endpoint.as_str());
@@ -288,7 +291,8 @@
         }
     }
 
-    /// Logs how many batches were dropped: while none gets out, the counter of them does not either.
+    /// Logs the number of dropped batches: while no batch can be sent, the counter of dropped
+    /// batches cannot be sent either.
     fn report_dropped(&self, state: &mut State) {
         let total = state.emitter.buffer.total_dropped_batches;
         if total > state.reported_dropped_batches {
@@ -304,10 +308,10 @@
     }
 }
 
-/// Milliseconds, rounded to the nearest.
+/// Returns the duration in milliseconds, rounded to the nearest.
 fn rounded_ms(duration: Duration) -> u64 {
-    const HALF_A_MS: Duration = Duration::from_micros(500);
-    u64::try_from((duration + HALF_A_MS).as_millis()).unwrap_or(u64::MAX)
+    const HALF_MILLISECOND: Duration = Duration::from_micros(500);
+    u64::try_from((duration + HALF_MILLISECOND).as_millis()).unwrap_or(u64::MAX)
 }
 
 #[cfg(test)]
--- a/crates/telemetry/src/metrics/buffer.rs
+++ b/crates/telemetry/src/metrics/buffer.rs
@@ -1,48 +1,51 @@
-//! Lines that wait to go out, in bounded memory: the oldest are evicted, and what is lost is counted.
+//! Bounded buffer of unsent lines: when the buffer is full, the oldest lines are evicted, and lost
+//! lines and batches are counted.
 
 use super::output::BatchResult;
 use std::collections::VecDeque;
 
-/// What waits to go out, the batch that is being written included, is never more bytes than this.
+/// Maximum size of the unsent lines, including the batch being written.
 pub(super) const MAX_BUFFERED_BYTES: usize = 256 << 10;
-/// Of these, kept free for the counters of what was lost, which a batch gets as it goes out.
+/// Part of [`MAX_BUFFERED_BYTES`] reserved for the loss counters, which are added to a batch when
+/// it is sent.
 pub(super) const LOSS_COUNTER_BYTES: usize = 256;
 
 /// Losses not yet reported in a written batch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Losses {
-    /// Batches that could not be written.
+    /// Number of batches that could not be written.
     pub(super) dropped_batches: u64,
-    /// Lines that were evicted from a full buffer.
+    /// Number of lines evicted from a full buffer.
     pub(super) evicted_lines: u64,
 }
 
-/// A batch on its way to the writer.
+/// A batch that the writer has not finished.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct InFlightBatch {
-    /// Its length.
+    /// Length of the batch.
     pub(super) bytes: usize,
-    /// The losses that it counts.
+    /// Losses reported in the batch.
     losses: Losses,
 }
 
-/// Lines that wait, and the one batch that is being written.
+/// Unsent lines, and the single batch being written.
 pub(super) struct LineBuffer {
     pub(super) max_batch_bytes: usize,
-    /// Whole lines, the oldest first.
+    /// Complete lines, oldest first.
     pub(super) lines: VecDeque<u8>,
-    /// So many of these bytes have waited for a flush: they go out also where they fill no batch.
+    /// Number of leading bytes marked as due by a flush: due lines are sent even if they do not
+    /// fill a batch.
     due_bytes: usize,
-    /// The batch that is being written.
+    /// The batch being written.
     pub(super) in_flight: Option<InFlightBatch>,
-    /// What was lost and not yet counted in a batch that got out.
+    /// Losses not yet reported in a batch that was written.
     pub(super) losses: Losses,
-    /// Batches that could not be written, since the start.
+    /// Number of batches that could not be written since the start.
     pub(super) total_dropped_batches: u64,
 }
 
 impl LineBuffer {
-    /// An empty buffer, whose batches are no longer than `max_batch_bytes`.
+    /// Creates an empty buffer whose batches are at most `max_batch_bytes` long.
     pub(super) fn new(max_batch_bytes: usize) -> Self {
         Self {
             max_batch_bytes,
@@ -54,12 +57,13 @@
         }
     }
 
-    /// Adds a whole line, for which the oldest ones are evicted if need be. `false` where even so it does not fit.
+    /// Adds a complete line, evicting the oldest lines if needed. Returns `false` if the line does
+    /// not fit even then.
     pub(super) fn push(&mut self, line: &str) -> bool {
         let in_flight_bytes = self.in_flight.map_or(0, |batch| batch.bytes);
-        let max_waiting = MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES;
-        while self.lines.len() + in_flight_bytes + line.len() > max_waiting {
-            // At most a batch is being written, so some line of those that wait can go.
+        let max_pending_bytes = MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES;
+        while self.lines.len() + in_flight_bytes + line.len() > max_pending_bytes {
+            // At most one batch is being written, so there is normally a queued line to evict.
             if !self.evict_oldest_line() {
                 return false;
             }
@@ -69,7 +73,7 @@
         true
     }
 
-    /// `false` where no line waits.
+    /// Returns `false` if no line is queued.
     fn evict_oldest_line(&mut self) -> bool {
         let Some(end) = self.lines.iter().position(|&byte| byte == b'\n') else {
             return false;
@@ -81,7 +85,8 @@
         true
     }
 
-    /// Makes room for so many more bytes: grown by itself, the queue could take twice its bound.
+    /// Reserves capacity for `additional` more bytes: a queue that grows on demand could take twice
+    /// the limit.
     fn reserve(&mut self, additional: usize) {
         let needed = self.lines.len() + additional;
         if needed > self.lines.capacity() {
@@ -90,28 +95,30 @@
         }
     }
 
-    /// Whether so much waits that counters are to be kept merged and no lines emitted for them.
+    /// Checks whether the buffer is so full that counters should stay merged instead of being
+    /// emitted as lines.
     pub(super) fn is_half_full(&self) -> bool {
         self.lines.len() >= MAX_BUFFERED_BYTES / 2
     }
 
-    /// Whether something waits or is being written.
+    /// Checks whether lines are queued or a batch is being written.
     pub(super) fn has_unsent(&self) -> bool {
         self.in_flight.is_some() || !self.lines.is_empty()
     }
 
-    /// Has all that waits now go out, also where it fills no batch.
+    /// Marks all queued lines as due, even if they do not fill a batch.
     pub(super) fn mark_all_due(&mut self) {
         self.due_bytes = self.lines.len();
     }
 
-    /// Whether a batch is to go out now: none is being written, and one is full or due.
+    /// Checks whether a batch should be sent now: no batch is being written, and a batch is full or
+    /// due.
     pub(super) fn batch_ready(&self) -> bool {
         self.in_flight.is_none() && (self.lines.len() >= self.max_batch_bytes || self.due_bytes > 0)
     }
 
-    /// Takes the oldest lines that make a batch, behind `loss_lines`, the counters of the present losses. It is being written
-    /// until [`LineBuffer::batch_finished`].
+    /// Takes the oldest lines that fit in a batch, after `loss_lines`, the counters of the current
+    /// losses. The batch counts as being written until [`LineBuffer::batch_finished`].
     pub(super) fn next_batch(&mut self, loss_lines: &str) -> Vec<u8> {
         let mut batch = Vec::with_capacity(self.max_batch_bytes);
         batch.extend(loss_lines.bytes());
@@ -132,7 +139,8 @@
         batch
     }
 
-    /// The batch is written, and with it the counters of losses, or it is lost itself.
+    /// Ends the current batch. If it was written, the losses that it reports are cleared; if not,
+    /// the batch itself counts as dropped.
     pub(super) fn batch_finished(&mut self, result: BatchResult) {
         let batch = self.in_flight.take().unwrap_or_default();
         match result {
--- a/crates/telemetry/src/metrics/counters.rs
+++ b/crates/telemetry/src/metrics/counters.rs
@@ -1,26 +1,28 @@
-//! What is counted between two flushes: requests and attempts by their tags, and how many timers were written.
+//! Counters of requests and attempts by their tags between two flushes, and the rate limit of
+//! timers.
 
 use slatelink_policy::{ClassId, EndpointId, Status};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// So many series of counters are merged between two flushes; one more, and they go out before the flush.
+/// Maximum number of counter series merged between two flushes; when the limit is reached, the
+/// counters are emitted before the flush.
 const MAX_SERIES: usize = 2048;
-/// So many timers are written whole each second; what is past them is counted.
+/// Maximum number of timers written per second; further timers are omitted and counted.
 pub(super) const MAX_TIMERS_PER_SECOND: u32 = 500;
 
-/// What is counted, in the order in which it is written.
+/// Counted events, in the order in which they are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum CounterName {
-    /// Attempts that have ended.
+    /// Ended attempts.
     Attempts,
-    /// Requests that have ended.
+    /// Ended requests.
     Requests,
 }
 
 impl CounterName {
-    /// The metric's name, without the common prefix.
+    /// Returns the metric's name, without the common prefix.
     pub(super) const fn metric(self) -> &'static str {
         match self {
             Self::Attempts => "attempt.count",
@@ -28,7 +30,7 @@
         }
     }
 
-    /// The name of the tag that says how what is counted ended.
+    /// Returns the name of the tag that holds the outcome.
     pub(super) const fn outcome_tag(self) -> &'static str {
         match self {
             Self::Attempts => "outcome",
@@ -37,19 +39,19 @@
     }
 }
 
-/// One series: a counter with its tags.
+/// A series: a counter with its tags.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Series {
     pub(super) name: CounterName,
-    /// Position of the class in the settings.
+    /// Index of the class in the settings.
     class: usize,
     pub(super) endpoint: EndpointId,
-    /// The value of the tag that says how it ended.
+    /// Value of the outcome tag.
     pub(super) outcome: &'static str,
 }
 
 impl Series {
-    /// The series of what ended in this way.
+    /// Creates the series of events with this outcome.
     pub(super) const fn new(
         name: CounterName,
         class: ClassId,
@@ -64,49 +66,50 @@
         }
     }
 
-    /// The class of requests.
+    /// Returns the class of requests.
     pub(super) const fn class(&self) -> ClassId {
         ClassId(self.class)
     }
 }
 
-/// Counted since the last flush. Where what was written before is stuck they are merged on: no count is lost.
+/// Counts since the last emission. While earlier lines cannot be sent, counts keep accumulating, so
+/// that no count is lost.
 #[derive(Default)]
 pub(super) struct Counters(BTreeMap<Series, u64>);
 
 impl Counters {
-    /// Counts one more of the series.
+    /// Increments the count of the series.
     pub(super) fn increment(&mut self, series: Series) {
         *self.0.entry(series).or_default() += 1;
     }
 
-    /// Whether there are as many series as may be merged.
+    /// Checks whether the maximum number of series is reached.
     pub(super) fn is_full(&self) -> bool {
         self.0.len() >= MAX_SERIES
     }
 
-    /// Whether nothing was counted.
+    /// Checks whether there are no counts.
     pub(super) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Takes all counts out, in the series' order.
+    /// Removes and returns all counts, in the order of the series.
     pub(super) fn take(&mut self) -> BTreeMap<Series, u64> {
         std::mem::take(&mut self.0)
     }
 }
 
-/// Bounds the timers that are written in a second, and counts those that are left out.
+/// Limits the number of timers written per second, and counts omitted timers.
 #[derive(Default)]
 pub(super) struct TimerLimit {
-    /// When the second that they are counted in began.
+    /// Start of the current one-second period.
     second_start: Option<Instant>,
     written_this_second: u32,
     omitted: u64,
 }
 
 impl TimerLimit {
-    /// Whether one more is to be written; else it is counted.
+    /// Checks whether another timer may be written, and counts it as written or omitted.
     pub(super) fn admit(&mut self, now: Instant) -> bool {
         let second_over = self
             .second_start
@@ -123,13 +126,13 @@
         true
     }
 
-    /// How many were left out since this was asked last.
+    /// Returns the number of timers omitted since the last call.
     pub(super) fn take_omitted(&mut self) -> u64 {
         std::mem::take(&mut self.omitted)
     }
 }
 
-/// The value of an attempt's tag `outcome`.
+/// Returns the value of an attempt's tag `outcome`.
 pub(super) const fn attempt_outcome(status: Status) -> &'static str {
     match status {
         Status::Ok => "ok",
--- a/crates/telemetry/src/metrics/emitter.rs
+++ b/crates/telemetry/src/metrics/emitter.rs
@@ -1,4 +1,4 @@
-//! The way of a metric from its value to the output: as a line, in a buffer, in a batch.
+//! Emission of metrics: formatting as lines, buffering, and sending in batches.
 
 use super::buffer::LineBuffer;
 use super::line::{LineFormatter, Metric};
@@ -12,7 +12,7 @@
 }
 
 impl Emitter {
-    /// An emitter that has sent nothing.
+    /// Creates an emitter that has sent nothing.
     pub(super) const fn new(formatter: LineFormatter, buffer: LineBuffer, output: Output) -> Self {
         Self {
             formatter,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Adds a metric; sends a batch if that fills one.
+    /// Adds a metric, and sends a batch if the metric fills one.
     pub(super) fn emit(&mut self, metric: &Metric) {
         let line = self.formatter.format(metric);
         if self.buffer.push(&line) {
@@ -29,13 +29,13 @@
         }
     }
 
-    /// Sends all that waits, as far as the output takes it.
+    /// Sends all buffered lines, as far as the output accepts them.
     pub(super) fn flush(&mut self) {
         self.buffer.mark_all_due();
         self.send_batches();
     }
 
-    /// Sends batches while one is full or due and none is being written.
+    /// Sends batches while one is full or due and no batch is being written.
     pub(super) fn send_batches(&mut self) {
         while self.buffer.batch_ready() {
             let batch = self.next_batch();
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The oldest lines that make a batch, and before them what was lost so far.
+    /// Returns the oldest lines that fit in a batch, after the counters of the losses so far.
     pub(super) fn next_batch(&mut self) -> Vec<u8> {
         let losses = self.buffer.losses;
         let mut loss_lines = String::new();
@@ -61,7 +61,7 @@
         self.buffer.next_batch(&loss_lines)
     }
 
-    /// The output is done with the batch that was being written.
+    /// Handles the result of the batch that was being written.
     pub(super) fn batch_finished(&mut self, result: BatchResult) {
         self.buffer.batch_finished(result);
     }
--- a/crates/telemetry/src/metrics/file.rs
+++ b/crates/telemetry/src/metrics/file.rs
@@ -1,4 +1,4 @@
-//! The file or FIFO that batches are appended to.
+//! The file or FIFO to which batches are appended.
 
 use crate::writer::{has_vanished, write_part};
 use std::fs::File;
@@ -6,17 +6,18 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::{Path, PathBuf};
 
-/// A file that batches are appended to, under its name: one that was moved away is made anew.
+/// A file at a fixed path to which batches are appended; after a move or removal a new file is
+/// created at the path.
 pub(super) struct AppendedFile {
     path: PathBuf,
-    /// `None` while it cannot be opened: a FIFO that nobody reads.
+    /// `None` if the file cannot be opened: a FIFO without a reader.
     file: Option<File>,
-    /// The last write broke off within a line.
+    /// Whether the last write stopped within a line.
     pub(super) torn: bool,
 }
 
 impl AppendedFile {
-    /// Opens the file, or makes it. A FIFO may have no reader yet: one may come.
+    /// Opens the file, or creates it. A FIFO may get its first reader later.
     pub(super) fn open(path: &Path) -> io::Result<Self> {
         let file = match open_to_append(path) {
             Ok(file) => Some(file),
@@ -30,7 +31,8 @@
         })
     }
 
-    /// Appends whole lines. What broke off before gets its line feed first, so that it does not take the next line with it.
+    /// Appends complete lines. An incomplete line of the previous write is ended with a line feed
+    /// first, so that it does not merge with the next line.
     pub(super) fn write(&mut self, batch: &[u8]) -> io::Result<()> {
         if self.has_vanished() {
             self.file = None;
@@ -60,7 +62,7 @@
     File::options()
         .append(true)
         .create(true)
-        // Neither opening nor writing waits for a FIFO's reader.
+        // Neither opening nor writing waits for a reader of a FIFO.
         .custom_flags(libc::O_NONBLOCK)
         .open(path)
 }
--- a/crates/telemetry/src/metrics/line.rs
+++ b/crates/telemetry/src/metrics/line.rs
@@ -1,22 +1,22 @@
-//! One metric as a line of text, in the format of StatsD or of InfluxDB.
+//! Formatting of one metric as a line of text, in the format of StatsD or InfluxDB.
 
 use slatelink_config::operators::MetricsFormat;
 use std::borrow::Cow;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Stands before the name of each metric.
+/// Common prefix of all metric names.
 const PREFIX: &str = "slatelink.";
-/// A longer name of a class or endpoint is cut.
+/// Maximum length of a tag value; longer names of classes and endpoints are truncated.
 pub(super) const MAX_TAG_BYTES: usize = 64;
 
-/// What a metric's value is.
+/// Type of a metric's value.
 #[derive(Clone, Copy)]
 pub(super) enum MetricKind {
-    /// How many more than when it was written last.
+    /// Increase since the previous emission.
     Counter,
-    /// How many at present.
+    /// Current number.
     Gauge,
-    /// A duration in milliseconds.
+    /// Duration in milliseconds.
     Timer,
 }
 
@@ -39,7 +39,8 @@
 }
 
 impl<'a> Metric<'a> {
-    /// `name` is without the common prefix; the values of `tags` are as [`escape_tag`] leaves them.
+    /// Creates a metric. `name` is without the common prefix; tag values must be escaped by
+    /// [`escape_tag`].
     pub(super) const fn new(
         name: &'a str,
         tags: &'a [(&'a str, &'a str)],
@@ -54,12 +55,12 @@
         }
     }
 
-    /// A counter; see [`Metric::new`].
+    /// Creates a counter; see [`Metric::new`].
     pub(super) const fn counter(name: &'a str, tags: &'a [(&'a str, &'a str)], value: u64) -> Self {
         Self::new(name, tags, value, MetricKind::Counter)
     }
 
-    /// A gauge; see [`Metric::new`].
+    /// Creates a gauge; see [`Metric::new`].
     pub(super) const fn gauge(name: &'a str, tags: &'a [(&'a str, &'a str)], value: u64) -> Self {
         Self::new(name, tags, value, MetricKind::Gauge)
     }
@@ -89,15 +90,15 @@
     }
 }
 
-/// Turns metrics into lines.
+/// Formats metrics as lines.
 pub(super) struct LineFormatter {
     format: MetricsFormat,
-    /// In nanoseconds of Unix time.
+    /// Timestamp of the last line in nanoseconds of Unix time.
     last_timestamp: u128,
 }
 
 impl LineFormatter {
-    /// A formatter that has written no line.
+    /// Creates a formatter that has written no line.
     pub(super) const fn new(format: MetricsFormat) -> Self {
         Self {
             format,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The metric's line, with its line feed.
+    /// Returns the metric's line, including its line feed.
     pub(super) fn format(&mut self, metric: &Metric) -> String {
         match self.format {
             MetricsFormat::Statsd => metric.statsd_line(),
@@ -113,7 +114,8 @@
         }
     }
 
-    /// The present time, or a later one: points of one instant and the same tags would replace each other in InfluxDB.
+    /// Returns the current time, or a later time if needed to be unique: InfluxDB replaces a point
+    /// with another point of the same timestamp and tags.
     fn next_timestamp(&mut self) -> u128 {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -124,8 +126,8 @@
     }
 }
 
-/// A tag's value as the format takes it, at most [`MAX_TAG_BYTES`] of it. StatsD has no escapes: what it would read
-/// otherwise is replaced.
+/// Returns a tag value truncated to [`MAX_TAG_BYTES`] and escaped for the format. StatsD has no
+/// escapes, so characters reserved by the format are replaced.
 pub(super) fn escape_tag(format: MetricsFormat, text: &str) -> Cow<'_, str> {
     let truncated = &text[..text.floor_char_boundary(MAX_TAG_BYTES)];
     if truncated.is_empty() {
--- a/crates/telemetry/src/metrics/output.rs
+++ b/crates/telemetry/src/metrics/output.rs
@@ -1,4 +1,4 @@
-//! Where batches go: a file, standard error or UDP.
+//! Destinations of batches: a file, standard error or UDP.
 
 use super::file::AppendedFile;
 use crate::error::TelemetryError;
@@ -10,16 +10,16 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Batches that may be with the writer: one that is written, and one whose result is sent already but which the writer still
-/// counts.
+/// Maximum number of batches held by the writer: one being written, and one whose result is already
+/// sent but which the writer still counts as running.
 const MAX_QUEUED_BATCHES: usize = 2;
 
-/// How the writing of a batch ended.
+/// Result of writing a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchResult {
-    /// It is out.
+    /// The batch was written.
     Written,
-    /// It is lost, at least a part of it.
+    /// The batch was lost, at least in part.
     Dropped,
 }
 
@@ -32,31 +32,33 @@
     }
 }
 
-/// What became of a batch that was sent.
+/// Result of sending a batch.
 pub(super) enum SendOutcome {
-    /// It is done with.
+    /// The batch is finished.
     Finished(BatchResult),
-    /// The writer has it, and will send its result.
+    /// The batch is queued for the writer, which will send its result.
     InFlight,
 }
 
-/// Where batches go.
+/// Destination of batches.
 pub(super) enum Output {
-    /// A datagram for each batch.
+    /// One datagram for each batch.
     Udp(UdpSocket),
-    /// By the writer's thread, one batch at a time: what waits here can still give way to what is newer.
+    /// The writer thread, one batch at a time: lines that are still buffered here can be evicted in
+    /// favour of newer lines.
     Queue {
-        /// The way to the thread.
+        /// Sender of jobs to the writer thread.
         sender: BoundedSender,
         /// `None` for standard error.
         file: Option<Arc<Mutex<AppendedFile>>>,
-        /// Gets the result of each batch that the thread is done with.
+        /// Receives the result of each batch that the writer thread has finished.
         results: UnboundedSender<BatchResult>,
     },
 }
 
 impl Output {
-    /// Opens what metrics go to; `results` gets that of each batch that the writer is done with.
+    /// Opens the destination of metrics; `results` receives the result of each batch that the
+    /// writer has finished.
     pub(super) fn open(
         target: &MetricsTarget,
         writer: &Writer,
@@ -80,7 +82,7 @@
             .map_err(|error| TelemetryError::MetricsSocket { address, error })
     }
 
-    /// Sends a batch. Never waits.
+    /// Sends a batch. Never blocks.
     pub(super) fn send(&self, batch: Vec<u8>) -> SendOutcome {
         match self {
             Self::Udp(socket) => {
@@ -102,7 +104,7 @@
                             .unwrap_or_else(PoisonError::into_inner)
                             .write(&batch),
                     };
-                    // The node may have stopped meanwhile.
+                    // The receiver may be dropped if the node has stopped.
                     let _ = results.send(BatchResult::from_io(&written));
                 });
                 if queued {
@@ -129,7 +131,7 @@
     };
     let socket = UdpSocket::bind((any, 0))?;
     socket.set_nonblocking(true)?;
-    // Connected, it hears that nobody listens there.
+    // Only a connected socket reports that the destination port is closed.
     socket.connect(address)?;
     Ok(socket)
 }
--- a/crates/telemetry/src/metrics/tests.rs
+++ b/crates/telemetry/src/metrics/tests.rs
@@ -17,7 +17,7 @@
     .unwrap()
 }
 
-/// The lines that `events` come to, sent in one datagram or more.
+/// Returns the lines emitted for `events`, received in one or more datagrams.
 fn lines(format: &str, events: impl Fn(&Metrics)) -> Vec<String> {
     let receiver = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let target = receiver.local_addr().unwrap();
@@ -36,10 +36,13 @@
         .iter()
         .any(|line: &String| line.starts_with("slatelink.req.open") && line.contains("put"))
     {
-        let n = receiver.recv(&mut buffer).unwrap();
-        assert!(n <= 1400, "{n} bytes in a datagram");
+        let datagram_bytes = receiver.recv(&mut buffer).unwrap();
+        assert!(
+            datagram_bytes <= 1400,
+            "{datagram_bytes} bytes in a datagram"
+        );
         lines.extend(
-            std::str::from_utf8(&buffer[..n])
+            std::str::from_utf8(&buffer[..datagram_bytes])
                 .unwrap()
                 .lines()
                 .map(str::to_owned),
@@ -48,7 +51,7 @@
     lines
 }
 
-fn some_events(metrics: &Metrics) {
+fn sample_events(metrics: &Metrics) {
     let endpoint = EndpointId::from("s,=1 x");
     metrics.request_received(ClassId(0));
     metrics.request_received(ClassId(0));
@@ -62,11 +65,11 @@
     );
 }
 
-// Guards against lines that a StatsD server reads as something else.
+// Guards against lines that a StatsD server parses incorrectly.
 #[test]
-fn statsd_lines_carry_their_tags_with_what_the_format_reserves_replaced() {
+fn statsd_lines_carry_tags_with_reserved_characters_replaced() {
     assert_eq!(
-        lines("statsd", some_events),
+        lines("statsd", sample_events),
         [
             "slatelink.req.time:412|ms|#kind:look_up,host:none",
             "slatelink.attempt.count:1|c|#kind:look_up,host:s_=1_x,outcome:timeout",
@@ -77,11 +80,11 @@
     );
 }
 
-// Guards against points that InfluxDB cannot read, or that replace each other.
+// Guards against points that InfluxDB cannot parse, and against points that replace each other.
 #[test]
-fn influx_lines_are_escaped_and_no_two_are_of_one_instant() {
-    let lines = lines("influx", some_events);
-    let (texts, stamps): (Vec<_>, Vec<_>) = lines
+fn influx_lines_are_escaped_and_have_unique_timestamps() {
+    let lines = lines("influx", sample_events);
+    let (texts, timestamps): (Vec<_>, Vec<_>) = lines
         .iter()
         .map(|line| line.rsplit_once(' ').unwrap())
         .unzip();
@@ -95,22 +98,27 @@
             "slatelink.req.open,kind=put value=0i",
         ]
     );
-    let stamps: Vec<u64> = stamps.iter().map(|stamp| stamp.parse().unwrap()).collect();
+    let timestamps: Vec<u64> = timestamps
+        .iter()
+        .map(|timestamp| timestamp.parse().unwrap())
+        .collect();
     assert!(
-        stamps.windows(2).all(|pair| pair[0] < pair[1]),
-        "{stamps:?}"
+        timestamps.windows(2).all(|pair| pair[0] < pair[1]),
+        "{timestamps:?}"
     );
 }
 
-// Guards against memory that grows behind a writer that is stuck, and against losing the newest lines.
+// Guards against unbounded memory use while the writer is blocked, and against losing the newest
+// lines.
 #[test]
-fn the_buffer_keeps_its_bound_and_the_oldest_lines_go_first() {
+fn buffer_stays_within_its_limit_and_evicts_the_oldest_lines_first() {
     let writer = Writer::start().unwrap();
     let (metrics, mut results) = metrics("target = \"file:/dev/null\"", &writer);
-    let stuck = writer.sender(1);
-    let (release, released) = channel::<()>();
-    assert!(stuck.try_send(move |_| released.recv().unwrap_or_default()));
-    // The first batch is handed over and stays; what follows must share the rest of the buffer.
+    let blocked_sender = writer.sender(1);
+    let (release_sender, release_receiver) = channel::<()>();
+    assert!(blocked_sender.try_send(move |_| release_receiver.recv().unwrap_or_default()));
+    // The first batch is sent to the writer and stays in flight; later lines must fit in the
+    // remaining capacity of the buffer.
     for i in 0..20_000 {
         let emitter = &mut metrics.state.borrow_mut().emitter;
         for name in ["req.count", "req.time"] {
@@ -133,12 +141,12 @@
     let text = String::from_utf8(buffer.lines.iter().copied().collect()).unwrap();
     assert!(
         buffer.lines.len() > MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES - 2 * buffer.max_batch_bytes,
-        "{} used",
+        "{} bytes used",
         buffer.lines.len()
     );
     assert!(
         text.starts_with("slatelink.") && text.ends_with("\n"),
-        "whole lines only"
+        "the buffer holds complete lines only"
     );
     assert!(text
         .lines()
@@ -150,23 +158,24 @@
     assert!(evicted > 0 && evicted + kept < 40_000 && in_flight_bytes > 0);
     assert!(
         40_000 - evicted - kept <= in_flight_bytes / 40,
-        "no line is uncounted"
+        "every line is counted as kept, evicted or in flight"
     );
     drop(state);
-    drop(release);
+    drop(release_sender);
     assert_eq!(results.blocking_recv(), Some(BatchResult::Written));
 }
 
-// Guards against metrics that become the load, and against counts that are lost where lines are merged or stuck.
+// Guards against metrics that add to an overload, and against counts lost when lines are merged or
+// cannot be sent.
 #[test]
-fn counters_are_exact_and_timers_bounded_however_many_requests_there_are() {
+fn counters_are_exact_and_timers_are_rate_limited_under_load() {
     let writer = Writer::start().unwrap();
     let path = std::env::temp_dir().join(format!("slatelink-merged-{}", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let (metrics, mut results) = metrics(&format!("target = \"file:{}\"", path.display()), &writer);
-    let stuck = writer.sender(1);
-    let (release, released) = channel::<()>();
-    assert!(stuck.try_send(move |_| released.recv().unwrap_or_default()));
+    let blocked_sender = writer.sender(1);
+    let (release_sender, release_receiver) = channel::<()>();
+    assert!(blocked_sender.try_send(move |_| release_receiver.recv().unwrap_or_default()));
     let (endpoint, start) = (EndpointId::from("h"), std::time::Instant::now());
     for i in 0..100_000 {
         metrics.request_received(ClassId(1));
@@ -182,12 +191,12 @@
         }
     }
     let seconds = start.elapsed().as_secs() + 1;
-    drop(release);
-    let ended = |state: &State| {
+    drop(release_sender);
+    let all_sent = |state: &State| {
         let buffer = &state.emitter.buffer;
         buffer.in_flight.is_none() && buffer.lines.is_empty() && state.counters.is_empty()
     };
-    while !ended(&metrics.state.borrow()) {
+    while !all_sent(&metrics.state.borrow()) {
         if metrics.state.borrow().emitter.buffer.in_flight.is_some() {
             let result = results.blocking_recv().unwrap();
             let emitter = &mut metrics.state.borrow_mut().emitter;
@@ -217,9 +226,9 @@
     std::fs::remove_file(&path).unwrap();
 }
 
-// Guards against metrics that go on into a file which has lost its name.
+// Guards against metrics being written to a file that was moved away from its path.
 #[test]
-fn a_file_that_was_moved_away_is_made_anew() {
+fn moved_file_is_created_again_at_its_path() {
     let path = std::env::temp_dir().join(format!("slatelink-moved-{}", std::process::id()));
     let mut file = AppendedFile::open(&path).unwrap();
     file.write(b"one\n").unwrap();
@@ -238,9 +247,9 @@
         .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
-// Guards against a count of lost batches that is lost with the next batch.
+// Guards against a count of dropped batches that is lost when the batch that reports it is dropped.
 #[test]
-fn what_was_dropped_is_told_by_the_first_batch_that_gets_out() {
+fn first_written_batch_reports_the_dropped_batches() {
     let writer = Writer::start().unwrap();
     let (metrics, _results) = metrics("target = \"file:/dev/null\"", &writer);
     let emitter = &mut metrics.state.borrow_mut().emitter;
@@ -256,35 +265,38 @@
     assert_eq!(emitter.next_batch(), b"");
 }
 
-// Guards against a line that no batch can take: it would never leave.
+// Guards against a line longer than any batch: it would never be sent.
 #[test]
-fn the_longest_line_fits_the_smallest_batch() {
+fn line_of_maximum_length_fits_in_the_smallest_batch() {
     let writer = Writer::start().unwrap();
     let (metrics, _results) = metrics("format = \"influx\"\nmax_batch_bytes = 512", &writer);
-    let long = escape_tag(MetricsFormat::Influx, &"=".repeat(1000)).into_owned();
-    assert_eq!(long.len(), 2 * MAX_TAG_BYTES);
+    let long_value = escape_tag(MetricsFormat::Influx, &"=".repeat(1000)).into_owned();
+    assert_eq!(long_value.len(), 2 * MAX_TAG_BYTES);
     let emitter = &mut metrics.state.borrow_mut().emitter;
     let max_batch_bytes = emitter.buffer.max_batch_bytes;
     let mut size = |name, tags: &[(&str, &str)], value, kind| {
         let metric = Metric::new(name, tags, value, kind);
         emitter.formatter.format(&metric).len()
     };
-    let tags = [("kind", &*long), ("host", &long), ("outcome", "canceled")];
+    let tags = [
+        ("kind", &*long_value),
+        ("host", &long_value),
+        ("outcome", "canceled"),
+    ];
     let attempt = size("attempt.count", &tags, 1, MetricKind::Counter);
     let time = size("req.time", &tags[..2], u64::MAX, MetricKind::Timer);
-    let carried = size("figures.dropped", &[], u64::MAX, MetricKind::Counter)
+    let loss_line_bytes = size("figures.dropped", &[], u64::MAX, MetricKind::Counter)
         + size("figures.pushed_out", &[], u64::MAX, MetricKind::Counter);
     assert!(
-        carried + attempt.max(time) <= max_batch_bytes,
-        "{carried} {attempt} {time}"
+        loss_line_bytes + attempt.max(time) <= max_batch_bytes,
+        "{loss_line_bytes} {attempt} {time}"
     );
-    assert!(carried <= LOSS_COUNTER_BYTES);
+    assert!(loss_line_bytes <= LOSS_COUNTER_BYTES);
 }
 
-// Guards against a file whose line broke off and swallows the next one, and against a FIFO's reader that is
-// waited for.
+// Guards against an incomplete line that merges with the next line.
 #[test]
-fn a_line_that_broke_off_does_not_take_the_next_one_with_it() {
+fn incomplete_line_does_not_merge_with_the_next_line() {
     let path = std::env::temp_dir().join(format!("slatelink-torn-{}", std::process::id()));
     let mut file = AppendedFile::open(&path).unwrap();
     file.write(b"half").unwrap();
--- a/crates/telemetry/src/observer.rs
+++ b/crates/telemetry/src/observer.rs
@@ -1,25 +1,25 @@
-//! The events of a node that can be observed.
+//! Events of a node that an observer can receive.
 
 use slatelink_admission::ConnectionStats;
 use slatelink_config::EndpointList;
 use slatelink_policy::{BreakerScope, ClassId, EndpointId, Status};
 use std::time::Duration;
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With the answer of an endpoint.
+    /// An endpoint's response was returned.
     Served,
-    /// Not done, and safe to send again.
+    /// Not executed, and safe to retry.
     Shed,
-    /// Not done, or not known to be done.
+    /// Not executed, or not known to be executed.
     Failed,
-    /// Its client disconnected first.
+    /// The client disconnected before the response.
     ClientDisconnected,
 }
 
 impl RequestOutcome {
-    /// The value of a metric's tag `status`.
+    /// Returns the value of the metric tag `status`.
     pub(crate) const fn status_tag(self) -> &'static str {
         match self {
             Self::Served => "200",
@@ -30,13 +30,14 @@
     }
 }
 
-/// Is called with each event of a node, in the order of the events. Each method does nothing unless it is implemented.
+/// Receives the events of a node in order. The default implementation of each method does nothing.
 pub trait Observer {
-    /// A request of this class, for this path, has come in.
+    /// A request of this class and path was received.
     fn request_received(&self, _class: ClassId, _path: &str) {}
 
-    /// A request has its final response, or its client has disconnected. `endpoint` served it or was attempted last; `None`
-    /// where none was picked. `latency` counts from the request's receipt.
+    /// A request has its final response, or its client has disconnected. `endpoint` is the endpoint
+    /// that served the request or that was attempted last; `None` if no endpoint was picked.
+    /// `latency` is measured from the receipt of the request.
     fn request_completed(
         &self,
         _class: ClassId,
@@ -46,16 +47,17 @@
     ) {
     }
 
-    /// An attempt at this endpoint begins.
+    /// An attempt at this endpoint has started.
     fn attempt_started(&self, _endpoint: &EndpointId) {}
 
     /// An attempt at this endpoint, for a request of this class, has ended.
     fn attempt_ended(&self, _class: ClassId, _endpoint: &EndpointId, _status: Status) {}
 
-    /// An endpoint list of discovery is in force: all endpoints, or those that changed.
+    /// An endpoint list from discovery is in force. The list holds all endpoints or only the
+    /// changed ones.
     fn endpoints_updated(&self, _list: &EndpointList) {}
 
-    /// The counts of the client connections' table; each second.
+    /// The counts of the client connection table, reported each second.
     fn connections_sampled(&self, _stats: &ConnectionStats) {}
 
     /// A circuit breaker of the policy has opened.
--- a/crates/telemetry/src/writer.rs
+++ b/crates/telemetry/src/writer.rs
@@ -1,5 +1,6 @@
-//! The one thread that writes files and standard error for the log and the features. The node is one thread too: a pipe that
-//! nobody reads, a slow disk or a FIFO may block the writer thread, never the node's thread.
+//! The thread that writes files and standard error for the log and the features. The node runs on a
+//! single thread: a pipe without a reader, a slow disk or a FIFO may block the writer thread, but
+//! never the node's thread.
 
 use std::fs::{File, Metadata};
 use std::io::{self, Write};
@@ -14,23 +15,26 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Jobs that may wait, at least as many as all senders may have together: a sender that is not full always gets in.
+/// Capacity of the shared queue, at least the sum of the capacities of all senders: a sender below
+/// its own capacity can always queue a job.
 const QUEUE_CAPACITY: usize = 1024;
 
-/// What the thread is to write; it gets standard error.
+/// A write operation run by the writer thread, which passes standard error as the argument.
 type Job = Box<dyn FnOnce(&mut File) + Send>;
 
-/// The way to the thread, which ends with the process, or once the last sender is dropped.
+/// Handle of the writer thread. The thread ends with the process, or after the last sender is
+/// dropped.
 #[derive(Debug)]
 pub struct Writer {
     jobs: SyncSender<Job>,
 }
 
 impl Writer {
-    /// Descriptors that it holds: a duplicate of the stderr descriptor, so that threads don't contend for its lock.
+    /// Number of file descriptors held by the writer: a duplicate of the stderr descriptor, so that
+    /// threads don't contend for the stderr lock.
     pub const DESCRIPTORS: usize = 1;
 
-    /// Starts the thread. Fails where it cannot be had, or a descriptor for it.
+    /// Starts the writer thread. Fails if the thread or the duplicate of stderr cannot be created.
     pub fn start() -> io::Result<Self> {
         let mut stderr = File::from(io::stderr().as_fd().try_clone_to_owned()?);
         let (jobs, queue) = sync_channel::<Job>(QUEUE_CAPACITY);
@@ -44,7 +48,8 @@
         Ok(Self { jobs })
     }
 
-    /// A sender of which `capacity` jobs may wait or run at a time: a full one takes nothing from the others.
+    /// Creates a sender that allows `capacity` queued or running jobs at a time: a full sender
+    /// takes no capacity from other senders.
     pub fn sender(&self, capacity: usize) -> BoundedSender {
         BoundedSender {
             jobs: self.jobs.clone(),
@@ -53,11 +58,12 @@
         }
     }
 
-    /// Waits until all that was sent before is written, or for `limit`: a stop must not wait for a stuck pipe.
+    /// Waits until all jobs queued earlier have run, at most for `limit`: shutdown must not wait
+    /// for a blocked pipe.
     pub async fn flush(&self, limit: Duration) {
         let (done, finished) = oneshot::channel();
         let queued = self.sender(1).try_send(move |_| {
-            // Nobody waits any more where it came too late.
+            // The send fails if the timeout has passed, when nothing waits for the result any more.
             let _ = done.send(());
         });
         if queued {
@@ -66,15 +72,15 @@
     }
 }
 
-/// How far a write came.
+/// Progress of a partial write.
 pub struct WriteProgress {
-    /// Bytes that are written.
+    /// Number of bytes written.
     pub written: usize,
-    /// What kept it from the rest.
+    /// Error that stopped the write before the end, if any.
     pub result: io::Result<()>,
 }
 
-/// Writes as much as the file takes at once.
+/// Writes bytes until the end or the first error, such as a full pipe. Retries interrupted writes.
 pub fn write_part(file: &mut File, bytes: &[u8]) -> WriteProgress {
     let mut written = 0;
     while written < bytes.len() {
@@ -98,8 +104,8 @@
     }
 }
 
-/// Whether a regular file is no longer the one at `path`, after a move or removal: nobody reads what is written there. `false`
-/// for a FIFO or a device.
+/// Checks whether a regular file is no longer the file at `path`, after a move or removal: data
+/// written to it would not be read. Returns `false` for a FIFO or a device.
 pub fn has_vanished(file: &File, path: &Path) -> io::Result<bool> {
     let opened = file.metadata()?;
     let inode = |metadata: &Metadata| (metadata.dev(), metadata.ino());
@@ -107,19 +113,21 @@
     Ok(opened.is_file() && named.as_ref().map(inode) != Some(inode(&opened)))
 }
 
-/// A bounded way to the thread; see [`Writer::sender`].
+/// Sender with a bounded number of jobs on the writer thread; see [`Writer::sender`].
 #[derive(Debug)]
 pub struct BoundedSender {
     jobs: SyncSender<Job>,
-    /// Jobs that wait or run.
+    /// Number of queued or running jobs of this sender.
     queued: Arc<AtomicUsize>,
     capacity: usize,
 }
 
 impl BoundedSender {
-    /// Has the thread run this job, which gets standard error; `false` where the sender is full. Never waits.
+    /// Queues a job for the writer thread, which passes standard error to it. Returns `false` if
+    /// the sender is full. Never blocks.
     pub fn try_send(&self, job: impl FnOnce(&mut File) + Send + 'static) -> bool {
-        // Only the node's own thread sends, so the number cannot grow in between.
+        // Only the node's thread sends, so the count cannot grow between the check and the
+        // increment.
         if self.queued.load(Ordering::Acquire) >= self.capacity {
             return false;
         }
