--- a/crates/cli/tests/node_features/hot_list.rs
+++ b/crates/cli/tests/node_features/hot_list.rs
@@ -137,5 +137,8 @@
         (Some(1), 1),
         "{error}"
     );
-    assert!(error.contains("over 1 MB"), "{error}");
+    assert!(
+        error.contains("exceeds the memory limit of 1 MB"),
+        "{error}"
+    );
 }
--- a/crates/telemetry/src/audit/record.rs
+++ b/crates/telemetry/src/audit/record.rs
@@ -69,8 +69,8 @@
         /// Number of lost records.
         records: u64,
     },
-    /// The trail's file was moved or removed, and the trail starts a new chain in a file at the
-    /// same path.
+    /// The trail's file was moved or removed, and the trail continues in the file that is at the
+    /// same path now.
     Vanished {
         /// Number of records in the previous file.
         records: u64,
--- a/crates/telemetry/src/audit/trail.rs
+++ b/crates/telemetry/src/audit/trail.rs
@@ -241,8 +241,8 @@
 }
 
 impl TrailEnd {
-    /// Reads the end of the file. The lock must be held: until then another node may write to the
-    /// file.
+    /// Reads the end of the file. The lock must be held: without the lock another node may write to
+    /// the file.
     fn read(file: &mut File) -> Result<Self, TrailError> {
         let file_len = file.metadata()?.len();
         let start = file_len.saturating_sub(MAX_END_BYTES);
--- a/crates/telemetry/src/error.rs
+++ b/crates/telemetry/src/error.rs
@@ -13,7 +13,7 @@
     #[error("cannot start the writer: {0}")]
     Writer(#[source] io::Error),
     /// A signal handler cannot be installed.
-    #[error("cannot catch {signal}: {error}")]
+    #[error("cannot install a handler for {signal}: {error}")]
     Signal {
         /// Name of the signal.
         signal: &'static str,
@@ -45,7 +45,7 @@
         error: TrailError,
     },
     /// The hot list would exceed its memory limit.
-    #[error("hotlist: a capacity of {capacity} would take over 1 MB, {max_capacity} would not")]
+    #[error("hotlist: a capacity of {capacity} exceeds the memory limit of 1 MB; the maximum is {max_capacity}")]
     HotListCapacity {
         /// Configured number of entries for each class.
         capacity: usize,
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -32,7 +32,7 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::time::{interval, timeout, Instant, MissedTickBehavior};
 
-/// Tag value used if no endpoint was picked.
+/// Tag value used if there is no endpoint or class to name.
 const NONE_TAG: &str = "none";
 /// Interval between checks for unsent data during shutdown.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(2);
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Flushes and waits until all lines are sent, at most for `limit`; lines that a blocked pipe
+    /// Flushes and waits for at most `limit` until all lines are sent; lines that a blocked pipe
     /// does not accept by then are lost. [`Metrics::run`] must be running.
     pub async fn shut_down(&self, limit: Duration) {
         let _ = timeout(limit, self.drain()).await;
--- a/crates/telemetry/src/metrics/buffer.rs
+++ b/crates/telemetry/src/metrics/buffer.rs
@@ -63,7 +63,8 @@
         let in_flight_bytes = self.in_flight.map_or(0, |batch| batch.bytes);
         let max_pending_bytes = MAX_BUFFERED_BYTES - LOSS_COUNTER_BYTES;
         while self.lines.len() + in_flight_bytes + line.len() > max_pending_bytes {
-            // At most one batch is being written, so there is normally a queued line to evict.
+            // Only one batch is in flight at a time, so the other buffered bytes are queued lines,
+            // which can be evicted.
             if !self.evict_oldest_line() {
                 return false;
             }
--- a/crates/telemetry/src/metrics/output.rs
+++ b/crates/telemetry/src/metrics/output.rs
@@ -51,7 +51,7 @@
         sender: BoundedSender,
         /// `None` for standard error.
         file: Option<Arc<Mutex<AppendedFile>>>,
-        /// Receives the result of each batch that the writer thread has finished.
+        /// Channel for the result of each batch that the writer thread has finished.
         results: UnboundedSender<BatchResult>,
     },
 }
--- a/crates/telemetry/src/writer.rs
+++ b/crates/telemetry/src/writer.rs
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Waits until all jobs queued earlier have run, at most for `limit`: shutdown must not wait
-    /// for a blocked pipe.
+    /// Waits for at most `limit` until all jobs queued earlier have run: shutdown must not wait for
+    /// a blocked pipe.
     pub async fn flush(&self, limit: Duration) {
         let (done, finished) = oneshot::channel();
         let queued = self.sender(1).try_send(move |_| {
-            // The send fails if the timeout has passed, when nothing waits for the result any more.
+            // The send fails if the timeout has passed; the result is then no longer needed.
             let _ = done.send(());
         });
         if queued {
