--- a/crates/cli/src/audit.rs
+++ b/crates/cli/src/audit.rs
@@ -1,6 +1,6 @@
-//! `slatelink audit`: checks an audit trail.
+//! `slatelink audit`: verifies an audit trail.
 
-use crate::exit::{success_if, CommandResult, UNUSABLE};
+use crate::exit::{success_if, CommandResult, EXIT_UNUSABLE};
 use clap::Subcommand;
 use slatelink_telemetry::audit::{self, Verification};
 use std::fs::File;
@@ -10,15 +10,15 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Print `ok <count>`, or the first line that is broken or torn, and then exit 1
+    /// Print `ok <count>`, or the number of the first broken or torn line and exit with 1
     Verify {
-        /// The trail
+        /// The audit trail
         file: PathBuf,
     },
 }
 
 impl Command {
-    /// Runs it.
+    /// Runs the subcommand.
     pub fn run(self) -> CommandResult {
         match self {
             Self::Verify { file } => verify(&file),
@@ -36,10 +36,10 @@
                 Verification::Intact { .. }
             )))
         }
-        // Another code than a broken trail has.
+        // A broken trail has a different exit code.
         Err(error) => {
             eprintln!("slatelink: cannot read {}: {error}", path.display());
-            Ok(ExitCode::from(UNUSABLE))
+            Ok(ExitCode::from(EXIT_UNUSABLE))
         }
     }
 }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,28 +1,28 @@
-//! Exit codes of the commands, and the line that an error of use is reported with.
+//! Exit codes of the commands, and the error message for unusable input.
 
 use std::error::Error;
 use std::fmt::Display;
 use std::process::ExitCode;
 
-/// What was run did not hold, was stopped, or failed.
-pub const BROKEN: u8 = 1;
-/// What was named cannot be run at all: a file that cannot be read, arguments that contradict each other.
-pub const UNUSABLE: u8 = 2;
+/// A rule was broken, or the run was stopped or failed.
+pub const EXIT_FAILURE: u8 = 1;
+/// The input cannot be used: a file cannot be read, or arguments contradict each other.
+pub const EXIT_UNUSABLE: u8 = 2;
 
-/// How a command ends: an exit code, or an error that `main` prints before it exits with 1.
+/// Result of a command: an exit code, or an error that `main` prints before exiting with 1.
 pub type CommandResult = Result<ExitCode, Box<dyn Error>>;
 
-/// Prints why a command cannot be run; the exit code for that.
+/// Prints the reason why a command cannot run and returns [`EXIT_UNUSABLE`].
 pub fn unusable(error: impl Display) -> CommandResult {
     eprintln!("slatelink: {error}");
-    Ok(ExitCode::from(UNUSABLE))
+    Ok(ExitCode::from(EXIT_UNUSABLE))
 }
 
-/// The exit code of a check: success where it holds, [`BROKEN`] where it does not.
-pub fn success_if(holds: bool) -> ExitCode {
-    if holds {
+/// Returns success if a check has passed, else [`EXIT_FAILURE`].
+pub fn success_if(passed: bool) -> ExitCode {
+    if passed {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_FAILURE)
     }
 }
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,4 +1,5 @@
-//! `slatelink lab`: plays scenarios, compares nodes, measures idle connections and control at scale, lists scenarios.
+//! `slatelink lab`: plays scenarios, compares nodes, measures idle connections and the control
+//! plane at scale, lists scenarios.
 
 mod compare;
 mod idle;
@@ -18,18 +19,20 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Play scenarios and check the rules; exit 0 if all hold, 1 if one does not, 2 if one cannot be played
+    /// Play scenarios and check the rules; exit with 0 if all rules hold, 1 if one is broken, 2 if
+    /// a scenario cannot be played
     Run(Run),
-    /// Compare two reports, or two node binaries in turn over the same seeds
+    /// Compare two reports, or two node binaries, run alternately over the same seeds
     Compare(Compare),
-    /// Measure what idle client connections cost a node, and how it bears all of them speaking at once
+    /// Measure a node's memory and latency with idle client connections, and a burst of requests
+    /// on all of them
     Idle(Idle),
-    /// Measure control at scale: real nodes and many simulated ones against one discovery
+    /// Measure the control plane at scale: real and many simulated nodes with one discovery
     Scale(Box<Scale>),
-    /// Run simulated nodes for `lab scale`, which starts this
+    /// Run simulated nodes as a worker process of `lab scale`
     #[command(hide = true)]
     ScaleWorker,
-    /// List the scenarios of a folder
+    /// List the scenarios in a folder
     List {
         /// The folder
         #[arg(default_value = "scenarios")]
@@ -38,14 +41,14 @@
 }
 
 impl Command {
-    /// Runs it.
+    /// Runs the subcommand.
     pub fn run(self) -> CommandResult {
         match self {
             Self::Run(run) => run.run(),
             Self::Compare(compare) => compare.run(),
             Self::Idle(idle) => idle.run(),
             Self::Scale(scale) => scale.run(),
-            Self::ScaleWorker => scale::work(),
+            Self::ScaleWorker => scale::run_worker(),
             Self::List { folder } => list(&folder),
         }
     }
--- a/crates/cli/src/lab/compare.rs
+++ b/crates/cli/src/lab/compare.rs
@@ -1,7 +1,8 @@
-//! `slatelink lab compare`: two reports side by side, or two node binaries in turn over the same seeds.
+//! `slatelink lab compare`: compares two reports, or two node binaries that play the same
+//! scenarios and seeds alternately.
 
 use super::play::{play_with_bar, scenario_name};
-use crate::exit::{unusable, CommandResult, BROKEN};
+use crate::exit::{unusable, CommandResult, EXIT_FAILURE};
 use crate::node_arguments::node_program;
 use clap::Args;
 use slatelink_lab::compare::{self, Measured};
@@ -14,32 +15,32 @@
 
 #[derive(Args)]
 pub struct Compare {
-    /// A report in JSON, or a node's binary
+    /// Report A in JSON, or binary A of a node
     a: PathBuf,
-    /// The same of the other
+    /// Report B, or binary B
     b: PathBuf,
     /// Scenarios to play with both binaries
     #[arg(long = "scenario", value_name = "FILE")]
     scenarios: Vec<PathBuf>,
-    /// Seeds that each is played with
+    /// Number of seeds with which each scenario is played
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(2..=1_000))]
     seeds: u64,
-    /// The operators' file of each node
+    /// Settings of the operators' features for each node, in TOML
     #[arg(long, value_name = "FILE")]
     features: Option<PathBuf>,
 }
 
-/// What the two binaries came to, by seed.
+/// Results of both binaries, one pair per seed.
 type Pairs = Vec<(Measured, Measured)>;
 
 impl Compare {
-    /// Compares, and prints the differences.
+    /// Runs the comparison and prints the differences.
     pub fn run(self) -> CommandResult {
         match (is_report(&self.a), is_report(&self.b)) {
             (true, true) => self.compare_reports(),
             (false, false) => self.compare_binaries(),
             _ => unusable(
-                "one is a report and the other is not: compare two reports, or two binaries",
+                "a report cannot be compared with a binary: name two reports or two binaries",
             ),
         }
     }
@@ -56,7 +57,7 @@
 
     fn compare_binaries(&self) -> CommandResult {
         if self.scenarios.is_empty() {
-            return unusable("two binaries need a --scenario to play");
+            return unusable("a comparison of two binaries needs at least one --scenario");
         }
         let stop = crate::signals::stop_at_interrupt()?;
         for file in &self.scenarios {
@@ -67,14 +68,14 @@
             let name = scenario_name(file);
             let Some(pairs) = self.play_pairs(&name, &scenario, &stop)? else {
                 eprintln!("slatelink: stopped");
-                return Ok(ExitCode::from(BROKEN));
+                return Ok(ExitCode::from(EXIT_FAILURE));
             };
             print!("{}", compare::paired(&name, &pairs));
         }
         Ok(ExitCode::SUCCESS)
     }
 
-    /// Plays a scenario with both binaries over all seeds; `None` where that was stopped.
+    /// Plays a scenario with both binaries over all seeds. Returns `None` if the run was stopped.
     fn play_pairs(
         &self,
         name: &str,
@@ -88,7 +89,7 @@
                 let program = node_program(binary.to_owned(), self.features.as_deref());
                 play_with_bar(name, scenario, program, seed, stop)
             };
-            // In turn, so that what the machine does besides falls on both.
+            // The order alternates, so that other load on the machine affects both binaries alike.
             let (a, b) = if offset % 2 == 0 {
                 let a = measure(&self.a)?;
                 (a, measure(&self.b)?)
@@ -105,14 +106,14 @@
     }
 }
 
-/// Whether a path names a report, and not a node's binary.
+/// Checks whether a path names a report rather than a node's binary.
 fn is_report(path: &Path) -> bool {
-    path.extension().is_some_and(|end| end == "json")
+    path.extension().is_some_and(|suffix| suffix == "json")
 }
 
 fn read_report(path: &Path) -> Result<Measured, String> {
     let text =
         std::fs::read(path).map_err(|error| format!("cannot read {}: {error}", path.display()))?;
     serde_json::from_slice(&text)
-        .map_err(|error| format!("{} is no report: {error}", path.display()))
+        .map_err(|error| format!("{} is not a valid report: {error}", path.display()))
 }
--- a/crates/cli/src/lab/idle.rs
+++ b/crates/cli/src/lab/idle.rs
@@ -1,4 +1,4 @@
-//! `slatelink lab idle`: what idle client connections cost a node.
+//! `slatelink lab idle`: measures a node's memory and latency with idle client connections.
 
 use crate::exit::{unusable, CommandResult};
 use crate::node_arguments::NodeArguments;
@@ -7,16 +7,16 @@
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-/// Numbers of idle connections that are measured on the way to the one asked for.
+/// Numbers of idle connections measured before the requested number.
 const INTERMEDIATE_SIZES: [usize; 3] = [0, 1_000, 10_000];
 
 #[derive(Args)]
 pub struct Idle {
-    /// Connections to hold; each takes two descriptors of this machine
+    /// Connections to hold; each takes two descriptors on this machine
     #[arg(long, visible_alias = "count", default_value_t = 5_000,
         value_parser = clap::value_parser!(u32).range(1..=200_000))]
     connections: u32,
-    /// Make so many at a time, half a second apart
+    /// Number of connections opened at a time; batches are about half a second apart
     #[arg(long, default_value_t = 500, value_parser = clap::value_parser!(u32).range(1..=200_000))]
     batch: u32,
     #[command(flatten)]
@@ -24,11 +24,13 @@
 }
 
 impl Idle {
-    /// Measures and prints the table.
+    /// Runs the measurement and prints the results.
     pub fn run(self) -> CommandResult {
         self.node.start_log();
-        if self.node.names_features() {
-            return unusable("lab idle writes the node's section front itself: --features must go");
+        if self.node.has_features() {
+            return unusable(
+                "lab idle sets the section [front] of the node itself: --features is not allowed",
+            );
         }
         let sizes = sizes(self.connections as usize);
         let measured = idle::measure(self.node.program()?, &sizes, self.batch as usize)?;
@@ -37,7 +39,7 @@
     }
 }
 
-/// The sizes to measure, up to this many connections.
+/// Returns the numbers of connections to measure, up to this number.
 fn sizes(connections: usize) -> Vec<usize> {
     INTERMEDIATE_SIZES
         .into_iter()
@@ -68,17 +70,17 @@
     }
     writeln!(
         out,
-        "{} were closed by the node with their first answer",
+        "{} connections were closed by the node with their first response",
         measured.closed
     )?;
     writeln!(
         out,
-        "all spoke at once: {} answered, the last after {:.0} ms; the node took {} KiB at most",
+        "requests on all connections at once: {} answered, the last after {:.0} ms; peak memory of the node {} KiB",
         measured.answered, measured.burst_ms, measured.peak_kib
     )?;
     writeln!(
         out,
-        "SIGTERM with {} of them idle: {} closed, the last after {:.0} ms (500 ms are for the front to notice)",
+        "SIGTERM with {} idle connections: {} closed, the last after {:.0} ms (the node drains for 500 ms)",
         measured.answered, measured.stopped, measured.stop_ms
     )
 }
--- a/crates/cli/src/lab/list.rs
+++ b/crates/cli/src/lab/list.rs
@@ -1,13 +1,13 @@
-//! `slatelink lab list`: the scenarios of a folder.
+//! `slatelink lab list`: lists the scenarios in a folder.
 
 use super::play::scenario_name;
-use crate::exit::{unusable, CommandResult, UNUSABLE};
+use crate::exit::{unusable, CommandResult, EXIT_UNUSABLE};
 use slatelink_lab::scenario::Scenario;
 use std::io::{self, Write};
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Prints a line for each scenario of a folder, in the order of their names.
+/// Prints one line per scenario in a folder, in the order of the file names.
 pub fn list(folder: &Path) -> CommandResult {
     let entries = match std::fs::read_dir(folder) {
         Ok(entries) => entries,
@@ -16,20 +16,20 @@
     let mut files: Vec<_> = entries
         .filter_map(|entry| Some(entry.ok()?.path()))
         .collect();
-    files.retain(|path| path.extension().is_some_and(|end| end == "toml"));
+    files.retain(|path| path.extension().is_some_and(|suffix| suffix == "toml"));
     files.sort();
-    let mut readable = true;
+    let mut all_valid = true;
     let mut out = io::stdout().lock();
     for file in files {
         match Scenario::load(&file) {
-            Ok(it) => {
+            Ok(scenario) => {
                 let Scenario {
                     about,
                     fleet,
                     load,
                     seconds,
                     ..
-                } = it;
+                } = scenario;
                 writeln!(
                     out,
                     "{:<22} {:>3.0} s, {} nodes, {} servers, {:.0} requests/s: {about}",
@@ -41,14 +41,14 @@
                 )?;
             }
             Err(error) => {
-                readable = false;
+                all_valid = false;
                 eprintln!("slatelink: {error}");
             }
         }
     }
-    Ok(if readable {
+    Ok(if all_valid {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(UNUSABLE)
+        ExitCode::from(EXIT_UNUSABLE)
     })
 }
--- a/crates/cli/src/lab/play.rs
+++ b/crates/cli/src/lab/play.rs
@@ -13,12 +13,12 @@
 use std::thread;
 use std::time::Duration;
 
-/// The bar is drawn anew this often.
+/// Interval at which the bar is updated.
 const BAR_INTERVAL: Duration = Duration::from_millis(50);
-/// Steps of the bar for each second of the scenario.
+/// Steps of the bar per second of the scenario.
 const STEPS_PER_SECOND: f64 = 10.0;
 
-/// A scenario's name: its file's, without the extension.
+/// Returns the name of a scenario: its file name without the extension.
 pub fn scenario_name(path: &Path) -> String {
     path.file_stem().map_or_else(
         || path.display().to_string(),
@@ -26,7 +26,8 @@
     )
 }
 
-/// Plays a scenario with a bar, which draws nothing where there is no terminal. `None` where `stop` ended it.
+/// Plays a scenario with a progress bar, which is hidden without a terminal. Returns `None` if
+/// `stop` has ended the run.
 pub fn play_with_bar(
     name: &str,
     scenario: &Scenario,
@@ -43,7 +44,7 @@
         let playing = scope.spawn(|| play(scenario, &options));
         while !playing.is_finished() {
             thread::sleep(BAR_INTERVAL);
-            show(&bar, scenario, &options.live);
+            update_bar(&bar, scenario, &options.live);
         }
         playing.join()
     });
@@ -61,7 +62,7 @@
     bar
 }
 
-fn show(bar: &ProgressBar, scenario: &Scenario, live: &Live) {
+fn update_bar(bar: &ProgressBar, scenario: &Scenario, live: &Live) {
     let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
     let (begun, in_time) = (count(&live.begun), count(&live.in_time));
     if begun == 0 {
@@ -70,7 +71,7 @@
     let elapsed_s = begun as f64 / scenario.load.rate.get();
     bar.set_position((elapsed_s * STEPS_PER_SECOND) as u64);
     bar.set_message(format!(
-        "{begun} asked, {in_time} in time, {} refused",
+        "{begun} requests, {in_time} in time, {} refused",
         count(&live.refused)
     ));
 }
--- a/crates/cli/src/lab/run.rs
+++ b/crates/cli/src/lab/run.rs
@@ -1,7 +1,7 @@
 //! `slatelink lab run`: plays scenarios and checks the rules.
 
 use super::play::{play_with_bar, scenario_name};
-use crate::exit::{success_if, unusable, CommandResult, BROKEN};
+use crate::exit::{success_if, unusable, CommandResult, EXIT_FAILURE};
 use crate::node_arguments::NodeArguments;
 use clap::Args;
 use slatelink_lab::nodes::Program;
@@ -14,41 +14,43 @@
 
 #[derive(Args)]
 pub struct Run {
-    /// Scenarios, in TOML
+    /// Scenario files, in TOML
     #[arg(required = true, value_name = "FILE")]
     files: Vec<PathBuf>,
-    /// The first seed; the scenario's own where none is named
+    /// First seed; by default the scenario's own seed
     #[arg(long)]
     seed: Option<u64>,
-    /// Play each so many times, with seeds that follow one another
+    /// Number of runs of each scenario, with consecutive seeds
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=10_000))]
     repeat: u64,
-    /// First tries a second, in place of the scenario's
+    /// Requests per second, not counting retries, instead of the scenario's rate
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u32).range(1..=200_000))]
     rate: Option<u32>,
-    /// Send the load straight to the cache servers, with no node between: what the rig itself can do
+    /// Send the load directly to the cache servers, without nodes, to measure the capacity of the
+    /// lab itself
     #[arg(long, conflicts_with_all = ["node", "features"])]
     direct: bool,
-    /// Write a report of each run there, as JSON and as a page
+    /// Folder to which the report of each run is written, as JSON and as HTML
     #[arg(long, value_name = "DIR")]
     out: Option<PathBuf>,
-    /// Print the reports as JSON lines
+    /// Print each report as one line of JSON
     #[arg(long)]
     json: bool,
     #[command(flatten)]
     node: NodeArguments,
 }
 
-/// A scenario that was read, with its name.
+/// A scenario with its name.
 struct NamedScenario {
     name: String,
     scenario: Scenario,
 }
 
 impl Run {
-    /// Plays each scenario with each of its seeds, and prints the reports.
+    /// Plays each scenario with each of its seeds and prints the reports.
     pub fn run(self) -> CommandResult {
-        // All are read before the first is played: a typing error in the last one is reported at once.
+        // All scenarios are read before the first is played, so that an error in the last scenario
+        // is reported at once.
         let scenarios: Result<Vec<_>, _> = self.files.iter().map(|file| self.load(file)).collect();
         let scenarios = match scenarios {
             Ok(scenarios) => scenarios,
@@ -56,7 +58,7 @@
         };
         if let Some(out) = &self.out {
             if let Err(error) = std::fs::create_dir_all(out) {
-                return unusable(format!("cannot make {}: {error}", out.display()));
+                return unusable(format!("cannot create folder {}: {error}", out.display()));
             }
         }
         self.node.start_log();
@@ -73,7 +75,7 @@
                 let played = play_with_bar(name, scenario, program.clone(), seed, &stop)?;
                 let Some(report) = played else {
                     eprintln!("slatelink: stopped");
-                    return Ok(ExitCode::from(BROKEN));
+                    return Ok(ExitCode::from(EXIT_FAILURE));
                 };
                 all_hold &= report.holds;
                 self.write_files(name, seed, &report)?;
@@ -83,7 +85,7 @@
         Ok(success_if(all_hold))
     }
 
-    /// Reads a scenario, with the rate that is asked for in place of its own.
+    /// Reads a scenario and replaces its rate if `--rate` is given.
     fn load(&self, file: &Path) -> Result<NamedScenario, ScenarioError> {
         let mut scenario = Scenario::load(file)?;
         if let Some(rate) = self.rate.and_then(|rate| f64::from(rate).try_into().ok()) {
@@ -95,7 +97,7 @@
         })
     }
 
-    /// Writes a report as JSON and as a page, where a folder is named.
+    /// Writes a report as JSON and as HTML if `--out` is given.
     fn write_files(&self, name: &str, seed: u64, report: &Report) -> Result<(), Box<dyn Error>> {
         if let Some(out) = &self.out {
             let path = out.join(format!("{name}-{seed}"));
--- a/crates/cli/src/lab/scale.rs
+++ b/crates/cli/src/lab/scale.rs
@@ -1,6 +1,7 @@
-//! `slatelink lab scale`: real nodes and many simulated ones against a stand-in for discovery, measured.
+//! `slatelink lab scale`: measures the control plane with real and many simulated nodes and a
+//! simulated discovery.
 
-use crate::exit::{success_if, unusable, CommandResult, BROKEN, UNUSABLE};
+use crate::exit::{success_if, unusable, CommandResult, EXIT_FAILURE, EXIT_UNUSABLE};
 use crate::node_arguments::NodeArguments;
 use clap::{Args, ValueEnum};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -19,62 +20,65 @@
 use std::thread;
 use std::time::Duration;
 
-/// The progress line is written anew this often.
+/// Interval at which the progress line is updated.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(200);
-/// Arguments of the hidden command that makes a process of this binary a worker.
+/// Arguments with which this binary runs as a worker process: the hidden `lab scale-worker`.
 const WORKER_ARGUMENTS: [&str; 2] = ["lab", "scale-worker"];
 
 #[derive(Args)]
 pub struct Scale {
-    /// Nodes that are processes of their own
+    /// Nodes that run in a process of their own
     #[arg(long, value_name = "N", default_value_t = 1)]
     real: usize,
-    /// Nodes that share a few processes: discovery's client and decision module of a real one
+    /// Simulated nodes, which share a few processes; each runs the discovery client and the
+    /// decision module of a node
     #[arg(long, value_name = "N", default_value_t = 50)]
     simulated: usize,
-    /// Processes that simulated nodes share
+    /// Processes in which simulated nodes run
     #[arg(long, value_name = "N", default_value_t = 4)]
     workers: usize,
-    /// Cache servers in the list
+    /// Cache servers in the server list
     #[arg(long, value_name = "N", default_value_t = 50)]
     servers: usize,
-    /// Zones that they are dealt out over
+    /// Zones among which the cache servers are distributed
     #[arg(long, value_name = "N", default_value_t = 3)]
     zones: usize,
-    /// Requests a second of each node
+    /// Requests per second of each node
     #[arg(long, value_name = "RATE", default_value_t = 0.0)]
     requests: f64,
-    /// Changes of the list a second
+    /// Changes of the server list per second
     #[arg(long, value_name = "RATE", default_value_t = 1.0)]
     list_changes: f64,
-    /// New configurations a second, each for the whole fleet
+    /// New configurations per second, each for the whole fleet
     #[arg(long, value_name = "RATE", default_value_t = 0.0)]
     configurations: f64,
-    /// How long changes are made
+    /// Duration of the phase in which changes are made
     #[arg(long, value_name = "SECONDS", default_value_t = 30.0)]
     length: f64,
-    /// Of all that is drawn
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Make a change only once the one before is in force everywhere, and all nodes watch again
+    /// Make a change only when the previous change is in force on all nodes and all nodes watch
+    /// again
     #[arg(long)]
     step_wise: bool,
-    /// Discovery's time for a call
+    /// Time that discovery takes per call
     #[arg(long, value_name = "MICROSECONDS", default_value_t = 250)]
     call_cost: u64,
-    /// Discovery's time for an entry that it writes
+    /// Time that discovery takes per entry written
     #[arg(long, value_name = "MICROSECONDS", default_value_t = 5)]
     entry_cost: u64,
-    /// Relays between discovery and simulated nodes: the first tier's number, and the second one's
+    /// Number of relays between discovery and the simulated nodes, in the first and in the second
+    /// tier
     #[arg(long, value_name = "N[,M]", value_delimiter = ',')]
     relays: Vec<usize>,
-    /// How long relays answer after upstream's last word
+    /// Lease of the relays: how long a relay serves calls after the last response from upstream
     #[arg(long, value_name = "MILLISECONDS", default_value_t = DEFAULT_LEASE_MS)]
     relay_lease_ms: u64,
-    /// What goes wrong
+    /// Fault to inject
     #[arg(long, value_enum)]
-    trouble: Option<TroubleName>,
-    /// When it does
+    trouble: Option<FaultArgument>,
+    /// Start of the fault
     #[arg(
         long,
         value_name = "SECONDS",
@@ -82,7 +86,7 @@
         requires = "trouble"
     )]
     trouble_at: f64,
-    /// For how long; a restart takes none
+    /// Duration of the fault; ignored for a restart
     #[arg(
         long,
         value_name = "SECONDS",
@@ -90,7 +94,7 @@
         requires = "trouble"
     )]
     trouble_for: f64,
-    /// Write the report there, as JSON
+    /// File to which the report is written, as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
     #[command(flatten)]
@@ -98,30 +102,30 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum TroubleName {
-    /// Discovery is away and comes back
+enum FaultArgument {
+    /// Discovery is unavailable for the duration of the fault
     DiscoveryDown,
-    /// A tenth of the nodes is restarted at once
+    /// A tenth of the nodes restart at once
     RestartTenth,
-    /// The servers of one zone are gone and come back
+    /// The servers of one zone are removed from the server list for the duration of the fault
     ZoneLost,
-    /// Half of the fleet is cut off from discovery for a while
+    /// Half of the nodes cannot reach discovery for the duration of the fault
     Split,
 }
 
-impl From<TroubleName> for FaultKind {
-    fn from(name: TroubleName) -> Self {
-        match name {
-            TroubleName::DiscoveryDown => Self::DiscoveryDown,
-            TroubleName::RestartTenth => Self::RestartTenth,
-            TroubleName::ZoneLost => Self::ZoneLost,
-            TroubleName::Split => Self::Partition,
+impl From<FaultArgument> for FaultKind {
+    fn from(argument: FaultArgument) -> Self {
+        match argument {
+            FaultArgument::DiscoveryDown => Self::DiscoveryDown,
+            FaultArgument::RestartTenth => Self::RestartTenth,
+            FaultArgument::ZoneLost => Self::ZoneLost,
+            FaultArgument::Split => Self::Partition,
         }
     }
 }
 
 impl Scale {
-    /// Runs it and prints its report.
+    /// Runs the measurement and prints the report.
     pub fn run(self) -> CommandResult {
         self.node.start_log();
         let options = self.options();
@@ -133,10 +137,10 @@
             },
             relay: std::env::current_exe()?,
         };
-        if let Err(error) = announce(&options) {
+        if let Err(error) = check_and_print_estimate(&options) {
             return failed(&error);
         }
-        // A path that cannot be written is an error before the run, not after it.
+        // The file is created before the run, so that an unwritable path is reported at once.
         let json = match self.json.as_ref().map(|path| (path, File::create(path))) {
             None => None,
             Some((_, Ok(file))) => Some(file),
@@ -192,14 +196,15 @@
     }
 }
 
-/// Runs simulated nodes for a run that has started this process.
-pub fn work() -> CommandResult {
+/// Runs simulated nodes in this process, as a worker of `lab scale`.
+pub fn run_worker() -> CommandResult {
     scale::work()?;
     Ok(ExitCode::SUCCESS)
 }
 
-/// Says what the run is estimated to take, before anything is started; refuses what is too much.
-fn announce(options: &Options) -> Result<(), ScaleError> {
+/// Checks the options and prints the estimated resources of the run before it starts. Returns an
+/// error if they exceed the limits of this machine.
+fn check_and_print_estimate(options: &Options) -> Result<(), ScaleError> {
     options.check()?;
     let (estimate, limits) = (Estimate::of(options), Limits::read()?);
     estimate.check(&limits)?;
@@ -211,10 +216,14 @@
 fn failed(error: &ScaleError) -> CommandResult {
     eprintln!("slatelink: {error}");
     let unusable = matches!(error, ScaleError::Options(_) | ScaleError::Bounds(_));
-    Ok(ExitCode::from(if unusable { UNUSABLE } else { BROKEN }))
+    Ok(ExitCode::from(if unusable {
+        EXIT_UNUSABLE
+    } else {
+        EXIT_FAILURE
+    }))
 }
 
-/// Runs it with a progress line, which is not drawn where no terminal is.
+/// Runs the measurement with a progress line, which is hidden without a terminal.
 fn run_with_progress(
     options: &Options,
     programs: &Programs,
@@ -224,7 +233,7 @@
     let line = ProgressBar::new_spinner();
     let style = ProgressStyle::with_template("{elapsed} {msg}");
     line.set_style(style.unwrap_or_else(|_| ProgressStyle::default_spinner()));
-    let ran = thread::scope(|scope| {
+    let result = thread::scope(|scope| {
         let running = scope.spawn(|| scale::run(options, programs, stop, &progress));
         while !running.is_finished() {
             line.set_message(progress.line());
@@ -234,5 +243,5 @@
         running.join()
     });
     line.finish_and_clear();
-    ran.map_err(|_| "the run ended in a panic".into())
+    result.map_err(|_| "the run ended in a panic".into())
 }
--- a/crates/cli/src/log_format.rs
+++ b/crates/cli/src/log_format.rs
@@ -1,13 +1,13 @@
-//! The argument that says how a log is written.
+//! The argument that selects the format of a log.
 
 use clap::ValueEnum;
 
-/// How a log is written to standard error.
+/// Format of a log on standard error.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum LogFormat {
-    /// Lines of words
+    /// Plain text
     Text,
-    /// A JSON object a line
+    /// One JSON object per line
     Json,
 }
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The `slatelink` command: arguments, exit codes and printing.
+//! The `slatelink` command: arguments, exit codes and output.
 
 mod audit;
 mod exit;
@@ -20,40 +20,41 @@
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 
-/// A load-balancer node for a fleet of cache servers; LB_CONFIG and the other LB_ variables tell it its place.
+/// A load-balancer node for a fleet of cache servers, configured by LB_CONFIG and the other LB_
+/// variables
 #[derive(Parser)]
 #[command(name = "slatelink", version, args_conflicts_with_subcommands = true)]
 struct Cli {
-    /// Settings of the operators' features, in TOML; without it all of them are off
+    /// Settings of the operators' features, in TOML; without a file all features are off
     #[arg(long, value_name = "FILE")]
     features: Option<PathBuf>,
-    /// How the node's log is written to standard error
+    /// Format of the node's log on standard error
     #[arg(long, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
-/// Without one, the node runs.
+/// Subcommands; without a subcommand, the node runs.
 #[derive(Subcommand)]
 enum Command {
-    /// Look at an audit trail
+    /// Verify an audit trail
     #[command(subcommand)]
     Audit(audit::Command),
-    /// Start a whole fleet on this machine with light traffic: nodes, cache servers, database, clients
+    /// Run a fleet with light traffic on this machine: nodes, cache servers, database, clients
     Up(up::Up),
     /// Play scenarios with faults against real nodes and check the rules
     #[command(subcommand)]
     Lab(lab::Command),
-    /// Ask a node's side port for many keys and print a line for each
+    /// Request many keys from a node's multi-get port and print one line per key
     MultiGet(multi_get::Command),
-    /// Stand between discovery and nodes: pass the server list on, as discovery would
+    /// Run a relay, which forwards the server list from discovery to nodes
     Relay(relay::Command),
 }
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let ended = match cli.command {
+    let result = match cli.command {
         None => run_node(cli.features, cli.log_format),
         Some(Command::Audit(audit)) => audit.run(),
         Some(Command::Up(up)) => up.run(),
@@ -61,7 +62,7 @@
         Some(Command::Relay(relay)) => relay.run(),
         Some(Command::MultiGet(command)) => command.run(),
     };
-    match ended {
+    match result {
         Ok(code) => code,
         Err(error) => {
             eprintln!("slatelink: {error}");
@@ -70,14 +71,14 @@
     }
 }
 
-/// Runs the node itself.
+/// Runs a node.
 fn run_node(features: Option<PathBuf>, format: LogFormat) -> CommandResult {
     let features = features
         .map(operators::load)
         .transpose()?
         .unwrap_or_default();
     let config = platform::load(|name| std::env::var(name).ok())?;
-    // A node has one core: one thread, and no locks between its parts.
+    // A node has one core, so a single thread without locks between the node's parts.
     let node = slatelink_node::run(config, features, format.into());
     Ok(LocalSet::new().block_on(&single_threaded_runtime()?, node)?)
 }
--- a/crates/cli/src/multi_get.rs
+++ b/crates/cli/src/multi_get.rs
@@ -1,6 +1,7 @@
-//! `slatelink multi-get`: asks a node's side port for many keys and prints a line for each.
+//! `slatelink multi-get`: requests many keys from a node's multi-get port and prints one line per
+//! key.
 
-use crate::exit::{CommandResult, UNUSABLE};
+use crate::exit::{CommandResult, EXIT_UNUSABLE};
 use crate::runtime::single_threaded_runtime;
 use bytes::Bytes;
 use clap::Args;
@@ -21,8 +22,8 @@
 use tokio::task::JoinSet;
 use tokio::time::{timeout_at, Instant};
 
-/// A line holds a body, every byte of it escaped at worst, and a key.
-const LONGEST_LINE: usize = 1 << 20;
+/// Maximum length of a response line: a key and a body, in the worst case with every byte escaped.
+const MAX_LINE_BYTES: usize = 1 << 20;
 
 #[derive(Serialize)]
 struct Item<'a> {
@@ -30,7 +31,7 @@
     req_id: String,
 }
 
-/// What stands for a key whose line has not come.
+/// Line printed for a key whose line was not received before the deadline.
 #[derive(Serialize)]
 struct Partial<'a> {
     i: usize,
@@ -38,50 +39,50 @@
     partial: bool,
 }
 
-/// Asks a node's side port for many keys.
+/// Requests many keys from a node's multi-get port.
 #[derive(Args)]
 pub struct Command {
-    /// The side port's address
+    /// Address of the multi-get port
     #[arg(long, value_name = "ADDR:PORT")]
     node: SocketAddr,
-    /// The class of the requests
+    /// Class of the requests
     #[arg(long)]
     kind: String,
-    /// What is unfinished after so many milliseconds is printed as partial
+    /// Deadline in milliseconds; keys without a response by then are printed as partial
     #[arg(long, value_name = "MS", value_parser = clap::value_parser!(u32).range(1..))]
     deadline_ms: u32,
-    /// More keys than this are refused, as the node does past its own `max_items`
+    /// Maximum number of keys, as `max_items` is on the node; more keys are rejected
     #[arg(long, value_name = "N", default_value_t = DEFAULT_MAX_ITEMS)]
     max_items: usize,
-    /// The keys; one line is printed for each, in this order
+    /// Keys to request; one line is printed per key, in this order
     #[arg(required = true)]
     keys: Vec<String>,
 }
 
 impl Command {
-    /// Asks, and prints a line for each key.
+    /// Requests the keys and prints one line per key.
     pub fn run(self) -> CommandResult {
-        single_threaded_runtime()?.block_on(self.ask_and_print())
+        single_threaded_runtime()?.block_on(self.request_and_print())
     }
 
-    async fn ask_and_print(self) -> CommandResult {
+    async fn request_and_print(self) -> CommandResult {
         if self.keys.len() > self.max_items {
             eprintln!(
-                "slatelink: {} keys are more than {}",
+                "slatelink: {} keys were given, but --max-items allows at most {}",
                 self.keys.len(),
                 self.max_items
             );
-            return Ok(ExitCode::from(UNUSABLE));
+            return Ok(ExitCode::from(EXIT_UNUSABLE));
         }
-        let until = Instant::now() + Duration::from_millis(self.deadline_ms.into());
-        let mut ordered = Ordered {
+        let deadline = Instant::now() + Duration::from_millis(self.deadline_ms.into());
+        let mut output = OrderedOutput {
             next: 0,
             lines: vec![None; self.keys.len()],
         };
-        let asked = timeout_at(until, self.ask(until, &mut ordered)).await;
+        let result = timeout_at(deadline, self.request_items(deadline, &mut output)).await;
         let mut out = io::stdout().lock();
-        for (i, key) in self.keys.iter().enumerate().skip(ordered.next) {
-            match ordered.lines[i].take() {
+        for (i, key) in self.keys.iter().enumerate().skip(output.next) {
+            match output.lines[i].take() {
                 Some(line) => out.write_all(&line)?,
                 None => writeln!(
                     out,
@@ -95,20 +96,24 @@
             }
         }
         out.flush()?;
-        match asked {
-            // Time that is up is an answer too, and the lines tell of it.
+        match result {
+            // An expired deadline is no failure: the partial lines report it.
             Ok(Ok(())) | Err(_) => Ok(ExitCode::SUCCESS),
             Ok(Err(error)) => Err(format!("{}: {error}", self.node).into()),
         }
     }
 
-    async fn ask(&self, until: Instant, ordered: &mut Ordered) -> Result<(), Box<dyn Error>> {
+    async fn request_items(
+        &self,
+        deadline: Instant,
+        output: &mut OrderedOutput,
+    ) -> Result<(), Box<dyn Error>> {
         let stream = TcpStream::connect(self.node).await?;
         stream.set_nodelay(true)?;
         let (mut sender, connection) = client::handshake(TokioIo::new(stream)).await?;
-        // How it ends shows at the answer.
-        let mut driving = JoinSet::new();
-        driving.spawn(connection);
+        // `send_request` and the response body return a failure of the connection.
+        let mut connection_task = JoinSet::new();
+        connection_task.spawn(connection);
         let mut ids = HashSet::new();
         while ids.len() < self.keys.len() {
             ids.insert(format!("{:016x}", fastrand::u64(..)));
@@ -119,51 +124,53 @@
             .zip(ids)
             .map(|(key, req_id)| Item { key, req_id });
         let body = serde_json::to_vec(&items.collect::<Vec<_>>())?;
-        let left = until.saturating_duration_since(Instant::now()).as_millis();
+        let remaining_ms = deadline
+            .saturating_duration_since(Instant::now())
+            .as_millis();
         let request = Request::post("/multi")
             .header(HOST, self.node.to_string())
             .header("req-kind", &self.kind)
-            .header("req-deadline-ms", left.to_string())
+            .header("req-deadline-ms", remaining_ms.to_string())
             .body(Full::new(Bytes::from(body)))?;
         let mut response = sender.send_request(request).await?;
         if response.status() != StatusCode::OK {
             let status = response.status();
-            let why = response.into_body().collect().await?.to_bytes();
-            return Err(format!("{status}: {}", String::from_utf8_lossy(&why)).into());
+            let error_body = response.into_body().collect().await?.to_bytes();
+            return Err(format!("{status}: {}", String::from_utf8_lossy(&error_body)).into());
         }
-        let mut read = Vec::new();
+        let mut buffer = Vec::new();
         while let Some(frame) = response.frame().await {
-            read.extend(frame?.into_data().unwrap_or_default());
-            while let Some(end) = read.iter().position(|&byte| byte == b'\n') {
-                ordered.take(read.drain(..=end).collect())?;
+            buffer.extend(frame?.into_data().unwrap_or_default());
+            while let Some(end) = buffer.iter().position(|&byte| byte == b'\n') {
+                output.add_line(buffer.drain(..=end).collect())?;
             }
-            if read.len() > LONGEST_LINE {
-                return Err("a line is longer than any item".into());
+            if buffer.len() > MAX_LINE_BYTES {
+                return Err("the node sent a line longer than 1 MiB".into());
             }
         }
         Ok(())
     }
 }
 
-/// Lines in the order of the keys: one that comes early waits for those before it.
-struct Ordered {
-    /// The first that is not printed.
+/// Prints lines in the order of the keys. A line is kept until all lines before it are printed.
+struct OrderedOutput {
+    /// Index of the first key whose line is not printed yet.
     next: usize,
     lines: Vec<Option<Bytes>>,
 }
 
-impl Ordered {
-    fn take(&mut self, line: Bytes) -> Result<(), Box<dyn Error>> {
+impl OrderedOutput {
+    fn add_line(&mut self, line: Bytes) -> Result<(), Box<dyn Error>> {
         #[derive(Deserialize)]
-        struct Place {
+        struct ItemIndex {
             i: usize,
         }
-        let Place { i } = serde_json::from_slice(&line)?;
-        let place = self
+        let ItemIndex { i } = serde_json::from_slice(&line)?;
+        let slot = self
             .lines
             .get_mut(i)
-            .filter(|place| place.is_none() && i >= self.next);
-        *place.ok_or("a line of an item that was not asked for")? = Some(line);
+            .filter(|slot| slot.is_none() && i >= self.next);
+        *slot.ok_or("the node sent a line for an unknown or already answered item")? = Some(line);
         let mut out = io::stdout().lock();
         while let Some(line) = self.lines.get_mut(self.next).and_then(Option::take) {
             out.write_all(&line)?;
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -1,4 +1,4 @@
-//! `slatelink relay`: stands between discovery, or other relays, and nodes.
+//! `slatelink relay`: forwards the server list from discovery or other relays to nodes.
 
 use crate::exit::CommandResult;
 use crate::log_format::LogFormat;
@@ -13,22 +13,23 @@
 
 #[derive(Args)]
 pub struct Command {
-    /// Settings in TOML, in place of the arguments below: upstream, listen, lease_ms, callers
+    /// Settings in TOML instead of the arguments below: upstream, listen, lease_ms, callers
     #[arg(long, value_name = "FILE", conflicts_with_all = ["upstream", "listen", "lease_ms", "callers"])]
     config: Option<PathBuf>,
-    /// Discovery, or other relays; the next one is tried when one fails
+    /// Addresses of discovery or other relays; after a failure the relay uses the next address
     #[arg(long, value_name = "ADDRESS", num_args = 1.., required_unless_present = "config")]
     upstream: Vec<SocketAddr>,
-    /// Where callers are answered
+    /// Address on which the relay serves nodes and other relays
     #[arg(long, value_name = "ADDRESS", required_unless_present = "config")]
     listen: Option<SocketAddr>,
-    /// Callers are failed once nothing was heard from upstream for so long
+    /// Calls are rejected if upstream has not answered for this time
     #[arg(long, value_name = "MILLISECONDS", default_value_t = DEFAULT_LEASE_MS)]
     lease_ms: u64,
-    /// Connections of callers, at most; what the limit on descriptors allows where nothing is said
+    /// Maximum number of downstream connections; by default as many as the limit on descriptors
+    /// allows
     #[arg(long, value_name = "N")]
     callers: Option<usize>,
-    /// How the log is written to standard error
+    /// Format of the log on standard error
     #[arg(long, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
 }
--- a/crates/cli/src/runtime.rs
+++ b/crates/cli/src/runtime.rs
@@ -1,9 +1,9 @@
-//! The runtime that commands with sockets run on.
+//! The async runtime of commands that use sockets.
 
 use std::io;
 use tokio::runtime::{Builder, Runtime};
 
-/// A runtime on this thread alone.
+/// Creates a runtime that runs on the current thread only.
 pub fn single_threaded_runtime() -> io::Result<Runtime> {
     Builder::new_current_thread().enable_all().build()
 }
--- a/crates/cli/src/signals.rs
+++ b/crates/cli/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that end a command in order.
+//! Signals that stop a command gracefully.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,16 +7,17 @@
 use tokio::runtime;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// A flag that Ctrl-C or SIGTERM raises: what runs then ends in order, and leaves nothing behind.
+/// Returns a flag that Ctrl-C or SIGTERM sets. A run that sees the flag stops gracefully and leaves
+/// no processes behind.
 pub fn stop_at_interrupt() -> io::Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
-    let raised = stop.clone();
+    let stop_requested = stop.clone();
     let runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    // Registered here, so that no signal that comes from now on is missed.
+    // Handlers are registered before the thread starts, so that no later signal is missed.
     let (mut interrupt, mut terminate) = {
-        let _within = runtime.enter();
+        let _runtime_guard = runtime.enter();
         (
             signal(SignalKind::interrupt())?,
             signal(SignalKind::terminate())?,
@@ -31,7 +32,7 @@
                     _ = terminate.recv() => {}
                 }
             });
-            raised.store(true, Ordering::Relaxed);
+            stop_requested.store(true, Ordering::Relaxed);
         })?;
     Ok(stop)
 }
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -1,4 +1,5 @@
-//! `slatelink up`: a whole fleet on this machine, with light traffic, to look at and to ask.
+//! `slatelink up`: runs a fleet with light traffic on this machine, to watch it and to send
+//! requests to it by hand.
 
 use crate::exit::{success_if, CommandResult};
 use crate::node_arguments::NodeArguments;
@@ -14,38 +15,39 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Without `--for` a fleet ends by itself after so long: its load is drawn ahead.
-const LONGEST: Duration = Duration::from_secs(3600);
+/// Maximum duration of a run, and its duration without `--for`. It is bounded because the load is
+/// generated in advance.
+const MAX_DURATION: Duration = Duration::from_secs(3600);
 
-/// The seed of the run.
+/// Seed of the run.
 const SEED: u64 = 1;
-/// Whether the run is over is looked at this often.
+/// Interval at which the end of the run is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The table or line is written anew this often.
+/// Interval at which the table or line is updated.
 const DISPLAY_INTERVAL: Duration = Duration::from_secs(1);
-/// Circuit breakers that opened within this are shown.
-const BREAKER_SPAN: Duration = Duration::from_secs(6);
+/// Circuit breakers that opened within this time are displayed.
+const BREAKER_WINDOW: Duration = Duration::from_secs(6);
 
 #[derive(Args)]
 pub struct Up {
-    /// Cache servers
+    /// Number of cache servers
     #[arg(long, default_value_t = 6, value_parser = clap::value_parser!(u16).range(1..=64))]
     servers: u16,
-    /// Nodes
+    /// Number of nodes
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u16).range(1..=8))]
     nodes: u16,
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 50, value_parser = clap::value_parser!(u32).range(1..=20_000))]
     rate: u32,
-    /// For so long, as 30s or 5m; until Ctrl-C, an hour at most, where nothing stands here
-    #[arg(long = "for", value_name = "TIME", value_parser = time)]
+    /// Duration of the run, such as 30s or 5m; by default until Ctrl-C, but at most an hour
+    #[arg(long = "for", value_name = "TIME", value_parser = parse_duration)]
     long: Option<Duration>,
     #[command(flatten)]
     node: NodeArguments,
 }
 
-fn time(text: &str) -> Result<Duration, String> {
-    let read = || {
+fn parse_duration(text: &str) -> Result<Duration, String> {
+    let try_parse = || {
         let (number, unit) = text.split_at(text.find(|c: char| c.is_ascii_alphabetic())?);
         let factor = match unit {
             "s" => 1,
@@ -57,14 +59,14 @@
             number.parse::<u64>().ok()?.checked_mul(factor)?,
         ))
     };
-    let in_range = |time: &Duration| (Duration::from_secs(1)..=LONGEST).contains(time);
-    read()
+    let in_range = |parsed: &Duration| (Duration::from_secs(1)..=MAX_DURATION).contains(parsed);
+    try_parse()
         .filter(in_range)
-        .ok_or_else(|| "a time from 1s to 1h was expected, as 30s or 5m".to_owned())
+        .ok_or_else(|| "expected a duration from 1s to 1h, such as 30s or 5m".to_owned())
 }
 
 impl Up {
-    /// Runs the fleet until its time is over or Ctrl-C, and prints what it came to.
+    /// Runs the fleet for its duration or until Ctrl-C, and prints the report.
     pub fn run(self) -> CommandResult {
         let scenario = self.scenario()?;
         self.node.start_log();
@@ -80,11 +82,11 @@
             let scenario = scenario.clone();
             thread::spawn(move || play(&scenario, &options))
         };
-        // The sender goes with the run, also where its nodes do not start.
+        // The run drops the sender at its end, so `recv` also returns if the nodes do not start.
         if let Ok(nodes) = ready_nodes.recv() {
-            self.introduce(&nodes)?;
+            self.print_usage(&nodes)?;
         }
-        watch(&live, || playing.is_finished());
+        display_counts(&live, || playing.is_finished());
         let played = playing.join().map_err(|_| "the run ended in a panic")??;
         let report = Report::new("up", &scenario, SEED, &played);
         print!("{}", report.text());
@@ -92,9 +94,9 @@
     }
 
     fn scenario(&self) -> Result<Scenario, ScenarioError> {
-        let duration = self.long.unwrap_or(LONGEST);
+        let duration = self.long.unwrap_or(MAX_DURATION);
         let text = format!(
-            "about = \"a fleet to look at\"\nseconds = {}\n[fleet]\nnodes = {}\nservers = {}\n[load]\nrate = {}\n",
+            "about = \"a local fleet\"\nseconds = {}\n[fleet]\nnodes = {}\nservers = {}\n[load]\nrate = {}\n",
             duration.as_secs(),
             self.nodes,
             self.servers,
@@ -103,26 +105,29 @@
         Scenario::parse(&text, "up".as_ref())
     }
 
-    /// Prints where the nodes answer, and how to ask one.
-    fn introduce(&self, nodes: &[StartedNode]) -> io::Result<()> {
+    /// Prints the addresses of the nodes and an example request.
+    fn print_usage(&self, nodes: &[StartedNode]) -> io::Result<()> {
         let mut out = io::stdout().lock();
-        for (place, StartedNode { address, pid }) in nodes.iter().enumerate() {
+        for (index, StartedNode { address, pid }) in nodes.iter().enumerate() {
             let pid = pid.map_or_else(String::new, |pid| format!(", process {pid}"));
-            writeln!(out, "node n{place} answers at http://{address}{pid}")?;
+            writeln!(
+                out,
+                "node n{index} serves requests at http://{address}{pid}"
+            )?;
         }
         if let Some(StartedNode { address, .. }) = nodes.first() {
-            writeln!(out, "ask it yourself:\n  curl -i -H 'Req-Id: by-hand-1' -H 'Req-Kind: lookup' -H 'Req-Deadline-Ms: 500' http://{address}/api/7f3a9c21e0b4d655")?;
+            writeln!(out, "example request:\n  curl -i -H 'Req-Id: by-hand-1' -H 'Req-Kind: lookup' -H 'Req-Deadline-Ms: 500' http://{address}/api/7f3a9c21e0b4d655")?;
         }
         writeln!(
             out,
-            "{} cache servers, {} requests a second; Ctrl-C ends it",
+            "{} cache servers, {} requests per second; press Ctrl-C to stop",
             self.servers, self.rate
         )?;
         out.flush()
     }
 }
 
-/// Counts at one moment.
+/// Counts since the start of the run, at one moment.
 #[derive(Clone, Copy)]
 struct Counts {
     begun: u64,
@@ -139,7 +144,7 @@
         }
     }
 
-    /// What was counted since an earlier moment, a second.
+    /// Returns the rates between an earlier moment and this moment.
     fn rates_since(&self, earlier: &Self, elapsed: Duration) -> Rates {
         let rate = |now: u64, before: u64| (now - before) as f64 / elapsed.as_secs_f64();
         Rates {
@@ -150,7 +155,7 @@
     }
 }
 
-/// Counts a second.
+/// Counts per second.
 struct Rates {
     requests: f64,
     in_time: f64,
@@ -161,25 +166,25 @@
     counter.load(Ordering::Relaxed)
 }
 
-/// A table that is drawn anew each second where a terminal is there, and a line a second where not.
-fn watch(live: &Live, is_over: impl Fn() -> bool) {
+/// Displays the counts every second until the run is over: as a table on a terminal, else as lines.
+fn display_counts(live: &Live, is_over: impl Fn() -> bool) {
     let terminal = io::stdout().is_terminal();
     let table = table(terminal);
-    let (mut before, mut at) = (Counts::of(&Live::default()), Instant::now());
+    let (mut previous, mut displayed_at) = (Counts::of(&Live::default()), Instant::now());
     while !is_over() {
         thread::sleep(POLL_INTERVAL);
-        if at.elapsed() < DISPLAY_INTERVAL {
+        if displayed_at.elapsed() < DISPLAY_INTERVAL {
             continue;
         }
         let now = Counts::of(live);
-        let rates = now.rates_since(&before, at.elapsed());
+        let rates = now.rates_since(&previous, displayed_at.elapsed());
         if terminal {
             table.set_message(table_text(&rates, live));
         } else {
-            // Where nobody reads any more the run goes on to its end.
+            // The run continues if the reader has closed standard output.
             let _ = writeln!(io::stdout(), "{}", line_text(&rates, live));
         }
-        (before, at) = (now, Instant::now());
+        (previous, displayed_at) = (now, Instant::now());
     }
     table.finish_and_clear();
 }
@@ -198,7 +203,7 @@
 
 fn table_text(rates: &Rates, live: &Live) -> String {
     let (p50, p99) = live.percentiles();
-    let tripped = live.tripped_within(BREAKER_SPAN);
+    let tripped = live.tripped_within(BREAKER_WINDOW);
     let failed = load(&live.failed);
     let Rates {
         requests,
@@ -209,13 +214,13 @@
         "requests/s {requests:>8.1}\nin time/s  {in_time:>8.1}\nrefused/s  {refused:>8.1}\n\
          unserved   {failed:>8}\np50 ms     {p50:>8.1}\np99 ms     {p99:>8.1}\n\
          breakers tripped in the last {} s {tripped}",
-        BREAKER_SPAN.as_secs()
+        BREAKER_WINDOW.as_secs()
     )
 }
 
 fn line_text(rates: &Rates, live: &Live) -> String {
     let (p50, p99) = live.percentiles();
-    let tripped = live.tripped_within(BREAKER_SPAN);
+    let tripped = live.tripped_within(BREAKER_WINDOW);
     let failed = load(&live.failed);
     let Rates {
         requests,
@@ -225,6 +230,6 @@
     format!(
         "{requests:.1} requests/s, {in_time:.1} in time/s, {refused:.1} refused/s, {failed} unserved, \
          p50 {p50:.1} ms, p99 {p99:.1} ms, {tripped} breakers tripped in the last {} s",
-        BREAKER_SPAN.as_secs()
+        BREAKER_WINDOW.as_secs()
     )
 }
--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -210,7 +210,7 @@
     }
     let bad = slatelink(&["up", "--for", "3 days"]);
     assert_eq!(bad.status.code(), Some(2));
-    assert!(text(&bad.stderr).contains("a time from 1s to 1h was expected"));
+    assert!(text(&bad.stderr).contains("expected a duration from 1s to 1h"));
 }
 
 // Guards against processes that outlive the run which started them.
