--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -1,4 +1,4 @@
-//! The lab through its command: short scenarios against this binary, with the same verdict every time.
+//! The commands `lab` and `up`, run as processes: verdicts, reports, exit codes and cleanup.
 
 use serde_json::Value;
 use std::fs;
@@ -17,10 +17,10 @@
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-/// A folder of this test's own; it goes with the test.
-struct Folder(PathBuf);
+/// Temporary folder of one test, deleted on drop.
+struct TestFolder(PathBuf);
 
-impl Folder {
+impl TestFolder {
     fn new(name: &str) -> Self {
         let path =
             std::env::temp_dir().join(format!("slatelink-test-{}-{name}", std::process::id()));
@@ -35,26 +35,31 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-const DAY: &str =
+/// Scenario without faults that runs for 2 s.
+const SHORT_SCENARIO: &str =
     "about = \"short\"\nseconds = 2\nseed = 5\n[load]\nrate = 80\n[expect]\nserved = 0.3\n";
 
-// Guards against nodes that break a rule when servers, nodes and discovery fail under load.
+// Guards against nodes that break a rule when servers, nodes or discovery fail under load.
 #[test]
 fn rules_hold_in_short_scenarios_with_faults() {
-    let folder = Folder::new("trouble");
-    let day = |name: &str, faults: &str| {
-        folder.write(name, &format!("{}{faults}", DAY.replace("= 2\n", "= 4\n")))
+    let folder = TestFolder::new("faults");
+    let write_scenario = |name: &str, faults: &str| {
+        folder.write(
+            name,
+            &format!("{}{faults}", SHORT_SCENARIO.replace("= 2\n", "= 4\n")),
+        )
+    };
+    let fault = |kind: &str, settings: &str| {
+        format!("[[fault]]\nat_s = 0.6\nkind = \"{kind}\"\n{settings}\n")
     };
-    let fault =
-        |kind: &str, rest: &str| format!("[[fault]]\nat_s = 0.6\nkind = \"{kind}\"\n{rest}\n");
     let files = [
-        day(
+        write_scenario(
             "servers.toml",
             &[
                 fault("kill", "for_s = 1\nservers = [0]"),
@@ -65,7 +70,7 @@
             ]
             .concat(),
         ),
-        day(
+        write_scenario(
             "network.toml",
             &[
                 fault("cut", "for_s = 1\nzone = \"b\""),
@@ -75,7 +80,7 @@
             ]
             .concat(),
         ),
-        day(
+        write_scenario(
             "nodes.toml",
             &[
                 fault("node_kill", "for_s = 1\nnodes = [0]"),
@@ -83,16 +88,16 @@
             ]
             .concat(),
         ),
-        day(
+        write_scenario(
             "restart.toml",
             &fault("node_term", "nodes = [0, 1]\napart_s = 0.8"),
         ),
     ];
-    let files: Vec<_> = ["lab", "run"]
+    let command_line: Vec<_> = ["lab", "run"]
         .into_iter()
         .chain(files.iter().map(String::as_str))
         .collect();
-    let run = slatelink(&files);
+    let run = slatelink(&command_line);
     assert!(
         run.status.success(),
         "{}{}",
@@ -101,16 +106,17 @@
     );
 }
 
-// Guards against reports that cannot be read back, and a seed that plays another day.
+// Guards against reports that `lab compare` cannot read, and against a seed whose load differs from
+// run to run.
 #[test]
 fn reports_are_written_and_read_back_and_equal_seeds_give_equal_load() {
-    let folder = Folder::new("reports");
-    let day = folder.write("day.toml", DAY);
+    let folder = TestFolder::new("reports");
+    let scenario = folder.write("short.toml", SHORT_SCENARIO);
     let out = folder.0.join("out");
     let run = slatelink(&[
         "lab",
         "run",
-        &day,
+        &scenario,
         "--json",
         "--repeat",
         "2",
@@ -118,64 +124,69 @@
         &out.display().to_string(),
     ]);
     assert!(run.status.success(), "{}", text(&run.stderr));
-    let printed = text(&run.stdout);
-    let reports: Vec<Value> = printed
+    let json_lines = text(&run.stdout);
+    let reports: Vec<Value> = json_lines
         .lines()
         .map(|line| serde_json::from_str(line).unwrap())
         .collect();
     assert_eq!(reports.len(), 2);
     assert_ne!(reports[0]["all"]["asked"], 0);
-    let again = slatelink(&["lab", "run", &day, "--json", "--log-format", "json"]);
-    let logged: Value = serde_json::from_str(text(&again.stderr).lines().next().unwrap()).unwrap();
+    let second_run = slatelink(&["lab", "run", &scenario, "--json", "--log-format", "json"]);
+    let log_entry: Value =
+        serde_json::from_str(text(&second_run.stderr).lines().next().unwrap()).unwrap();
     assert_eq!(
-        (&logged["message"], &logged["life"]),
+        (&log_entry["message"], &log_entry["life"]),
         (&"a node".into(), &"Ready".into())
     );
-    let again: Value = serde_json::from_str(text(&again.stdout).trim()).unwrap();
-    assert_eq!(again["all"]["asked"], reports[0]["all"]["asked"]);
-    let page = fs::read_to_string(out.join("day-5.html")).unwrap();
-    assert!(page.matches("<svg").count() == 5 && page.contains("day: <span class=\"well\">holds"));
-    let json = |seed: u32| out.join(format!("day-{seed}.json")).display().to_string();
-    let compared = slatelink(&["lab", "compare", &json(5), &json(6)]);
-    assert!(text(&compared.stdout).contains("not the same day"));
-    assert!(text(&compared.stdout).contains("worth in time"));
+    let second_report: Value = serde_json::from_str(text(&second_run.stdout).trim()).unwrap();
+    assert_eq!(second_report["all"]["asked"], reports[0]["all"]["asked"]);
+    let page = fs::read_to_string(out.join("short-5.html")).unwrap();
+    assert!(
+        page.matches("<svg").count() == 5 && page.contains("short: <span class=\"well\">holds")
+    );
+    let json_path = |seed: u32| out.join(format!("short-{seed}.json")).display().to_string();
+    let comparison = slatelink(&["lab", "compare", &json_path(5), &json_path(6)]);
+    assert!(text(&comparison.stdout).contains("not the same day"));
+    assert!(text(&comparison.stdout).contains("worth in time"));
 }
 
-// Guards against a verdict that is lost in an exit code, and errors that do not say where.
+// Guards against an exit code that hides a broken rule or an unreadable scenario, and against
+// errors that do not name the file and the line.
 #[test]
 fn exit_codes_distinguish_success_a_broken_rule_and_an_unusable_scenario() {
-    let folder = Folder::new("codes");
-    let hopeless = folder.write(
-        "hopeless.toml",
-        &DAY.replace("seconds = 2", "seconds = 1")
+    let folder = TestFolder::new("codes");
+    let failing = folder.write(
+        "failing.toml",
+        &SHORT_SCENARIO
+            .replace("seconds = 2", "seconds = 1")
             .replace("served = 0.3", "p99_ms = 0.01"),
     );
-    let run = slatelink(&["lab", "run", &hopeless]);
+    let run = slatelink(&["lab", "run", &failing]);
     assert_eq!(run.status.code(), Some(1));
     assert!(
         text(&run.stdout).contains("not as expected: p99_ms is"),
         "{}",
         text(&run.stdout)
     );
-    let wrong = folder.write("wrong.toml", &DAY.replace("rate", "rat"));
-    let run = slatelink(&["lab", "run", &wrong]);
+    let invalid = folder.write("invalid.toml", &SHORT_SCENARIO.replace("rate", "rat"));
+    let run = slatelink(&["lab", "run", &invalid]);
     assert_eq!(run.status.code(), Some(2));
     assert!(
-        text(&run.stderr).contains("wrong.toml line 5: unknown field `rat`"),
+        text(&run.stderr).contains("invalid.toml line 5: unknown field `rat`"),
         "{}",
         text(&run.stderr)
     );
     let run = slatelink(&["lab", "run", "no-such.toml"]);
     assert_eq!(run.status.code(), Some(2));
-    let day = folder.write("day.toml", DAY);
-    let run = slatelink(&["lab", "run", &day, "--node", "/no/such/binary"]);
+    let scenario = folder.write("short.toml", SHORT_SCENARIO);
+    let run = slatelink(&["lab", "run", &scenario, "--node", "/no/such/binary"]);
     assert!(
         text(&run.stderr).contains("cannot start /no/such/binary"),
         "{}",
         text(&run.stderr)
     );
-    // A node that ends at once is told of, and nothing hangs.
-    let run = slatelink(&["lab", "run", &day, "--node", "/bin/false"]);
+    // A node that exits at once is reported, and the command does not hang.
+    let run = slatelink(&["lab", "run", &scenario, "--node", "/bin/false"]);
     assert!(
         text(&run.stderr).contains("did not become ready"),
         "{}",
@@ -184,81 +195,88 @@
 }
 
 #[test]
-fn the_scenarios_of_the_repository_can_all_be_read() {
+fn all_scenarios_of_the_repository_are_valid() {
     let scenarios = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios");
     let list = slatelink(&["lab", "list", scenarios]);
     assert!(list.status.success(), "{}", text(&list.stderr));
     assert!(text(&list.stdout).lines().count() >= 12);
 }
 
-// Guards against a fleet that cannot be asked, or that leaves its processes behind.
+// Guards against a fleet that prints no example request, or whose processes outlive the
+// command.
 #[test]
-fn a_fleet_starts_prints_how_to_call_it_and_ends() {
+fn a_fleet_prints_an_example_request_and_ends_after_its_duration() {
     let up = slatelink(&["up", "--servers", "3", "--nodes", "2", "--for", "2s"]);
-    let told = text(&up.stdout);
-    assert!(up.status.success(), "{told}{}", text(&up.stderr));
+    let stdout_text = text(&up.stdout);
+    assert!(up.status.success(), "{stdout_text}{}", text(&up.stderr));
     assert!(
-        told.contains("curl -i -H 'Req-Id: by-hand-1'") && told.contains("up: holds"),
-        "{told}"
+        stdout_text.contains("curl -i -H 'Req-Id: by-hand-1'") && stdout_text.contains("up: holds"),
+        "{stdout_text}"
     );
-    for line in told.lines().filter(|line| line.starts_with("node n")) {
+    for line in stdout_text
+        .lines()
+        .filter(|line| line.starts_with("node n"))
+    {
         let pid = line.rsplit(' ').next().unwrap();
         assert!(
             !PathBuf::from(format!("/proc/{pid}")).exists(),
-            "process {pid} is left behind"
+            "process {pid} is still running"
         );
     }
-    let bad = slatelink(&["up", "--for", "3 days"]);
-    assert_eq!(bad.status.code(), Some(2));
-    assert!(text(&bad.stderr).contains("expected a duration from 1s to 1h"));
+    let rejected = slatelink(&["up", "--for", "3 days"]);
+    assert_eq!(rejected.status.code(), Some(2));
+    assert!(text(&rejected.stderr).contains("expected a duration from 1s to 1h"));
 }
 
-// Guards against processes that outlive the run which started them.
+// Guards against nodes that keep running after SIGINT has stopped the command that started them.
 #[test]
-fn an_interrupt_ends_a_fleet_in_order_and_leaves_no_process() {
+fn an_interrupt_stops_a_fleet_gracefully_and_leaves_no_process() {
     let mut up = Command::new(env!("CARGO_BIN_EXE_slatelink"))
         .arg("up")
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(up.stdout.take().unwrap()).lines();
-    let first = lines.next().unwrap().unwrap();
-    let node = PathBuf::from(format!("/proc/{}", first.rsplit(' ').next().unwrap()));
-    assert!(node.exists(), "{first}");
-    let sent = Command::new("kill")
+    let first_line = lines.next().unwrap().unwrap();
+    let node = PathBuf::from(format!("/proc/{}", first_line.rsplit(' ').next().unwrap()));
+    assert!(node.exists(), "{first_line}");
+    let interrupt = Command::new("kill")
         .args(["-INT", &up.id().to_string()])
         .status()
         .unwrap();
-    assert!(sent.success());
-    let rest: Vec<_> = lines.map_while(Result::ok).collect();
-    assert!(up.wait().unwrap().success(), "{rest:?}");
-    assert!(!node.exists(), "the node lives on");
+    assert!(interrupt.success());
+    let remaining_lines: Vec<_> = lines.map_while(Result::ok).collect();
+    assert!(up.wait().unwrap().success(), "{remaining_lines:?}");
+    assert!(!node.exists(), "the node is still running");
     assert!(
-        rest.iter().any(|line| line.starts_with("up: holds")),
-        "a summary: {rest:?}"
+        remaining_lines
+            .iter()
+            .any(|line| line.starts_with("up: holds")),
+        "no summary line: {remaining_lines:?}"
     );
 }
 
-// Guards against a node's death that goes unnoticed, or that a run waits for in vain.
+// Guards against a killed node that is not reported, or for whose exit the run waits forever.
 #[test]
-fn a_node_that_dies_is_a_broken_rule() {
+fn a_killed_node_is_reported_as_a_broken_rule() {
     let mut up = Command::new(env!("CARGO_BIN_EXE_slatelink"))
         .args(["up", "--nodes", "2", "--for", "2s"])
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
     let mut lines = BufReader::new(up.stdout.take().unwrap()).lines();
-    let first = lines.next().unwrap().unwrap();
-    let killed = Command::new("kill")
-        .args(["-KILL", first.rsplit(' ').next().unwrap()])
+    let first_line = lines.next().unwrap().unwrap();
+    let kill = Command::new("kill")
+        .args(["-KILL", first_line.rsplit(' ').next().unwrap()])
         .status()
         .unwrap();
-    assert!(killed.success());
-    let rest: Vec<_> = lines.map_while(Result::ok).collect();
-    assert_eq!(up.wait().unwrap().code(), Some(1), "{rest:?}");
+    assert!(kill.success());
+    let remaining_lines: Vec<_> = lines.map_while(Result::ok).collect();
+    assert_eq!(up.wait().unwrap().code(), Some(1), "{remaining_lines:?}");
     assert!(
-        rest.iter()
+        remaining_lines
+            .iter()
             .any(|line| line.contains("node 0 ended at") && line.contains("signal: 9")),
-        "{rest:?}"
+        "{remaining_lines:?}"
     );
 }
--- a/crates/cli/tests/node_front.rs
+++ b/crates/cli/tests/node_front.rs
@@ -1,153 +1,162 @@
-//! The limits of admission to a node's connections, over the command line and loopback sockets.
+//! Limits on a node's client connections, tested on a node process over loopback sockets.
 
 mod node_common;
 
 use node_common::*;
 use serde_json::json;
 
-/// A server that says nothing to requests whose id begins with `held`.
-fn holding() -> CacheServer {
-    CacheServer::start(|asked| match asked.header("req-id") {
+/// Starts a server that sends no response to requests whose id begins with `dead`.
+fn server_holding_requests() -> CacheServer {
+    CacheServer::start(|request| match request.header("req-id") {
         Some(id) if id.starts_with("dead") => Reply::NoAnswer,
         _ => Reply::Answer(answer("200 OK", "", "value")),
     })
 }
 
-// Guards against an address that takes the whole table, and one that is locked out by its own idle connections.
+// Guards against an address that takes all client connections, and against an address whose own
+// idle connections block its new ones.
 #[test]
 fn an_address_over_its_quota_has_an_idle_connection_evicted_or_is_rejected() {
-    let server = holding();
+    let server = server_holding_requests();
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let limits = "[front]\nper_address = 3\n[figures]\nflush_ms = 20\n";
     let node = Node::with_features(&config(discovery.address), limits);
-    let mut kept: Vec<_> = Vec::new();
-    // The readiness checks' connections may take a moment to be gone.
+    let mut kept_open: Vec<_> = Vec::new();
+    // The connections of the readiness checks may still be open and count against the quota.
     for key in 0..3 {
         let mut client = node.client();
-        let mut served = None;
-        wait_for("a place", || {
-            served = client.try_request(&read("read", key, 20_000));
-            if served.is_none() {
+        let mut response = None;
+        wait_for("a connection within the quota", || {
+            response = client.try_request(&read("read", key, 20_000));
+            if response.is_none() {
                 client = node.client();
             }
-            served.is_some()
+            response.is_some()
         });
-        assert_eq!(served.unwrap().status(), 200);
-        kept.push(client);
+        assert_eq!(response.unwrap().status(), 200);
+        kept_open.push(client);
     }
     assert_eq!(
         node.read("read", 9).status(),
         200,
-        "its own oldest idle connection goes for it"
+        "the oldest idle connection of the address is evicted"
     );
-    assert_eq!(kept[0].answer(), None);
-    // Now two that are held, and another idle one: with all in use the next gets no place.
+    assert_eq!(kept_open[0].answer(), None);
+    // With the attempts of two further clients and of a third unanswered, all three connections of
+    // the quota are in use, and the next one is rejected.
     let held = [0xdead_0001u64, 0xdead_0002].map(|key| {
         let mut client = node.client();
         client.send(&read("read", key, 20_000));
-        wait_for("the attempt", || {
+        wait_for("the attempt at the server", || {
             server
                 .received
                 .lock()
                 .unwrap()
                 .iter()
-                .any(|m| m.header("req-id") == Some(&format!("{key:x}")))
+                .any(|message| message.header("req-id") == Some(&format!("{key:x}")))
         });
         client
     });
     let mut third = node.client();
     third.send(&read("read", 0xdead_0003, 20_000));
-    wait_for("the third attempt", || server.count() == 4 + 3);
+    wait_for("the third attempt at the server", || {
+        server.count() == 4 + 3
+    });
     let mut fourth = node.client();
     assert_eq!(
         fourth.try_request(&read("read", 4, 20_000)),
         None,
-        "closed without a word: it is no request yet"
+        "closed without a response, because no request was read yet"
     );
-    let told = |name: &str, tag: &str| {
+    let has_metric = |name: &str, tag: &str| {
         let log = node.log.lock().unwrap();
         log.iter()
             .any(|line| line.starts_with(&format!("slatelink.{name}:")) && line.ends_with(tag))
     };
-    wait_for("the figures", || {
-        told("conn.closed", "#cause:address") && told("conn.refused", "#cause:address")
+    wait_for("the metrics", || {
+        has_metric("conn.closed", "#cause:address") && has_metric("conn.refused", "#cause:address")
     });
-    assert!(told("conn.open", "#phase:open") && told("conn.waiting", "|g"));
+    assert!(has_metric("conn.open", "#phase:open") && has_metric("conn.waiting", "|g"));
     drop(held);
 }
 
-// Guards against a class whose slow requests take every place.
+// Guards against a class whose slow requests take all client connections.
 #[test]
 fn a_class_over_its_quota_is_shed_at_once_and_others_are_served() {
-    let server = holding();
+    let server = server_holding_requests();
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let mut small = config(discovery.address);
-    small["limits"]["sockets"] = json!(120);
+    let mut node_config = config(discovery.address);
+    node_config["limits"]["sockets"] = json!(120);
     let node = Node::with_features(
-        &small,
+        &node_config,
         "[front.per_class]\nonce = 5\n[figures]\nflush_ms = 20\n",
     );
-    // Of the third of 120 that clients use, 5 % are two.
+    // The limit of the class is 5 % of the clients' third of 120 descriptors: two open requests.
     let held = [0xdead_0001u64, 0xdead_0002].map(|key| {
         let mut client = node.client();
         client.send(&read("once", key, 20_000));
         client
     });
     wait_for("both attempts", || server.count() == 2);
-    let refused = node.read("once", 1);
-    assert_eq!(refused.status(), 503);
-    assert!(refused.header("retry-after").is_some(), "{refused:?}");
+    let shed = node.read("once", 1);
+    assert_eq!(shed.status(), 503);
+    assert!(shed.header("retry-after").is_some(), "{shed:?}");
     assert_eq!(node.read("read", 2).status(), 200);
-    wait_for("the figure", || {
+    wait_for("the metric", || {
         let log = node.log.lock().unwrap();
         log.iter().any(|line| {
             line.starts_with("slatelink.conn.refused:1|") && line.ends_with("#cause:class")
         })
     });
     drop(held);
-    wait_for("a place in the share", || {
+    wait_for("an admitted request of the class", || {
         node.read("once", 3).status() == 200
     });
 }
 
-// Guards against a crowd that speaks at once and takes more memory than the node has, or is forgotten.
+// Guards against clients that send at the same time and take more memory than the node has, or get
+// no response.
 #[test]
 fn many_idle_connections_that_send_at_once_are_answered_with_little_memory() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let mut small = config(discovery.address);
-    // What is left beside the program is for about twenty connections at work.
-    small["limits"]["memory_mb"] = json!(8);
-    let node = Node::with_features(&small, "[front]\nclients_percent = 60\n");
-    let mut crowd: Vec<_> = (0..200).map(|_| node.client()).collect();
+    let mut node_config = config(discovery.address);
+    // The limit leaves memory for about twenty active connections beside the program itself.
+    node_config["limits"]["memory_mb"] = json!(8);
+    let node = Node::with_features(&node_config, "[front]\nclients_percent = 60\n");
+    let mut connections: Vec<_> = (0..200).map(|_| node.client()).collect();
     for round in 0..2 {
-        for (i, client) in crowd.iter_mut().enumerate() {
+        for (i, client) in connections.iter_mut().enumerate() {
             client.send(&read("read", round * 1_000 + i as u64, 20_000));
         }
-        for client in &mut crowd {
-            // One server has no room for all at once: the decision module may refuse some, and tells when to come again.
-            let answer = client.answer().expect("an answer");
+        for client in &mut connections {
+            // One server has not enough capacity for all requests at once: the decision module may
+            // shed some of them, with a Retry-After header.
+            let response = client.answer().expect("a response");
             assert!(
-                answer.status() == 200 || answer.header("retry-after").is_some(),
-                "{answer:?}"
+                response.status() == 200 || response.header("retry-after").is_some(),
+                "{response:?}"
             );
         }
     }
-    // Some are parked by now, some not: a stop closes all.
+    // Some connections are parked by now, and some are not. A shutdown closes all of them.
     node.terminate();
-    assert!(crowd.iter_mut().all(|client| client.answer().is_none()));
+    assert!(connections
+        .iter_mut()
+        .all(|client| client.answer().is_none()));
     assert!(node.exit().success());
 }
 
-// Guards against a client that is accepted into a full table just before the end, and dropped there.
+// Guards against a client that is accepted just before the node stops accepting, while all
+// descriptors for clients are in use, and that is then closed without a response.
 #[test]
 fn a_client_waiting_for_a_descriptor_during_shutdown_is_served() {
     let gate = Gate::default();
     let servers: Vec<_> = (0..8)
         .map(|_| {
-            let held = gate.clone();
+            let server_gate = gate.clone();
             CacheServer::start(move |_| {
-                held.wait_until_open();
+                server_gate.wait_until_open();
                 Reply::Answer(answer("200 OK", "", "value"))
             })
         })
@@ -155,40 +164,48 @@
     let entries: Vec<_> = servers
         .iter()
         .enumerate()
-        .map(|(i, s)| s.entry(&format!("s-{i}"), "ready"))
+        .map(|(i, cache_server)| cache_server.entry(&format!("s-{i}"), "ready"))
         .collect();
     let discovery = Discovery::start(&entries);
-    let mut small = config(discovery.address);
-    // Ten places for clients, and enough for connections to servers.
-    small["limits"]["sockets"] = json!(60);
+    let mut node_config = config(discovery.address);
+    // Leaves ten descriptors for clients, and enough for connections to servers.
+    node_config["limits"]["sockets"] = json!(60);
     let node = Node::with_features(
-        &small,
+        &node_config,
         "[figures]\nflush_ms = 20\n[front]\nclients_percent = 100\nservers_floor = 24\n",
     );
-    // Each speaks at once: one that is silent for a while would give way.
-    let ask = |key| {
+    // Each client sends its request at once: a client that stays silent would be evicted.
+    let connect_and_send = |key| {
         let mut client = node.client();
         client.send(&read("read", key, 20_000));
         client
     };
-    let mut clients: Vec<_> = (0..11).map(ask).collect();
-    let told = |line: &str| node.log.lock().unwrap().iter().any(|l| l.starts_with(line));
-    wait_for("one that waits", || told("slatelink.conn.waiting:1|"));
+    let mut clients: Vec<_> = (0..11).map(connect_and_send).collect();
+    let has_log_line = |prefix: &str| {
+        node.log
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|log_line| log_line.starts_with(prefix))
+    };
+    wait_for("a waiting client", || {
+        has_log_line("slatelink.conn.waiting:1|")
+    });
     node.terminate();
-    // Past the time in which the node still accepts; later is as good.
+    // Longer than the node accepts connections after SIGTERM; a longer wait changes nothing.
     std::thread::sleep(std::time::Duration::from_millis(1_000));
     gate.open();
     for client in &mut clients {
-        assert!(client.answer().is_some(), "a final answer for each");
+        assert!(client.answer().is_some(), "a client got no response");
     }
     assert!(node.exit().success());
 }
 
-// Guards against a limit that is misread and then silently does nothing.
+// Guards against an invalid limit that is silently ignored.
 #[test]
 fn an_invalid_limit_is_one_log_line_and_a_failed_start() {
-    let told = write_config(&config("127.0.0.1:1".parse().unwrap()).to_string());
-    for (text, word) in [
+    let config_path = write_config(&config("127.0.0.1:1".parse().unwrap()).to_string());
+    for (text, expected) in [
         ("[front]\nclients_percent = 0", "1 to 100"),
         ("[front]\nidle_s = 1", "2 to 86400"),
         ("[front]\nper_address = 0", "1 to"),
@@ -196,18 +213,18 @@
         ("[front]\nper_adress = 5", "per_address"),
         ("[front.per_class]\nnobody = 5", "read, once, keyed"),
     ] {
-        let path = write_config(text);
-        let ended = command()
-            .env("LB_CONFIG", &told)
+        let features_path = write_config(text);
+        let failed_start = command()
+            .env("LB_CONFIG", &config_path)
             .arg("--features")
-            .arg(&path)
+            .arg(&features_path)
             .output()
             .unwrap();
-        let error = String::from_utf8(ended.stderr).unwrap();
-        assert_eq!(ended.status.code(), Some(1), "{text}: {error}");
+        let error = String::from_utf8(failed_start.stderr).unwrap();
+        assert_eq!(failed_start.status.code(), Some(1), "{text}: {error}");
         assert_eq!(error.lines().count(), 1, "{error}");
         assert!(
-            error.starts_with("slatelink: ") && error.contains(word),
+            error.starts_with("slatelink: ") && error.contains(expected),
             "{text}: {error}"
         );
     }
--- a/crates/cli/tests/node_memory.rs
+++ b/crates/cli/tests/node_memory.rs
@@ -1,4 +1,4 @@
-//! A node's memory under many clients at once, over loopback sockets.
+//! A node's memory with many concurrent clients, over loopback sockets.
 
 mod node_common;
 
@@ -8,27 +8,28 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// The most memory that it has held so far, in kB.
-fn peak(node: &Node) -> u64 {
+/// Returns the peak resident memory of the node's process so far, in kB.
+fn peak_memory_kb(node: &Node) -> u64 {
     let status = fs::read_to_string(format!("/proc/{}/status", node.child.id())).unwrap();
-    let peak = status
+    let value = status
         .lines()
         .find_map(|line| line.strip_prefix("VmHWM:"))
         .unwrap()
         .trim();
-    peak.split(' ').next().unwrap().parse().unwrap()
+    value.split(' ').next().unwrap().parse().unwrap()
 }
 
-// Guards against memory that bodies and answers of many clients at once take beyond the limit, or keep when they have gone.
+// Guards against request and response bodies of many concurrent clients that take more memory than
+// the limit, or whose memory is not released after the clients have disconnected.
 #[test]
 fn bodies_and_responses_of_the_largest_size_stay_within_memory_and_release_it() {
     let body = "v".repeat(64 << 10);
     let server = CacheServer::start(move |_| Reply::Answer(answer("200 OK", "", &body)));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let mut told = config(discovery.address);
-    told["limits"]["memory_mb"] = json!(32);
-    let node = Node::ready(&told);
-    // A third of the descriptors; none of them reads its answer.
+    let mut node_config = config(discovery.address);
+    node_config["limits"]["memory_mb"] = json!(32);
+    let node = Node::ready(&node_config);
+    // About a third of the descriptors. No client reads its response before all have sent.
     let mut clients: Vec<_> = (0..300u64)
         .map(|key| {
             let mut client = node.client();
@@ -44,72 +45,85 @@
         .collect();
     wait_for("requests at the server", || server.count() > 20);
     sleep(Duration::from_millis(500));
-    let answers: Vec<_> = clients.iter_mut().filter_map(Client::answer).collect();
-    for answer in &answers {
+    let responses: Vec<_> = clients.iter_mut().filter_map(Client::answer).collect();
+    for answer in &responses {
         match answer.status() {
             200 => assert_eq!(answer.body.len(), 64 << 10),
             _ => assert_shed(answer),
         }
     }
-    assert!(answers.len() > 100, "{} of 300 answered", answers.len());
+    assert!(responses.len() > 100, "{} of 300 answered", responses.len());
     drop(clients);
-    assert!(peak(&node) < 32 << 10, "{} kB at the most", peak(&node));
-    wait_for("room again", || node.read("read", 9_999).status() == 200);
+    assert!(
+        peak_memory_kb(&node) < 32 << 10,
+        "peak memory is {} kB",
+        peak_memory_kb(&node)
+    );
+    wait_for(
+        "a served request after the clients have disconnected",
+        || node.read("read", 9_999).status() == 200,
+    );
 }
 
-// Guards against clients that send much behind a request and go: what is read ahead of their requests, in search of their
-// end, must not fill the node's memory, and others are served meanwhile.
+// Guards against clients that send many bytes behind a request and disconnect. The node reads ahead
+// to notice the end of a connection; these bytes must not fill its memory or block other clients.
 #[test]
 fn clients_that_send_many_bytes_behind_a_request_and_disconnect_use_little_memory() {
     let gate = Gate::default();
-    // Room for all of them and more.
+    // The servers have more than enough capacity for all clients.
     let servers: Vec<_> = (0..16)
         .map(|_| {
-            let held = gate.clone();
-            CacheServer::start(move |asked| {
-                if asked.header("req-id").is_some_and(|id| id.len() < 4) {
-                    held.wait_until_open();
+            let server_gate = gate.clone();
+            CacheServer::start(move |request| {
+                if request.header("req-id").is_some_and(|id| id.len() < 4) {
+                    server_gate.wait_until_open();
                 }
                 Reply::Answer(answer("200 OK", "", "value"))
             })
         })
         .collect();
-    let names = servers
+    let entries = servers
         .iter()
         .enumerate()
         .map(|(i, server)| server.entry(&format!("s-{i}"), "ready"));
-    let discovery = Discovery::start(&names.collect::<Vec<_>>());
-    let mut told = config(discovery.address);
-    told["limits"]["memory_mb"] = json!(32);
-    let node = Node::ready(&told);
-    let before = peak(&node);
-    let much = "x".repeat(500_000);
-    let mut flood: Vec<_> = (0..120u64)
+    let discovery = Discovery::start(&entries.collect::<Vec<_>>());
+    let mut node_config = config(discovery.address);
+    node_config["limits"]["memory_mb"] = json!(32);
+    let node = Node::ready(&node_config);
+    let peak_before_kb = peak_memory_kb(&node);
+    let excess_bytes = "x".repeat(500_000);
+    let mut senders: Vec<_> = (0..120u64)
         .map(|key| {
             let mut client = node.client();
             client.send(&read("read", key, 60_000));
             client
         })
         .collect();
-    wait_for("all of them at the servers", || {
-        servers.iter().map(CacheServer::count).sum::<usize>() == flood.len()
+    wait_for("all requests at the servers", || {
+        servers.iter().map(CacheServer::count).sum::<usize>() == senders.len()
     });
-    flood.iter_mut().for_each(|client| client.try_send(&much));
+    senders
+        .iter_mut()
+        .for_each(|client| client.try_send(&excess_bytes));
     assert_eq!(
         node.read("read", 0xffff).status(),
         200,
-        "others are served meanwhile"
+        "another client is served while the bytes arrive"
     );
-    // What the budget counts: 40 KiB for a client at work, 10 KiB for a connection to a server; 500 kB each would be 60,000.
-    let used = peak(&node) - before;
+    // The budget counts 40 KiB for an active client and 10 KiB for a connection to a server.
+    // Buffering all 500 kB of each client would take 60,000 kB.
+    let growth_kb = peak_memory_kb(&node) - peak_before_kb;
     assert!(
-        used < 120 * (40 + 10) + 500,
-        "{used} kB for 120 that sent 500 kB each"
+        growth_kb < 120 * (40 + 10) + 500,
+        "memory grew by {growth_kb} kB for 120 clients that sent 500 kB each"
     );
-    for client in &flood {
+    for client in &senders {
         client.shutdown_write();
     }
     gate.open();
-    drop(flood);
-    wait_for("room again", || node.read("read", 0xfffe).status() == 200);
+    drop(senders);
+    wait_for(
+        "a served request after the clients have disconnected",
+        || node.read("read", 0xfffe).status() == 200,
+    );
 }
