--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -41,7 +41,7 @@
     rate: u32,
     /// Duration of the run, such as 30s or 5m; by default until Ctrl-C, but at most an hour
     #[arg(long = "for", value_name = "TIME", value_parser = parse_duration)]
-    long: Option<Duration>,
+    run_duration: Option<Duration>,
     #[command(flatten)]
     node: NodeArguments,
 }
@@ -94,7 +94,7 @@
     }
 
     fn scenario(&self) -> Result<Scenario, ScenarioError> {
-        let duration = self.long.unwrap_or(MAX_DURATION);
+        let duration = self.run_duration.unwrap_or(MAX_DURATION);
         let text = format!(
             "about = \"a local fleet\"\nseconds = {}\n[fleet]\nnodes = {}\nservers = {}\n[load]\nrate = {}\n",
             duration.as_secs(),
