--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -51,20 +51,20 @@
 
     fn step(&mut self, step: &Step) {
         match step {
-            Step::Ask {
-                class, patience_ms, ..
-            } => self.request(*class, *patience_ms as usize * REQUEST_BYTES_PER_MS),
-            Step::End { which, .. } if !self.in_flight.is_empty() => {
-                let (id, _) = self.in_flight.remove(which % self.in_flight.len());
+            Step::Request {
+                class, timeout_ms, ..
+            } => self.request(*class, *timeout_ms as usize * REQUEST_BYTES_PER_MS),
+            Step::EndAttempt { index, .. } if !self.in_flight.is_empty() => {
+                let (id, _) = self.in_flight.remove(index % self.in_flight.len());
                 self.table.on_response(self.now, id);
                 self.table.on_flushed(self.now, id);
             }
-            Step::Leave { which } if !self.in_flight.is_empty() => {
-                let (id, _) = self.in_flight.remove(which % self.in_flight.len());
+            Step::Disconnect { index } if !self.in_flight.is_empty() => {
+                let (id, _) = self.in_flight.remove(index % self.in_flight.len());
                 self.table.remove(id);
                 self.table.remove(id);
             }
-            Step::Pass { ms: time } => self.pass_time(ms(*time)),
+            Step::Advance { ms: time } => self.pass_time(ms(*time)),
             _ => {}
         }
     }
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -4,7 +4,7 @@
 mod events;
 mod node_common;
 
-use events::{check_once, Change, Step, SERVERS};
+use events::{check_without_shrinking, ServerChange, Step, SERVERS};
 use node_common::*;
 use slatelink_policy::Status;
 use std::collections::{BTreeMap, VecDeque};
@@ -138,7 +138,7 @@
 impl Playback {
     fn start(steps: &[Step]) -> Self {
         let ends = steps.iter().filter_map(|step| match step {
-            Step::End { how, .. } => Some(*how),
+            Step::EndAttempt { status, .. } => Some(*status),
             _ => None,
         });
         let script = Arc::new(Mutex::new(ends.collect()));
@@ -165,31 +165,33 @@
 
     fn apply(&mut self, step: &Step) {
         match step {
-            Step::Ask {
+            Step::Request {
                 class,
                 key,
-                patience_ms,
+                timeout_ms,
                 ..
-            } => self.request(CLASSES[class % 3], *key, *patience_ms),
-            Step::Leave { which } if !self.clients.is_empty() => {
-                let place = which % self.clients.len();
+            } => self.request(CLASSES[class % 3], *key, *timeout_ms),
+            Step::Disconnect { index } if !self.clients.is_empty() => {
+                let place = index % self.clients.len();
                 self.clients[place].disconnect();
             }
-            Step::Change { server, to } => {
-                self.states[*server] = match to {
-                    Change::Draining => Some("draining"),
-                    Change::Gone => None,
+            Step::ChangeServer { server, change } => {
+                self.states[*server] = match change {
+                    ServerChange::Draining => Some("draining"),
+                    ServerChange::Removed => None,
                     _ => Some("ready"),
                 };
                 self.publish_states();
             }
-            Step::Whole { lacks } => {
+            Step::Snapshot { omitted } => {
                 for (server, state) in self.states.iter_mut().enumerate() {
-                    *state = state.or(Some("ready")).filter(|_| lacks & 1 << server == 0);
+                    *state = state
+                        .or(Some("ready"))
+                        .filter(|_| omitted & 1 << server == 0);
                 }
                 self.publish_states();
             }
-            Step::Pass { ms } => thread::sleep(Duration::from_millis((*ms).min(MAX_PAUSE_MS))),
+            Step::Advance { ms } => thread::sleep(Duration::from_millis((*ms).min(MAX_PAUSE_MS))),
             _ => {}
         }
     }
@@ -355,7 +357,7 @@
 
 #[test]
 fn a_node_keeps_the_rules_through_any_sequence_of_events() {
-    check_once(0..6, 120, |_, steps| {
+    check_without_shrinking(0..6, 120, |_, steps| {
         let Played {
             outcomes,
             received,
--- a/crates/policy/src/balancer/outcome.rs
+++ b/crates/policy/src/balancer/outcome.rs
@@ -16,7 +16,7 @@
 /// Maximum number of nodes at which each node sends to an endpoint often enough for the endpoint's
 /// reported queue length to reflect the node's own load.
 const MAX_NODES_FOR_QUEUE_REPORTS: u32 = 100;
-/// Mean number of length requests below which an endpoint's queue counts as empty.
+/// Mean number of queued requests below which an endpoint's queue counts as empty.
 const EMPTY_QUEUE_LENGTH: f64 = 1.0;
 /// Longest interval between two sends to an endpoint at which the node keeps idle connections to
 /// the endpoint open, multiplied by the number of nodes: 13 s at 300 nodes. A handshake costs work
--- a/crates/policy/src/zone_breakers.rs
+++ b/crates/policy/src/zone_breakers.rs
@@ -13,8 +13,8 @@
 use crate::random::Random;
 use std::time::Duration;
 
-/// Mean cooldown. Short, because three trials cost a node no more requests than one second without
-/// trials.
+/// Mean cooldown. Short, because three failed trials cost a node no more requests than one second
+/// of sends to an unreachable zone with a closed breaker.
 const ZONE_COOLDOWN: Duration = Duration::from_secs(3);
 /// Minimum cooldown, as a fraction of the mean.
 const MIN_COOLDOWN_FACTOR: f64 = 0.75;
--- a/crates/policy/tests/properties/breakers.rs
+++ b/crates/policy/tests/properties/breakers.rs
@@ -1,13 +1,13 @@
 //! The circuit breakers of endpoints.
 
-use crate::events::{check, Change, SERVERS};
+use crate::events::{check, ServerChange, SERVERS};
 use crate::simulation::{
     ms, serve_reads, Observation, Simulation, CASES, COOLDOWN, LENGTH, SEEDS, TRIALS,
 };
 use slatelink_policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The endpoint that a breaker guards, wholly or for one class.
+/// Returns the endpoint that a breaker guards, for all classes or for one class.
 fn endpoint_of(scope: &BreakerScope) -> Option<&EndpointId> {
     match scope {
         BreakerScope::Endpoint(endpoint) | BreakerScope::EndpointClass { endpoint, .. } => {
@@ -17,33 +17,34 @@
     }
 }
 
-/// What is known from outside of the state of an endpoint's breaker.
+/// State of an endpoint's breaker, derived from the observations.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum SeenState {
+enum ObservedState {
     Closed,
     Open { until: Timestamp },
     HalfOpen { in_flight: usize, succeeded: usize },
 }
 
-/// The breakers of all endpoints, as they must be after what was seen so far.
+/// Model of the breakers of all endpoints, derived from the observations so far.
 #[derive(Default)]
-struct SeenBreakers {
-    states: BTreeMap<EndpointId, SeenState>,
+struct ObservedBreakers {
+    states: BTreeMap<EndpointId, ObservedState>,
     listed: Vec<Endpoint>,
     started: BTreeMap<EndpointId, Option<Timestamp>>,
-    /// Endpoints that had a breaker opened at any time, be it of one class only.
+    /// Endpoints of which a breaker has ever opened, including breakers of a single class.
     ever_opened: BTreeSet<EndpointId>,
-    /// Requests that have been sent.
+    /// Requests with at least one attempt.
     attempted: BTreeSet<RequestId>,
 }
 
-impl SeenBreakers {
+impl ObservedBreakers {
     fn on_endpoints_listed(&mut self, list: &[Endpoint]) {
         for endpoint in list {
-            // Started anew, or listed again, it is another incarnation with a breaker of its own.
+            // An endpoint that restarts or is listed again is a new incarnation with a new breaker.
             let before = self.started.insert(endpoint.id.clone(), endpoint.started);
             if before != Some(endpoint.started) {
-                self.states.insert(endpoint.id.clone(), SeenState::Closed);
+                self.states
+                    .insert(endpoint.id.clone(), ObservedState::Closed);
             }
         }
         self.started
@@ -55,42 +56,48 @@
         if let BreakerScope::Endpoint(endpoint) = scope {
             let until = now + COOLDOWN;
             self.states
-                .insert(endpoint.clone(), SeenState::Open { until });
+                .insert(endpoint.clone(), ObservedState::Open { until });
         }
         self.ever_opened.extend(endpoint_of(scope).cloned());
     }
 
-    /// Asserts that the breaker of the endpoint admits the attempt. Where every endpoint is
-    /// blocked, the first attempt goes to the first one of its key all the same, by design.
+    /// Asserts that the endpoint's breaker admits the attempt. If all endpoints are blocked, the
+    /// first attempt of a request is sent to the first endpoint of its key despite the breaker, by
+    /// design.
     fn on_sent(&mut self, id: &RequestId, endpoint: &Endpoint, now: Timestamp) {
         let first = self.attempted.insert(id.clone());
-        let must_hold = (!first || self.one_is_never_blocked()) && endpoint.kind.is_none();
+        let must_be_admitted =
+            (!first || self.has_never_blocked_endpoint()) && endpoint.kind.is_none();
         let state = self
             .states
             .entry(endpoint.id.clone())
-            .or_insert(SeenState::Closed);
+            .or_insert(ObservedState::Closed);
         match state {
-            SeenState::Open { until } if now >= *until => {
-                *state = SeenState::HalfOpen {
+            ObservedState::Open { until } if now >= *until => {
+                *state = ObservedState::HalfOpen {
                     in_flight: 1,
                     succeeded: 0,
                 };
             }
-            SeenState::Open { .. } => {
-                assert!(!must_hold, "{id} goes to {} in its cooldown", endpoint.id);
+            ObservedState::Open { .. } => {
+                assert!(
+                    !must_be_admitted,
+                    "{id} is sent to {} during its cooldown",
+                    endpoint.id
+                );
             }
-            SeenState::HalfOpen {
+            ObservedState::HalfOpen {
                 in_flight,
                 succeeded,
             } => {
                 *in_flight += 1;
                 assert!(
-                    !must_hold || *in_flight + *succeeded <= TRIALS,
-                    "{id} is a trial too many at {}",
+                    !must_be_admitted || *in_flight + *succeeded <= TRIALS,
+                    "{id} exceeds the limit of {TRIALS} trials at {}",
                     endpoint.id
                 );
             }
-            SeenState::Closed => {}
+            ObservedState::Closed => {}
         }
     }
 
@@ -98,7 +105,7 @@
         let Some(state) = self.states.get_mut(&endpoint.id) else {
             return;
         };
-        if let SeenState::HalfOpen {
+        if let ObservedState::HalfOpen {
             in_flight,
             succeeded,
         } = state
@@ -106,13 +113,14 @@
             *in_flight = in_flight.saturating_sub(1);
             *succeeded += usize::from(matches!(status, Status::Ok | Status::Miss));
             if *succeeded >= TRIALS {
-                *state = SeenState::Closed;
+                *state = ObservedState::Closed;
             }
         }
     }
 
-    /// Whether an endpoint with its full capacity is listed that no breaker has ever blocked.
-    fn one_is_never_blocked(&self) -> bool {
+    /// Checks whether the list has a ready endpoint at full capacity whose breakers have never
+    /// opened.
+    fn has_never_blocked_endpoint(&self) -> bool {
         self.listed.iter().any(|endpoint| {
             endpoint.availability == Availability::Ready
                 && endpoint.kind.is_none()
@@ -123,12 +131,12 @@
 }
 
 #[test]
-fn an_open_breaker_admits_nothing_and_a_half_open_one_its_trials_while_another_is_closed() {
+fn open_breaker_admits_nothing_and_half_open_breaker_only_its_trials_while_another_is_closed() {
     check(SEEDS, 10, 60, |seed, steps| {
         let mut simulation = Simulation::new(seed);
-        for (i, part) in steps.chunks(15).enumerate() {
-            // One endpoint fails until its breaker opens, and meets many requests at once in its
-            // cooldown and past it.
+        for (i, chunk) in steps.chunks(15).enumerate() {
+            // One endpoint fails until its breaker opens, then many requests arrive at once during
+            // and after its cooldown.
             let failing = Simulation::endpoint(i % 2).id;
             let status = |_: u64, at: &EndpointId| {
                 if *at == failing {
@@ -142,17 +150,17 @@
                 simulation.advance(ms(wait));
                 (0..40).for_each(|key| simulation.request(0, key, ms(400), false, false));
             }
-            simulation.play(part);
+            simulation.play(chunk);
         }
-        let mut seen = SeenBreakers::default();
+        let mut breakers = ObservedBreakers::default();
         for (at, observation) in &simulation.observations {
             match observation {
-                Observation::EndpointsListed(list) => seen.on_endpoints_listed(list),
-                Observation::BreakerOpened(scope) => seen.on_opened(scope, *at),
-                Observation::AttemptSent { id, endpoint } => seen.on_sent(id, endpoint, *at),
+                Observation::EndpointsListed(list) => breakers.on_endpoints_listed(list),
+                Observation::BreakerOpened(scope) => breakers.on_opened(scope, *at),
+                Observation::AttemptSent { id, endpoint } => breakers.on_sent(id, endpoint, *at),
                 Observation::AttemptEnded {
                     endpoint, status, ..
-                } => seen.on_ended(endpoint, *status),
+                } => breakers.on_ended(endpoint, *status),
                 _ => {}
             }
         }
@@ -160,14 +168,15 @@
 }
 
 #[test]
-fn a_half_open_breaker_loses_no_trial_so_that_an_endpoint_that_recovers_is_used_again() {
+fn half_open_breakers_lose_no_trial_so_recovered_endpoints_are_used_again() {
     check(SEEDS, 10, 60, |seed, steps| {
         let mut simulation = Simulation::new(seed);
-        for part in steps.chunks(15) {
-            // Some or all endpoints fail, their breakers open, and their trials fail alike.
-            let served = part.len() as u64 % 4;
+        for chunk in steps.chunks(15) {
+            // Requests for some or all keys fail, so breakers open, and trials with these keys
+            // fail too.
+            let served_keys_of_four = chunk.len() as u64 % 4;
             let status = |key: u64, _: &EndpointId| {
-                if key % 4 >= served {
+                if key % 4 >= served_keys_of_four {
                     Status::Failed
                 } else {
                     Status::Ok
@@ -176,11 +185,11 @@
             serve_reads(&mut simulation, 40, |_| None, status);
             simulation.advance(COOLDOWN);
             serve_reads(&mut simulation, 20, |_| None, status);
-            simulation.play(part);
+            simulation.play(chunk);
         }
-        (0..SERVERS).for_each(|i| simulation.change_endpoint(i, Change::Ready));
+        (0..SERVERS).for_each(|i| simulation.change_endpoint(i, ServerChange::Ready));
         let hit = |_| Some(CacheResult::Hit);
-        // Longer than the longest cooldown, and as long again for its trials.
+        // Longer than the longest cooldown, plus the same time for the trials.
         (0..20).for_each(|_| {
             serve_reads(&mut simulation, 20, hit, |_, _| Status::Ok);
             simulation.advance(ms(1_000));
@@ -194,15 +203,18 @@
                 _ => None,
             })
             .collect();
-        let missing: Vec<_> = (0..SERVERS)
+        let unused: Vec<_> = (0..SERVERS)
             .map(|i| Simulation::endpoint(i).id)
             .filter(|id| !used.contains(id))
             .collect();
-        assert!(missing.is_empty(), "{missing:?} answer and are not used");
+        assert!(
+            unused.is_empty(),
+            "{unused:?} respond but receive no request"
+        );
     });
 }
 
-/// Which incarnation of an endpoint is listed, as it is seen from outside.
+/// Incarnation of an endpoint, derived from the lists.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Incarnation {
     started: Option<Timestamp>,
@@ -218,18 +230,18 @@
         incarnation.number += u32::from(!is_listed);
     }
     for endpoint in list {
-        let first = Incarnation {
+        let initial = Incarnation {
             started: endpoint.started,
             number: 0,
         };
-        let incarnation = incarnations.entry(endpoint.id).or_insert(first);
+        let incarnation = incarnations.entry(endpoint.id).or_insert(initial);
         let before = std::mem::replace(&mut incarnation.started, endpoint.started);
         incarnation.number += u32::from(before != endpoint.started);
     }
 }
 
 #[test]
-fn an_outcome_of_an_earlier_incarnation_opens_no_breaker_of_the_present_one() {
+fn an_outcome_of_an_earlier_incarnation_opens_no_breaker_of_the_current_incarnation() {
     check(SEEDS, CASES, LENGTH, |seed, steps| {
         let mut incarnations = BTreeMap::<EndpointId, Incarnation>::new();
         let mut sent_to = BTreeMap::new();
@@ -245,7 +257,8 @@
                     last_ended = Some((endpoint.id.clone(), sent_to[&(id, endpoint.id)]));
                 }
                 Observation::BreakerOpened(scope) if scope != BreakerScope::Origin => {
-                    let opened = endpoint_of(&scope).expect("a small deployment has no zone's");
+                    let opened =
+                        endpoint_of(&scope).expect("a small deployment has no breakers of zones");
                     let (endpoint, incarnation) = last_ended
                         .clone()
                         .expect("an outcome before a breaker opens");
--- a/crates/policy/tests/properties/main.rs
+++ b/crates/policy/tests/properties/main.rs
@@ -1,4 +1,4 @@
-//! The rules as properties of the policy, over sequences of events from fixed seeds.
+//! Property tests of the policy's rules over event sequences generated from fixed seeds.
 
 #[path = "../common/events.rs"]
 mod events;
--- a/crates/policy/tests/properties/requests.rs
+++ b/crates/policy/tests/properties/requests.rs
@@ -1,5 +1,5 @@
-//! Answers and attempts of requests: one final response each, repeats as the class allows, no attempt
-//! at an endpoint that drains.
+//! Responses and attempts: each request gets one final response, is repeated only as its class
+//! allows, and is never sent to a draining endpoint.
 
 use crate::events::check;
 use crate::simulation::{Observation, Simulation, CASES, LENGTH, SEEDS};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 #[test]
-fn each_request_has_one_final_answer_before_its_deadline_and_no_attempt_after_it() {
+fn each_request_gets_one_final_response_by_its_deadline_and_no_later_attempt() {
     check(SEEDS, CASES, LENGTH, |seed, steps| {
         let mut open = BTreeMap::new();
         for (at, observation) in Simulation::run(seed, steps).observations {
@@ -19,21 +19,21 @@
                 Observation::Answered { id, .. } => {
                     let deadline = open
                         .remove(&id)
-                        .unwrap_or_else(|| panic!("{id} is answered and is owed no answer"));
-                    assert!(at <= deadline, "{id} is answered after its deadline");
+                        .unwrap_or_else(|| panic!("{id} got a response but is not open"));
+                    assert!(at <= deadline, "{id} got its response after its deadline");
                 }
-                Observation::ClientLeft(id) => drop(open.remove(&id)),
+                Observation::ClientDisconnected(id) => drop(open.remove(&id)),
                 Observation::AttemptSent { id, .. } => {
-                    assert!(open.contains_key(&id), "{id} is finished, and sent");
+                    assert!(open.contains_key(&id), "{id} is sent after its end");
                 }
                 _ => {}
             }
         }
-        assert!(open.is_empty(), "no answer to {open:?}");
+        assert!(open.is_empty(), "no response to {open:?}");
     });
 }
 
-/// An attempt that may have run its request.
+/// Earlier attempt whose request may have run at the endpoint.
 struct EarlierAttempt {
     sent: Timestamp,
     endpoint: Endpoint,
@@ -85,7 +85,7 @@
                     let earlier = may_have_run.entry(id.clone()).or_default();
                     for attempt in earlier.iter() {
                         let allowed = may_repeat(classes[id], attempt, endpoint, *at);
-                        assert!(allowed, "{id} is retried");
+                        assert!(allowed, "{id} is retried against the rules of its class");
                     }
                     earlier.push(EarlierAttempt {
                         sent: *at,
@@ -99,11 +99,11 @@
                     ..
                 } if status.never_ran() => {
                     let earlier = may_have_run.entry(id.clone()).or_default();
-                    let place = earlier
+                    let index = earlier
                         .iter()
                         .position(|attempt| attempt.endpoint.id == endpoint.id)
-                        .expect("it was sent");
-                    earlier.remove(place);
+                        .expect("the attempt was sent");
+                    earlier.remove(index);
                 }
                 Observation::Answered {
                     id,
@@ -112,7 +112,7 @@
                     let never_ran = may_have_run.get(id).is_none_or(Vec::is_empty);
                     assert!(
                         every_endpoint_discards_repeats(classes[id]) || never_ran,
-                        "{id} may have run, and is shed"
+                        "{id} is shed although it may have run"
                     );
                 }
                 _ => {}
@@ -129,7 +129,7 @@
                 assert_eq!(
                     endpoint.availability,
                     Availability::Ready,
-                    "{id} goes to {}",
+                    "{id} is sent to {}",
                     endpoint.id
                 );
             }
@@ -137,7 +137,7 @@
     });
 }
 
-/// A request that is owed an answer.
+/// Request without a final response.
 struct OpenRequest {
     arrived: Timestamp,
     in_flight: i32,
@@ -146,13 +146,13 @@
 }
 
 impl OpenRequest {
-    /// With nothing in flight, only a request that was never sent may be open, as long as it is
-    /// queued: not past its latency objective.
+    /// Asserts that the request has an attempt in flight or is queued. A queued request has had no
+    /// attempt, and its latency objective has not passed.
     fn assert_in_flight_or_queued(&self, id: &RequestId, now: Timestamp) {
         let in_flight = self.in_flight > 0;
         assert!(
             in_flight || !self.attempted,
-            "{id} has nothing in flight and no answer"
+            "{id} was attempted and has neither an attempt in flight nor a response"
         );
         assert!(
             in_flight || now.since(self.arrived) < self.latency_objective,
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_request_given_up_is_answered_in_that_event_and_a_shed_one_with_a_retry_after() {
+fn an_abandoned_request_is_answered_in_the_same_event_and_a_shed_request_gets_a_retry_after() {
     check(SEEDS, CASES, LENGTH, |seed, steps| {
         let simulation = Simulation::run(seed, steps);
         let mut open = BTreeMap::<RequestId, OpenRequest>::new();
@@ -192,21 +192,25 @@
                 }
                 Observation::Answered { id, retry_after } => {
                     open.remove(id);
-                    if let Some(after) = retry_after {
-                        let most = simulation.settings.max_retry_after;
+                    if let Some(retry_after) = retry_after {
+                        let max = simulation.settings.max_retry_after;
                         assert!(
-                            !after.is_zero() && *after <= most,
-                            "{id}: a Retry-After of {after:?}"
+                            !retry_after.is_zero() && *retry_after <= max,
+                            "{id} has a Retry-After of {retry_after:?}, expected more than 0 and \
+                             at most {max:?}"
                         );
                     }
                 }
-                Observation::ClientLeft(id) => drop(open.remove(id)),
+                Observation::ClientDisconnected(id) => drop(open.remove(id)),
                 Observation::EventHandled => {
                     for (id, request) in &open {
                         request.assert_in_flight_or_queued(id, *at);
                     }
                     let unanswered = over_quota.take().filter(|id| open.contains_key(id));
-                    assert_eq!(unanswered, None, "over its quota, and not shed at once");
+                    assert_eq!(
+                        unanswered, None,
+                        "a request over its quota is not shed at once"
+                    );
                 }
                 _ => {}
             }
@@ -215,10 +219,10 @@
 }
 
 #[test]
-fn equal_events_give_equal_actions() {
+fn equal_events_cause_equal_actions() {
     check(0..2, 10, LENGTH, |seed, steps| {
-        let [one, other] =
+        let [first, second] =
             [(); 2].map(|()| format!("{:?}", Simulation::run(seed, steps).observations));
-        assert_eq!(one, other);
+        assert_eq!(first, second);
     });
 }
--- a/crates/policy/tests/properties/simulation.rs
+++ b/crates/policy/tests/properties/simulation.rs
@@ -1,7 +1,7 @@
-//! A balancer under arbitrary sequences of events: carries its actions out on paper and records
-//! what is seen from outside.
+//! Simulation of a node around a [`Balancer`] under generated event sequences: executes the
+//! balancer's actions without I/O and records all externally visible events.
 
-use crate::events::{Change, Step, SERVERS};
+use crate::events::{ServerChange, Step, SERVERS};
 use slatelink_policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,68 +9,68 @@
 
 /// Seeds of the settings and of the generated sequences.
 pub const SEEDS: std::ops::Range<u8> = 0..6;
-/// Sequences for each seed.
+/// Number of sequences per seed.
 pub const CASES: u32 = 60;
-/// Most steps of a sequence.
+/// Upper bound, exclusive, of the number of steps in a sequence.
 pub const LENGTH: usize = 300;
-/// An open breaker blocks its target for this long, then admits trials.
+/// Duration for which an open breaker blocks its target before it admits trials.
 pub const COOLDOWN: Duration = Duration::from_secs(6);
-/// Trials that a half-open breaker admits.
+/// Number of trials that a half-open breaker admits.
 pub const TRIALS: usize = 3;
-/// Id of the origin where it is listed (cache-aside); it is the only endpoint with a kind.
+/// Id of the origin, which is listed in cache-aside mode only and is the only endpoint with a kind.
 pub const ORIGIN: &str = "zz";
 
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// What is seen from outside of the balancer.
+/// Externally visible event of the balancer.
 #[derive(Clone, Debug)]
 pub enum Observation {
     RequestArrived(Request),
-    /// With the endpoint as it was listed last; removed if it is not listed.
+    /// `endpoint` is the latest entry of the list, or a removed endpoint if the list has no entry.
     AttemptSent {
         id: RequestId,
         endpoint: Endpoint,
     },
-    /// With the endpoint as it was listed when the attempt was sent.
+    /// `endpoint` is the entry of the list at the time of the send.
     AttemptEnded {
         id: RequestId,
         endpoint: Endpoint,
         status: Status,
         cache_result: Option<CacheResult>,
     },
-    /// The final response; with a Retry-After if the request was shed.
+    /// The final response, with a Retry-After if the request was shed.
     Answered {
         id: RequestId,
         retry_after: Option<Duration>,
     },
-    ClientLeft(RequestId),
-    /// All endpoints that are listed from now on.
+    ClientDisconnected(RequestId),
+    /// All endpoints of the list after an update.
     EndpointsListed(Vec<Endpoint>),
     BreakerOpened(BreakerScope),
-    /// All that came of one event has been seen.
+    /// All actions that one event caused have been recorded.
     EventHandled,
 }
 
 /// An attempt in flight.
 pub struct InFlight {
     pub id: RequestId,
-    /// Number of the attempt at its request.
+    /// Number of the attempt within its request, from 0.
     pub attempt: u32,
     pub endpoint: Endpoint,
     pub sent: Timestamp,
-    pub times_out: Timestamp,
+    pub times_out_at: Timestamp,
 }
 
-/// What is kept of a request, also after its end.
+/// State of a request, kept also after the request has ended.
 struct SubmittedRequest {
     deadline: Timestamp,
-    /// Attempts sent so far.
+    /// Number of attempts sent so far.
     attempts: u32,
 }
 
-/// One node with its clients, its endpoints and its discovery.
+/// A node with its clients, endpoints and discovery.
 pub struct Simulation {
     balancer: Balancer,
     pub settings: Settings,
@@ -80,13 +80,13 @@
     requests: BTreeMap<RequestId, SubmittedRequest>,
     timers: BTreeSet<Timestamp>,
     pub observations: Vec<(Timestamp, Observation)>,
-    /// Requests that have their answer, or whose client has left.
+    /// Requests that have a final response or whose client has disconnected.
     finished: BTreeSet<RequestId>,
 }
 
 impl Simulation {
-    /// A node that knows all endpoints. The seed decides what the sequences leave open: the cache
-    /// mode, where repeats are discarded, and how many attempts a request may have.
+    /// Returns a node that knows all endpoints. The seed selects the settings that the sequences do
+    /// not vary: the cache mode, the deduplication scope and the maximum number of attempts.
     pub fn new(seed: u64) -> Self {
         let settings = settings(seed);
         let mut simulation = Self {
@@ -100,11 +100,11 @@
             observations: Vec::new(),
             finished: BTreeSet::new(),
         };
-        simulation.list_all_but(0);
+        simulation.list_snapshot(0);
         simulation
     }
 
-    /// Plays a sequence from the start until everything has timed out.
+    /// Plays a sequence on a new simulation and then advances the time past all deadlines.
     pub fn run(seed: u64, steps: &[Step]) -> Self {
         let mut simulation = Self::new(seed);
         simulation.play(steps);
@@ -112,7 +112,7 @@
         simulation
     }
 
-    /// The cache server with this number, as it is listed first.
+    /// Returns the initial entry of the cache server with this number.
     pub fn endpoint(number: usize) -> Endpoint {
         let zone = Some(Name::from(["x", "y"][number % 2]));
         Endpoint {
@@ -137,43 +137,44 @@
 
     fn play_step(&mut self, step: Step) {
         match step {
-            Step::Ask {
+            Step::Request {
                 class,
                 key,
-                patience_ms,
+                timeout_ms,
                 write,
                 over_quota,
-            } => self.request(class, key, ms(patience_ms), write, over_quota),
-            Step::End {
-                which,
-                how,
+            } => self.request(class, key, ms(timeout_ms), write, over_quota),
+            Step::EndAttempt {
+                index,
+                status,
                 cache_result,
             } if !self.in_flight.is_empty() => {
-                let tells = self.settings.mode == CacheMode::ReadThrough;
-                let cache_result = cache_result.filter(|_| tells);
-                self.end_attempt(which % self.in_flight.len(), how, cache_result);
+                let reports_cache_result = self.settings.mode == CacheMode::ReadThrough;
+                let cache_result = cache_result.filter(|_| reports_cache_result);
+                self.end_attempt(index % self.in_flight.len(), status, cache_result);
             }
-            Step::End { .. } => {}
-            Step::Stray { which, how } => self.end_unknown_attempt(which, how),
-            Step::Leave { which } => self.cancel_request(which),
-            Step::Change { server, to } => self.change_endpoint(server, to),
-            Step::Whole { lacks } => self.list_all_but(lacks),
-            Step::NoList => self.handle(Event::Endpoints(EndpointUpdate::Unavailable)),
-            Step::Pass { ms: time } => self.advance(ms(time)),
+            Step::EndAttempt { .. } => {}
+            Step::UnknownOutcome { index, status } => self.end_unknown_attempt(index, status),
+            Step::Disconnect { index } => self.cancel_request(index),
+            Step::ChangeServer { server, change } => self.change_endpoint(server, change),
+            Step::Snapshot { omitted } => self.list_snapshot(omitted),
+            Step::DiscoveryFailure => self.handle(Event::Endpoints(EndpointUpdate::Unavailable)),
+            Step::Advance { ms: time } => self.advance(ms(time)),
         }
     }
 
-    /// A client sends a request of the class with this number, of none if there is no such class.
+    /// A client sends a request of the class with this number, or without a class if the settings
+    /// have no class with this number.
     pub fn request(
         &mut self,
         class: usize,
         key: u64,
-        time: Duration,
+        timeout: Duration,
         write: bool,
         over_quota: bool,
     ) {
         let number = self.requests.len() + 1;
-        let deadline = self.now + time;
+        let deadline = self.now + timeout;
         let request = Request {
             class: (class < self.settings.classes.len()).then_some(ClassId(class)),
             key: Some(key),
@@ -190,9 +191,9 @@
         self.handle(Event::Request(request));
     }
 
-    /// The attempt at this place of [`in_flight`](Self::in_flight) ends.
-    pub fn end_attempt(&mut self, place: usize, status: Status, cache_result: Option<CacheResult>) {
-        let ended = self.in_flight.remove(place);
+    /// Ends the attempt at this index of [`in_flight`](Self::in_flight).
+    pub fn end_attempt(&mut self, index: usize, status: Status, cache_result: Option<CacheResult>) {
+        let ended = self.in_flight.remove(index);
         self.observe(Observation::AttemptEnded {
             id: ended.id.clone(),
             endpoint: ended.endpoint.clone(),
@@ -214,13 +215,13 @@
         }));
     }
 
-    /// An outcome comes of an attempt that has ended, or of one that was never sent.
-    fn end_unknown_attempt(&mut self, which: usize, status: Status) {
+    /// Reports an outcome of an attempt that has already ended or was never sent.
+    fn end_unknown_attempt(&mut self, index: usize, status: Status) {
         let known: Vec<_> = self.requests.iter().collect();
         let (id, attempt) = if known.is_empty() {
             ("unknown".into(), 0)
         } else {
-            let (id, request) = known[which % known.len()];
+            let (id, request) = known[index % known.len()];
             let is_in_flight = |attempt: &u32| {
                 let mut in_flight = self.in_flight.iter();
                 in_flight.any(|other| other.id == *id && other.attempt == *attempt)
@@ -232,7 +233,7 @@
             answered: self.finished.contains(&id),
             id,
             attempt,
-            endpoint: Self::endpoint(which % SERVERS).id,
+            endpoint: Self::endpoint(index % SERVERS).id,
             status,
             cache_result: None,
             latency: ms(1),
@@ -240,40 +241,42 @@
         }));
     }
 
-    fn cancel_request(&mut self, which: usize) {
+    fn cancel_request(&mut self, index: usize) {
         let unfinished: Vec<_> = self
             .requests
             .keys()
             .filter(|id| !self.finished.contains(*id))
             .cloned()
             .collect();
-        if let Some(id) = unfinished.get(which % unfinished.len().max(1)) {
+        if let Some(id) = unfinished.get(index % unfinished.len().max(1)) {
             self.finished.insert(id.clone());
-            self.observe(Observation::ClientLeft(id.clone()));
+            self.observe(Observation::ClientDisconnected(id.clone()));
             self.handle(Event::RequestCanceled(id.clone()));
         }
     }
 
-    /// Discovery tells of a change to the cache server with this number.
-    pub fn change_endpoint(&mut self, number: usize, to: Change) {
-        let first = Self::endpoint(number);
-        let mut endpoint = self.listed.get(&first.id).cloned().unwrap_or(first);
-        match to {
-            Change::Ready | Change::Moved => endpoint.availability = Availability::Ready,
-            Change::Draining => endpoint.availability = Availability::Draining,
-            Change::Gone => endpoint.availability = Availability::Removed,
-            Change::Restarted => {
+    /// Sends a delta with this change to the cache server with this number.
+    pub fn change_endpoint(&mut self, number: usize, change: ServerChange) {
+        let initial = Self::endpoint(number);
+        let mut endpoint = self.listed.get(&initial.id).cloned().unwrap_or(initial);
+        match change {
+            ServerChange::Ready | ServerChange::Moved => {
+                endpoint.availability = Availability::Ready
+            }
+            ServerChange::Draining => endpoint.availability = Availability::Draining,
+            ServerChange::Removed => endpoint.availability = Availability::Removed,
+            ServerChange::Restarted => {
                 endpoint.availability = Availability::Ready;
                 endpoint.started = Some(self.now);
             }
         }
         self.listed.insert(endpoint.id.clone(), endpoint.clone());
-        self.announce(EndpointUpdate::Delta, vec![endpoint]);
+        self.send_update(EndpointUpdate::Delta, vec![endpoint]);
     }
 
-    /// Discovery sends a complete list without the cache servers whose bit stands in `lacks`.
-    fn list_all_but(&mut self, lacks: u8) {
-        let as_listed = |endpoint: Endpoint| {
+    /// Sends a snapshot without the cache servers whose bit is set in `omitted`.
+    fn list_snapshot(&mut self, omitted: u8) {
+        let current_entry = |endpoint: Endpoint| {
             let listed = self.listed.get(&endpoint.id);
             listed.cloned().unwrap_or(endpoint)
         };
@@ -281,20 +284,20 @@
             kind: Some("origin".into()),
             ..Endpoint::new(ORIGIN)
         };
-        let aside = self.settings.mode != CacheMode::ReadThrough;
+        let is_cache_aside = self.settings.mode != CacheMode::ReadThrough;
         let endpoints: Vec<_> = (0..SERVERS)
-            .filter(|i| lacks & 1 << i == 0)
-            .map(|i| as_listed(Self::endpoint(i)))
-            .chain(aside.then_some(origin))
+            .filter(|i| omitted & 1 << i == 0)
+            .map(|i| current_entry(Self::endpoint(i)))
+            .chain(is_cache_aside.then_some(origin))
             .collect();
         self.listed = endpoints
             .iter()
             .map(|endpoint| (endpoint.id.clone(), endpoint.clone()))
             .collect();
-        self.announce(EndpointUpdate::Snapshot, endpoints);
+        self.send_update(EndpointUpdate::Snapshot, endpoints);
     }
 
-    fn announce(
+    fn send_update(
         &mut self,
         update: impl Fn(Arc<[Endpoint]>) -> EndpointUpdate,
         endpoints: Vec<Endpoint>,
@@ -306,22 +309,22 @@
         self.handle(Event::Endpoints(update(endpoints.into())));
     }
 
-    /// Time passes: timers fire and attempts time out when they are due.
+    /// Advances the time by `time`, fires due timers and ends due attempts with a timeout.
     pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
             let attempts = self.in_flight.iter().enumerate();
-            let time_out = attempts
-                .map(|(place, attempt)| (attempt.times_out, Some(place)))
+            let timeout = attempts
+                .map(|(index, attempt)| (attempt.times_out_at, Some(index)))
                 .min();
             let timer = self.timers.first().map(|at| (*at, None));
-            let next = time_out.into_iter().chain(timer).min();
-            let Some((at, place)) = next.filter(|(at, _)| *at <= end) else {
+            let next = timeout.into_iter().chain(timer).min();
+            let Some((at, index)) = next.filter(|(at, _)| *at <= end) else {
                 break;
             };
             self.now = self.now.max(at);
-            match place {
-                Some(place) => self.end_attempt(place, Status::TimedOut, None),
+            match index {
+                Some(index) => self.end_attempt(index, Status::TimedOut, None),
                 None => {
                     self.timers.remove(&at);
                     self.handle(Event::Timer);
@@ -375,7 +378,7 @@
             attempt,
             endpoint,
             sent: self.now,
-            times_out: (self.now + timeout).min(deadline),
+            times_out_at: (self.now + timeout).min(deadline),
         });
     }
 
@@ -405,7 +408,7 @@
         scope,
         window: ms(200),
     };
-    let aside = CacheMode::CacheAside {
+    let cache_aside = CacheMode::CacheAside {
         origin_kind: "origin".into(),
     };
     Settings {
@@ -417,7 +420,7 @@
         mode: if seed.is_multiple_of(2) {
             CacheMode::ReadThrough
         } else {
-            aside
+            cache_aside
         },
         max_attempts: 2 + seed as u32 % 4,
         max_retry_after: ms(1_000),
@@ -425,8 +428,9 @@
     }
 }
 
-/// Sends `count` reads, one every 4 ms, and ends each attempt at once: with this status by key and
-/// endpoint, and this cache result by key if it is served.
+/// Sends `count` reads, one every 4 ms, and ends each attempt at once. `status` returns the status
+/// of an attempt by key and endpoint, `cache_result` the cache result of a successful attempt by
+/// key.
 pub fn serve_reads(
     simulation: &mut Simulation,
     count: u64,
@@ -434,20 +438,20 @@
     status: impl Fn(u64, &EndpointId) -> Status,
 ) {
     for i in 0..count {
-        // The keys are many, and every one of them comes again.
+        // 97 keys, each read repeatedly.
         let key = i * 7919 % 97;
         simulation.request(0, key, ms(400), false, false);
-        while let Some(place) = sent_just_now(simulation) {
-            let status = status(key, &simulation.in_flight[place].endpoint.id);
+        while let Some(index) = attempt_sent_now(simulation) {
+            let status = status(key, &simulation.in_flight[index].endpoint.id);
             let cache_result = cache_result(key).filter(|_| status == Status::Ok);
-            simulation.end_attempt(place, status, cache_result);
+            simulation.end_attempt(index, status, cache_result);
         }
         simulation.advance(ms(4));
     }
 }
 
-/// The place in flight of an attempt that was sent at this very moment.
-pub fn sent_just_now(simulation: &Simulation) -> Option<usize> {
+/// Returns the index in `in_flight` of an attempt that was sent at the current time.
+pub fn attempt_sent_now(simulation: &Simulation) -> Option<usize> {
     let mut in_flight = simulation.in_flight.iter();
     in_flight.position(|attempt| attempt.sent == simulation.now)
 }
