--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -51,7 +51,7 @@
 
     fn step(&mut self, step: &Step) {
         match step {
-            Step::Request {
+            Step::SendRequest {
                 class, timeout_ms, ..
             } => self.request(*class, *timeout_ms as usize * REQUEST_BYTES_PER_MS),
             Step::EndAttempt { index, .. } if !self.in_flight.is_empty() => {
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -165,7 +165,7 @@
 
     fn apply(&mut self, step: &Step) {
         match step {
-            Step::Request {
+            Step::SendRequest {
                 class,
                 key,
                 timeout_ms,
@@ -183,7 +183,7 @@
                 };
                 self.publish_states();
             }
-            Step::Snapshot { omitted } => {
+            Step::SendSnapshot { omitted } => {
                 for (server, state) in self.states.iter_mut().enumerate() {
                     *state = state
                         .or(Some("ready"))
--- a/crates/policy/tests/cache_aside.rs
+++ b/crates/policy/tests/cache_aside.rs
@@ -1,4 +1,4 @@
-//! Sites whose balancers fetch misses from the origin.
+//! Cache-aside mode, in which the balancer fetches misses from the origin.
 
 mod common;
 use common::*;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_miss_goes_to_the_origin_and_a_hit_does_not() {
+fn a_miss_is_sent_to_the_origin_and_a_hit_is_not() {
     let mut node = node();
     let id = node.request(0, 7, ms(400));
     assert_ne!(node.in_flight(&id).expect("sent").1.as_str(), "zz-origin");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_write_goes_straight_to_the_origin() {
+fn the_first_attempt_of_a_write_is_sent_to_the_origin() {
     let mut node = node();
     let request = Request {
         class: Some(ClassId(1)),
@@ -57,6 +57,6 @@
     );
     assert!(
         node.read(8, Status::Ok).is_some(),
-        "hits are served all the same"
+        "hits are served while the breaker is open"
     );
 }
--- a/crates/policy/tests/common/events.rs
+++ b/crates/policy/tests/common/events.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A client sends a request with a deadline after `timeout_ms`.
-    Request {
+    SendRequest {
         class: usize,
         key: u64,
         timeout_ms: u64,
@@ -36,7 +36,7 @@
     /// Discovery sends a delta with a change to one cache server.
     ChangeServer { server: usize, change: ServerChange },
     /// Discovery sends a snapshot without the cache servers whose bit is set in `omitted`.
-    Snapshot { omitted: u8 },
+    SendSnapshot { omitted: u8 },
     /// A call to discovery fails.
     DiscoveryFailure,
     /// The time advances by `ms`, which may be 0.
@@ -78,18 +78,18 @@
     let request = (0..4usize, 0..8u64, 0..600u64, any::<bool>(), 0..20u8);
     prop_oneof![
         8 => request.prop_map(|(class, key, timeout_ms, write, quota_draw)| {
-            Step::Request { class, key, timeout_ms, write, over_quota: quota_draw == 0 }
+            Step::SendRequest { class, key, timeout_ms, write, over_quota: quota_draw == 0 }
         }),
         8 => (any::<usize>(), status(), cache_result)
-            .prop_map(|(index, status, cache_result)| {
-                Step::EndAttempt { index, status, cache_result }
+            .prop_map(|(index, status, cache_result)| Step::EndAttempt {
+                index, status, cache_result
             }),
         1 => (any::<usize>(), status())
             .prop_map(|(index, status)| Step::UnknownOutcome { index, status }),
         1 => any::<usize>().prop_map(|index| Step::Disconnect { index }),
         2 => (0..SERVERS, change)
             .prop_map(|(server, change)| Step::ChangeServer { server, change }),
-        1 => any::<u8>().prop_map(|omitted| Step::Snapshot { omitted }),
+        1 => any::<u8>().prop_map(|omitted| Step::SendSnapshot { omitted }),
         1 => Just(Step::DiscoveryFailure),
         4 => prop_oneof![1 => Just(0), 6 => 1..60u64, 1 => 400..3_000u64]
             .prop_map(|ms| Step::Advance { ms }),
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,24 +1,24 @@
-//! A node around a [`Balancer`]: carries its actions out on paper and asserts the rules from
-//! outside with each of them.
+//! Simulated node around a [`Balancer`]: executes the actions of the balancer without I/O and
+//! asserts the rules at each action.
 #![allow(dead_code)]
 
 use slatelink_policy::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The clock's time at the start of a test.
+/// Time at the start of a test.
 const START: Timestamp = Timestamp::from_micros(3_000_000_000);
 
 pub fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-/// An attempt that was sent.
+/// Attempt that was sent.
 pub struct SentAttempt {
-    /// As it was listed then.
+    /// Entry of the list at the time of the send.
     pub endpoint: Endpoint,
     pub sent: Timestamp,
-    pub times_out: Timestamp,
+    pub times_out_at: Timestamp,
     /// `None` while the attempt is in flight.
     pub status: Option<Status>,
 }
@@ -29,16 +29,16 @@
     }
 }
 
-/// A request, from its arrival on.
+/// Request that has arrived.
 pub struct ClientRequest {
     pub request: Request,
     pub attempts: Vec<SentAttempt>,
-    /// Whether it has its final response.
+    /// Whether the request has its final response.
     pub answered: bool,
 }
 
 impl ClientRequest {
-    /// The number of the attempt in flight, if one is.
+    /// Returns the number of the attempt in flight, if any.
     fn in_flight(&self) -> Option<usize> {
         self.attempts
             .iter()
@@ -46,25 +46,25 @@
     }
 }
 
-/// One node with its clients and its endpoints.
+/// Node with its clients and endpoints.
 pub struct Node {
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: Timestamp,
-    /// All endpoints that were ever listed, as they were listed last.
+    /// Latest entries of the endpoints. A delta keeps the entries of removed endpoints.
     pub listed: BTreeMap<EndpointId, Endpoint>,
     pub requests: BTreeMap<RequestId, ClientRequest>,
     pub timers: BTreeSet<Timestamp>,
     /// All actions so far.
     pub actions: Vec<Action>,
-    /// What endpoints report with each answer.
+    /// Load report that endpoints attach to each response.
     pub load: LoadReport,
-    /// Requests so far.
-    count: u32,
+    /// Number of requests so far, used for the ids of requests.
+    request_count: u32,
 }
 
 impl Node {
-    /// A node that knows no endpoint.
+    /// Returns a node without endpoints.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             balancer: Balancer::new(settings.clone(), seed),
@@ -75,19 +75,19 @@
             timers: BTreeSet::new(),
             actions: Vec::new(),
             load: LoadReport::default(),
-            count: 0,
+            request_count: 0,
         }
     }
 
-    /// A node that knows `n` endpoints with their full capacity, named a, b, c and so on.
-    pub fn with_endpoints(settings: Settings, n: u8) -> Self {
+    /// Returns a node with `count` endpoints at full capacity, named a, b, c and so on.
+    pub fn with_endpoints(settings: Settings, count: u8) -> Self {
         let mut node = Self::new(settings, 1);
-        let endpoints = (0..n).map(|i| Endpoint::new(&char::from(b'a' + i).to_string()));
+        let endpoints = (0..count).map(|i| Endpoint::new(&char::from(b'a' + i).to_string()));
         node.list_snapshot(endpoints.collect());
         node
     }
 
-    /// Discovery sends a complete list.
+    /// Handles a snapshot from discovery.
     pub fn list_snapshot(&mut self, endpoints: Vec<Endpoint>) {
         self.listed.clear();
         self.record_listed(&endpoints);
@@ -95,7 +95,7 @@
         self.handle(Event::Endpoints(update));
     }
 
-    /// Discovery sends the endpoints that changed.
+    /// Handles a delta from discovery.
     pub fn list_delta(&mut self, endpoints: Vec<Endpoint>) {
         self.record_listed(&endpoints);
         let update = EndpointUpdate::Delta(endpoints.into());
@@ -108,25 +108,25 @@
         }
     }
 
-    /// The class of a request; the default one for a request of none.
+    /// Returns the class of a request, or the default class for a request without a class.
     pub fn class_of(&self, request: &Request) -> Class {
         request
             .class
             .map_or_else(Class::default, |id| self.settings.classes[id.0].clone())
     }
 
-    /// Hands an event to the balancer, carries out what comes of it and returns that.
+    /// Passes an event to the balancer, executes the resulting actions and returns the actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         self.actions.extend(actions.iter().cloned());
         actions
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn execute(&mut self, action: &Action) {
         match action {
             Action::Send {
                 id,
@@ -135,7 +135,7 @@
                 begin_within,
             } => self.send(id, endpoint, *timeout, *begin_within),
             Action::Shed { id, .. } => self.shed(id),
-            Action::Fail { id } => self.record_answer(id),
+            Action::Fail { id } => self.record_final_response(id),
             Action::Wake { after } => {
                 let at = self.now + (*after).max(Duration::from_micros(1));
                 self.timers.insert(at);
@@ -156,7 +156,7 @@
         let endpoint = self
             .listed
             .get(endpoint)
-            .expect("an attempt at an endpoint that was never listed")
+            .expect("the endpoint of the attempt was listed")
             .clone();
         assert_eq!(
             endpoint.availability,
@@ -166,25 +166,32 @@
         let request = self
             .requests
             .get(id)
-            .expect("an attempt of an unknown request");
-        assert!(!request.answered, "rule 1: an attempt after the answer");
+            .expect("the request of the attempt is known");
+        assert!(
+            !request.answered,
+            "rule 1: an attempt is sent after the final response"
+        );
         assert!(
             request.attempts.len() < self.settings.max_attempts as usize,
-            "more attempts than allowed"
+            "the request has more attempts than `max_attempts`"
+        );
+        assert_eq!(
+            request.in_flight(),
+            None,
+            "the request has two attempts in flight"
         );
-        assert_eq!(request.in_flight(), None, "two attempts in flight at once");
         self.assert_repeat_allowed(request, &endpoint, begin_within);
         let attempt = SentAttempt {
             endpoint,
             sent: self.now,
-            times_out: (self.now + timeout).min(request.request.deadline),
+            times_out_at: (self.now + timeout).min(request.request.deadline),
             status: None,
         };
-        let request = self.requests.get_mut(id).expect("known");
+        let request = self.requests.get_mut(id).expect("the request is known");
         request.attempts.push(attempt);
     }
 
-    /// Rule 2: a request that may have run is run again only as its class allows.
+    /// Asserts rule 2: a request that may have run is repeated only as its class allows.
     fn assert_repeat_allowed(
         &self,
         request: &ClientRequest,
@@ -202,28 +209,32 @@
                 }
                 Idempotency::Keyed { scope, window } => {
                     let window_ends = earlier.sent + window;
-                    assert!(now < window_ends, "rule 2: retried after its window");
+                    assert!(
+                        now < window_ends,
+                        "rule 2: a request is retried after its window"
+                    );
                     let in_scope = match scope {
                         DeduplicationScope::All => true,
                         DeduplicationScope::Zone => earlier.endpoint.zone == endpoint.zone,
                         DeduplicationScope::Cell => earlier.endpoint.cell == endpoint.cell,
                     };
-                    assert!(in_scope, "rule 2: retried outside its scope");
+                    assert!(in_scope, "rule 2: a request is retried outside its scope");
                     assert!(
                         now + begin_within <= window_ends,
-                        "rule 2: may begin after its window"
+                        "rule 2: a request may begin after its window"
                     );
                 }
             }
         }
     }
 
-    /// Rule 2: a request is shed only if its client may send it again.
+    /// Asserts rule 2 and records the final response: a request is shed only if its client may send
+    /// the request again.
     fn shed(&mut self, id: &RequestId) {
         let request = self
             .requests
             .get(id)
-            .expect("an answer to an unknown request");
+            .expect("the answered request is known");
         let every_endpoint_discards_repeats = matches!(
             self.class_of(&request.request).idempotency,
             Idempotency::Idempotent
@@ -235,25 +246,28 @@
         assert!(
             every_endpoint_discards_repeats
                 || !request.attempts.iter().any(SentAttempt::may_have_run),
-            "rule 2: shed, yet it may have run"
+            "rule 2: a request that may have run is shed"
         );
-        self.record_answer(id);
+        self.record_final_response(id);
     }
 
-    fn record_answer(&mut self, id: &RequestId) {
+    fn record_final_response(&mut self, id: &RequestId) {
         let request = self
             .requests
             .get_mut(id)
-            .expect("an answer to an unknown request");
-        assert!(!request.answered, "rule 1: a second final answer");
+            .expect("the answered request is known");
+        assert!(
+            !request.answered,
+            "rule 1: the request gets a second final response"
+        );
         request.answered = true;
     }
 
-    /// A client sends a request of the class with this number, with this key, and gives it up after
-    /// `time`.
-    pub fn request(&mut self, class: usize, key: u64, time: Duration) -> RequestId {
-        self.count += 1;
-        let request = Request::new(&format!("r{}", self.count), self.now + time);
+    /// A client sends a request with this class number and key and with a deadline after
+    /// `time_limit`.
+    pub fn request(&mut self, class: usize, key: u64, time_limit: Duration) -> RequestId {
+        self.request_count += 1;
+        let request = Request::new(&format!("r{}", self.request_count), self.now + time_limit);
         self.submit(Request {
             class: Some(ClassId(class)),
             key: Some(key),
@@ -274,7 +288,7 @@
         id
     }
 
-    /// The number of the request's attempt in flight, if one is, and its endpoint.
+    /// Returns the number and the endpoint of the request's attempt in flight, if any.
     pub fn in_flight(&self, id: &RequestId) -> Option<(u32, EndpointId)> {
         let request = &self.requests[id];
         let number = request.in_flight()?;
@@ -282,7 +296,7 @@
         Some((number as u32, endpoint.id.clone()))
     }
 
-    /// The requests that have an attempt in flight.
+    /// Returns the requests with an attempt in flight.
     pub fn requests_in_flight(&self) -> Vec<RequestId> {
         self.requests
             .keys()
@@ -291,12 +305,12 @@
             .collect()
     }
 
-    /// The request's attempt with this number ends.
+    /// Ends the request's attempt with this number.
     pub fn end_attempt(&mut self, id: &RequestId, attempt: u32, status: Status) -> Vec<Action> {
         self.end_attempt_with(id, attempt, status, None)
     }
 
-    /// The same, and the endpoint reports how it came by the answer.
+    /// Ends the request's attempt with this number and with this cache result from the endpoint.
     pub fn end_attempt_with(
         &mut self,
         id: &RequestId,
@@ -304,7 +318,7 @@
         status: Status,
         cache_result: Option<CacheResult>,
     ) -> Vec<Action> {
-        let request = self.requests.get_mut(id).expect("known");
+        let request = self.requests.get_mut(id).expect("the request is known");
         request.answered |= status == Status::Ok;
         let ended = &mut request.attempts[attempt as usize];
         ended.status = Some(status);
@@ -321,14 +335,16 @@
         self.handle(Event::AttemptEnded(outcome))
     }
 
-    /// The request's attempt in flight ends.
+    /// Ends the request's attempt in flight.
     pub fn end_attempt_in_flight(&mut self, id: &RequestId, status: Status) -> Vec<Action> {
-        let (attempt, _) = self.in_flight(id).expect("an attempt in flight");
+        let (attempt, _) = self
+            .in_flight(id)
+            .expect("the request has an attempt in flight");
         self.end_attempt(id, attempt, status)
     }
 
-    /// One read of `key`, of which the first attempt ends with `status` and a retry is served.
-    /// Returns the endpoint of the first attempt.
+    /// Sends a read of `key` whose first attempt ends with `status` and whose retry, if needed,
+    /// succeeds. Returns the endpoint of the first attempt, if an attempt was sent.
     pub fn read(&mut self, key: u64, status: Status) -> Option<EndpointId> {
         let id = self.request(0, key, ms(400));
         let (attempt, endpoint) = self.in_flight(&id)?;
@@ -339,7 +355,7 @@
         Some(endpoint)
     }
 
-    /// Time passes: timers fire and attempts time out when they are due.
+    /// Advances the time by `time`, fires due timers and ends due attempts with a timeout.
     pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
@@ -350,15 +366,16 @@
                     .enumerate()
                     .filter(|(_, attempt)| attempt.status.is_none());
                 in_flight.map(move |(number, attempt)| {
-                    (attempt.times_out, Some((id.clone(), number as u32)))
+                    (attempt.times_out_at, Some((id.clone(), number as u32)))
                 })
             });
             let timer = self.timers.first().map(|&at| (at, None));
-            let Some((at, what)) = attempts.chain(timer).min().filter(|(at, _)| *at <= end) else {
+            let Some((at, timed_out)) = attempts.chain(timer).min().filter(|(at, _)| *at <= end)
+            else {
                 break;
             };
             self.now = self.now.max(at);
-            match what {
+            match timed_out {
                 Some((id, attempt)) => {
                     self.end_attempt(&id, attempt, Status::TimedOut);
                 }
@@ -372,17 +389,20 @@
         self.assert_answered_in_time();
     }
 
-    /// Rule 1: no request is without its final response past its deadline.
+    /// Asserts rule 1: each request has its final response by its deadline.
     pub fn assert_answered_in_time(&self) {
         for (id, request) in &self.requests {
             let overdue = !request.answered && self.now > request.request.deadline;
-            assert!(!overdue, "rule 1: {id} has no final answer in time");
+            assert!(
+                !overdue,
+                "rule 1: {id} has no final response after its deadline"
+            );
         }
     }
 }
 
-/// Classes of idempotent, keyed (for one second) and non-idempotent requests with a latency
-/// objective of 150 ms, in this order.
+/// Returns settings with three classes, in this order: idempotent, keyed with a window of one
+/// second, and non-idempotent. The latency objective is 150 ms.
 pub fn settings() -> Settings {
     let class = |name: &str, idempotency| Class {
         name: name.into(),
@@ -406,7 +426,7 @@
     }
 }
 
-/// Settings of a cache-aside fleet, and its origin.
+/// Returns settings in cache-aside mode, and the origin.
 pub fn cache_aside() -> (Settings, Endpoint) {
     let mode = CacheMode::CacheAside {
         origin_kind: "origin".into(),
--- a/crates/policy/tests/hashing.rs
+++ b/crates/policy/tests/hashing.rs
@@ -1,4 +1,4 @@
-//! How keys spread over endpoints, and what moves when the list changes.
+//! Distribution of keys over endpoints, and the keys that move when the list changes.
 
 mod common;
 use common::*;
@@ -20,24 +20,24 @@
 }
 
 #[test]
-fn a_removed_endpoint_moves_only_its_own_keys_and_gets_them_back_on_its_return() {
+fn removal_of_an_endpoint_moves_only_its_keys_and_its_return_restores_them() {
     let mut node = Node::with_endpoints(settings(), 8);
     let before = owners(&mut node);
-    let gone = Endpoint {
+    let removed = Endpoint {
         availability: Availability::Removed,
         ..Endpoint::new("d")
     };
-    node.list_delta(vec![gone]);
-    let without = owners(&mut node);
+    node.list_delta(vec![removed]);
+    let after_removal = owners(&mut node);
     for (key, owner) in &before {
         if owner.as_str() != "d" {
-            assert_eq!(&without[key], owner);
+            assert_eq!(&after_removal[key], owner);
         }
     }
     for other in ["a", "h"] {
         assert!(
-            share(&without, other) > share(&before, other),
-            "its keys spread over all the others"
+            share(&after_removal, other) > share(&before, other),
+            "the keys of d are distributed over all other endpoints"
         );
     }
     node.list_delta(vec![Endpoint::new("d")]);
@@ -62,18 +62,20 @@
 }
 
 #[test]
-fn nodes_rank_endpoints_alike_whatever_their_seed_and_the_order_of_the_list() {
-    let mut one = Node::with_endpoints(settings(), 5);
-    let mut two = Node::new(settings(), 99);
-    two.list_snapshot(["e", "c", "a", "b", "d"].map(Endpoint::new).to_vec());
-    assert_eq!(owners(&mut one), owners(&mut two));
+fn owners_of_keys_do_not_depend_on_the_seed_of_the_node_or_the_order_of_the_list() {
+    let mut first_node = Node::with_endpoints(settings(), 5);
+    let mut second_node = Node::new(settings(), 99);
+    second_node.list_snapshot(["e", "c", "a", "b", "d"].map(Endpoint::new).to_vec());
+    assert_eq!(owners(&mut first_node), owners(&mut second_node));
 }
 
-// Guards against an endpoint that warms up that gets as many keys as one of full capacity: what it may be sent is
-// bounded elsewhere, but the keys past that bound would miss at the endpoints that they spill to.
+// Guards against a warming endpoint that owns as many keys as an endpoint at full capacity. The
+// slow start budget bounds the sends, but the keys beyond the budget would be misses at other
+// endpoints.
 #[test]
-fn an_endpoint_that_warms_up_comes_first_for_keys_in_proportion_to_its_present_capacity() {
-    // So much may be sent to an endpoint that warms up that nothing but the order keeps keys from it.
+fn a_warming_endpoint_owns_keys_in_proportion_to_its_current_capacity() {
+    // The overload factor is so high that only the ranking of endpoints limits the keys sent to the
+    // warming endpoint.
     let mut node = Node::with_endpoints(
         Settings {
             slow_start_overload_factor: 1e6,
@@ -82,26 +84,27 @@
         4,
     );
     (0..500).for_each(|key| drop(node.read(key, Status::Ok)));
-    let first = |node: &mut Node| {
-        let to_starting = |key: &u64| node.read(*key, Status::Ok) == Some("a".into());
-        (1_000..3_000).filter(to_starting).count()
+    let count_owned_keys = |node: &mut Node| {
+        let is_sent_to_warming = |key: &u64| node.read(*key, Status::Ok) == Some("a".into());
+        (1_000..3_000).filter(is_sent_to_warming).count()
     };
-    let full = first(&mut node);
+    let owned_at_full_capacity = count_owned_keys(&mut node);
     let started = Some(node.now);
     node.list_delta(vec![Endpoint {
         started,
         ..Endpoint::new("a")
     }]);
-    // What it got in the present slot of time is spent.
+    // The endpoint has no budget left in the current slot.
     node.advance(ms(1_000));
-    let warming = first(&mut node);
-    // At its full capacity, a quarter; a second after its start at 0.37 of itself, 0.37 of 3.37 parts.
+    let owned_while_warming = count_owned_keys(&mut node);
+    // At full capacity the endpoint owns a quarter of the keys. One second after its start, at 0.37
+    // of its capacity, the endpoint owns 0.37 of 3.37 parts.
     assert!(
-        (400..600).contains(&full),
-        "{full} of 2000 at its full capacity"
+        (400..600).contains(&owned_at_full_capacity),
+        "{owned_at_full_capacity} of 2000 keys at full capacity, expected 400 to 599"
     );
     assert!(
-        (150..300).contains(&warming),
-        "{warming} of 2000 while it warms up"
+        (150..300).contains(&owned_while_warming),
+        "{owned_while_warming} of 2000 keys during slow start, expected 150 to 299"
     );
 }
--- a/crates/policy/tests/properties/requests.rs
+++ b/crates/policy/tests/properties/requests.rs
@@ -192,11 +192,11 @@
                 }
                 Observation::Answered { id, retry_after } => {
                     open.remove(id);
-                    if let Some(retry_after) = retry_after {
+                    if let Some(delay) = retry_after {
                         let max = simulation.settings.max_retry_after;
                         assert!(
-                            !retry_after.is_zero() && *retry_after <= max,
-                            "{id} has a Retry-After of {retry_after:?}, expected more than 0 and \
+                            !delay.is_zero() && *delay <= max,
+                            "{id} has a Retry-After of {delay:?}, expected more than 0 and \
                              at most {max:?}"
                         );
                     }
--- a/crates/policy/tests/properties/simulation.rs
+++ b/crates/policy/tests/properties/simulation.rs
@@ -137,7 +137,7 @@
 
     fn play_step(&mut self, step: Step) {
         match step {
-            Step::Request {
+            Step::SendRequest {
                 class,
                 key,
                 timeout_ms,
@@ -157,7 +157,7 @@
             Step::UnknownOutcome { index, status } => self.end_unknown_attempt(index, status),
             Step::Disconnect { index } => self.cancel_request(index),
             Step::ChangeServer { server, change } => self.change_endpoint(server, change),
-            Step::Snapshot { omitted } => self.list_snapshot(omitted),
+            Step::SendSnapshot { omitted } => self.list_snapshot(omitted),
             Step::DiscoveryFailure => self.handle(Event::Endpoints(EndpointUpdate::Unavailable)),
             Step::Advance { ms: time } => self.advance(ms(time)),
         }
@@ -169,12 +169,12 @@
         &mut self,
         class: usize,
         key: u64,
-        timeout: Duration,
+        time_limit: Duration,
         write: bool,
         over_quota: bool,
     ) {
         let number = self.requests.len() + 1;
-        let deadline = self.now + timeout;
+        let deadline = self.now + time_limit;
         let request = Request {
             class: (class < self.settings.classes.len()).then_some(ClassId(class)),
             key: Some(key),
@@ -314,11 +314,11 @@
         let end = self.now + time;
         loop {
             let attempts = self.in_flight.iter().enumerate();
-            let timeout = attempts
+            let next_timeout = attempts
                 .map(|(index, attempt)| (attempt.times_out_at, Some(index)))
                 .min();
             let timer = self.timers.first().map(|at| (*at, None));
-            let next = timeout.into_iter().chain(timer).min();
+            let next = next_timeout.into_iter().chain(timer).min();
             let Some((at, index)) = next.filter(|(at, _)| *at <= end) else {
                 break;
             };
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules, each on its own; `properties` has them over arbitrary sequences of events.
+//! Tests of each of the four rules; the tests in `properties` check the rules over generated event
+//! sequences.
 
 mod common;
 use common::*;
@@ -10,13 +11,15 @@
     let mut node = Node::with_endpoints(settings(), 3);
     let id = node.request(2, 7, ms(400));
     node.end_attempt_in_flight(&id, Status::Rejected);
-    let (attempt, _) = node.in_flight(&id).expect("never ran: retried");
+    let (attempt, _) = node
+        .in_flight(&id)
+        .expect("the request never ran and is retried");
     assert_eq!(attempt, 1);
     let actions = node.end_attempt_in_flight(&id, Status::TimedOut);
     assert_eq!(
         actions,
         [Action::Fail { id }],
-        "it may have run: neither retried nor shed"
+        "the request may have run and is neither retried nor shed"
     );
 }
 
@@ -26,7 +29,10 @@
     let id = node.request(1, 7, ms(5_000));
     node.advance(ms(500));
     node.end_attempt_in_flight(&id, Status::Failed);
-    assert!(node.in_flight(&id).is_some(), "within the window, retried");
+    assert!(
+        node.in_flight(&id).is_some(),
+        "the request is retried within the window"
+    );
     node.advance(ms(600));
     node.end_attempt_in_flight(&id, Status::Failed);
     assert!(node.in_flight(&id).is_none(), "the first send is 1.1 s old");
@@ -53,7 +59,7 @@
     for key in 0..30 {
         let id = node.request(1, key, ms(400));
         node.end_attempt_in_flight(&id, Status::Failed);
-        // `Node` asserts the cell; here only that the rule is not kept by giving up.
+        // `Node` asserts the cell. This test asserts that requests are retried at all.
         retried += usize::from(node.in_flight(&id).is_some());
         if node.in_flight(&id).is_some() {
             node.end_attempt_in_flight(&id, Status::Ok);
@@ -64,51 +70,55 @@
 }
 
 #[test]
-fn a_draining_or_removed_endpoint_is_sent_nothing_new() {
+fn a_draining_or_removed_endpoint_gets_no_new_request() {
     let mut node = Node::with_endpoints(settings(), 2);
-    let own = node.read(7, Status::Ok).expect("served");
+    let owner = node.read(7, Status::Ok).expect("served");
     let entry = |availability| Endpoint {
         availability,
-        ..Endpoint::new(own.as_str())
+        ..Endpoint::new(owner.as_str())
     };
     node.list_delta(vec![entry(Availability::Draining)]);
-    assert_ne!(node.read(7, Status::Ok), Some(own.clone()));
+    assert_ne!(node.read(7, Status::Ok), Some(owner.clone()));
     node.list_delta(vec![entry(Availability::Removed)]);
-    assert_ne!(node.read(7, Status::Ok), Some(own.clone()));
+    assert_ne!(node.read(7, Status::Ok), Some(owner.clone()));
     node.list_delta(vec![entry(Availability::Ready)]);
     assert_eq!(
         node.read(7, Status::Ok),
-        Some(own),
-        "an id that returns is used again"
+        Some(owner),
+        "an endpoint that is listed as ready again is used again"
     );
 }
 
-// Guards against the last resort, the key's own endpoint though it is blocked, that picks a draining one.
+// If all endpoints are blocked, a request is sent to the first endpoint of its key despite the open
+// breaker. Guards against the selection of a draining endpoint in this case.
 #[test]
-fn with_every_endpoint_blocked_no_draining_one_is_selected() {
+fn if_all_endpoints_are_blocked_no_draining_endpoint_is_selected() {
     let mut node = Node::with_endpoints(settings(), 3);
     let draining: EndpointId = "b".into();
-    let own: Vec<u64> = (0..60)
+    let keys_of_draining: Vec<u64> = (0..60)
         .filter(|key| node.read(*key, Status::Ok) == Some(draining.clone()))
         .collect();
-    assert!(own.len() > 5, "keys of the one that will drain");
+    assert!(
+        keys_of_draining.len() > 5,
+        "too few keys belong to the endpoint that will drain"
+    );
     node.list_delta(vec![Endpoint {
         availability: Availability::Draining,
         ..Endpoint::new("b")
     }]);
-    // One after the other: while most fail, none is blocked.
-    let opened = |node: &Node, endpoint: &str| {
+    // The endpoints fail one after the other, because no breaker opens while most endpoints fail.
+    let has_opened = |node: &Node, endpoint: &str| {
         let scope = BreakerScope::Endpoint(endpoint.into());
         node.actions.contains(&Action::BreakerOpened(scope))
     };
-    for bad in ["a", "c"] {
+    for failing in ["a", "c"] {
         for key in 0..4_000 {
-            if opened(&node, bad) {
+            if has_opened(&node, failing) {
                 break;
             }
             let id = node.request(0, key, ms(400));
             while let Some((attempt, endpoint)) = node.in_flight(&id) {
-                let status = if endpoint.as_str() == bad {
+                let status = if endpoint.as_str() == failing {
                     Status::Failed
                 } else {
                     Status::Ok
@@ -117,9 +127,12 @@
             }
             node.advance(ms(1));
         }
-        assert!(opened(&node, bad), "{bad}");
+        assert!(
+            has_opened(&node, failing),
+            "the breaker of {failing} did not open"
+        );
     }
-    let sent: Vec<_> = own
+    let sent: Vec<_> = keys_of_draining
         .iter()
         .filter_map(|key| node.read(*key, Status::Failed))
         .collect();
@@ -127,7 +140,7 @@
 }
 
 #[test]
-fn without_endpoints_a_request_is_answered_at_once() {
+fn a_request_to_a_node_without_endpoints_is_answered_at_once() {
     let mut node = Node::new(settings(), 1);
     for class in 0..3 {
         let id = node.request(class, 7, ms(400));
@@ -146,7 +159,7 @@
 }
 
 #[test]
-fn a_request_of_no_known_class_is_treated_as_non_idempotent() {
+fn a_request_without_a_class_is_treated_as_non_idempotent() {
     let mut node = Node::with_endpoints(settings(), 2);
     let id = node.submit(Request::new("odd", node.now + ms(400)));
     assert_eq!(
@@ -162,14 +175,14 @@
     node.requests.get_mut(&id).expect("known").answered = true;
     assert_eq!(node.handle(Event::RequestCanceled(id.clone())), []);
     assert_eq!(node.handle(Event::RequestCanceled(id.clone())), []);
-    // The late outcome must not bring the request back to life.
+    // The late outcome must not make the request pending again.
     assert_eq!(node.end_attempt_in_flight(&id, Status::Failed), []);
     assert_eq!(node.handle(Event::Timer), []);
     assert_eq!(node.handle(Event::RequestCanceled("unheard-of".into())), []);
 }
 
 #[test]
-fn discovery_is_polled_again_after_a_call_that_failed() {
+fn discovery_is_polled_again_after_a_failed_call() {
     let mut node = Node::new(
         Settings {
             polls_discovery: true,
@@ -180,11 +193,15 @@
     assert!(node
         .handle(Event::LastKnownEndpoints(Vec::new().into()))
         .contains(&Action::PollDiscovery));
-    assert_eq!(node.handle(Event::Timer), [], "once is enough");
-    let again = node.handle(Event::Endpoints(EndpointUpdate::Unavailable));
+    assert_eq!(
+        node.handle(Event::Timer),
+        [],
+        "discovery is polled only once"
+    );
+    let retry_actions = node.handle(Event::Endpoints(EndpointUpdate::Unavailable));
     assert!(
-        matches!(&again[..], [Action::Wake { .. }]),
-        "after a while, not at once: {again:?}"
+        matches!(&retry_actions[..], [Action::Wake { .. }]),
+        "the next poll must follow after a pause: {retry_actions:?}"
     );
     node.advance(ms(5_000));
     assert_eq!(
@@ -196,10 +213,11 @@
     );
 }
 
-/// After a failed call each change counts as notified 6 s after discovery had it: two calls more may fail, and one wait
-/// for its turn of 2 s, in that time. And nodes that lost discovery together must come back apart.
+/// After a failed call, each change counts as notified 6 s after discovery had the change. Two
+/// further failed calls, with a wait of 2 s in discovery's queue, must fit into this time. Jitter
+/// prevents nodes that lost discovery together from polling again together.
 #[test]
-fn failed_polls_are_retried_in_time_and_with_jitter() {
+fn failed_polls_are_retried_in_time_with_jitter() {
     let pauses = |seed, max_poll_interval| {
         let mut node = Node::new(
             Settings {
@@ -210,38 +228,40 @@
             seed,
         );
         node.handle(Event::LastKnownEndpoints(Vec::new().into()));
-        let pause = |_| {
-            let (failed, before) = (node.now, node.actions.len());
+        let next_pause = |_| {
+            let (failed_at, actions_before) = (node.now, node.actions.len());
             node.handle(Event::Endpoints(EndpointUpdate::Unavailable));
-            while !node.actions[before..].contains(&Action::PollDiscovery) {
+            while !node.actions[actions_before..].contains(&Action::PollDiscovery) {
                 node.advance(ms(5));
             }
-            node.now.since(failed)
+            node.now.since(failed_at)
         };
-        (0..8).map(pause).collect::<Vec<_>>()
+        (0..8).map(next_pause).collect::<Vec<_>>()
     };
-    let all: Vec<_> = (0..20).flat_map(|seed| pauses(seed, ms(10_000))).collect();
+    let all_pauses: Vec<_> = (0..20).flat_map(|seed| pauses(seed, ms(10_000))).collect();
     assert!(
-        all.iter()
+        all_pauses
+            .iter()
             .all(|pause| *pause <= ms(850) && *pause >= ms(350)),
-        "{all:?}"
+        "{all_pauses:?}"
     );
-    let (least, most) = (
-        all.iter().min().expect("some"),
-        all.iter().max().expect("some"),
+    let (min, max) = (
+        all_pauses.iter().min().expect("there are pauses"),
+        all_pauses.iter().max().expect("there are pauses"),
     );
-    assert!(*most - *least >= ms(400), "{all:?}");
-    // Where the settings leave less time for asking, that is kept as well.
+    assert!(*max - *min >= ms(400), "{all_pauses:?}");
+    // A shorter maximum poll interval also bounds the pauses.
     assert!(pauses(1, ms(800)).iter().all(|pause| *pause < ms(400)));
 }
 
-/// The slow start budget, counted from outside: what one node sends a new endpoint in any span stays under the
-/// stated multiple of what that endpoint can do, taking the rest of the fleet's use for its size.
+/// The number of requests that one node sends to a new endpoint in any window stays below the
+/// configured multiple of the endpoint's capacity. The mean load of the fleet's endpoints serves as
+/// the endpoint's full capacity.
 #[test]
-fn an_endpoint_that_warms_up_is_not_overloaded() {
+fn a_warming_endpoint_is_not_overloaded() {
     let mut node = Node::with_endpoints(settings(), 10);
     let started_at = node.now + ms(4_000);
-    let (mut to_starting, mut all) = (Vec::new(), 0.0);
+    let (mut sends_to_warming, mut all_sends) = (Vec::new(), 0.0);
     let mut rng = fastrand::Rng::with_seed(11);
     for step in 0..20_000u64 {
         if step == 5_000 {
@@ -249,15 +269,16 @@
             list[0].started = Some(started_at);
             node.list_delta(list);
         }
-        // One key in two is the same hot one; an eighth of the answers ask for another attempt.
+        // On average, every second request has the same hot key, and one in eight first attempts is
+        // rejected and retried.
         let key = if rng.bool() { 3 } else { rng.u64(..) };
         let id = node.request(0, key, ms(400));
         for status in [Status::Rejected, Status::Ok] {
             if let Some((attempt, endpoint)) = node.in_flight(&id) {
                 if step >= 5_000 {
-                    all += 1.0;
+                    all_sends += 1.0;
                     if endpoint.as_str() == "a" {
-                        to_starting.push(node.now);
+                        sends_to_warming.push(node.now);
                     }
                 }
                 node.end_attempt(
@@ -273,34 +294,34 @@
         }
         node.advance(ms(1));
         for id in node.requests_in_flight() {
-            if step >= 5_000 && node.in_flight(&id).expect("out").1.as_str() == "a" {
-                to_starting.push(node.now);
+            if step >= 5_000 && node.in_flight(&id).expect("in flight").1.as_str() == "a" {
+                sends_to_warming.push(node.now);
             }
             node.end_attempt_in_flight(&id, Status::Ok);
         }
-        node.requests.retain(|_, open| !open.answered);
+        node.requests.retain(|_, request| !request.answered);
     }
     assert!(
-        to_starting.len() > 100,
-        "it must get some work: {}",
-        to_starting.len()
+        sends_to_warming.len() > 100,
+        "only {} sends to the warming endpoint, expected more than 100",
+        sends_to_warming.len()
     );
-    let per_server = all / 15.0 / 10.0;
-    for (i, at) in to_starting.iter().enumerate() {
-        let within = to_starting[i..]
+    let full_capacity = all_sends / 15.0 / 10.0;
+    for (i, at) in sends_to_warming.iter().enumerate() {
+        let in_window = sends_to_warming[i..]
             .iter()
             .take_while(|later| later.since(*at) <= node.settings.slow_start_overload_window)
             .count();
         let age =
             at.since(started_at).as_secs_f64() / node.settings.slow_start_duration.as_secs_f64();
         if age < 0.9 {
-            let capacity = per_server
+            let capacity = full_capacity
                 * (node.settings.slow_start_min_capacity
                     + (1.0 - node.settings.slow_start_min_capacity) * age);
-            let most = node.settings.slow_start_overload_factor * capacity * 1.2 + 2.0;
+            let max = node.settings.slow_start_overload_factor * capacity * 1.2 + 2.0;
             assert!(
-                (within as f64) < most,
-                "{within} in a span, {most} allowed at age {age}"
+                (in_window as f64) < max,
+                "{in_window} sends in one window, expected fewer than {max} at age {age}"
             );
         }
     }
@@ -308,8 +329,8 @@
 
 #[test]
 fn an_endpoint_removed_and_listed_again_gets_no_second_slow_start_budget() {
-    // A discovery that flaps must not overload what has just started.
-    let sent = |flaps: bool| {
+    // Guards against a flapping list that overloads an endpoint that has just started.
+    let sends_to_starting = |flaps: bool| {
         let mut node = Node::with_endpoints(settings(), 4);
         for key in 0..1_000 {
             node.read(key, Status::Ok);
@@ -336,22 +357,25 @@
         }
         sent
     };
-    let (steady, flapping) = (sent(false), sent(true));
-    assert!(steady > 20, "it must get some work: {steady}");
+    let (steady, flapping) = (sends_to_starting(false), sends_to_starting(true));
+    assert!(
+        steady > 20,
+        "only {steady} sends to the starting endpoint, expected more than 20"
+    );
     assert!(
         flapping <= steady,
-        "{flapping} where a steady list gave it {steady}"
+        "{flapping} sends with a flapping list, {steady} with a steady list"
     );
 }
 
 #[test]
-fn an_outcome_of_an_attempt_never_sent_loses_no_request() {
+fn a_request_is_answered_despite_an_outcome_of_an_attempt_that_was_never_sent() {
     let mut node = Node::with_endpoints(settings(), 2);
     let id = node.request(0, 7, ms(400));
     let (_, endpoint) = node.in_flight(&id).expect("sent");
     let (cache_result, load) = (None, LoadReport::default());
     let (status, latency, answered) = (Status::Failed, ms(1), false);
-    let stray = Outcome {
+    let unknown_outcome = Outcome {
         id: id.clone(),
         attempt: 9,
         endpoint,
@@ -361,7 +385,7 @@
         answered,
         load,
     };
-    assert_eq!(node.handle(Event::AttemptEnded(stray)), []);
+    assert_eq!(node.handle(Event::AttemptEnded(unknown_outcome)), []);
     node.advance(ms(500));
     assert!(node.requests[&id].answered);
 }
@@ -372,9 +396,9 @@
     let id = node.request(0, 7, ms(400));
     let (attempt, endpoint) = node.in_flight(&id).expect("sent");
     node.end_attempt(&id, attempt, Status::Failed);
-    assert!(node.in_flight(&id).is_some(), "retried");
+    assert!(node.in_flight(&id).is_some(), "the request is retried");
     let (cache_result, load, latency, answered) = (None, LoadReport::default(), ms(1), false);
-    let again = Outcome {
+    let duplicate = Outcome {
         id: id.clone(),
         attempt,
         endpoint,
@@ -386,9 +410,9 @@
     };
     for _ in 0..20 {
         assert_eq!(
-            node.handle(Event::AttemptEnded(again.clone())),
+            node.handle(Event::AttemptEnded(duplicate.clone())),
             [],
-            "no breaker opens of it"
+            "a duplicate outcome opens no breaker"
         );
     }
     node.end_attempt_in_flight(&id, Status::Ok);
