--- a/crates/policy/tests/large_deployment.rs
+++ b/crates/policy/tests/large_deployment.rs
@@ -1,11 +1,12 @@
-//! Many nodes deciding at once, each on its own small part of the traffic.
+//! Large deployments, in which many nodes decide independently, each with a small share of the
+//! traffic.
 
 mod common;
 use common::*;
 use slatelink_policy::*;
 
-/// `nodes` nodes that know endpoints a, b, c and so on.
-fn fleet(nodes: u32, endpoints: u8) -> Vec<Node> {
+/// Returns `nodes` nodes with endpoints a, b, c and so on.
+fn nodes_with_endpoints(nodes: u32, endpoints: u8) -> Vec<Node> {
     let node = |seed| {
         let mut node = Node::new(
             Settings {
@@ -21,7 +22,7 @@
     (0..nodes).map(node).collect()
 }
 
-/// One of 300 nodes, which knows 100 endpoints in four zones.
+/// Returns one of 300 nodes, with 100 endpoints in four zones.
 fn node_of_a_large_deployment(seed: u64) -> Node {
     let mut node = Node::new(
         Settings {
@@ -39,27 +40,27 @@
     node
 }
 
-/// An endpoint that starts while half of the traffic is for one of its keys: with one send to spare for each node,
-/// a large fleet overloads it at once.
+/// An endpoint starts while half of the traffic is for one of its keys. If each node had a budget
+/// of at least one send, the nodes of a large deployment would overload the endpoint immediately.
 #[test]
-fn many_nodes_together_do_not_overload_an_endpoint_that_warms_up() {
+fn many_nodes_together_do_not_overload_a_warming_endpoint() {
     let (count, endpoints) = (200, 10);
-    let mut nodes = fleet(count, endpoints);
+    let mut nodes = nodes_with_endpoints(count, endpoints);
     let mut rng = fastrand::Rng::with_seed(5);
-    // A key that endpoint a owns even at the size it has when it starts.
+    // A key that endpoint a owns even at the capacity at its start.
     let mut probe = Node::new(settings(), 9);
     let mut list: Vec<Endpoint> = nodes[0].listed.values().cloned().collect();
     list[0].weight = settings().slow_start_min_capacity;
     probe.list_snapshot(list);
-    let hot = (0..).find(|&key| {
+    let hot_key = (0..).find(|&key| {
         probe
             .read(key, Status::Ok)
             .is_some_and(|endpoint| endpoint.as_str() == "a")
     });
-    let hot = hot.expect("some key is a's");
+    let hot_key = hot_key.expect("a key belongs to endpoint a");
     let started_at = nodes[0].now + ms(6_000);
-    let (mut to_starting, mut all) = (Vec::new(), 0);
-    // Each node sees two requests a second, every other one for the hot key.
+    let (mut sends_to_warming, mut all_sends) = (Vec::new(), 0);
+    // Each node receives two requests per second; every second request is for the hot key.
     for step in 0..14_000u64 {
         let node = &mut nodes[rng.usize(0..count as usize)];
         let now = started_at + ms(step * 5 / 2);
@@ -70,12 +71,12 @@
             list[0].started = Some(started_at);
             node.list_delta(list);
         }
-        let key = if rng.bool() { hot } else { rng.u64(..) };
+        let key = if rng.bool() { hot_key } else { rng.u64(..) };
         let id = node.request(0, key, ms(400));
         if let Some((_, endpoint)) = node.in_flight(&id) {
-            all += 1;
+            all_sends += 1;
             if now >= started_at && endpoint.as_str() == "a" {
-                to_starting.push(now);
+                sends_to_warming.push(now);
             }
             node.advance(ms(1));
             node.end_attempt_in_flight(&id, Status::Ok);
@@ -83,46 +84,47 @@
         node.requests.clear();
     }
     let (settings, seconds) = (&nodes[0].settings, 14_000.0 * 0.0025);
-    let capacity = f64::from(all) / seconds / f64::from(endpoints);
+    let capacity = f64::from(all_sends) / seconds / f64::from(endpoints);
     assert!(
-        to_starting.len() > 50,
-        "it must get some work: {}",
-        to_starting.len()
+        sends_to_warming.len() > 50,
+        "only {} sends to the warming endpoint, expected more than 50",
+        sends_to_warming.len()
     );
-    // Spans that end while it still warms up.
-    let warming_for = settings.slow_start_duration - settings.slow_start_overload_window;
-    for (i, at) in to_starting
+    // Only windows that end during slow start are checked.
+    let last_window_start = settings.slow_start_duration - settings.slow_start_overload_window;
+    for (i, at) in sends_to_warming
         .iter()
         .enumerate()
-        .take_while(|(_, at)| at.since(started_at) < warming_for)
+        .take_while(|(_, at)| at.since(started_at) < last_window_start)
     {
-        let within = to_starting[i..]
+        let in_window = sends_to_warming[i..]
             .iter()
             .take_while(|later| later.since(*at) <= settings.slow_start_overload_window)
             .count();
         let age = at.since(started_at).as_secs_f64() / settings.slow_start_duration.as_secs_f64();
-        let present = capacity
+        let current_capacity = capacity
             * (settings.slow_start_min_capacity + (1.0 - settings.slow_start_min_capacity) * age);
-        let most = settings.slow_start_overload_factor
-            * present
+        let budget = settings.slow_start_overload_factor
+            * current_capacity
             * settings.slow_start_overload_window.as_secs_f64();
         assert!(
-            (within as f64) <= most * 1.1,
-            "{within} in a span, {most} allowed at age {age}"
+            (in_window as f64) <= budget * 1.1,
+            "{in_window} sends in one window, budget of {budget} at age {age}"
         );
     }
 }
 
-/// An endpoint that was busy once, when this node sent to it, is sent to every other second: read as odds, the least
-/// limit would have 19 of 20 requests shed, and no answer raise it again for minutes.
+/// An endpoint that rejected attempts while busy is sent a request every other second. If the
+/// minimum concurrency limit were applied as a probability, 19 of 20 requests would be shed, and no
+/// response would raise the limit for minutes.
 #[test]
 fn a_node_of_a_large_deployment_sends_again_to_endpoints_that_rejected_it() {
-    let mut nodes = fleet(300, 3);
+    let mut nodes = nodes_with_endpoints(300, 3);
     let node = &mut nodes[0];
     node.read(1, Status::Ok);
     for key in 0..12 {
         node.advance(ms(700));
-        // Rejected by every endpoint that it tries.
+        // Each attempt is rejected.
         let id = node.request(0, key, ms(400));
         while node.in_flight(&id).is_some() {
             node.end_attempt_in_flight(&id, Status::Rejected);
@@ -138,27 +140,28 @@
             node.end_attempt_in_flight(&id, Status::Ok);
         }
     }
-    assert!(sent >= 55, "{sent} of 60 were sent");
-    // Many at once keep to the limit all the same.
+    assert!(sent >= 55, "{sent} of 60 requests were sent");
+    // Simultaneous requests still respect the limit.
     (0..30).for_each(|key| drop(node.request(0, key, ms(400))));
     let in_flight = node.requests_in_flight().len();
     assert!(
         in_flight <= 3,
-        "{in_flight} in flight at once at three endpoints"
+        "{in_flight} attempts are in flight at three endpoints"
     );
 }
 
-/// Of very many nodes none can keep endpoints from being full for a moment. Where every second attempt is rejected and
-/// every request is served all the same, at the next endpoint, nothing is overloaded and nothing may be shed for it.
+/// In a large deployment, a single node cannot prevent an endpoint's queue from being full briefly.
+/// If every second request is rejected once and then served by the next endpoint, the fleet is not
+/// overloaded, and the node must not shed requests.
 #[test]
-fn a_node_of_a_large_deployment_sheds_nothing_while_the_next_endpoint_serves_what_one_rejected() {
+fn a_node_of_a_large_deployment_sheds_nothing_while_retries_of_rejected_requests_succeed() {
     let mut rng = fastrand::Rng::with_seed(2);
-    let (mut served, mut untried, mut shed) = (0, 0, 0);
-    // Each burst is within what the retry budget has saved up.
+    let (mut served, mut shed_without_attempt, mut shed) = (0, 0, 0);
+    // The initial balance of the retry budget covers the retries of each node.
     for mut node in (0..60).map(node_of_a_large_deployment) {
         for step in 0..30 {
             let id = node.request(0, rng.u64(..), ms(400));
-            untried += usize::from(node.requests[&id].answered);
+            shed_without_attempt += usize::from(node.requests[&id].answered);
             if node.in_flight(&id).is_some() && step % 2 == 0 {
                 node.end_attempt_in_flight(&id, Status::Rejected);
             }
@@ -172,11 +175,12 @@
         }
     }
     assert!(
-        served >= 1_780 && untried <= 15,
-        "{served} of 1,800 served, {untried} shed untried"
+        served >= 1_780 && shed_without_attempt <= 15,
+        "{served} of 1,800 requests served, {shed_without_attempt} shed without an attempt"
     );
     let mut node = node_of_a_large_deployment(4);
-    // Where most are rejected wherever they go, most of the excess is shed before it is sent.
+    // If most requests are rejected by all endpoints, most of the excess load is shed without an
+    // attempt.
     for _ in 0..600 {
         let id = node.request(0, rng.u64(..), ms(400));
         shed += usize::from(node.in_flight(&id).is_none() && node.requests[&id].answered);
@@ -188,22 +192,23 @@
     }
     assert!(
         shed >= 150,
-        "{shed} of 600 shed untried while most are rejected"
+        "{shed} of 600 requests were shed without an attempt, expected at least 150"
     );
 }
 
-/// Two of five requests meet a full endpoint first, for as long as a busy day lasts: on a budget of one retry for five
-/// requests half of them would be shed, although the next endpoint takes them.
+/// Two of five requests are rejected by the first endpoint for a long time. With a budget of one
+/// retry per five requests, half of the rejected requests would be shed, although the next endpoint
+/// accepts them.
 #[test]
-fn a_node_of_a_large_deployment_can_retry_rejected_attempts_all_day() {
+fn a_node_of_a_large_deployment_can_retry_rejected_attempts_permanently() {
     let mut node = node_of_a_large_deployment(6);
     let mut rng = fastrand::Rng::with_seed(8);
-    let mut play = |first, sends: &mut usize| {
+    let mut play = |first_status, sends: &mut usize| {
         let mut served = 0;
         for step in 0..500 {
             let id = node.request(0, rng.u64(..), ms(400));
             if node.in_flight(&id).is_some() && step % 5 < 2 {
-                node.end_attempt_in_flight(&id, first);
+                node.end_attempt_in_flight(&id, first_status);
             }
             node.advance(ms(40));
             if node.in_flight(&id).is_some() {
@@ -222,8 +227,8 @@
         served
     };
     let served = play(Status::Rejected, &mut 0);
-    assert!(served >= 480, "{served} of 500 served");
-    // What may have run costs its endpoint work: that budget stays as it was.
+    assert!(served >= 480, "{served} of 500 requests were served");
+    // An attempt that may have run costs the endpoint work, so its retry has the usual cost.
     let mut sends = 0;
     play(Status::Failed, &mut sends);
     assert!(
@@ -232,16 +237,18 @@
     );
 }
 
-/// One of many nodes meets an endpoint every few seconds: of a zone that is lost or cut off, none of the endpoints'
-/// breakers would learn in time, and a quarter of what each node is asked would wait there for the end of its time.
+/// A node of a large deployment sends to an endpoint only every few seconds, so the breakers of
+/// endpoints cannot detect the loss or partition of a zone in time. Without a breaker of the
+/// zone, a quarter of each node's requests would wait for their timeout.
 #[test]
-fn the_breaker_of_a_zone_blocks_it_until_it_answers_again() {
-    // Twelve requests a second at one of 300 nodes, of which endpoints of the silent zones answer none; returns for
-    // each half second how many went there.
-    let play = |seed, silent: &dyn Fn(u64) -> &'static [&'static str]| {
+fn the_breaker_of_a_zone_blocks_the_zone_until_its_endpoints_respond_again() {
+    // One of 300 nodes receives twelve requests per second. Endpoints of unresponsive zones do not
+    // respond. Returns the count of attempts in flight at these endpoints, summed over the steps of
+    // each half second, and the node.
+    let play = |seed, unresponsive_zones: &dyn Fn(u64) -> &'static [&'static str]| {
         let mut node = node_of_a_large_deployment(seed);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut there = [0; 40];
+        let mut unanswered = [0; 40];
         for step in 0..240 {
             node.request(0, rng.u64(..), ms(400));
             node.advance(ms(83));
@@ -250,33 +257,43 @@
                     .attempts
                     .last()
                     .and_then(|attempt| attempt.endpoint.zone.clone());
-                if silent(step)
+                if unresponsive_zones(step)
                     .iter()
                     .any(|name| zone.as_ref().is_some_and(|zone| zone.as_str() == *name))
                 {
-                    there[step as usize / 6] += 1;
+                    unanswered[step as usize / 6] += 1;
                 } else {
                     node.end_attempt_in_flight(&id, Status::Ok);
                 }
             }
-            node.requests.retain(|_, open| {
-                !open.answered || open.attempts.iter().any(|attempt| attempt.status.is_none())
+            node.requests.retain(|_, request| {
+                !request.answered
+                    || request
+                        .attempts
+                        .iter()
+                        .any(|attempt| attempt.status.is_none())
             });
         }
-        (there, node)
+        (unanswered, node)
     };
-    // Each that waits there is seen about five times before it times out.
-    let (there, mut node) = play(1, &|step| {
+    // Each unanswered attempt is counted about five times before it times out.
+    let (unanswered, mut node) = play(1, &|step| {
         if (36..180).contains(&step) {
             &["w"]
         } else {
             &[]
         }
     });
-    let (early, later): (u32, u32) = (there[6..10].iter().sum(), there[12..30].iter().sum());
-    assert!(early >= 8, "{there:?}");
-    assert!(later <= 60, "18 half seconds of trials: {there:?}");
-    let again = (0..200).filter(|key| {
+    let (early, later): (u32, u32) = (
+        unanswered[6..10].iter().sum(),
+        unanswered[12..30].iter().sum(),
+    );
+    assert!(early >= 8, "{unanswered:?}");
+    assert!(
+        later <= 60,
+        "too many attempts in 18 half seconds of trials: {unanswered:?}"
+    );
+    let sent_after_recovery = (0..200).filter(|key| {
         let id = node.request(0, *key, ms(400));
         let zone = node
             .in_flight(&id)
@@ -288,20 +305,22 @@
         zone.flatten().is_some_and(|zone| zone.as_str() == "w")
     });
     assert!(
-        again.count() >= 30,
-        "what answers again gets its part again"
+        sent_after_recovery.count() >= 30,
+        "the zone receives its share again after recovery"
     );
-    // Where no zone answers none is worse than the others.
+    // If no zone responds, none is worse than the others, and no breaker of a zone opens.
     let (_, node) = play(2, &|_| &["n", "e", "s", "w"]);
-    let opened = |action: &Action| matches!(action, Action::BreakerOpened(BreakerScope::Zone(_)));
-    assert!(!node.actions.iter().any(opened));
+    let is_zone_opening =
+        |action: &Action| matches!(action, Action::BreakerOpened(BreakerScope::Zone(_)));
+    assert!(!node.actions.iter().any(is_zone_opening));
 }
 
-/// Left open, the connections of many nodes fill an endpoint's table: a node that meets an endpoint now and then closes
-/// behind itself, a busy one or one of few keeps its connections.
+/// Idle connections of many nodes would fill an endpoint's connection table, so a node that rarely
+/// sends to an endpoint closes its connections. A busy node and a node of a small deployment keep
+/// their connections.
 #[test]
-fn a_node_of_a_large_deployment_closes_seldom_used_connections() {
-    let closes = |nodes, gap| {
+fn a_node_of_a_large_deployment_closes_rarely_used_connections() {
+    let count_closes = |nodes, interval| {
         let mut node = Node::with_endpoints(
             Settings {
                 nodes,
@@ -311,24 +330,25 @@
         );
         for key in 0..20 {
             node.read(key, Status::Ok);
-            node.advance(gap);
+            node.advance(interval);
         }
         node.actions
             .iter()
             .filter(|action| matches!(action, Action::CloseIdleConnections { .. }))
             .count()
     };
-    assert!(closes(300, ms(20_000)) >= 19);
-    // Nodes that ask an endpoint every eight seconds would each shake hands anew for nearly every request.
-    assert!(closes(300, ms(8_000)) <= 1);
-    assert!(closes(300, ms(100)) <= 1);
-    assert!(closes(3, ms(4_000)) <= 1);
+    assert!(count_closes(300, ms(20_000)) >= 19);
+    // A node that sends to an endpoint every 8 s would otherwise need a handshake for nearly every
+    // request.
+    assert!(count_closes(300, ms(8_000)) <= 1);
+    assert!(count_closes(300, ms(100)) <= 1);
+    assert!(count_closes(3, ms(4_000)) <= 1);
 }
 
-/// Where listed weights do not tell speeds, machines of a slow kind would get as many keys as fast ones and be
-/// overloaded.
+/// Guards against endpoints of a slow kind that get as many keys as fast endpoints and become
+/// overloaded, if the listed weights do not include speed.
 #[test]
-fn a_slow_kind_gets_fewer_keys_where_weights_do_not_include_speed() {
+fn a_slow_kind_gets_fewer_keys_if_weights_do_not_include_speed() {
     let share = |weights_include_speed| {
         let mut node = Node::new(
             Settings {
@@ -343,25 +363,26 @@
         };
         node.list_snapshot((0..10).map(entry).collect());
         let mut rng = fastrand::Rng::with_seed(3);
-        let mut of_slow = 0;
+        let mut sent_to_slow = 0;
         for step in 0..2_000 {
             let id = node.request(0, rng.u64(..), ms(400));
             let (_, endpoint) = node.in_flight(&id).expect("sent");
-            let slow = endpoint.as_str() < "f";
-            of_slow += u32::from(slow && step >= 1_000);
-            node.advance(ms(if slow { 60 } else { 20 }));
+            let is_slow = endpoint.as_str() < "f";
+            sent_to_slow += u32::from(is_slow && step >= 1_000);
+            node.advance(ms(if is_slow { 60 } else { 20 }));
             node.end_attempt_in_flight(&id, Status::Ok);
             node.requests.clear();
         }
-        f64::from(of_slow) / 1_000.0
+        f64::from(sent_to_slow) / 1_000.0
     };
     assert!((0.45..0.55).contains(&share(true)), "{}", share(true));
     assert!((0.2..0.3).contains(&share(false)), "{}", share(false));
 }
 
-/// Memory may not grow with what discovery says over time: endpoints come and go, each of a kind of its own.
+/// Guards against memory that grows over time while endpoints of ever new kinds are listed and
+/// removed.
 #[test]
-fn kinds_of_removed_endpoints_are_forgotten() {
+fn state_of_kinds_of_removed_endpoints_is_dropped() {
     let mut node = Node::new(
         Settings {
             weights_include_speed: false,
@@ -369,7 +390,7 @@
         },
         1,
     );
-    let mut held = |round: u32| {
+    let mut debug_length = |round: u32| {
         let kind = Some(Name::from(format!("kind-{round}").as_str()));
         node.list_snapshot(vec![Endpoint {
             kind,
@@ -377,14 +398,20 @@
         }]);
         node.read(7, Status::Ok);
         node.requests.clear();
-        // What else is remembered of endpoints fades within seconds.
+        // Other state of removed endpoints expires within seconds.
         node.advance(ms(50));
         format!("{:?}", node.balancer).len()
     };
-    let early = (0..600).map(&mut held).max().expect("some");
-    let late = (600..3_000).map(&mut held).max().expect("some");
+    let early = (0..600)
+        .map(&mut debug_length)
+        .max()
+        .expect("there are rounds");
+    let late = (600..3_000)
+        .map(&mut debug_length)
+        .max()
+        .expect("there are rounds");
     assert!(
         late < early * 11 / 10,
-        "{late} characters after 3,000 kinds, {early} after 600"
+        "the state has {late} characters after 3,000 kinds, {early} after 600"
     );
 }
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -1,4 +1,5 @@
-//! Overload: retries are budgeted, slow endpoints are sent less, and the excess is shed early.
+//! Overload: the retry budget bounds retries, slow endpoints receive fewer requests, and excess
+//! load is shed early.
 
 mod common;
 use common::*;
@@ -6,12 +7,14 @@
 
 #[test]
 fn retries_stop_when_the_retry_budget_is_spent() {
-    // Guards against this: every request tried on every endpoint multiplies the load just when there is too much of it.
+    // Guards against requests that are tried at every endpoint and multiply the load during an
+    // overload.
     let mut node = Node::with_endpoints(settings(), 8);
     let mut sends = 0;
     for key in 0..300 {
         let id = node.request(0, key, ms(400));
-        // Half of what is sent fails: too little for a breaker, and each request would have its retry.
+        // First attempts fail and retries succeed. This failure rate of one half is too low to open
+        // a breaker, and each request would get its retry.
         for status in [Status::Failed, Status::Ok] {
             if node.in_flight(&id).is_some() {
                 node.end_attempt_in_flight(&id, status);
@@ -26,73 +29,82 @@
     );
 }
 
-/// Offers a request a millisecond of 300 keys, each attempt answered after `latency` ms, or 300 ms by the slow
-/// endpoint; returns how many were sent, and how many to the slow one.
+/// Sends one request per millisecond, with 300 keys, for 3,000 ms. Each attempt is answered after
+/// `latency` ms, or after 300 ms at the slow endpoint. Returns the number of completed requests
+/// with an attempt, and the number of completed requests with an attempt at the slow endpoint.
 fn offer(node: &mut Node, latency: u64, slow: Option<&EndpointId>) -> (usize, usize) {
     offer_every(node, 1, latency, slow)
 }
 
-/// The same with one request in so many milliseconds.
+/// Same as [`offer`], with one request every `interval` ms.
 fn offer_every(
     node: &mut Node,
-    every: u64,
+    interval: u64,
     latency: u64,
     slow: Option<&EndpointId>,
 ) -> (usize, usize) {
     let (mut sent, mut to_slow) = (0, 0);
     node.requests.clear();
     for step in 0..3_000 {
-        if step % every == 0 {
+        if step % interval == 0 {
             node.request(0, step % 300, ms(400));
         }
         node.advance(ms(1));
         let now = node.now;
-        let answered = node.requests.iter().filter(|(_, open)| {
-            let out = open
+        let answered = node.requests.iter().filter(|(_, request)| {
+            let in_flight = request
                 .attempts
                 .first()
                 .filter(|attempt| attempt.status.is_none());
-            let takes =
+            let latency_of =
                 |endpoint: &EndpointId| ms(if Some(endpoint) == slow { 300 } else { latency });
-            out.is_some_and(|attempt| attempt.sent + takes(&attempt.endpoint.id) <= now)
+            in_flight.is_some_and(|attempt| attempt.sent + latency_of(&attempt.endpoint.id) <= now)
         });
         for id in answered.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             node.end_attempt_in_flight(&id, Status::Ok);
         }
-        node.requests.retain(|_, open| {
-            let over =
-                open.answered && open.attempts.iter().all(|attempt| attempt.status.is_some());
-            sent += usize::from(over && !open.attempts.is_empty());
-            to_slow += usize::from(
-                over && open
+        node.requests.retain(|_, request| {
+            let completed = request.answered
+                && request
                     .attempts
                     .iter()
-                    .any(|attempt| Some(&attempt.endpoint.id) == slow),
+                    .all(|attempt| attempt.status.is_some());
+            sent += usize::from(completed && !request.attempts.is_empty());
+            to_slow += usize::from(
+                completed
+                    && request
+                        .attempts
+                        .iter()
+                        .any(|attempt| Some(&attempt.endpoint.id) == slow),
             );
-            !over
+            !completed
         });
     }
     (sent, to_slow)
 }
 
 #[test]
-fn a_slow_endpoint_is_sent_less() {
-    // Guards against this: it answers inside its time-out, so its breaker stays closed and its keys are late for good.
+fn a_slow_endpoint_gets_fewer_requests() {
+    // Guards against a slow endpoint that responds within its timeout, so that its breaker stays
+    // closed and the responses for its keys stay late.
     let mut node = Node::with_endpoints(settings(), 6);
     let slow = EndpointId::from("c");
-    let (sent, before) = offer(&mut node, 10, None);
-    assert!(sent > 2_900 && before == 0, "{sent} of 3000 were sent");
+    let (sent, to_slow_before) = offer(&mut node, 10, None);
+    assert!(
+        sent > 2_900 && to_slow_before == 0,
+        "{sent} of 3000 requests were sent"
+    );
     let (_, to_slow) = offer(&mut node, 10, Some(&slow));
     assert!(
         to_slow < 100,
-        "{to_slow} of 3000 went to the slow endpoint, 500 would be its share"
+        "{to_slow} of 3000 requests were sent to the slow endpoint; an equal share would be 500"
     );
 }
 
 #[test]
 fn an_endpoint_with_nothing_in_flight_gets_the_next_request() {
-    // Guards against this: late answers cut its limit to a fraction of a request. It stands idle and is sent nothing,
-    // and with no answers from it nothing raises the limit again.
+    // Late responses reduce the concurrency limit of an endpoint to a fraction of a request. Guards
+    // against an idle endpoint that receives nothing, so that no response raises its limit again.
     let mut node = Node::with_endpoints(
         Settings {
             nodes: 3,
@@ -111,29 +123,29 @@
     let sent = (0..100)
         .filter(|_| node.read(7, Status::Ok).is_some())
         .count();
-    assert_eq!(
-        sent, 100,
-        "sent one at a time, an idle endpoint has capacity"
-    );
+    assert_eq!(sent, 100, "an idle endpoint has capacity for one request");
 }
 
 #[test]
-fn an_overloaded_fleet_is_sent_less_and_recovers() {
-    // Guards against this: all answers late, none in time, because nothing is shed.
+fn an_overloaded_fleet_gets_fewer_requests_and_recovers() {
+    // Guards against an overload in which nothing is shed and all responses are late.
     let mut node = Node::with_endpoints(settings(), 6);
     let (sent, _) = offer(&mut node, 250, None);
-    assert!(sent < 1_000, "{sent} of 3000 were sent");
+    assert!(sent < 1_000, "{sent} of 3000 requests were sent");
     node.advance(ms(1_000));
-    // And it comes back.
+    // The fleet responds in time again.
     offer(&mut node, 10, None);
     let (sent, _) = offer(&mut node, 10, None);
-    assert!(sent > 2_500, "{sent} of 3000 were sent after recovery");
+    assert!(
+        sent > 2_500,
+        "{sent} of 3000 requests were sent after recovery"
+    );
 }
 
 #[test]
-fn a_burst_is_queued_for_capacity_and_shed_in_time_without_it() {
-    // Guards against this: requests shed in a burst of milliseconds while their latency objective leaves them time to
-    // wait.
+fn a_burst_is_queued_and_shed_within_the_latency_objective() {
+    // Guards against requests that are shed in a burst of a few milliseconds although their latency
+    // objective leaves time to wait in the queue.
     let mut node = Node::with_endpoints(
         Settings {
             nodes: 16,
@@ -146,11 +158,11 @@
         node.advance(ms(1));
     }
     let ids: Vec<RequestId> = (0..8).map(|_| node.request(0, 7, ms(400))).collect();
-    let waiting = ids
+    let queued = ids
         .iter()
         .filter(|id| !node.requests[*id].answered && node.in_flight(id).is_none())
         .count();
-    assert!(waiting >= 4, "{waiting} of 8 are queued");
+    assert!(queued >= 4, "{queued} of 8 requests are queued");
     for id in &ids {
         if node.in_flight(id).is_some() {
             node.end_attempt_in_flight(id, Status::Ok);
@@ -161,32 +173,34 @@
         .iter()
         .filter(|id| !node.requests[*id].attempts.is_empty())
         .count();
-    assert!(sent > 8 - waiting, "capacity that came was used");
+    assert!(sent > 8 - queued, "capacity that became free was not used");
     node.advance(ms(150));
     assert!(
         ids.iter()
             .all(|id| node.requests[id].answered || node.in_flight(id).is_some()),
-        "none waits past its latency objective"
+        "a request is queued past its latency objective"
     );
 }
 
 #[test]
 fn heavy_requests_in_time_do_not_lower_a_concurrency_limit() {
-    // Guards against this: work that is long by itself reads as a queue, and an idle endpoint is sent nothing.
-    let served = |heavy: u64| {
+    // Guards against long work that is mistaken for a queue, so that an idle endpoint receives
+    // nothing.
+    let count_sent = |heavy_work_hint: u64| {
         let mut node = Node::with_endpoints(settings(), 1);
         let mut sent = 0;
         for step in 0..400u64 {
-            // Every second request takes 120 of its 150 ms; `heavy` is what the hint says of it.
-            let long = step % 2 == 0;
+            // Every second request takes 120 ms of its latency objective of 150 ms, with
+            // `heavy_work_hint` as expected work.
+            let is_heavy = step % 2 == 0;
             let request = Request {
                 class: Some(ClassId(0)),
                 key: Some(7),
-                expected_work: Some(ms(if long { heavy } else { 20 })),
+                expected_work: Some(ms(if is_heavy { heavy_work_hint } else { 20 })),
                 ..Request::new(&format!("h{step}"), node.now + ms(400))
             };
             let id = node.submit(request);
-            node.advance(ms(if long { 120 } else { 20 }));
+            node.advance(ms(if is_heavy { 120 } else { 20 }));
             if node.in_flight(&id).is_some() {
                 sent += 1;
                 node.end_attempt_in_flight(&id, Status::Ok);
@@ -194,15 +208,21 @@
         }
         sent
     };
-    assert_eq!(served(120), 400, "their hints explain the time");
-    assert!(served(20) < 350, "without that it is a queue");
+    assert_eq!(
+        count_sent(120),
+        400,
+        "the expected work explains the latency"
+    );
+    assert!(count_sent(20) < 350, "unexpected latency counts as a queue");
 }
 
-/// When every endpoint is overloaded, what is sent joins queues longer than anyone waits and keeps them full: a node
-/// that gets nothing in time sheds nearly all of it, and takes it up again as answers come.
+/// If all endpoints are overloaded, sent requests keep the queues full and wait longer than their
+/// deadlines. A node without timely responses must shed most of the load, and must send again when
+/// responses arrive.
 #[test]
-fn load_is_shed_while_the_whole_fleet_rejects_and_until_it_serves_again() {
-    // So many endpoints that it seldom meets one twice: limits for each alone could not learn.
+fn load_is_shed_while_all_endpoints_reject_and_sent_again_when_they_respond() {
+    // With 3,000 endpoints, a node seldom sends to an endpoint twice, so the concurrency limit of a
+    // single endpoint could not adapt.
     let mut node = Node::new(
         Settings {
             nodes: 300,
@@ -216,7 +236,7 @@
             .collect(),
     );
     let mut rng = fastrand::Rng::with_seed(2);
-    let mut sent = |node: &mut Node, status: Status, count: u64| {
+    let mut count_sent = |node: &mut Node, status: Status, count: u64| {
         let mut sent = 0;
         for _ in 0..count {
             let id = node.request(0, rng.u64(..), ms(400));
@@ -226,23 +246,29 @@
             }
             node.advance(ms(10));
         }
-        node.requests.retain(|_, open| !open.answered);
+        node.requests.retain(|_, request| !request.answered);
         sent
     };
-    assert_eq!(sent(&mut node, Status::Ok, 100), 100);
-    sent(&mut node, Status::Rejected, 300);
-    let still_sent = sent(&mut node, Status::Rejected, 100);
-    assert!(still_sent < 60, "{still_sent} of 100 sent while all reject");
-    sent(&mut node, Status::Ok, 500);
-    let after = sent(&mut node, Status::Ok, 100);
-    assert!(after > 80, "{after} of 100 sent once it answers");
+    assert_eq!(count_sent(&mut node, Status::Ok, 100), 100);
+    count_sent(&mut node, Status::Rejected, 300);
+    let sent_while_rejecting = count_sent(&mut node, Status::Rejected, 100);
+    assert!(
+        sent_while_rejecting < 60,
+        "{sent_while_rejecting} of 100 requests were sent while all endpoints reject"
+    );
+    count_sent(&mut node, Status::Ok, 500);
+    let sent_after_recovery = count_sent(&mut node, Status::Ok, 100);
+    assert!(
+        sent_after_recovery > 80,
+        "{sent_after_recovery} of 100 requests were sent after recovery"
+    );
 }
 
 #[test]
-fn late_answers_without_a_queue_hardly_lower_a_concurrency_limit() {
-    // Guards against this: heavy requests are late by their own work, and a calm fleet's limits creep down until
-    // requests are shed.
-    let sent_at = |nodes, waiting| {
+fn late_responses_without_a_queue_hardly_lower_a_concurrency_limit() {
+    // Guards against heavy requests that are late because of their own work and lower the limits of
+    // a fleet without overload until requests are shed.
+    let sent_at = |nodes, queue_length| {
         let mut node = Node::with_endpoints(
             Settings {
                 nodes,
@@ -250,32 +276,32 @@
             },
             6,
         );
-        node.load.queue_length = Some(waiting);
+        node.load.queue_length = Some(queue_length);
         offer_every(&mut node, 30, 140, None).0
     };
     assert!(
         sent_at(2, 0.0) >= 95,
-        "{} of 100 were sent",
+        "{} of 100 requests were sent to endpoints without a queue",
         sent_at(2, 0.0)
     );
     assert!(
         sent_at(2, 4.0) < 80,
-        "{} of 100 were sent past a queue",
+        "{} of 100 requests were sent to endpoints with a queue",
         sent_at(2, 4.0)
     );
-    // One of very many nodes has only old reports.
+    // In a large deployment, a node has only old load reports.
     assert!(
         sent_at(300, 0.0) < 80,
-        "{} of 100 were sent by one of many",
+        "{} of 100 requests were sent by a node of a large deployment",
         sent_at(300, 0.0)
     );
 }
 
 #[test]
-fn time_outs_at_endpoints_without_a_queue_neither_open_breakers_nor_lower_limits() {
-    // Guards against this: misses time out at a slow origin, every endpoint is blamed for its own, and a fleet that has
-    // time to spare sheds hits and moves keys to endpoints that lack them.
-    let sent_at = |waiting| {
+fn timeouts_at_endpoints_without_a_queue_neither_open_breakers_nor_lower_limits() {
+    // Misses time out at a slow origin. Guards against timeouts that count against the endpoints: a
+    // fleet with spare capacity would shed hits and move keys to endpoints without the values.
+    let sent_at = |queue_length| {
         let mut node = Node::with_endpoints(
             Settings {
                 nodes: 2,
@@ -283,13 +309,13 @@
             },
             6,
         );
-        node.load.queue_length = Some(waiting);
+        node.load.queue_length = Some(queue_length);
         let mut sent = 0;
         for key in 0..900 {
             let id = node.request(0, key, ms(400));
             sent += usize::from(node.in_flight(&id).is_some());
             node.advance(ms(10));
-            // Three in ten are left to time out.
+            // Three in ten requests time out.
             for id in node.requests_in_flight() {
                 if node.requests[&id]
                     .request
@@ -308,13 +334,16 @@
     };
     assert_eq!(sent_at(0.0), (900, false));
     let (sent, _) = sent_at(4.0);
-    assert!(sent < 800, "{sent} of 900 were sent past a queue");
+    assert!(
+        sent < 800,
+        "{sent} of 900 requests were sent to endpoints with a queue"
+    );
 }
 
-/// A key that everybody wants must not turn the whole fleet's hits into misses: its first few endpoints take it or
-/// none.
+/// The requests for one hot key must not turn the hits of the whole fleet into misses, so only the
+/// first three endpoints of the key receive its requests.
 #[test]
-fn for_want_of_capacity_a_key_goes_to_three_endpoints_at_most() {
+fn requests_for_a_hot_key_overflow_to_at_most_three_endpoints() {
     let mut node = Node::with_endpoints(settings(), 8);
     let mut endpoints = std::collections::BTreeSet::new();
     for _ in 0..200 {
