--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -52,8 +52,8 @@
     let (mut node, owner) = node_and_owner();
     node.read(7, Status::Failed);
     node.advance(ms(5_000));
-    // Counted with the calls of the previous window, this failure would be the second in
-    // three calls and open the breaker.
+    // Counted with the calls of the previous window, 2 of 3 calls would have failed after this
+    // failure, and the breaker would open.
     assert_eq!(node.read(7, Status::Failed), Some(owner.clone()));
     assert_eq!(node.read(7, Status::Ok), Some(owner));
 }
@@ -198,10 +198,7 @@
             }
             node.advance(ms(5));
         }
-        let is_opening_of_a = |action: &&Action| {
-            matches!(action, Action::BreakerOpened(scope)
-            if scope.to_string().contains(" a tripped"))
-        };
+        let is_opening_of_a = |action: &&Action| matches!(action, Action::BreakerOpened(scope) if scope.to_string().contains(" a tripped"));
         node.actions.iter().filter(is_opening_of_a).count()
     };
     assert_eq!(times_opened(Status::Ok), 1);
@@ -229,10 +226,7 @@
         node.advance(ms(10));
     }
     let times_opened = |node: &Node, text: &str| {
-        let opening_matches = |action: &&Action| {
-            matches!(action, Action::BreakerOpened(scope)
-            if scope.to_string().contains(text))
-        };
+        let opening_matches = |action: &&Action| matches!(action, Action::BreakerOpened(scope) if scope.to_string().contains(text));
         node.actions.iter().filter(opening_matches).count()
     };
     assert_eq!(
--- a/crates/policy/tests/common/events.rs
+++ b/crates/policy/tests/common/events.rs
@@ -55,7 +55,7 @@
     Moved,
 }
 
-fn status() -> impl Strategy<Value = Status> {
+fn status_strategy() -> impl Strategy<Value = Status> {
     use Status::*;
     let other_statuses = vec![
         Failed,
@@ -70,9 +70,9 @@
     prop_oneof![1 => Just(Ok), 2 => proptest::sample::select(other_statuses)]
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn step_strategy() -> impl Strategy<Value = Step> {
     use ServerChange::*;
-    let change = proptest::sample::select(vec![Ready, Draining, Removed, Restarted, Moved]);
+    let server_change = proptest::sample::select(vec![Ready, Draining, Removed, Restarted, Moved]);
     let cache_result =
         proptest::sample::select(vec![None, Some(CacheResult::Hit), Some(CacheResult::Miss)]);
     let request = (0..4usize, 0..8u64, 0..600u64, any::<bool>(), 0..20u8);
@@ -80,14 +80,14 @@
         8 => request.prop_map(|(class, key, timeout_ms, write, quota_draw)| {
             Step::SendRequest { class, key, timeout_ms, write, over_quota: quota_draw == 0 }
         }),
-        8 => (any::<usize>(), status(), cache_result)
+        8 => (any::<usize>(), status_strategy(), cache_result)
             .prop_map(|(index, status, cache_result)| Step::EndAttempt {
                 index, status, cache_result
             }),
-        1 => (any::<usize>(), status())
+        1 => (any::<usize>(), status_strategy())
             .prop_map(|(index, status)| Step::UnknownOutcome { index, status }),
         1 => any::<usize>().prop_map(|index| Step::Disconnect { index }),
-        2 => (0..SERVERS, change)
+        2 => (0..SERVERS, server_change)
             .prop_map(|(server, change)| Step::ChangeServer { server, change }),
         1 => any::<u8>().prop_map(|omitted| Step::SendSnapshot { omitted }),
         1 => Just(Step::DiscoveryFailure),
@@ -107,7 +107,7 @@
     for seed in seeds {
         let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
         let mut runner = TestRunner::new_with_rng(Config::default(), random);
-        let steps = vec(step(), length)
+        let steps = vec(step_strategy(), length)
             .new_tree(&mut runner)
             .expect("generates a sequence")
             .current();
@@ -138,11 +138,13 @@
             ..Config::default()
         };
         let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
-        let result =
-            TestRunner::new_with_rng(config, random).run(&vec(step(), 1..length), |steps| {
+        let result = TestRunner::new_with_rng(config, random).run(
+            &vec(step_strategy(), 1..length),
+            |steps| {
                 assert_property(seed.into(), &steps);
                 Ok(())
-            });
+            },
+        );
         match result {
             Ok(()) => {}
             Err(TestError::Fail(reason, steps)) => panic!("seed {seed}: {reason}\n{steps:#?}"),
--- a/crates/policy/tests/large_deployment.rs
+++ b/crates/policy/tests/large_deployment.rs
@@ -266,9 +266,9 @@
                     node.end_attempt_in_flight(&id, Status::Ok);
                 }
             }
-            node.requests.retain(|_, request| {
-                !request.answered
-                    || request
+            node.requests.retain(|_, client_request| {
+                !client_request.answered
+                    || client_request
                         .attempts
                         .iter()
                         .any(|attempt| attempt.status.is_none())
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -20,7 +20,7 @@
     let list = text
         .lines()
         .find_map(|line| line.strip_prefix("policy = ["))
-        .and_then(|list| list.strip_suffix(']'))
+        .and_then(|file_list| file_list.strip_suffix(']'))
         .expect("the settings file has a line that lists the policy's files");
     list.split(',')
         .map(|name| name.trim().trim_matches('"').to_owned())
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -51,28 +51,29 @@
         }
         node.advance(ms(1));
         let now = node.now;
-        let answered = node.requests.iter().filter(|(_, request)| {
-            let in_flight = request
+        let answered = node.requests.iter().filter(|(_, client_request)| {
+            let attempt_in_flight = client_request
                 .attempts
                 .first()
                 .filter(|attempt| attempt.status.is_none());
             let latency_of =
                 |endpoint: &EndpointId| ms(if Some(endpoint) == slow { 300 } else { latency });
-            in_flight.is_some_and(|attempt| attempt.sent + latency_of(&attempt.endpoint.id) <= now)
+            attempt_in_flight
+                .is_some_and(|attempt| attempt.sent + latency_of(&attempt.endpoint.id) <= now)
         });
         for id in answered.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             node.end_attempt_in_flight(&id, Status::Ok);
         }
-        node.requests.retain(|_, request| {
-            let completed = request.answered
-                && request
+        node.requests.retain(|_, client_request| {
+            let completed = client_request.answered
+                && client_request
                     .attempts
                     .iter()
                     .all(|attempt| attempt.status.is_some());
-            sent += usize::from(completed && !request.attempts.is_empty());
+            sent += usize::from(completed && !client_request.attempts.is_empty());
             to_slow += usize::from(
                 completed
-                    && request
+                    && client_request
                         .attempts
                         .iter()
                         .any(|attempt| Some(&attempt.endpoint.id) == slow),
@@ -246,7 +247,8 @@
             }
             node.advance(ms(10));
         }
-        node.requests.retain(|_, request| !request.answered);
+        node.requests
+            .retain(|_, client_request| !client_request.answered);
         sent
     };
     assert_eq!(count_sent(&mut node, Status::Ok, 100), 100);
@@ -268,7 +270,7 @@
 fn late_responses_without_a_queue_hardly_lower_a_concurrency_limit() {
     // Guards against heavy requests that are late because of their own work and lower the limits of
     // a fleet without overload until requests are shed.
-    let sent_at = |nodes, queue_length| {
+    let sent_at = |nodes, reported_queue_length| {
         let mut node = Node::with_endpoints(
             Settings {
                 nodes,
@@ -276,7 +278,7 @@
             },
             6,
         );
-        node.load.queue_length = Some(queue_length);
+        node.load.queue_length = Some(reported_queue_length);
         offer_every(&mut node, 30, 140, None).0
     };
     assert!(
@@ -301,7 +303,7 @@
 fn timeouts_at_endpoints_without_a_queue_neither_open_breakers_nor_lower_limits() {
     // Misses time out at a slow origin. Guards against timeouts that count against the endpoints: a
     // fleet with spare capacity would shed hits and move keys to endpoints without the values.
-    let sent_at = |queue_length| {
+    let sent_at = |reported_queue_length| {
         let mut node = Node::with_endpoints(
             Settings {
                 nodes: 2,
@@ -309,7 +311,7 @@
             },
             6,
         );
-        node.load.queue_length = Some(queue_length);
+        node.load.queue_length = Some(reported_queue_length);
         let mut sent = 0;
         for key in 0..900 {
             let id = node.request(0, key, ms(400));
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -245,11 +245,11 @@
             .all(|pause| *pause <= ms(850) && *pause >= ms(350)),
         "{all_pauses:?}"
     );
-    let (min, max) = (
+    let (shortest, longest) = (
         all_pauses.iter().min().expect("there are pauses"),
         all_pauses.iter().max().expect("there are pauses"),
     );
-    assert!(*max - *min >= ms(400), "{all_pauses:?}");
+    assert!(*longest - *shortest >= ms(400), "{all_pauses:?}");
     // A shorter maximum poll interval also bounds the pauses.
     assert!(pauses(1, ms(800)).iter().all(|pause| *pause < ms(400)));
 }
@@ -299,7 +299,8 @@
             }
             node.end_attempt_in_flight(&id, Status::Ok);
         }
-        node.requests.retain(|_, request| !request.answered);
+        node.requests
+            .retain(|_, client_request| !client_request.answered);
     }
     assert!(
         sends_to_warming.len() > 100,
@@ -318,10 +319,10 @@
             let capacity = full_capacity
                 * (node.settings.slow_start_min_capacity
                     + (1.0 - node.settings.slow_start_min_capacity) * age);
-            let max = node.settings.slow_start_overload_factor * capacity * 1.2 + 2.0;
+            let max_sends = node.settings.slow_start_overload_factor * capacity * 1.2 + 2.0;
             assert!(
-                (in_window as f64) < max,
-                "{in_window} sends in one window, expected fewer than {max} at age {age}"
+                (in_window as f64) < max_sends,
+                "{in_window} sends in one window, expected fewer than {max_sends} at age {age}"
             );
         }
     }
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -28,7 +28,7 @@
 struct SimulatedNode {
     node: Node,
     /// Relative share of the requests.
-    weight: f64,
+    request_weight: f64,
     /// Time at which the node is notified of the endpoint's restart, relative to the start of the
     /// simulation.
     notified_after: Duration,
@@ -97,7 +97,7 @@
                 node.list_snapshot(endpoints());
                 SimulatedNode {
                     node,
-                    weight: 0.2 + 1.8 * random.f64() * random.f64() * 2.0,
+                    request_weight: 0.2 + 1.8 * random.f64() * random.f64() * 2.0,
                     // Discovery notifies all nodes within two seconds.
                     notified_after: RESTARTS_AFTER + ms(random.u64(0..2_000)),
                     notified: false,
@@ -172,10 +172,10 @@
 
     /// Draws the index of the node that receives the next request.
     fn draw_node(&mut self) -> usize {
-        let total_weight: f64 = self.nodes.iter().map(|node| node.weight).sum();
+        let total_weight: f64 = self.nodes.iter().map(|node| node.request_weight).sum();
         let mut remaining_weight = self.random.f64() * total_weight;
         let index = self.nodes.iter().position(|node| {
-            remaining_weight -= node.weight;
+            remaining_weight -= node.request_weight;
             remaining_weight <= 0.0
         });
         index.unwrap_or(0)
