--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -7,7 +7,7 @@
 /// Returns a node with two endpoints, and the first endpoint of key 7.
 fn node_and_owner() -> (Node, EndpointId) {
     let mut node = Node::with_endpoints(settings(), 2);
-    let owner = node.read(7, Status::Ok).expect("served");
+    let owner = node.read(7, Status::Ok).expect("the read is served");
     (node, owner)
 }
 
@@ -23,7 +23,7 @@
 #[test]
 fn two_failures_do_not_open_a_breaker() {
     let mut node = Node::with_endpoints(settings(), 2);
-    let owner = node.read(7, Status::Failed).expect("sent");
+    let owner = node.read(7, Status::Failed).expect("the request is sent");
     assert_eq!(node.read(7, Status::Failed), Some(owner.clone()));
     assert_eq!(
         node.read(7, Status::Failed),
@@ -83,7 +83,7 @@
     let ids: Vec<RequestId> = (0..4).map(|_| node.request(0, 7, ms(400))).collect();
     let sent_to_owner = ids
         .iter()
-        .filter(|id| node.in_flight(id).expect("sent").1 == owner)
+        .filter(|id| node.in_flight(id).expect("the request is sent").1 == owner)
         .count();
     assert_eq!(
         sent_to_owner, 3,
@@ -145,7 +145,7 @@
 #[test]
 fn if_all_endpoints_are_blocked_the_first_endpoint_of_the_key_is_used() {
     let mut node = Node::with_endpoints(settings(), 1);
-    let owner = node.read(7, Status::Ok).expect("served");
+    let owner = node.read(7, Status::Ok).expect("the read is served");
     for _ in 0..30 {
         assert_eq!(
             node.read(7, Status::ConnectError),
@@ -184,7 +184,7 @@
         let mut node = Node::with_endpoints(settings(), 10);
         for key in 0..60 {
             let id = node.request(0, key, ms(400));
-            let (_, endpoint) = node.in_flight(&id).expect("sent");
+            let (_, endpoint) = node.in_flight(&id).expect("the request is sent");
             node.end_attempt_in_flight(
                 &id,
                 if endpoint.as_str() == "a" {
@@ -320,7 +320,7 @@
         // The endpoint accepts one of five simultaneous requests.
         let ids: Vec<RequestId> = (0..5).map(|_| node.request(0, 7, ms(400))).collect();
         for id in &ids[1..] {
-            assert_eq!(node.in_flight(id).expect("sent").1, owner);
+            assert_eq!(node.in_flight(id).expect("the request is sent").1, owner);
             node.end_attempt_in_flight(id, Status::Rejected);
         }
         node.advance(ms(50));
@@ -370,7 +370,7 @@
     node.load.queue_length = Some(0.0);
     let send_keyed_request = |node: &mut Node, status| {
         let id = node.request(1, 7, ms(400));
-        let (_, endpoint) = node.in_flight(&id).expect("sent");
+        let (_, endpoint) = node.in_flight(&id).expect("the request is sent");
         node.end_attempt_in_flight(
             &id,
             if endpoint == owner {
--- a/crates/policy/tests/cache_aside.rs
+++ b/crates/policy/tests/cache_aside.rs
@@ -15,10 +15,16 @@
 fn a_miss_is_sent_to_the_origin_and_a_hit_is_not() {
     let mut node = node();
     let id = node.request(0, 7, ms(400));
-    assert_ne!(node.in_flight(&id).expect("sent").1.as_str(), "zz-origin");
+    assert_ne!(
+        node.in_flight(&id).expect("the request is sent").1.as_str(),
+        "zz-origin"
+    );
     node.end_attempt_in_flight(&id, Status::Miss);
     assert_eq!(
-        node.in_flight(&id).expect("retried").1.as_str(),
+        node.in_flight(&id)
+            .expect("the request is retried")
+            .1
+            .as_str(),
         "zz-origin"
     );
     node.end_attempt_in_flight(&id, Status::Ok);
@@ -34,7 +40,10 @@
         ..Request::new("w", node.now + ms(400))
     };
     let id = node.submit(request);
-    assert_eq!(node.in_flight(&id).expect("sent").1.as_str(), "zz-origin");
+    assert_eq!(
+        node.in_flight(&id).expect("the request is sent").1.as_str(),
+        "zz-origin"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/hashing.rs
+++ b/crates/policy/tests/hashing.rs
@@ -8,7 +8,7 @@
 fn owners(node: &mut Node) -> BTreeMap<u64, EndpointId> {
     let mut owners = BTreeMap::new();
     for key in 0..2_000u64 {
-        owners.insert(key, node.read(key, Status::Ok).expect("served"));
+        owners.insert(key, node.read(key, Status::Ok).expect("the read is served"));
         node.requests.clear();
         node.advance(ms(10));
     }
--- a/crates/policy/tests/large_deployment.rs
+++ b/crates/policy/tests/large_deployment.rs
@@ -203,7 +203,7 @@
 fn a_node_of_a_large_deployment_can_retry_rejected_attempts_permanently() {
     let mut node = node_of_a_large_deployment(6);
     let mut rng = fastrand::Rng::with_seed(8);
-    let mut play = |first_status, sends: &mut usize| {
+    let mut send_requests = |first_status, sends: &mut usize| {
         let mut served = 0;
         for step in 0..500 {
             let id = node.request(0, rng.u64(..), ms(400));
@@ -226,11 +226,11 @@
         }
         served
     };
-    let served = play(Status::Rejected, &mut 0);
+    let served = send_requests(Status::Rejected, &mut 0);
     assert!(served >= 480, "{served} of 500 requests were served");
     // An attempt that may have run costs the endpoint work, so its retry has the usual cost.
     let mut sends = 0;
-    play(Status::Failed, &mut sends);
+    send_requests(Status::Failed, &mut sends);
     assert!(
         sends <= 500 + 500 / 5 + 10,
         "{sends} sends for 500 requests"
@@ -245,7 +245,7 @@
     // One of 300 nodes receives twelve requests per second. Endpoints of unresponsive zones do not
     // respond. Returns the count of attempts in flight at these endpoints, summed over the steps of
     // each half second, and the node.
-    let play = |seed, unresponsive_zones: &dyn Fn(u64) -> &'static [&'static str]| {
+    let simulate = |seed, unresponsive_zones: &dyn Fn(u64) -> &'static [&'static str]| {
         let mut node = node_of_a_large_deployment(seed);
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut unanswered = [0; 40];
@@ -277,7 +277,7 @@
         (unanswered, node)
     };
     // Each unanswered attempt is counted about five times before it times out.
-    let (unanswered, mut node) = play(1, &|step| {
+    let (unanswered, mut node) = simulate(1, &|step| {
         if (36..180).contains(&step) {
             &["w"]
         } else {
@@ -309,7 +309,7 @@
         "the zone receives its share again after recovery"
     );
     // If no zone responds, none is worse than the others, and no breaker of a zone opens.
-    let (_, node) = play(2, &|_| &["n", "e", "s", "w"]);
+    let (_, node) = simulate(2, &|_| &["n", "e", "s", "w"]);
     let is_zone_opening =
         |action: &Action| matches!(action, Action::BreakerOpened(BreakerScope::Zone(_)));
     assert!(!node.actions.iter().any(is_zone_opening));
@@ -366,7 +366,7 @@
         let mut sent_to_slow = 0;
         for step in 0..2_000 {
             let id = node.request(0, rng.u64(..), ms(400));
-            let (_, endpoint) = node.in_flight(&id).expect("sent");
+            let (_, endpoint) = node.in_flight(&id).expect("the request is sent");
             let is_slow = endpoint.as_str() < "f";
             sent_to_slow += u32::from(is_slow && step >= 1_000);
             node.advance(ms(if is_slow { 60 } else { 20 }));
@@ -379,8 +379,7 @@
     assert!((0.2..0.3).contains(&share(false)), "{}", share(false));
 }
 
-/// Guards against memory that grows over time while endpoints of ever new kinds are listed and
-/// removed.
+/// Guards against memory that grows over time while endpoints of new kinds are listed and removed.
 #[test]
 fn state_of_kinds_of_removed_endpoints_is_dropped() {
     let mut node = Node::new(
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -14,7 +14,7 @@
     for key in 0..300 {
         let id = node.request(0, key, ms(400));
         // First attempts fail and retries succeed. This failure rate of one half is too low to open
-        // a breaker, and each request would get its retry.
+        // a breaker, so without the retry budget each request would be retried.
         for status in [Status::Failed, Status::Ok] {
             if node.in_flight(&id).is_some() {
                 node.end_attempt_in_flight(&id, status);
--- a/crates/policy/tests/properties/breakers.rs
+++ b/crates/policy/tests/properties/breakers.rs
@@ -150,7 +150,7 @@
                 simulation.advance(ms(wait));
                 (0..40).for_each(|key| simulation.request(0, key, ms(400), false, false));
             }
-            simulation.play(chunk);
+            simulation.apply_steps(chunk);
         }
         let mut breakers = ObservedBreakers::default();
         for (at, observation) in &simulation.observations {
@@ -185,7 +185,7 @@
             serve_reads(&mut simulation, 40, |_| None, status);
             simulation.advance(COOLDOWN);
             serve_reads(&mut simulation, 20, |_| None, status);
-            simulation.play(chunk);
+            simulation.apply_steps(chunk);
         }
         (0..SERVERS).for_each(|i| simulation.change_endpoint(i, ServerChange::Ready));
         let hit = |_| Some(CacheResult::Hit);
--- a/crates/policy/tests/properties/origin.rs
+++ b/crates/policy/tests/properties/origin.rs
@@ -78,7 +78,7 @@
         let mut simulation = Simulation::new(seed);
         let hit = |_| Some(CacheResult::Hit);
         serve_reads(&mut simulation, 100, hit, |_, _| Status::Ok);
-        simulation.play(steps);
+        simulation.apply_steps(steps);
         for _ in 0..3 {
             for key in 0..20 {
                 read_while_origin_fails(&mut simulation, key);
--- a/crates/policy/tests/properties/requests.rs
+++ b/crates/policy/tests/properties/requests.rs
@@ -10,26 +10,29 @@
 #[test]
 fn each_request_gets_one_final_response_by_its_deadline_and_no_later_attempt() {
     check(SEEDS, CASES, LENGTH, |seed, steps| {
-        let mut open = BTreeMap::new();
+        let mut open_requests = BTreeMap::new();
         for (at, observation) in Simulation::run(seed, steps).observations {
             match observation {
                 Observation::RequestArrived(request) => {
-                    open.insert(request.id, request.deadline);
+                    open_requests.insert(request.id, request.deadline);
                 }
                 Observation::Answered { id, .. } => {
-                    let deadline = open
+                    let deadline = open_requests
                         .remove(&id)
                         .unwrap_or_else(|| panic!("{id} got a response but is not open"));
                     assert!(at <= deadline, "{id} got its response after its deadline");
                 }
-                Observation::ClientDisconnected(id) => drop(open.remove(&id)),
+                Observation::ClientDisconnected(id) => drop(open_requests.remove(&id)),
                 Observation::AttemptSent { id, .. } => {
-                    assert!(open.contains_key(&id), "{id} is sent after its end");
+                    assert!(
+                        open_requests.contains_key(&id),
+                        "{id} is sent after its end"
+                    );
                 }
                 _ => {}
             }
         }
-        assert!(open.is_empty(), "no response to {open:?}");
+        assert!(open_requests.is_empty(), "no response to {open_requests:?}");
     });
 }
 
@@ -165,7 +168,7 @@
 fn an_abandoned_request_is_answered_in_the_same_event_and_a_shed_request_gets_a_retry_after() {
     check(SEEDS, CASES, LENGTH, |seed, steps| {
         let simulation = Simulation::run(seed, steps);
-        let mut open = BTreeMap::<RequestId, OpenRequest>::new();
+        let mut open_requests = BTreeMap::<RequestId, OpenRequest>::new();
         let mut over_quota = None;
         for (at, observation) in &simulation.observations {
             match observation {
@@ -177,21 +180,21 @@
                         attempted: false,
                         latency_objective: simulation.class(request).latency_objective,
                     };
-                    open.insert(request.id.clone(), arrived);
+                    open_requests.insert(request.id.clone(), arrived);
                 }
                 Observation::AttemptSent { id, .. } => {
-                    if let Some(request) = open.get_mut(id) {
+                    if let Some(request) = open_requests.get_mut(id) {
                         request.in_flight += 1;
                         request.attempted = true;
                     }
                 }
                 Observation::AttemptEnded { id, .. } => {
-                    if let Some(request) = open.get_mut(id) {
+                    if let Some(request) = open_requests.get_mut(id) {
                         request.in_flight -= 1;
                     }
                 }
                 Observation::Answered { id, retry_after } => {
-                    open.remove(id);
+                    open_requests.remove(id);
                     if let Some(delay) = retry_after {
                         let max = simulation.settings.max_retry_after;
                         assert!(
@@ -201,12 +204,14 @@
                         );
                     }
                 }
-                Observation::ClientDisconnected(id) => drop(open.remove(id)),
+                Observation::ClientDisconnected(id) => drop(open_requests.remove(id)),
                 Observation::EventHandled => {
-                    for (id, request) in &open {
+                    for (id, request) in &open_requests {
                         request.assert_in_flight_or_queued(id, *at);
                     }
-                    let unanswered = over_quota.take().filter(|id| open.contains_key(id));
+                    let unanswered = over_quota
+                        .take()
+                        .filter(|id| open_requests.contains_key(id));
                     assert_eq!(
                         unanswered, None,
                         "a request over its quota is not shed at once"
--- a/crates/policy/tests/properties/simulation.rs
+++ b/crates/policy/tests/properties/simulation.rs
@@ -104,10 +104,10 @@
         simulation
     }
 
-    /// Plays a sequence on a new simulation and then advances the time past all deadlines.
+    /// Applies a sequence to a new simulation and then advances the time past all deadlines.
     pub fn run(seed: u64, steps: &[Step]) -> Self {
         let mut simulation = Self::new(seed);
-        simulation.play(steps);
+        simulation.apply_steps(steps);
         simulation.advance(ms(1_000));
         simulation
     }
@@ -128,14 +128,14 @@
             .map_or_else(Class::default, |id| self.settings.classes[id.0].clone())
     }
 
-    /// Plays a sequence.
-    pub fn play(&mut self, steps: &[Step]) {
+    /// Applies a sequence.
+    pub fn apply_steps(&mut self, steps: &[Step]) {
         for step in steps.iter().cloned() {
-            self.play_step(step);
+            self.apply_step(step);
         }
     }
 
-    fn play_step(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         match step {
             Step::SendRequest {
                 class,
@@ -201,7 +201,7 @@
             cache_result,
         });
         if status == Status::Ok && !self.finished.contains(&ended.id) {
-            self.record_answer(ended.id.clone(), None);
+            self.record_final_response(ended.id.clone(), None);
         }
         self.handle(Event::AttemptEnded(Outcome {
             answered: self.finished.contains(&ended.id),
@@ -345,8 +345,10 @@
                     timeout,
                     ..
                 } => self.send(id, &endpoint, timeout),
-                Action::Shed { id, retry_after } => self.record_answer(id, Some(retry_after)),
-                Action::Fail { id } => self.record_answer(id, None),
+                Action::Shed { id, retry_after } => {
+                    self.record_final_response(id, Some(retry_after))
+                }
+                Action::Fail { id } => self.record_final_response(id, None),
                 Action::Wake { after } => {
                     let at = self.now + after.max(Duration::from_micros(1));
                     self.timers.insert(at);
@@ -382,7 +384,7 @@
         });
     }
 
-    fn record_answer(&mut self, id: RequestId, retry_after: Option<Duration>) {
+    fn record_final_response(&mut self, id: RequestId, retry_after: Option<Duration>) {
         self.finished.insert(id.clone());
         self.observe(Observation::Answered { id, retry_after });
     }
--- a/crates/policy/tests/properties/slow_start.rs
+++ b/crates/policy/tests/properties/slow_start.rs
@@ -62,7 +62,7 @@
         let mut simulation = Simulation::new(seed);
         for chunk in steps.chunks(20) {
             serve_reads(&mut simulation, 150, |_| None, |_, _| Status::Ok);
-            simulation.play(chunk);
+            simulation.apply_steps(chunk);
             simulation.change_endpoint(chunk.len() % SERVERS, ServerChange::Restarted);
             serve_reads(&mut simulation, 150, |_| None, |_, _| Status::Ok);
         }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -72,7 +72,7 @@
 #[test]
 fn a_draining_or_removed_endpoint_gets_no_new_request() {
     let mut node = Node::with_endpoints(settings(), 2);
-    let owner = node.read(7, Status::Ok).expect("served");
+    let owner = node.read(7, Status::Ok).expect("the read is served");
     let entry = |availability| Endpoint {
         availability,
         ..Endpoint::new(owner.as_str())
@@ -172,7 +172,10 @@
 fn events_of_requests_that_are_not_pending_are_ignored() {
     let mut node = Node::with_endpoints(settings(), 2);
     let id = node.request(0, 7, ms(400));
-    node.requests.get_mut(&id).expect("known").answered = true;
+    node.requests
+        .get_mut(&id)
+        .expect("the request is known")
+        .answered = true;
     assert_eq!(node.handle(Event::RequestCanceled(id.clone())), []);
     assert_eq!(node.handle(Event::RequestCanceled(id.clone())), []);
     // The late outcome must not make the request pending again.
@@ -373,7 +376,7 @@
 fn a_request_is_answered_despite_an_outcome_of_an_attempt_that_was_never_sent() {
     let mut node = Node::with_endpoints(settings(), 2);
     let id = node.request(0, 7, ms(400));
-    let (_, endpoint) = node.in_flight(&id).expect("sent");
+    let (_, endpoint) = node.in_flight(&id).expect("the request is sent");
     let (cache_result, load) = (None, LoadReport::default());
     let (status, latency, answered) = (Status::Failed, ms(1), false);
     let unknown_outcome = Outcome {
@@ -395,7 +398,7 @@
 fn an_outcome_reported_twice_counts_once() {
     let mut node = Node::with_endpoints(settings(), 3);
     let id = node.request(0, 7, ms(400));
-    let (attempt, endpoint) = node.in_flight(&id).expect("sent");
+    let (attempt, endpoint) = node.in_flight(&id).expect("the request is sent");
     node.end_attempt(&id, attempt, Status::Failed);
     assert!(node.in_flight(&id).is_some(), "the request is retried");
     let (cache_result, load, latency, answered) = (None, LoadReport::default(), ms(1), false);
