--- a/crates/policy/tests/cache_aside.rs
+++ b/crates/policy/tests/cache_aside.rs
@@ -1,4 +1,4 @@
-//! Sites whose balancers fetch misses from the origin.
+//! Cache-aside mode, in which the balancer fetches misses from the origin.
 
 mod common;
 use common::*;
@@ -12,13 +12,19 @@
 }
 
 #[test]
-fn a_miss_goes_to_the_origin_and_a_hit_does_not() {
+fn a_miss_is_sent_to_the_origin_and_a_hit_is_not() {
     let mut node = node();
     let id = node.request(0, 7, ms(400));
-    assert_ne!(node.in_flight(&id).expect("sent").1.as_str(), "zz-origin");
+    assert_ne!(
+        node.in_flight(&id).expect("the request is sent").1.as_str(),
+        "zz-origin"
+    );
     node.end_attempt_in_flight(&id, Status::Miss);
     assert_eq!(
-        node.in_flight(&id).expect("retried").1.as_str(),
+        node.in_flight(&id)
+            .expect("the request is retried")
+            .1
+            .as_str(),
         "zz-origin"
     );
     node.end_attempt_in_flight(&id, Status::Ok);
@@ -26,7 +32,7 @@
 }
 
 #[test]
-fn a_write_goes_straight_to_the_origin() {
+fn the_first_attempt_of_a_write_is_sent_to_the_origin() {
     let mut node = node();
     let request = Request {
         class: Some(ClassId(1)),
@@ -34,7 +40,10 @@
         ..Request::new("w", node.now + ms(400))
     };
     let id = node.submit(request);
-    assert_eq!(node.in_flight(&id).expect("sent").1.as_str(), "zz-origin");
+    assert_eq!(
+        node.in_flight(&id).expect("the request is sent").1.as_str(),
+        "zz-origin"
+    );
 }
 
 #[test]
@@ -57,6 +66,6 @@
     );
     assert!(
         node.read(8, Status::Ok).is_some(),
-        "hits are served all the same"
+        "hits are served while the breaker is open"
     );
 }
