--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -1,11 +1,13 @@
-//! The cluster behind the nodes: cache servers and the player database, as machines without I/O. Jobs come in with a
-//! time, and what has ended goes out.
+//! The cluster behind the nodes: cache servers and the player database, simulated without I/O.
+//! Jobs are submitted with a time, and finished jobs are returned.
 //!
-//! A server has cores of one speed each (a multiple of the standard core), a waiting room in order of arrival, and an
-//! LRU memory bounded in bytes. A job needs a core for its work. A read of a key that it holds is then done (`hit`);
-//! otherwise the core is given back while the database fetches, one fetch a key and server at a time (the others are
-//! `pending`). A write goes on to the database and voids all kept copies. A server that starts is cold: its speed rises
-//! evenly from `cold_share` to all of it over `warm`. The database has so many workers, one queue, and log-normal times.
+//! A server has cores of equal speed (a multiple of the standard core), a FIFO queue, and an LRU
+//! cache bounded in bytes. Each job occupies a core for its work. A read of a cached key is then
+//! finished (`hit`). Otherwise the core is released while the database fetches the value, with one
+//! fetch per key and server at a time; the other reads of the key are `pending`. A write continues
+//! to the database and invalidates all cached copies. A server that starts is cold: its speed rises
+//! linearly from `cold_share` to full speed over `warm`. The database has a fixed number of
+//! workers, one queue, and log-normal service times.
 
 mod database;
 mod rolling_sum;
@@ -21,129 +23,130 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Time since the run's start.
+/// Time since the start of the run.
 pub type Time = Duration;
 
-/// A job's number; never used twice.
+/// Number of a job; never reused.
 pub type JobId = u64;
 
-/// What a job asks for.
+/// One request at a cache server.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// Its number.
+    /// Number of the job.
     pub id: JobId,
-    /// What it is about.
+    /// Key that is read or written.
     pub key: u64,
-    /// Bytes of the key's value.
+    /// Size of the value in bytes.
     pub size: usize,
-    /// Work on a standard core.
+    /// Processing time on a standard core.
     pub work: Duration,
-    /// Whether it goes on to the database.
+    /// Whether the job is a write, which continues to the database.
     pub write: bool,
 }
 
-/// How a read was answered.
+/// Cache result of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheResult {
-    /// The server held the value.
+    /// The value was in the cache.
     Hit,
-    /// It was fetched.
+    /// The database was called: the value was fetched, or written.
     Miss,
-    /// Another fetch of the key was out.
+    /// The job waited for another job's fetch of the same key.
     Pending,
 }
 
-/// A job's end.
+/// Result of a finished job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobResult {
-    /// Done.
+    /// The job succeeded.
     Ok(CacheResult),
-    /// The database failed; a write may have run.
+    /// The database call failed; a write may have been executed.
     Error,
-    /// It waited, and was dropped.
+    /// The job was removed from the queue before it ran.
     Dropped,
 }
 
-/// Something that is due at a known time.
+/// Scheduled event of the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A core has done a job's work; servers are of an epoch, so that what died stays dead.
+    /// A core has finished the work of a job. The server's epoch excludes jobs from before a kill
+    /// or start of the server.
     Core {
         server: usize,
         epoch: u32,
         job: JobId,
     },
-    /// A worker of the database is done with a call.
+    /// A database worker has finished a call.
     Worker { call: u64, epoch: u32 },
-    /// The database is back.
-    Back { epoch: u32 },
+    /// The database restarts after an overload.
+    DatabaseRestart { epoch: u32 },
 }
 
-/// All servers and the database.
+/// All cache servers and the database.
 pub struct Cluster {
     servers: Vec<Server>,
     epochs: Vec<u32>,
     database: Database,
     events: BinaryHeap<Reverse<(Time, u64, Event)>>,
-    order: u64,
-    /// What was pushed over; for the checker.
+    event_sequence: u64,
+    /// Overloads that stopped a server or the database; read by the rule checker.
     pub overloads: Vec<Overload>,
-    /// Fetches and writes that the database was sent.
+    /// Number of fetches and writes sent to the database.
     pub fetches: u64,
 }
 
-/// What a server is doing.
+/// Current load of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Cores at work.
+    /// Busy cores.
     pub busy: usize,
-    /// Requests that wait for a core.
+    /// Requests queued for a core.
     pub waiting: usize,
-    /// Cores there are.
+    /// All cores.
     pub cores: usize,
 }
 
-/// Whether a server accepts a job.
+/// A server's response to a submitted job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It will end.
+    /// The job runs or is queued.
     Accepted,
-    /// The waiting room is full.
+    /// The queue is full.
     Declined,
-    /// Nobody is there.
+    /// The server is down.
     Down,
 }
 
 impl Cluster {
-    /// A cluster of warm servers with empty caches.
+    /// Creates a cluster of warm servers with empty caches.
     pub fn new(servers: Vec<ServerSettings>, database: DatabaseSettings, seed: u64) -> Self {
         Self {
             epochs: vec![0; servers.len()],
             servers: servers.into_iter().map(Server::new).collect(),
             database: Database::new(database, seed),
             events: BinaryHeap::new(),
-            order: 0,
+            event_sequence: 0,
             overloads: Vec::new(),
             fetches: 0,
         }
     }
 
-    /// When something ends next.
+    /// Returns the time of the next event.
     pub fn next_event(&self) -> Option<Time> {
         self.events.peek().map(|Reverse((at, _, _))| *at)
     }
 
-    /// Puts a value into a server's cache, as if it had been asked for before the run.
+    /// Puts a value into a server's cache, as if it had been requested before the run.
     pub fn warm_up(&mut self, server: usize, key: u64, size: usize) {
         self.servers[server].insert(key, size);
     }
 
-    /// Requests that a server holds.
+    /// Returns the number of requests in progress or queued at a server.
     pub fn request_count(&self, server: usize) -> usize {
         self.servers[server].in_progress.len() + self.servers[server].waiting.len()
     }
 
-    /// What a server is doing.
+    /// Returns the current load of a server.
     pub fn load(&self, server: usize) -> ServerLoad {
         let state = &self.servers[server];
         ServerLoad {
@@ -153,17 +156,17 @@
         }
     }
 
-    /// Calls that the database holds.
+    /// Returns the number of calls in progress or queued at the database.
     pub fn database_calls(&self) -> usize {
         self.database.calls.len()
     }
 
-    /// Whether a server is down.
+    /// Returns whether a server is down.
     pub fn is_down(&self, server: usize) -> bool {
         self.servers[server].down
     }
 
-    /// Offers a job to a server.
+    /// Submits a job to a server. A cold server that this job overloads is killed.
     pub fn submit(&mut self, now: Time, server: usize, job: Job) -> Admission {
         let state = &mut self.servers[server];
         if state.down {
@@ -171,15 +174,15 @@
         }
         let capacity = state.capacity(now);
         if capacity < state.full_capacity() {
-            let span = state.settings.fall_span;
-            let (sent, _) = state.recent.add(now, job.work.as_secs_f64(), 0.0, span);
-            let capacity_in_span = capacity * span.as_secs_f64();
-            if sent > state.settings.fall_times * capacity_in_span {
+            let window = state.settings.overload_window;
+            let (sent, _) = state.recent.add(now, job.work.as_secs_f64(), 0.0, window);
+            let capacity_in_window = capacity * window.as_secs_f64();
+            if sent > state.settings.overload_factor * capacity_in_window {
                 self.overloads.push(Overload {
                     server: Some(server),
                     at: now.as_micros() as u64,
                     sent,
-                    capacity: capacity_in_span,
+                    capacity: capacity_in_window,
                     cold_share: 1.0,
                 });
                 self.kill(server);
@@ -196,7 +199,8 @@
         Admission::Accepted
     }
 
-    /// A node waits no longer for a job. Whether it was dropped.
+    /// Cancels a job that its node has abandoned. Returns whether the job was removed from the
+    /// queue.
     pub fn cancel(&mut self, server: usize, job: JobId) -> bool {
         let state = &mut self.servers[server];
         let before = state.waiting.len();
@@ -206,7 +210,7 @@
         state.waiting.len() < before
     }
 
-    /// A server dies with all it holds.
+    /// Stops a server; its jobs and cached values are lost.
     pub fn kill(&mut self, server: usize) {
         self.epochs[server] += 1;
         let fresh = Server::new(self.servers[server].settings);
@@ -216,7 +220,7 @@
         };
     }
 
-    /// It is back, cold and empty.
+    /// Starts a server, cold and with an empty cache.
     pub fn start(&mut self, now: Time, server: usize) {
         self.epochs[server] += 1;
         let fresh = Server::new(self.servers[server].settings);
@@ -226,14 +230,14 @@
         };
     }
 
-    /// A server works so many times slower from now on.
+    /// Divides the speed of a server by `factor` for jobs that start from now on.
     pub fn set_slowdown(&mut self, server: usize, factor: f64) {
         self.servers[server].slowdown = factor.max(1e-3);
     }
 
     fn schedule(&mut self, at: Time, event: Event) {
-        self.order += 1;
-        self.events.push(Reverse((at, self.order, event)));
+        self.event_sequence += 1;
+        self.events.push(Reverse((at, self.event_sequence, event)));
     }
 
     fn start_job(&mut self, now: Time, server: usize, job: Job) {
@@ -253,7 +257,8 @@
         );
     }
 
-    /// Moves time on: every job that has ended by `now`, with its server.
+    /// Advances the simulation to `now` and appends each job that has finished by then, with its
+    /// server, to `finished`.
     pub fn advance(&mut self, now: Time, finished: &mut Vec<(usize, JobId, JobResult)>) {
         while let Some(Reverse((at, _, event))) = self
             .events
@@ -267,13 +272,15 @@
                     self.finish_work(at, server, job, finished)
                 }
                 Event::Worker { call, epoch } if epoch == self.database.epoch => {
-                    self.database.working -= 1;
+                    self.database.busy_workers -= 1;
                     if let Some(call) = self.database.calls.remove(&call) {
                         self.finish_call(call, true, finished);
                     }
                     self.start_calls(at);
                 }
-                Event::Back { epoch } if epoch == self.database.epoch => self.database.down = false,
+                Event::DatabaseRestart { epoch } if epoch == self.database.epoch => {
+                    self.database.down = false
+                }
                 _ => {}
             }
         }
--- a/crates/lab/src/model/database.rs
+++ b/crates/lab/src/model/database.rs
@@ -1,4 +1,4 @@
-//! The player database of the model: one queue, so many workers, and what becomes of its calls.
+//! The player database of the model: one queue and a fixed number of workers.
 
 use super::rolling_sum::RollingSum;
 use super::{CacheResult, Cluster, Event, JobId, JobResult, Time};
@@ -11,24 +11,25 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// The database's settings.
+/// Settings of the database.
 #[derive(Clone, Copy, Debug)]
 pub struct DatabaseSettings {
-    /// Fetches and writes at once.
+    /// Fetches and writes that run in parallel.
     pub workers: usize,
-    /// Mean time of one.
+    /// Mean service time of a call.
     pub work: Duration,
-    /// Places to wait; past them a call fails at once.
+    /// Capacity of the queue; a call that finds the queue full fails at once.
     pub queue: usize,
-    /// Sent more than this multiple of what it can do in `fall_span`, it stops.
-    pub fall_times: f64,
-    /// See `fall_times`.
-    pub fall_span: Duration,
-    /// For so long.
-    pub down: Duration,
+    /// The database stops when the work sent within `overload_window` exceeds this multiple of its
+    /// capacity.
+    pub overload_factor: f64,
+    /// Time window of `overload_factor`.
+    pub overload_window: Duration,
+    /// Time from a stop to the restart.
+    pub restart_delay: Duration,
 }
 
-/// A call at the database, and the server that it came from.
+/// A database call, with the server that sent it.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Call {
     Fetch {
@@ -45,15 +46,15 @@
     },
 }
 
-/// The database, and the calls that it holds.
+/// State of the database, with its queued and running calls.
 pub(super) struct Database {
     settings: DatabaseSettings,
     service_time: Option<LogNormal<f64>>,
     random: ChaCha8Rng,
     pub(super) calls: HashMap<u64, Call>,
     queue: VecDeque<u64>,
-    pub(super) working: usize,
-    /// Counts its stops, so that what died stays dead.
+    pub(super) busy_workers: usize,
+    /// Number of stops; events of an earlier epoch are ignored.
     pub(super) epoch: u32,
     pub(super) down: bool,
     recent: RollingSum,
@@ -71,7 +72,7 @@
             random: ChaCha8Rng::seed_from_u64(mix(seed)),
             calls: HashMap::new(),
             queue: VecDeque::new(),
-            working: 0,
+            busy_workers: 0,
             epoch: 0,
             down: false,
             recent: RollingSum::default(),
@@ -90,11 +91,11 @@
     ) {
         self.fetches += 1;
         let work = self.database.settings.work.as_secs_f64();
-        let span = self.database.settings.fall_span;
+        let window = self.database.settings.overload_window;
         let cold_work = if cold { work } else { 0.0 };
-        let (sent, sent_cold) = self.database.recent.add(now, work, cold_work, span);
-        let capacity = self.database.settings.workers as f64 * span.as_secs_f64();
-        if !self.database.down && sent > self.database.settings.fall_times * capacity {
+        let (sent, sent_cold) = self.database.recent.add(now, work, cold_work, window);
+        let capacity = self.database.settings.workers as f64 * window.as_secs_f64();
+        if !self.database.down && sent > self.database.settings.overload_factor * capacity {
             let cold_share = sent_cold / sent;
             self.overloads.push(Overload {
                 server: None,
@@ -105,16 +106,16 @@
             });
             self.database.epoch += 1;
             self.database.down = true;
-            (self.database.working, self.database.recent) = (0, RollingSum::default());
+            (self.database.busy_workers, self.database.recent) = (0, RollingSum::default());
             self.database.queue.clear();
             let mut lost: Vec<_> = self.database.calls.drain().collect();
             lost.sort_unstable_by_key(|(number, _)| *number);
             lost.into_iter()
                 .for_each(|(_, call)| self.finish_call(call, false, finished));
-            let back = Event::Back {
+            let restart = Event::DatabaseRestart {
                 epoch: self.database.epoch,
             };
-            self.schedule(now + self.database.settings.down, back);
+            self.schedule(now + self.database.settings.restart_delay, restart);
         }
         if self.database.down || self.database.queue.len() >= self.database.settings.queue {
             return self.finish_call(call, false, finished);
@@ -126,18 +127,18 @@
     }
 
     pub(super) fn start_calls(&mut self, now: Time) {
-        while self.database.working < self.database.settings.workers {
+        while self.database.busy_workers < self.database.settings.workers {
             let Some(call) = self.database.queue.pop_front() else {
                 return;
             };
-            self.database.working += 1;
+            self.database.busy_workers += 1;
             let mean = self.database.settings.work.as_secs_f64();
-            let took = self.database.service_time.map_or(mean, |distribution| {
+            let call_duration = self.database.service_time.map_or(mean, |distribution| {
                 distribution.sample(&mut self.database.random)
             });
             let epoch = self.database.epoch;
             self.schedule(
-                now + Duration::from_secs_f64(took),
+                now + Duration::from_secs_f64(call_duration),
                 Event::Worker { call, epoch },
             );
         }
@@ -191,7 +192,7 @@
                 job,
                 key,
             } => {
-                // It was carried out, whoever still waits for it.
+                // The write was executed, even if its server was restarted or its job is gone.
                 if succeeded {
                     self.servers
                         .iter_mut()
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -1,4 +1,4 @@
-//! A cache server of the model: its settings, what it holds, and how warm it is.
+//! A cache server of the model: settings, queue, cache and warm-up.
 
 use super::rolling_sum::RollingSum;
 use super::{Job, JobId, Time};
@@ -6,45 +6,46 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// A server's settings.
+/// Settings of a cache server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSettings {
-    /// Cores.
+    /// Number of cores.
     pub cores: usize,
-    /// Of each, of a standard one.
+    /// Speed of each core, as a multiple of the standard core.
     pub speed: f64,
-    /// Places to wait.
+    /// Capacity of the queue.
     pub queue: usize,
-    /// Bytes of values.
+    /// Cache size in bytes of values.
     pub memory: usize,
-    /// Share of its capacity at its start.
+    /// Share of the full capacity right after a start.
     pub cold_share: f64,
-    /// Until it has all of it.
+    /// Time from a start to full capacity.
     pub warm: Duration,
-    /// Sent more than this multiple of its present capacity for `fall_span` while cold, it falls over.
-    pub fall_times: f64,
-    /// See `fall_times`.
-    pub fall_span: Duration,
-    /// Whether cancelled jobs that wait are dropped.
+    /// A cold server stops when the work sent within `overload_window` exceeds this multiple of its
+    /// present capacity.
+    pub overload_factor: f64,
+    /// Time window of `overload_factor`.
+    pub overload_window: Duration,
+    /// Whether cancelled jobs are removed from the queue.
     pub drops_cancelled: bool,
 }
 
 pub(super) struct Server {
     pub(super) settings: ServerSettings,
-    /// `None` for long ago.
+    /// Time of the start during the run; `None` for a server that was up and warm before it.
     pub(super) started_at: Option<Time>,
     pub(super) down: bool,
-    /// So many times slower.
+    /// Divisor of the speed.
     pub(super) slowdown: f64,
     pub(super) waiting: VecDeque<Job>,
     pub(super) busy: usize,
-    /// At work or at the database; removed when the server dies.
+    /// Jobs on a core or at the database; discarded when the server stops.
     pub(super) in_progress: HashMap<JobId, Job>,
     pub(super) cache: LruCache<u64, usize>,
     pub(super) cached_bytes: usize,
-    /// Jobs that wait for a key's fetch.
+    /// Jobs that wait for the fetch of a key, by key.
     pub(super) fetching: HashMap<u64, Vec<JobId>>,
-    /// Work that came within `fall_span` while it was cold.
+    /// Work received within `overload_window` while the server was cold.
     pub(super) recent: RollingSum,
 }
 
@@ -74,7 +75,7 @@
         (self.settings.cold_share + (1.0 - self.settings.cold_share) * age).min(1.0)
     }
 
-    /// Seconds of work that it does in a second when warm.
+    /// Returns the seconds of work per second of a warm server.
     pub(super) fn full_capacity(&self) -> f64 {
         self.settings.cores as f64 * self.settings.speed
     }
--- a/crates/lab/src/run/stand_ins.rs
+++ b/crates/lab/src/run/stand_ins.rs
@@ -106,8 +106,8 @@
         memory: fleet.memory_kib << 10,
         cold_share: fleet.cold_share.get(),
         warm: Duration::from_secs_f64(fleet.warm_s.get()),
-        fall_times: fleet.fall_times.get(),
-        fall_span: Duration::from_secs_f64(fleet.fall_s.get()),
+        overload_factor: fleet.fall_times.get(),
+        overload_window: Duration::from_secs_f64(fleet.fall_s.get()),
         drops_cancelled: fleet.drops_cancelled,
     };
     let database = &scenario.database;
@@ -115,9 +115,9 @@
         workers: database.workers,
         work: Duration::from_secs_f64(database.work_ms.get() / 1e3),
         queue: database.queue,
-        fall_times: database.fall_times.get(),
-        fall_span: Duration::from_secs_f64(database.fall_s.get()),
-        down: Duration::from_secs_f64(database.down_s.get()),
+        overload_factor: database.fall_times.get(),
+        overload_window: Duration::from_secs_f64(database.fall_s.get()),
+        restart_delay: Duration::from_secs_f64(database.down_s.get()),
     };
     let mut cluster = Cluster::new(
         (0..server_count).map(settings).collect(),
