--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -1,4 +1,5 @@
-//! The rules, checked on what stand-ins and clients saw. Nothing here comes from the node under test.
+//! Checks a run against the rules, on the observations of the clients and of the simulated servers
+//! and discovery. Nothing is taken from the node under test.
 
 use crate::record::{
     Attempt, AttemptOutcome, AvailabilityChange, End, NodeEvent, ProcessEvent, Record, Try, TryId,
@@ -9,21 +10,24 @@
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-/// A rule.
+/// Rule that each run must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Exactly one final answer for each request that a running node has taken.
+    /// Each request that a running node has accepted gets exactly one final response.
     OneAnswer,
-    /// A request that may have run is sent again only as its class allows.
+    /// A request that may have run is repeated only as its class allows.
     Repeats,
-    /// Nothing new to a server later than 250 ms after the node was informed that it drains or is gone.
+    /// A node sends no new request to a server later than 250 ms after the notice that the server
+    /// drains or has left.
     Drains,
-    /// No cold server and no database is pushed over.
-    PushedOver,
-    /// A refusal says that a repeat is harmless: it may stand only where that is so.
+    /// The nodes overload no cold server and no database.
+    #[serde(rename = "pushed_over")]
+    Overloads,
+    /// A request is refused only where a repeat is harmless, since a client may repeat a refused
+    /// request.
     Refusals,
-    /// A node does not end by itself.
+    /// A node does not exit on its own.
     Alive,
 }
 
@@ -33,37 +37,40 @@
             Self::OneAnswer => "one final answer",
             Self::Repeats => "repeats as the class allows",
             Self::Drains => "nothing new after a drain",
-            Self::PushedOver => "nothing pushed over",
+            Self::Overloads => "nothing pushed over",
             Self::Refusals => "refusals only where a repeat is harmless",
             Self::Alive => "a node stays alive",
         })
     }
 }
 
-/// A broken rule.
+/// Breach of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Breach {
-    /// Which rule.
+    /// The broken rule.
     pub rule: Rule,
-    /// The request, the times and the servers.
+    /// Description with the request, the times and the servers.
     pub what: String,
 }
 
-/// Grace past the stated limits on real sockets, in microseconds.
+/// Tolerance past each time limit, in microseconds: real sockets add delays.
 const CLOCK_TOLERANCE: u64 = 50_000;
-/// After the node was informed that a server drains or is gone, in microseconds.
+/// Time after the notice of a drain or removal during which a node may still send to the server, in
+/// microseconds.
 const DRAIN_GRACE: u64 = 250_000;
-/// A node counts as informed of a change so much later at the latest, whether or not it has asked, in microseconds.
+/// Longest delay of a notice, in microseconds: a node then counts as informed of a change, whether
+/// or not it has requested the list.
 const LATEST_NOTICE: u64 = 6_000_000;
-/// A request sent to a node this long before its kill or after its SIGTERM is beyond its power: what SIGKILL
-/// finds unanswered, in microseconds.
+/// Time after SIGTERM during which a node must still respond to new requests, in microseconds.
+/// Later requests are excused, since SIGKILL may end the node before the response.
 const STOP_GRACE: u64 = 700_000;
-/// Misses at cold servers that are over this share of what pushed the database over break the rule.
-const COLD_SHARE: f64 = 0.3;
-/// Attempts of a request, at most.
+/// An overload of the database is a breach when misses at cold servers exceed this share of its
+/// work.
+const MAX_COLD_SHARE: f64 = 0.3;
+/// Maximum number of attempts of a try.
 const MAX_ATTEMPTS: usize = 6;
 
-/// Checks a record. `class_of` gives the position of a try's class in `classes`.
+/// Checks a record against all rules. `class_of` returns the index of a try's class in `classes`.
 pub fn check(record: &Record, classes: &[Class], class_of: impl Fn(TryId) -> usize) -> Vec<Breach> {
     let mut breaches = Vec::new();
     let mut attempts: HashMap<TryId, Vec<&Attempt>> = HashMap::new();
@@ -73,8 +80,8 @@
     let attempts_of = |id: TryId| attempts.get(&id).map_or(&[][..], Vec::as_slice);
     let class_by_id = |id| &classes[class_of(id)];
     for tried in &record.tries {
-        answers(record, tried, attempts_of(tried.id), &mut breaches);
-        refusals(
+        check_responses(record, tried, attempts_of(tried.id), &mut breaches);
+        check_refusals(
             tried,
             attempts_of(tried.id),
             class_by_id(tried.id),
@@ -84,17 +91,17 @@
     let mut ids: Vec<_> = attempts.keys().copied().collect();
     ids.sort_unstable();
     for id in ids {
-        repeats(id, attempts_of(id), class_by_id(id), &mut breaches);
+        check_repeats(id, attempts_of(id), class_by_id(id), &mut breaches);
     }
-    unknown_requests(record, &mut breaches);
-    drains(record, &mut breaches);
-    overloads(record, &mut breaches);
-    deaths(record, &mut breaches);
+    check_unknown_requests(record, &mut breaches);
+    check_drains(record, &mut breaches);
+    check_overloads(record, &mut breaches);
+    check_exits(record, &mut breaches);
     breaches
 }
 
-/// Requests with an id that no client sent.
-fn unknown_requests(record: &Record, breaches: &mut Vec<Breach>) {
+/// Reports each request with an id that no client sent.
+fn check_unknown_requests(record: &Record, breaches: &mut Vec<Breach>) {
     for UnknownRequest { server, id, at } in &record.unknown_requests {
         let what = format!(
             "server {server} got a request with id {id:?} at {}, which no client sent",
@@ -107,32 +114,33 @@
     }
 }
 
-/// Overloads that the nodes could have avoided: of a cold server, or of the database by misses at cold servers.
-fn overloads(record: &Record, breaches: &mut Vec<Breach>) {
+/// Reports each overload that the nodes could have avoided: of a cold server, or of the database by
+/// misses at cold servers.
+fn check_overloads(record: &Record, breaches: &mut Vec<Breach>) {
     for overload in &record.overloads {
-        let avoidable = overload.server.is_some() || overload.cold_share > COLD_SHARE;
+        let avoidable = overload.server.is_some() || overload.cold_share > MAX_COLD_SHARE;
         if !avoidable {
             continue;
         }
-        let who = overload.server.map_or("the database".to_owned(), |server| {
+        let overloaded = overload.server.map_or("the database".to_owned(), |server| {
             format!("cold server {server}")
         });
         let what = format!(
-            "{who} fell over at {}: sent {:.2} s of work where it can do {:.2} s, {:.0} % of it misses at cold servers",
+            "{overloaded} fell over at {}: sent {:.2} s of work where it can do {:.2} s, {:.0} % of it misses at cold servers",
             milliseconds(overload.at),
             overload.sent,
             overload.capacity,
             overload.cold_share * 100.0
         );
         breaches.push(Breach {
-            rule: Rule::PushedOver,
+            rule: Rule::Overloads,
             what,
         });
     }
 }
 
-/// Nodes that ended by themselves.
-fn deaths(record: &Record, breaches: &mut Vec<Breach>) {
+/// Reports each node that exited on its own.
+fn check_exits(record: &Record, breaches: &mut Vec<Breach>) {
     for NodeEvent {
         node,
         event,
@@ -149,16 +157,21 @@
     }
 }
 
-/// A try of a request that a running node has taken has exactly one final answer.
-fn answers(record: &Record, tried: &Try, attempts: &[&Attempt], breaches: &mut Vec<Breach>) {
-    let mut lost = |why: &str| {
+/// Checks that a try that a running node has accepted has exactly one final response.
+fn check_responses(
+    record: &Record,
+    tried: &Try,
+    attempts: &[&Attempt],
+    breaches: &mut Vec<Breach>,
+) {
+    let mut report_breach = |reason: &str| {
         let what = format!(
-            "request {} to node {}, sent at {}, {why} at {}; attempts: {}",
+            "request {} to node {}, sent at {}, {reason} at {}; attempts: {}",
             tried.id.text(),
             tried.node,
             milliseconds(tried.sent),
             milliseconds(tried.ended),
-            describe_all(attempts)
+            describe_attempts(attempts)
         );
         breaches.push(Breach {
             rule: Rule::OneAnswer,
@@ -166,10 +179,11 @@
         });
     };
     match tried.end {
-        End::UnmatchedBody => lost("was served with what no server made for it,"),
-        End::DuplicateResponse => lost("had more than one answer,"),
-        // The first request on a connection that closes without a word has failed and is not lost. On a kept one
-        // the close may have crossed a request that the node has not read: one that reached a server was read.
+        End::UnmatchedBody => report_breach("was served with what no server made for it,"),
+        End::DuplicateResponse => report_breach("had more than one answer,"),
+        // A close before any response bytes is excused for the first request on a connection, which
+        // counts as failed and not as lost. On a reused connection the close may have crossed a
+        // request that the node had not read; a request that had reached a server was read.
         End::ConnectionLost { begun } if !explained_by_node_exit(record, tried) => {
             if !begun
                 && (tried.first_on_connection
@@ -179,13 +193,13 @@
             {
                 return;
             }
-            lost("lost its connection before a whole answer,");
+            report_breach("lost its connection before a whole answer,");
         }
         _ => {}
     }
 }
 
-/// Whether the node's own end explains a connection that broke.
+/// Returns whether the end of the node process explains a lost connection.
 fn explained_by_node_exit(record: &Record, tried: &Try) -> bool {
     record.node_events.iter().any(
         |NodeEvent {
@@ -196,7 +210,7 @@
                     ProcessEvent::Killed => {
                         *at + CLOCK_TOLERANCE >= tried.sent && *at <= tried.ended + CLOCK_TOLERANCE
                     }
-                    // What it takes longer than it has is not its own loss.
+                    // A request sent later than this may be cut off by SIGKILL.
                     ProcessEvent::Terminating => tried.sent > *at + STOP_GRACE,
                     ProcessEvent::Died => *at <= tried.ended + CLOCK_TOLERANCE,
                     ProcessEvent::Ready | ProcessEvent::Exited => false,
@@ -205,7 +219,7 @@
     )
 }
 
-fn refusals(tried: &Try, attempts: &[&Attempt], class: &Class, breaches: &mut Vec<Breach>) {
+fn check_refusals(tried: &Try, attempts: &[&Attempt], class: &Class, breaches: &mut Vec<Breach>) {
     let End::Refused { .. } = tried.end else {
         return;
     };
@@ -228,15 +242,15 @@
     }
 }
 
-fn repeats(id: TryId, attempts: &[&Attempt], class: &Class, breaches: &mut Vec<Breach>) {
+fn check_repeats(id: TryId, attempts: &[&Attempt], class: &Class, breaches: &mut Vec<Breach>) {
     let mut in_order = attempts.to_vec();
     in_order.sort_by_key(|attempt| attempt.received_at);
-    let mut broken = |what: String| {
+    let mut report_repeat = |what: String| {
         let what = format!(
             "request {} of class {} {what}; attempts: {}",
             id.text(),
             class.name,
-            describe_all(&in_order)
+            describe_attempts(&in_order)
         );
         breaches.push(Breach {
             rule: Rule::Repeats,
@@ -244,65 +258,65 @@
         });
     };
     if in_order.len() > MAX_ATTEMPTS {
-        broken(format!(
+        report_repeat(format!(
             "had {} attempts, {MAX_ATTEMPTS} at most",
             in_order.len()
         ));
     }
-    // One that was dropped unseen may not have run, but its node could not know.
+    // A dropped attempt counts as run, since its node cannot know that the server did not run it.
     let Some(ran) = in_order
         .iter()
         .find(|attempt| attempt.outcome != AttemptOutcome::Declined)
     else {
         return;
     };
-    let again = in_order
+    let later_attempts = in_order
         .iter()
         .filter(|attempt| attempt.received_at > ran.received_at || attempt.server != ran.server);
-    for again in again.filter(|again| again.outcome != AttemptOutcome::Declined) {
+    for repeat in later_attempts.filter(|repeat| repeat.outcome != AttemptOutcome::Declined) {
         let limit = match class.idempotency {
             Idempotency::Idempotent => continue,
             Idempotency::NonIdempotent => 0,
             Idempotency::Keyed => (class.repeat_window_s.get() * 1e6) as u64 + CLOCK_TOLERANCE,
         };
-        if again.received_at.saturating_sub(ran.first_byte_at) >= limit {
-            broken(format!(
+        if repeat.received_at.saturating_sub(ran.first_byte_at) >= limit {
+            report_repeat(format!(
                 "went to server {} again at {}",
-                again.server,
-                milliseconds(again.received_at)
+                repeat.server,
+                milliseconds(repeat.received_at)
             ));
             return;
         }
     }
 }
 
-fn drains(record: &Record, breaches: &mut Vec<Breach>) {
-    // What was last reported at each time, by node and server.
-    let mut reported: HashMap<(usize, usize), Vec<(u64, bool)>> = HashMap::new();
+fn check_drains(record: &Record, breaches: &mut Vec<Breach>) {
+    // Availability reports (time, ready) by node and server.
+    let mut reports_by_pair: HashMap<(usize, usize), Vec<(u64, bool)>> = HashMap::new();
     for notice in &record.notices {
-        reported
+        reports_by_pair
             .entry((notice.node, notice.server))
             .or_default()
             .push((notice.at, notice.ready));
     }
     let nodes: HashSet<usize> = record.attempts.iter().map(|attempt| attempt.node).collect();
     for &AvailabilityChange { server, ready, at } in &record.availability_changes {
-        let later = |other: &AvailabilityChange| {
+        let supersedes = |other: &AvailabilityChange| {
             other.server == server && other.at > at && other.at <= at + LATEST_NOTICE
         };
-        if !record.availability_changes.iter().any(later) {
+        if !record.availability_changes.iter().any(supersedes) {
             nodes.iter().for_each(|&node| {
-                reported
+                reports_by_pair
                     .entry((node, server))
                     .or_default()
                     .push((at + LATEST_NOTICE, ready))
             });
         }
     }
-    reported
+    reports_by_pair
         .values_mut()
         .for_each(|reports| reports.sort_by_key(|(at, _)| *at));
-    // A node that starts again has forgotten what was reported to it.
+    // A restarted node has lost the earlier reports.
     let mut starts: HashMap<usize, Vec<u64>> = HashMap::new();
     for event in record
         .node_events
@@ -311,22 +325,29 @@
     {
         starts.entry(event.node).or_default().push(event.at);
     }
-    let mut named = HashSet::new();
+    let mut reported_tries = HashSet::new();
     for attempt in &record.attempts {
-        let Some(reports) = reported.get(&(attempt.node, attempt.server)) else {
+        let Some(reports) = reports_by_pair.get(&(attempt.node, attempt.server)) else {
             continue;
         };
-        // The last report before the send, and since when it has been the same.
-        let before = &reports[..reports.partition_point(|(at, _)| *at <= attempt.first_byte_at)];
-        let since = before.iter().rev().take_while(|(_, ready)| !ready).last();
-        let Some((at, _)) = since else { continue };
-        let forgotten = starts.get(&attempt.node).is_some_and(|all| {
+        // The first of the consecutive "not ready" reports that immediately precede the send.
+        let earlier_reports =
+            &reports[..reports.partition_point(|(at, _)| *at <= attempt.first_byte_at)];
+        let not_ready_since = earlier_reports
+            .iter()
+            .rev()
+            .take_while(|(_, ready)| !ready)
+            .last();
+        let Some((at, _)) = not_ready_since else {
+            continue;
+        };
+        let restarted_since = starts.get(&attempt.node).is_some_and(|all| {
             all.iter()
                 .any(|start| start > at && *start <= attempt.first_byte_at)
         });
         if attempt.first_byte_at > at + DRAIN_GRACE + CLOCK_TOLERANCE
-            && !forgotten
-            && named.insert(attempt.id)
+            && !restarted_since
+            && reported_tries.insert(attempt.id)
         {
             let what = format!(
                 "node {} sent request {} to server {} at {}, told at {} to send nothing new there",
@@ -344,7 +365,7 @@
     }
 }
 
-fn describe_all(attempts: &[&Attempt]) -> String {
+fn describe_attempts(attempts: &[&Attempt]) -> String {
     let describe = |attempt: &&Attempt| {
         format!(
             "server {} at {} ({})",
--- a/crates/lab/src/rules/tests.rs
+++ b/crates/lab/src/rules/tests.rs
@@ -7,7 +7,7 @@
     number: 0,
 };
 
-fn asked(end: End) -> Try {
+fn client_try(end: End) -> Try {
     Try {
         id: ID,
         node: 0,
@@ -30,7 +30,7 @@
     }
 }
 
-fn broken(
+fn broken_rules(
     class: usize,
     tries: Vec<Try>,
     attempts: Vec<Attempt>,
@@ -48,27 +48,37 @@
         .collect()
 }
 
-// Guards against a checker that cannot fail, and against one that blames a node for what it may do.
+// Guards against a checker that accepts every run, and against breaches reported for allowed
+// behaviour.
 #[test]
-fn answers_that_are_lost_doubled_or_foreign_are_told_from_those_that_failed() {
+fn lost_duplicate_and_unmatched_responses_are_breaches_and_failed_tries_are_not() {
     let ran = || vec![attempt(1, 2_000, AttemptOutcome::Ran)];
-    let broke = |begun| vec![asked(End::ConnectionLost { begun })];
-    assert_eq!(broken(0, broke(false), ran(), vec![]), [Rule::OneAnswer]);
-    assert_eq!(broken(0, broke(true), vec![], vec![]), [Rule::OneAnswer]);
+    let connection_lost = |begun| vec![client_try(End::ConnectionLost { begun })];
     assert_eq!(
-        broken(0, broke(false), vec![], vec![]),
+        broken_rules(0, connection_lost(false), ran(), vec![]),
+        [Rule::OneAnswer]
+    );
+    assert_eq!(
+        broken_rules(0, connection_lost(true), vec![], vec![]),
+        [Rule::OneAnswer]
+    );
+    assert_eq!(
+        broken_rules(0, connection_lost(false), vec![], vec![]),
         [],
-        "a close that crossed the request"
+        "the close crossed the request"
     );
     assert_eq!(
-        broken(0, vec![asked(End::DuplicateResponse)], ran(), vec![]),
+        broken_rules(0, vec![client_try(End::DuplicateResponse)], ran(), vec![]),
         [Rule::OneAnswer]
     );
     assert_eq!(
-        broken(0, vec![asked(End::UnmatchedBody)], ran(), vec![]),
+        broken_rules(0, vec![client_try(End::UnmatchedBody)], ran(), vec![]),
         [Rule::OneAnswer]
     );
-    assert_eq!(broken(0, vec![asked(End::TimedOut)], ran(), vec![]), []);
+    assert_eq!(
+        broken_rules(0, vec![client_try(End::TimedOut)], ran(), vec![]),
+        []
+    );
     let killed = NodeEvent {
         node: 0,
         event: ProcessEvent::Killed,
@@ -77,7 +87,7 @@
     };
     let node_events = vec![killed];
     let record = Record {
-        tries: broke(true),
+        tries: connection_lost(true),
         attempts: ran(),
         node_events,
         ..Record::default()
@@ -85,11 +95,11 @@
     assert_eq!(
         check(&record, &default_classes(), |_| 0),
         [],
-        "its node was killed"
+        "the node was killed"
     );
 }
 
-/// Two attempts of one try, the first of them with this outcome.
+/// Returns two attempts of one try, the first with `outcome`, the second received at `later`.
 fn attempted_twice(outcome: AttemptOutcome, later: u64) -> Vec<Attempt> {
     vec![
         attempt(1, 2_000, outcome),
@@ -97,9 +107,9 @@
     ]
 }
 
-/// The rules broken by a try of this class that was served after these attempts.
+/// Returns the rules broken by a try of `class` that was served after `attempts`.
 fn broken_by_attempts(class: usize, attempts: Vec<Attempt>) -> Vec<Rule> {
-    broken(class, vec![asked(End::Served)], attempts, vec![])
+    broken_rules(class, vec![client_try(End::Served)], attempts, vec![])
 }
 
 #[test]
@@ -133,8 +143,8 @@
 #[test]
 fn a_non_idempotent_request_that_ran_is_not_shed() {
     let broken_by_refusal = |class, outcome| {
-        let tries = vec![asked(End::Refused { retry_after: None })];
-        broken(class, tries, vec![attempt(1, 2_000, outcome)], vec![])
+        let tries = vec![client_try(End::Refused { retry_after: None })];
+        broken_rules(class, tries, vec![attempt(1, 2_000, outcome)], vec![])
     };
     assert_eq!(broken_by_refusal(2, AttemptOutcome::Ran), [Rule::Refusals]);
     assert_eq!(broken_by_refusal(2, AttemptOutcome::Declined), []);
@@ -142,7 +152,7 @@
 }
 
 #[test]
-fn sends_after_a_drain_count_from_when_it_was_told() {
+fn sends_after_a_drain_notice_are_breaches_once_the_grace_period_is_over() {
     let notice = |at, ready| AvailabilityNotice {
         node: 0,
         server: 1,
@@ -157,12 +167,15 @@
             notice(200_000, false),
         ]
     };
-    assert_eq!(broken(0, vec![], at(390_000), notices()), []);
-    assert_eq!(broken(0, vec![], at(410_000), notices()), [Rule::Drains]);
-    let back = [notices(), vec![notice(300_000, true)]].concat();
-    assert_eq!(broken(0, vec![], at(410_000), back), []);
+    assert_eq!(broken_rules(0, vec![], at(390_000), notices()), []);
     assert_eq!(
-        broken(
+        broken_rules(0, vec![], at(410_000), notices()),
+        [Rule::Drains]
+    );
+    let ready_again = [notices(), vec![notice(300_000, true)]].concat();
+    assert_eq!(broken_rules(0, vec![], at(410_000), ready_again), []);
+    assert_eq!(
+        broken_rules(
             0,
             vec![],
             vec![attempt(2, 410_000, AttemptOutcome::Ran)],
@@ -171,13 +184,13 @@
         [],
         "another server"
     );
-    // A node that does not ask counts as informed all the same.
+    // A node that requests no list counts as informed after the longest delay of a notice.
     let change = |ready, at| AvailabilityChange {
         server: 1,
         ready,
         at,
     };
-    let unheard = |at, availability_changes| {
+    let breaches_without_notice = |at, availability_changes| {
         let attempts = vec![attempt(1, at, AttemptOutcome::Ran)];
         let record = Record {
             attempts,
@@ -186,16 +199,22 @@
         };
         check(&record, &default_classes(), |_| 0).len()
     };
-    assert_eq!(unheard(6_200_000, vec![change(false, 0)]), 0);
-    assert_eq!(unheard(6_400_000, vec![change(false, 0)]), 1);
     assert_eq!(
-        unheard(6_400_000, vec![change(false, 0), change(true, 5_000_000)]),
+        breaches_without_notice(6_200_000, vec![change(false, 0)]),
+        0
+    );
+    assert_eq!(
+        breaches_without_notice(6_400_000, vec![change(false, 0)]),
+        1
+    );
+    assert_eq!(
+        breaches_without_notice(6_400_000, vec![change(false, 0), change(true, 5_000_000)]),
         0
     );
 }
 
 #[test]
-fn what_falls_over_counts_where_the_nodes_could_know() {
+fn only_overloads_that_the_nodes_could_have_avoided_are_breaches() {
     let overload = |server, cold_share| Overload {
         server,
         at: 1,
@@ -203,7 +222,7 @@
         capacity: 3.0,
         cold_share,
     };
-    let rules = |overload| {
+    let breach_count = |overload| {
         let record = Record {
             overloads: vec![overload],
             ..Record::default()
@@ -212,9 +231,9 @@
     };
     assert_eq!(
         (
-            rules(overload(Some(1), 1.0)),
-            rules(overload(None, 0.5)),
-            rules(overload(None, 0.1))
+            breach_count(overload(Some(1), 1.0)),
+            breach_count(overload(None, 0.5)),
+            breach_count(overload(None, 0.1))
         ),
         (1, 1, 0)
     );
--- a/crates/lab/tests/rule_checker.rs
+++ b/crates/lab/tests/rule_checker.rs
@@ -1,4 +1,4 @@
-//! The rule checker: for each rule a faulty node whose breach it reports, and a correct node of which it reports none.
+//! Rule checker: a breach is reported for a faulty node of each kind, and none for a correct node.
 
 use serde_json::Value;
 use slatelink_lab::nodes::Program;
@@ -12,26 +12,26 @@
 use std::sync::Arc;
 use std::thread;
 
-/// What a faulty node does wrong.
+/// Fault of a simulated node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum NodeFault {
     None,
-    /// Ends a kept connection in place of an answer.
-    Loses,
-    /// Answers a second time.
-    Doubles,
-    /// Answers by itself, without a server.
-    Invents,
-    /// Sends everything to two servers.
-    Repeats,
-    /// Refuses what has run.
-    Refuses,
-    /// Goes on sending to the server it began with, whatever discovery reports.
-    Ignores,
+    /// Closes a reused connection instead of responding.
+    LosesResponse,
+    /// Sends each response twice.
+    DuplicatesResponse,
+    /// Responds without contacting a server.
+    FabricatesResponse,
+    /// Sends each request to two servers.
+    RepeatsRequest,
+    /// Refuses each request after a server has run it.
+    RefusesAfterRun,
+    /// Sends to the servers that were ready at its start, whatever discovery reports later.
+    IgnoresDiscovery,
 }
 
-/// A message: its head, and its body.
-fn read(stream: &mut BufReader<TcpStream>) -> io::Result<(String, Vec<u8>)> {
+/// Reads one HTTP message and returns its head and body.
+fn read_message(stream: &mut BufReader<TcpStream>) -> io::Result<(String, Vec<u8>)> {
     let (mut head, mut length) = (String::new(), 0);
     loop {
         let mut line = String::new();
@@ -52,15 +52,15 @@
     }
 }
 
-fn ask(address: &str, head: &str, body: &[u8]) -> io::Result<(String, Vec<u8>)> {
+fn send_request(address: &str, head: &str, body: &[u8]) -> io::Result<(String, Vec<u8>)> {
     let mut stream = TcpStream::connect(address)?;
     stream.write_all(&[head.as_bytes(), body].concat())?;
-    read(&mut BufReader::new(stream))
+    read_message(&mut BufReader::new(stream))
 }
 
-/// Addresses of the servers that discovery calls ready.
-fn ready(discovery: &str) -> io::Result<Vec<String>> {
-    let (_, body) = ask(
+/// Returns the addresses of the servers that discovery reports as ready.
+fn ready_servers(discovery: &str) -> io::Result<Vec<String>> {
+    let (_, body) = send_request(
         discovery,
         "GET /v1/servers HTTP/1.1\r\nHost: d\r\n\r\n",
         b"",
@@ -81,60 +81,68 @@
         let discovery = config["discovery"].as_str().unwrap().to_owned();
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address: SocketAddr = listener.local_addr()?;
-        let first = ready(&discovery)?;
+        let initial_servers = ready_servers(&discovery)?;
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (discovery, first) = (discovery.clone(), first.clone());
-                // A connection that breaks ends its thread.
-                thread::spawn(move || serve(stream, fault, &discovery, &first));
+                let (discovery, initial_servers) = (discovery.clone(), initial_servers.clone());
+                // An I/O error ends the thread of its connection.
+                thread::spawn(move || {
+                    serve_connection(stream, fault, &discovery, &initial_servers)
+                });
             }
         });
         Ok(address)
     }))
 }
 
-fn serve(stream: TcpStream, fault: NodeFault, discovery: &str, first: &[String]) -> io::Result<()> {
+fn serve_connection(
+    stream: TcpStream,
+    fault: NodeFault,
+    discovery: &str,
+    initial_servers: &[String],
+) -> io::Result<()> {
     let mut out = stream.try_clone()?;
     let mut reader = BufReader::new(stream);
     for served in 0.. {
-        let (head, body) = read(&mut reader)?;
+        let (head, body) = read_message(&mut reader)?;
         if head.starts_with("GET /healthz") {
             out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")?;
             continue;
         }
-        let now = ready(discovery)?;
-        let servers = if fault == NodeFault::Ignores {
-            first.to_vec()
+        let current_servers = ready_servers(discovery)?;
+        let servers = if fault == NodeFault::IgnoresDiscovery {
+            initial_servers.to_vec()
         } else {
-            now
+            current_servers
         };
-        let (answer, value) = match fault {
-            NodeFault::Invents => (
+        let (response_head, response_body) = match fault {
+            NodeFault::FabricatesResponse => (
                 "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n".to_owned(),
                 b"value".to_vec(),
             ),
-            _ => ask(&servers[0], &head, &body)?,
+            _ => send_request(&servers[0], &head, &body)?,
         };
         match fault {
-            NodeFault::Loses if served > 0 => return Ok(()),
-            NodeFault::Repeats => drop(ask(&servers[1], &head, &body)?),
-            NodeFault::Refuses => {
+            NodeFault::LosesResponse if served > 0 => return Ok(()),
+            NodeFault::RepeatsRequest => drop(send_request(&servers[1], &head, &body)?),
+            NodeFault::RefusesAfterRun => {
                 out.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")?;
                 continue;
             }
             _ => {}
         }
-        let whole = [answer.as_bytes(), &value[..]].concat();
-        out.write_all(&whole)?;
-        if fault == NodeFault::Doubles {
-            out.write_all(&whole)?;
+        let response = [response_head.as_bytes(), &response_body[..]].concat();
+        out.write_all(&response)?;
+        if fault == NodeFault::DuplicatesResponse {
+            out.write_all(&response)?;
         }
     }
     Ok(())
 }
 
-fn broken(fault: NodeFault, rest: &str) -> BTreeSet<Rule> {
-    // Every class a third, and work short enough for one server: what is slow would hide the fault.
+fn broken_rules(fault: NodeFault, sections: &str) -> BTreeSet<Rule> {
+    // Each class has a large share, and the work is short enough for a single server: slow
+    // responses would hide the fault.
     let class = |name: &str, effect: &str, share: &str| {
         format!(
             "[[class]]\nname = \"{name}\"\nshare = {share}\neffect = \"{effect}\"\nwork_ms = 1\naim_ms = 2000\n\
@@ -149,7 +157,7 @@
     .concat();
     let text = format!(
         "about = \"x\"\nseconds = 2\n[load]\nrate = 40\nretries = 0\n[fleet]\nnodes = 1\nservers = 3\nwarm_s = 30\n\
-         discovery_late_s = 0.01\nqueue = 500\nfall_s = 0.1\nfall_times = 0.2\n{classes}{rest}"
+         discovery_late_s = 0.01\nqueue = 500\nfall_s = 0.1\nfall_times = 0.2\n{classes}{sections}"
     );
     let scenario = Scenario::parse(&text, Path::new("day.toml")).unwrap();
     let played = play(&scenario, &Options::new(node(fault), 1)).unwrap();
@@ -160,32 +168,32 @@
 #[test]
 fn a_correct_node_breaks_no_rule() {
     let drain = "[[fault]]\nat_s = 0.5\nkind = \"drain\"\nservers = [0]\n";
-    assert_eq!(broken(NodeFault::None, drain), BTreeSet::new());
+    assert_eq!(broken_rules(NodeFault::None, drain), BTreeSet::new());
 }
 
 #[test]
 fn each_rule_is_reported_for_the_node_that_breaks_it() {
     let cases = [
-        (NodeFault::Loses, "", vec![Rule::OneAnswer]),
-        (NodeFault::Doubles, "", vec![Rule::OneAnswer]),
-        (NodeFault::Invents, "", vec![Rule::OneAnswer]),
-        (NodeFault::Repeats, "", vec![Rule::Repeats]),
-        (NodeFault::Refuses, "", vec![Rule::Refusals]),
+        (NodeFault::LosesResponse, "", vec![Rule::OneAnswer]),
+        (NodeFault::DuplicatesResponse, "", vec![Rule::OneAnswer]),
+        (NodeFault::FabricatesResponse, "", vec![Rule::OneAnswer]),
+        (NodeFault::RepeatsRequest, "", vec![Rule::Repeats]),
+        (NodeFault::RefusesAfterRun, "", vec![Rule::Refusals]),
         (
-            NodeFault::Ignores,
+            NodeFault::IgnoresDiscovery,
             "[[fault]]\nat_s = 0.5\nkind = \"drain\"\nservers = [0]\n",
             vec![Rule::Drains],
         ),
-        // All of the load on a server that has just come back cold is more than it can take.
+        // The node sends all requests to server 0, which has just restarted cold and is overloaded.
         (
             NodeFault::None,
             "[[fault]]\nat_s = 0.3\nfor_s = 0.2\nkind = \"kill\"\nservers = [0]\n\
              [[load.change]]\nkind = \"burst\"\nat_s = 0.8\nfor_s = 1.2\ntimes = 10\n",
-            vec![Rule::PushedOver],
+            vec![Rule::Overloads],
         ),
     ];
-    for (fault, rest, rules) in cases {
-        let broken = broken(fault, rest);
+    for (fault, sections, rules) in cases {
+        let broken = broken_rules(fault, sections);
         assert!(
             rules.iter().all(|rule| broken.contains(rule)),
             "{fault:?}: {broken:?} lacks {rules:?}"
