--- a/crates/cli/src/lab/compare.rs
+++ b/crates/cli/src/lab/compare.rs
@@ -47,7 +47,7 @@
     fn compare_reports(&self) -> CommandResult {
         match (read_report(&self.a), read_report(&self.b)) {
             (Ok(a), Ok(b)) => {
-                print!("{}", compare::pair(&a, &b));
+                print!("{}", compare::compare_runs(&a, &b));
                 Ok(ExitCode::SUCCESS)
             }
             (Err(error), _) | (_, Err(error)) => unusable(error),
@@ -69,7 +69,7 @@
                 eprintln!("slatelink: stopped");
                 return Ok(ExitCode::from(BROKEN));
             };
-            print!("{}", compare::paired(&name, &pairs));
+            print!("{}", compare::compare_paired_runs(&name, &pairs));
         }
         Ok(ExitCode::SUCCESS)
     }
--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -137,7 +137,7 @@
     assert!(page.matches("<svg").count() == 5 && page.contains("day: <span class=\"well\">holds"));
     let json = |seed: u32| out.join(format!("day-{seed}.json")).display().to_string();
     let compared = slatelink(&["lab", "compare", &json(5), &json(6)]);
-    assert!(text(&compared.stdout).contains("not the same day"));
+    assert!(text(&compared.stdout).contains("are different loads"));
     assert!(text(&compared.stdout).contains("worth in time"));
 }
 
--- a/crates/lab/src/page.rs
+++ b/crates/lab/src/page.rs
@@ -1,4 +1,4 @@
-//! A report as one HTML page that needs nothing beside it: the figures as tables, time lines as SVG.
+//! Renders a report as one self-contained HTML page, with figures as tables and time lines as SVG.
 
 mod chart;
 
@@ -6,45 +6,45 @@
 use chart::Line;
 pub use chart::PageError;
 
-/// Server lines in one chart: the busiest ones.
+/// Maximum number of server lines in one chart; the busiest servers are shown.
 const MAX_SERVER_LINES: usize = 16;
 
-/// A page as it is put together.
+/// HTML page under construction.
 #[derive(Default)]
 struct Page(String);
 
 impl Page {
-    /// Appends a line.
-    fn put(&mut self, text: &str) {
+    /// Appends a line with its line break.
+    fn push_line(&mut self, text: &str) {
         self.0.extend([text, "\n"]);
     }
 
-    /// Appends text that the next line goes on from.
-    fn put_part(&mut self, text: &str) {
+    /// Appends text without a line break.
+    fn push_text(&mut self, text: &str) {
         self.0.push_str(text);
     }
 }
 
 impl Report {
-    /// The page.
+    /// Returns the report as an HTML page.
     pub fn html(&self) -> Result<String, PageError> {
         let mut page = Page::default();
-        self.put_header(&mut page);
+        self.push_header(&mut page);
         if !self.holds {
-            self.put_failures(&mut page);
+            self.push_failures(&mut page);
         }
-        self.put_classes(&mut page);
-        self.put_ends(&mut page);
-        self.put_charts(&mut page)?;
+        self.push_classes(&mut page);
+        self.push_outcomes(&mut page);
+        self.push_charts(&mut page)?;
         if !self.faults.is_empty() {
-            self.put_faults(&mut page);
+            self.push_faults(&mut page);
         }
         Ok(page.0)
     }
 
-    fn put_header(&self, page: &mut Page) {
+    fn push_header(&self, page: &mut Page) {
         let verdict = if self.holds { "holds" } else { "does not hold" };
-        page.put(&format!(
+        page.push_line(&format!(
             "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}: {verdict}</title><style>{STYLE}</style>\
              <h1>{name}: <span class=\"{class}\">{verdict}</span></h1><p>{about}</p>\
              <p>Seed {seed}. {asked} requests in {seconds:.1} s ({offered:.0} a second), {attempts} attempts at servers, \
@@ -61,74 +61,74 @@
             late = self.rig_late_ms,
         ));
         if let Some(doubt) = &self.doubt {
-            page.put(&format!("<p class=\"ill\">{}</p>", escape(doubt)));
+            page.push_line(&format!("<p class=\"ill\">{}</p>", escape(doubt)));
         }
     }
 
-    /// Rules that were broken and expectations that do not hold.
-    fn put_failures(&self, page: &mut Page) {
-        page.put("<h2>What does not hold</h2><ul>");
+    /// Appends the broken rules and the expectations that are not met.
+    fn push_failures(&self, page: &mut Page) {
+        page.push_line("<h2>Failed checks</h2><ul>");
         for (rule, count) in &self.broken {
-            page.put(&format!("<li>Rule broken {count} times: {}", escape(rule)));
+            page.push_line(&format!("<li>Rule broken {count} times: {}", escape(rule)));
         }
         for unmet in &self.unmet {
-            page.put(&format!("<li>{}", escape(unmet)));
+            page.push_line(&format!("<li>{}", escape(unmet)));
         }
         for breach in &self.breaches {
-            page.put(&format!("<li class=\"small\">{}", escape(&breach.what)));
+            page.push_line(&format!("<li class=\"small\">{}", escape(&breach.what)));
         }
-        page.put("</ul>");
+        page.push_line("</ul>");
     }
 
-    fn put_classes(&self, page: &mut Page) {
-        page.put("<h2>By class</h2><table><tr><th>class<th>asked<th>worth in time<th>late<th>unserved<th>p50 ms<th>p90 ms<th>p99 ms<th>most ms");
+    fn push_classes(&self, page: &mut Page) {
+        page.push_line("<h2>By class</h2><table><tr><th>class<th>asked<th>worth in time<th>late<th>unserved<th>p50 ms<th>p90 ms<th>p99 ms<th>max ms");
         for (name, figures) in &self.classes {
-            page.put(&row(name, figures));
+            page.push_line(&class_row(name, figures));
         }
-        page.put(&row("all", &self.all));
-        page.put_part("</table>");
+        page.push_line(&class_row("all", &self.all));
+        page.push_text("</table>");
     }
 
-    fn put_ends(&self, page: &mut Page) {
-        page.put("<h2>Tries by how they ended</h2><table><tr>");
+    fn push_outcomes(&self, page: &mut Page) {
+        page.push_line("<h2>Tries by outcome</h2><table><tr>");
         for end in self.ends.keys() {
-            page.put(&format!("<th>{}", words(end)));
+            page.push_line(&format!("<th>{}", spaced(end)));
         }
-        page.put("<tr>");
+        page.push_line("<tr>");
         for count in self.ends.values() {
-            page.put(&format!("<td>{count}"));
+            page.push_line(&format!("<td>{count}"));
         }
-        page.put("</table>");
+        page.push_line("</table>");
     }
 
-    fn put_charts(&self, page: &mut Page) -> Result<(), PageError> {
-        page.put(
+    fn push_charts(&self, page: &mut Page) -> Result<(), PageError> {
+        page.push_line(
             "<h2>Share of the worth served in time, by the second in which requests were due</h2>",
         );
-        let served = [self.line("served", |second| second.served)];
-        page.put(&self.chart("service", "share", &served, Some(1.0))?);
-        page.put("<h2>Milliseconds from due to answered</h2>");
+        let served = [self.line_by_second("served", |second| second.served)];
+        page.push_line(&self.chart("service", "share", &served, Some(1.0))?);
+        page.push_line("<h2>Latency in milliseconds, from due time to response</h2>");
         let times = [
-            self.line("p50", |second| second.p50_ms),
-            self.line("p99", |second| second.p99_ms),
+            self.line_by_second("p50", |second| second.p50_ms),
+            self.line_by_second("p99", |second| second.p99_ms),
         ];
-        page.put(&self.chart("latency", "ms", &times, None)?);
-        page.put("<h2>Tries a second that did not serve, by cause</h2>");
-        page.put(&self.chart("causes", "tries", &self.causes(), None)?);
-        page.put("<h2>Requests held by each server, at most in each second</h2>");
-        page.put(&self.chart("held", "requests", &self.busiest_servers(), None)?);
-        page.put("<h2>Calls held by the database, at most in each second</h2>");
+        page.push_line(&self.chart("latency", "ms", &times, None)?);
+        page.push_line("<h2>Tries per second that were not served, by outcome</h2>");
+        page.push_line(&self.chart("causes", "tries", &self.failure_lines(), None)?);
+        page.push_line("<h2>Maximum number of requests held by each server, by second</h2>");
+        page.push_line(&self.chart("held", "requests", &self.busiest_server_lines(), None)?);
+        page.push_line("<h2>Maximum number of calls held by the database, by second</h2>");
         let calls = self.database.iter().map(|calls| *calls as f64).collect();
         let calls = [Line {
             name: "database".to_owned(),
             points: calls,
         }];
-        page.put(&self.chart("database", "calls", &calls, None)?);
+        page.push_line(&self.chart("database", "calls", &calls, None)?);
         Ok(())
     }
 
-    fn put_faults(&self, page: &mut Page) {
-        page.put("<h2>Faults</h2><table><tr><th>kind<th>whom<th>from s<th>to s");
+    fn push_faults(&self, page: &mut Page) {
+        page.push_line("<h2>Faults</h2><table><tr><th>kind<th>target<th>from s<th>to s");
         for FaultSpan {
             kind,
             whom,
@@ -136,21 +136,21 @@
             to,
         } in &self.faults
         {
-            let kind = words(kind);
-            page.put(&format!("<tr><td>{kind}<td>{whom}<td>{from:.1}<td>{to:.1}"));
+            let kind = spaced(kind);
+            page.push_line(&format!("<tr><td>{kind}<td>{whom}<td>{from:.1}<td>{to:.1}"));
         }
-        page.put("</table>");
+        page.push_line("</table>");
     }
 
-    fn line(&self, name: &str, figure: fn(&Second) -> f64) -> Line {
+    fn line_by_second(&self, name: &str, figure: fn(&Second) -> f64) -> Line {
         Line {
             name: name.to_owned(),
             points: self.by_second.iter().map(figure).collect(),
         }
     }
 
-    /// A line for each way in which tries ended without serving.
-    fn causes(&self) -> Vec<Line> {
+    /// Returns a line for each outcome of tries that were not served.
+    fn failure_lines(&self) -> Vec<Line> {
         let ends = self.ends.keys().filter(|end| **end != "served");
         let line = |end: &&'static str| {
             let counts = self
@@ -158,18 +158,18 @@
                 .iter()
                 .map(|second| *second.ends.get(end).unwrap_or(&0) as f64);
             Line {
-                name: words(end),
+                name: spaced(end),
                 points: counts.collect(),
             }
         };
         ends.map(line).collect()
     }
 
-    /// A line for each of the busiest servers.
-    fn busiest_servers(&self) -> Vec<Line> {
+    /// Returns a line for each of the busiest servers.
+    fn busiest_server_lines(&self) -> Vec<Line> {
         let count = self.held.first().map_or(0, Vec::len);
         let mut servers: Vec<(usize, Vec<f64>)> = (0..count)
-            .map(|server| (server, self.held_by(server)))
+            .map(|server| (server, self.held_by_server(server)))
             .collect();
         servers.sort_by(|a, b| b.1.iter().sum::<f64>().total_cmp(&a.1.iter().sum()));
         servers.truncate(MAX_SERVER_LINES);
@@ -181,7 +181,7 @@
         servers.into_iter().map(line).collect()
     }
 
-    fn held_by(&self, server: usize) -> Vec<f64> {
+    fn held_by_server(&self, server: usize) -> Vec<f64> {
         let held = self.held.iter().map(|second| second[server] as f64);
         held.collect()
     }
@@ -193,8 +193,8 @@
     td:first-child,th:first-child{text-align:left}.well{color:#176b2c}.ill{color:#a61b1b}.small{font-size:13px}\
     h2{font-size:1.05rem;margin:1.6rem 0 .4rem}svg{max-width:100%;height:auto}";
 
-/// A class's row of the table of classes.
-fn row(name: &str, figures: &Figures) -> String {
+/// Returns the row of a class in the table of classes.
+fn class_row(name: &str, figures: &Figures) -> String {
     format!(
         "<tr><td>{}<td>{}<td>{:.1} %<td>{}<td>{}<td>{:.1}<td>{:.1}<td>{:.1}<td>{:.1}",
         escape(name),
@@ -209,12 +209,12 @@
     )
 }
 
-/// A stored name as words.
-fn words(name: &str) -> String {
+/// Returns a stored name with spaces in place of underscores.
+fn spaced(name: &str) -> String {
     name.replace('_', " ")
 }
 
-/// Text as HTML.
+/// Escapes text for HTML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;")
         .replace('<', "&lt;")
--- a/crates/lab/src/page/chart.rs
+++ b/crates/lab/src/page/chart.rs
@@ -1,4 +1,4 @@
-//! Charts of a report's page: lines over the seconds of a run, with faults as bands, as SVG.
+//! SVG charts of the HTML page: lines over the seconds of a run, with faults as bands.
 
 use crate::report::{FaultSpan, Report};
 use plotters::prelude::*;
@@ -6,41 +6,43 @@
 
 /// Width and height of a chart, in pixels of its SVG.
 const CHART_SIZE: (u32, u32) = (960, 240);
-/// The narrowest band of a fault is the chart's width divided by this: a fault of a moment is to be seen too.
-const NARROWEST_BANDS: f64 = 300.0;
-/// The vertical axis ends at least here: a chart of zeros needs a range.
+/// The minimum width of a fault band is the chart width divided by this number, so that an
+/// instantaneous fault is visible.
+const MIN_BAND_DIVISOR: f64 = 300.0;
+/// Minimum upper end of the vertical axis; a chart of zeros needs a range.
 const MIN_TOP: f64 = 1e-3;
 
-/// Why a page cannot be drawn.
+/// Error of drawing a chart of the page.
 #[derive(Debug, Error)]
 #[error("the chart {chart:?} cannot be drawn: {error}")]
 pub struct PageError {
-    /// Which chart.
+    /// Name of the chart.
     chart: &'static str,
-    /// What the drawing library reports.
+    /// Error of the drawing library.
     error: DrawError,
 }
 
-/// An error of drawing into a string.
+/// Error of drawing into a string.
 type DrawError = DrawingAreaErrorKind<std::io::Error>;
 
-/// The chart's plane: seconds, and the unit of its lines.
+/// Drawing plane of a chart: seconds on the horizontal axis, the unit of the lines on the vertical.
 type Plane<'a, 'b> = ChartContext<
     'a,
     SVGBackend<'b>,
     Cartesian2d<plotters::coord::types::RangedCoordf64, plotters::coord::types::RangedCoordf64>,
 >;
 
-/// A line of a chart.
+/// Line of a chart.
 pub(super) struct Line {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub(super) name: String,
-    /// A value for each second.
+    /// One value per second.
     pub(super) points: Vec<f64>,
 }
 
 impl Report {
-    /// A chart as SVG. The vertical axis ends at `top`, or above the highest point where there is none.
+    /// Returns a chart as SVG. The vertical axis ends at `top`, or above the highest point without
+    /// a `top`.
     pub(super) fn chart(
         &self,
         chart: &'static str,
@@ -79,7 +81,7 @@
             .bold_line_style(BLACK.mix(0.08))
             .draw()?;
         draw_lines(&mut chart, lines)?;
-        // A chart with a fixed top has one line, which its heading names.
+        // A chart with a fixed top has a single line, which its heading names.
         if lines.len() > 1 || fixed_top.is_none() {
             chart
                 .configure_series_labels()
@@ -92,7 +94,7 @@
 
     fn draw_faults(&self, chart: &mut Plane, end: f64, top: f64) -> Result<(), DrawError> {
         let bands = self.faults.iter().map(|FaultSpan { from, to, .. }| {
-            let to = to.max(from + end / NARROWEST_BANDS);
+            let to = to.max(from + end / MIN_BAND_DIVISOR);
             let colour = RGBColor(200, 60, 40).mix(0.10).filled();
             Rectangle::new([(*from, 0.0), (to, top)], colour)
         });
@@ -104,7 +106,7 @@
 fn draw_lines(chart: &mut Plane, lines: &[Line]) -> Result<(), DrawError> {
     for (index, line) in lines.iter().enumerate() {
         let style = Palette99::pick(index).to_rgba().stroke_width(2);
-        // A second's value stands over its middle.
+        // The value of a second is drawn at the middle of the second.
         let points = line
             .points
             .iter()
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -228,7 +228,7 @@
     /// Applied faults, one for each server or node they targeted.
     pub faults: Vec<AppliedFault>,
     /// Delay from the due time to the send of each first try, in microseconds. It is caused by the
-    /// rig, not by the node.
+    /// rig (the clients and their machine), not by the node.
     pub send_delays_us: Vec<u32>,
     /// Number of fetches and writes sent to the database.
     pub fetches: u64,
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run comes to: figures by class and second, the verdict, and its page.
+//! Report of a run: figures by class and by second, rule breaches, and the verdict.
 
 mod tally;
 mod text;
@@ -11,113 +11,116 @@
 use std::collections::BTreeMap;
 use tally::{rig_late_ms, Tallies};
 
-/// The rig's own lateness past which its figures are doubted: the 99th percentile, in milliseconds.
-pub const LATE_MS: f64 = 5.0;
-/// Times of a record are in microseconds.
+/// Limit of the 99th percentile of the rig's send delay, in milliseconds. Past this limit the
+/// report warns that its figures do not measure the node.
+pub const MAX_RIG_DELAY_MS: f64 = 5.0;
+/// Converts the times of a record, in microseconds, to seconds.
 const MICROS_PER_SECOND: u64 = 1_000_000;
-/// Breaches listed in full; all of them are counted.
+/// Maximum number of breaches listed in full; every breach is counted.
 const MAX_LISTED_BREACHES: usize = 20;
 
-/// Requests of a class, or of all.
+/// Figures of the requests of one class or of all classes.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
-    /// Requests.
+    /// Number of requests.
     pub asked: u64,
-    /// Served within the aim.
+    /// Requests served within the latency objective.
     pub in_time: u64,
-    /// Served later.
+    /// Requests served after the latency objective.
     pub late: u64,
-    /// Never served.
+    /// Requests that were never served.
     pub unserved: u64,
-    /// Share of the worth that was served in time.
+    /// Share of the priority weight that was served in time.
     pub served: f64,
-    /// Milliseconds from when the first try was due to the answer, of what was served: 50th, 90th, 99th percentile, most.
+    /// Median latency of served requests in milliseconds, from the due time of the first try to the
+    /// response.
     pub p50_ms: f64,
-    /// See `p50_ms`.
+    /// 90th percentile of the same latency.
     pub p90_ms: f64,
-    /// See `p50_ms`.
+    /// 99th percentile of the same latency.
     pub p99_ms: f64,
-    /// See `p50_ms`.
+    /// Maximum of the same latency.
     pub most_ms: f64,
 }
 
-/// One second of a run.
+/// Figures of one second of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Requests due in it.
+    /// Number of requests due in this second.
     pub asked: u64,
-    /// Share of their worth that was served in time.
+    /// Share of their priority weight that was served in time.
     pub served: f64,
-    /// Milliseconds, of those that were served.
+    /// Median latency of the served requests, in milliseconds.
     pub p50_ms: f64,
-    /// See `p50_ms`.
+    /// 99th percentile of the same latency.
     pub p99_ms: f64,
-    /// Tries by how they ended without serving.
+    /// Number of tries that were not served, by outcome.
     pub ends: BTreeMap<&'static str, u64>,
 }
 
-/// Something that went wrong, on the time line.
+/// Time span of a fault or of a load change.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FaultSpan {
-    /// Its kind.
+    /// Kind of the fault or change.
     pub kind: String,
-    /// Whom it struck.
+    /// Target: a server, a node, discovery or the load.
     pub whom: String,
-    /// Seconds.
+    /// Start in seconds.
     pub from: f64,
-    /// Seconds.
+    /// End in seconds.
     pub to: f64,
 }
 
-/// Everything that a report says.
+/// Report of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// What it is for.
+    /// Purpose of the scenario.
     pub about: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Whether rules and expectations hold.
+    /// Whether no rule is broken and every expectation is met.
     pub holds: bool,
-    /// Seconds that load arrived.
+    /// Duration of the load phase in seconds.
     pub seconds: f64,
-    /// Requests a second that were offered.
+    /// Offered load in requests per second.
     pub offered: f64,
-    /// All requests.
+    /// Figures of all requests.
     pub all: Figures,
-    /// By class.
+    /// Figures by class name.
     pub classes: BTreeMap<String, Figures>,
-    /// Tries, by how they ended.
+    /// Number of tries by outcome.
     pub ends: BTreeMap<&'static str, u64>,
-    /// Attempts at servers.
+    /// Number of attempts at servers.
     pub attempts: u64,
-    /// Fetches and writes that the database was sent.
+    /// Number of fetches and writes sent to the database.
     pub fetches: u64,
-    /// The worst second's share of the worth.
+    /// Lowest share of the priority weight served in time in any second.
     pub worst_second: f64,
-    /// How many times each rule was broken.
+    /// Number of breaches by rule.
     pub broken: BTreeMap<String, usize>,
-    /// The first of them, worded.
+    /// Descriptions of the first breaches, up to a limit.
     pub breaches: Vec<Breach>,
-    /// Expectations that do not hold.
+    /// Expectations that are not met.
     pub unmet: Vec<String>,
-    /// How late the rig sent first tries: 99th percentile in milliseconds. Not the node's doing.
+    /// 99th percentile of the rig's send delay of first tries, in milliseconds. It is not caused by
+    /// the node.
     pub rig_late_ms: f64,
-    /// What to make of the figures, where the rig was late.
+    /// Warning that the figures are unreliable, if the rig's send delay exceeds its limit.
     pub doubt: Option<String>,
-    /// By second.
+    /// Figures by second.
     pub by_second: Vec<Second>,
-    /// Faults, and changes of the load that have a beginning.
+    /// Faults, and load changes with a start and an end.
     pub faults: Vec<FaultSpan>,
-    /// By second and server: requests held at most.
+    /// Maximum number of requests held, by second and server.
     pub held: Vec<Vec<usize>>,
-    /// By second: calls at the database at most.
+    /// Maximum number of database calls held, by second.
     pub database: Vec<usize>,
 }
 
 impl Report {
-    /// Makes a report of a run.
+    /// Creates the report of a run.
     pub fn new(name: &str, scenario: &Scenario, seed: u64, played: &Played) -> Self {
         let Played {
             plan,
@@ -129,7 +132,7 @@
         let seconds = lasted.as_secs_f64().min(scenario.seconds.get());
         let tallies = Tallies::of(scenario, plan, record, seconds);
         let by_second = tallies.by_second();
-        let loads = LoadsBySecond::of(record, by_second.len());
+        let peaks = PeakLoads::of(record, by_second.len());
         let rig_late_ms = rig_late_ms(record);
         let mut report = Self {
             scenario: name.to_owned(),
@@ -151,11 +154,11 @@
             breaches: breaches.iter().take(MAX_LISTED_BREACHES).cloned().collect(),
             unmet: Vec::new(),
             rig_late_ms,
-            doubt: doubt(rig_late_ms),
+            doubt: rig_delay_warning(rig_late_ms),
             by_second,
             faults: fault_spans(scenario, record, seconds),
-            held: loads.held,
-            database: loads.database,
+            held: peaks.held,
+            database: peaks.database,
         };
         report.check_expectations(scenario);
         report
@@ -229,7 +232,8 @@
                 _ => "discovery".to_owned(),
             },
             from: *from as f64 / 1e6,
-            // What has no end of its own is a moment, but for what stays as it is.
+            // A fault without an end lasts to the end of the run if it persists; otherwise it is
+            // instantaneous.
             to: match until {
                 Some(until) => *until as f64 / 1e6,
                 None if kind.persists() => seconds,
@@ -241,7 +245,7 @@
     load.chain(faults).collect()
 }
 
-/// How many times each rule was broken.
+/// Counts the breaches of each rule.
 fn count_by_rule(breaches: &[Breach]) -> BTreeMap<String, usize> {
     let mut broken = BTreeMap::new();
     for breach in breaches {
@@ -250,24 +254,24 @@
     broken
 }
 
-/// What to make of the figures, where the rig sent tries this late.
-fn doubt(rig_late_ms: f64) -> Option<String> {
-    (rig_late_ms > LATE_MS).then(|| {
+/// Returns a warning about the figures if the rig's send delay exceeds its limit.
+fn rig_delay_warning(rig_late_ms: f64) -> Option<String> {
+    (rig_late_ms > MAX_RIG_DELAY_MS).then(|| {
         format!(
             "the rig itself sent first tries late ({rig_late_ms:.1} ms at the 99th percentile): its figures are no node's"
         )
     })
 }
 
-/// The most that servers and the database had to do at once, by second.
-struct LoadsBySecond {
-    /// By second and server: requests held.
+/// Peak load of the servers and of the database, by second.
+struct PeakLoads {
+    /// Maximum number of requests held, by second and server.
     held: Vec<Vec<usize>>,
-    /// By second: calls at the database.
+    /// Maximum number of database calls held, by second.
     database: Vec<usize>,
 }
 
-impl LoadsBySecond {
+impl PeakLoads {
     fn of(record: &Record, seconds: usize) -> Self {
         let last_server = record.samples.iter().map(|sample| sample.server).max();
         let servers = last_server.map_or(0, |last| last + 1);
--- a/crates/lab/src/report/tally.rs
+++ b/crates/lab/src/report/tally.rs
@@ -1,4 +1,4 @@
-//! Requests and tries of a run counted by class, by second and by how they ended.
+//! Counts requests and tries of a run by class, by second and by outcome.
 
 use super::{Figures, Second, MICROS_PER_SECOND};
 use crate::plan::Plan;
@@ -7,10 +7,10 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 
-/// Tries by the stored name of how they ended.
+/// Number of tries by the stored name of the outcome.
 type EndCounts = BTreeMap<&'static str, u64>;
 
-/// The stored name of how a try ended.
+/// Returns the stored name of an outcome.
 fn end_name(end: End) -> &'static str {
     match end {
         End::Served => "served",
@@ -24,43 +24,43 @@
     }
 }
 
-/// Requests of one group.
+/// Counts and latencies of one group of requests.
 pub(super) struct Tally {
     figures: Figures,
-    /// Priority weight of the requests that were served in time.
+    /// Total priority weight of the requests served in time.
     priority_weight_in_time: f64,
-    /// Priority weight of all requests.
+    /// Total priority weight of all requests.
     priority_weight: f64,
-    /// Microseconds from when the first try was due to the answer.
-    times: Histogram<u64>,
+    /// Latencies in microseconds, from the due time of the first try to the response.
+    latencies: Histogram<u64>,
 }
 
 impl Tally {
     #[allow(
         clippy::expect_used,
-        reason = "the bounds are constants that the crate accepts"
+        reason = "the bounds are constants in the range of the crate"
     )]
     fn new() -> Self {
-        // Microseconds up to ten minutes.
-        let times = Histogram::new_with_bounds(1, 600_000_000, 3)
-            .expect("three digits are in the crate's range");
+        // Microseconds, up to ten minutes.
+        let latencies = Histogram::new_with_bounds(1, 600_000_000, 3)
+            .expect("the bounds and three significant digits are in the range of the crate");
         Self {
             figures: Figures::default(),
             priority_weight_in_time: 0.0,
             priority_weight: 0.0,
-            times,
+            latencies,
         }
     }
 
-    /// Counts a request of this priority weight, served after `took` microseconds or never; `objective` is its latency
-    /// objective in microseconds.
-    fn add(&mut self, priority_weight: f64, took: Option<u64>, objective: u64) {
+    /// Counts a request that was served after `latency` microseconds, or never if `None`.
+    /// `objective` is its latency objective in microseconds.
+    fn add(&mut self, priority_weight: f64, latency: Option<u64>, objective: u64) {
         self.figures.asked += 1;
         self.priority_weight += priority_weight;
-        match took {
-            Some(took) => {
-                self.times.saturating_record(took.max(1));
-                if took <= objective {
+        match latency {
+            Some(latency) => {
+                self.latencies.saturating_record(latency.max(1));
+                if latency <= objective {
                     self.figures.in_time += 1;
                     self.priority_weight_in_time += priority_weight;
                 } else {
@@ -71,17 +71,17 @@
         }
     }
 
-    /// A quantile of the times, in milliseconds; 0 where nothing was served.
-    fn ms(&self, quantile: f64) -> f64 {
-        if self.times.is_empty() {
+    /// Returns a quantile of the latencies in milliseconds; 0 if no request was served.
+    fn quantile_ms(&self, quantile: f64) -> f64 {
+        if self.latencies.is_empty() {
             0.0
         } else {
-            self.times.value_at_quantile(quantile) as f64 / 1e3
+            self.latencies.value_at_quantile(quantile) as f64 / 1e3
         }
     }
 
-    /// Share of the priority weight that was served in time; 1 where there is none.
-    fn served(&self) -> f64 {
+    /// Returns the share of the priority weight that was served in time; 1 without any weight.
+    fn served_share(&self) -> f64 {
         if self.priority_weight > 0.0 {
             self.priority_weight_in_time / self.priority_weight
         } else {
@@ -89,20 +89,20 @@
         }
     }
 
-    /// The figures of the requests counted so far.
+    /// Returns the figures of the requests counted so far.
     pub(super) fn figures(&self) -> Figures {
         Figures {
-            served: self.served(),
-            p50_ms: self.ms(0.5),
-            p90_ms: self.ms(0.9),
-            p99_ms: self.ms(0.99),
-            most_ms: self.ms(1.0),
+            served: self.served_share(),
+            p50_ms: self.quantile_ms(0.5),
+            p90_ms: self.quantile_ms(0.9),
+            p99_ms: self.quantile_ms(0.99),
+            most_ms: self.quantile_ms(1.0),
             ..self.figures.clone()
         }
     }
 }
 
-/// One second's requests, and its tries that did not serve.
+/// Requests and unserved tries of one second.
 struct SecondTally {
     requests: Tally,
     ends: EndCounts,
@@ -119,7 +119,7 @@
 }
 
 impl Tallies {
-    /// Of a run whose load arrived for so many seconds.
+    /// Counts the requests and tries of a run with a load phase of `seconds`.
     pub(super) fn of(scenario: &Scenario, plan: &Plan, record: &Record, seconds: f64) -> Self {
         let empty = |_| SecondTally {
             requests: Tally::new(),
@@ -136,7 +136,8 @@
         tallies
     }
 
-    /// Counts tries by how they ended; when each request was served first, by its arrival.
+    /// Counts tries by outcome. Returns the time of the first served try of each request, by its
+    /// index in the plan.
     fn add_tries(&mut self, record: &Record) -> BTreeMap<u32, u64> {
         let mut served = BTreeMap::new();
         for tried in &record.tries {
@@ -152,7 +153,7 @@
         served
     }
 
-    /// Counts the requests that were sent, the first `sent_count` of the plan.
+    /// Counts the requests that were sent: the first `sent_count` requests of the plan.
     fn add_requests(
         &mut self,
         scenario: &Scenario,
@@ -163,20 +164,20 @@
         for (index, arrival) in plan.arrivals.iter().take(sent_count).enumerate() {
             let class = &scenario.classes[arrival.class];
             let due = arrival.due.as_micros() as u64;
-            let took = served.get(&(index as u32)).map(|at| at.saturating_sub(due));
+            let latency = served.get(&(index as u32)).map(|at| at.saturating_sub(due));
             let objective = (class.latency_objective_ms.get() * 1e3) as u64;
             let priority_weight = class.priority_weight.get();
-            self.all.add(priority_weight, took, objective);
+            self.all.add(priority_weight, latency, objective);
             if let Some(tally) = self.classes.get_mut(arrival.class) {
-                tally.add(priority_weight, took, objective);
+                tally.add(priority_weight, latency, objective);
             }
             if let Some(second) = self.seconds.get_mut(arrival.due.as_secs() as usize) {
-                second.requests.add(priority_weight, took, objective);
+                second.requests.add(priority_weight, latency, objective);
             }
         }
     }
 
-    /// The figures of each class.
+    /// Returns the figures by class name.
     pub(super) fn by_class(&self, scenario: &Scenario) -> BTreeMap<String, Figures> {
         let classes = scenario.classes.iter().zip(&self.classes);
         classes
@@ -184,24 +185,26 @@
             .collect()
     }
 
-    /// The figures of each second.
+    /// Returns the figures of each second.
     pub(super) fn by_second(&self) -> Vec<Second> {
         let figures = |SecondTally { requests, ends }: &SecondTally| Second {
             asked: requests.figures.asked,
-            served: requests.served(),
-            p50_ms: requests.ms(0.5),
-            p99_ms: requests.ms(0.99),
+            served: requests.served_share(),
+            p50_ms: requests.quantile_ms(0.5),
+            p99_ms: requests.quantile_ms(0.99),
             ends: ends.clone(),
         };
         self.seconds.iter().map(figures).collect()
     }
 }
 
-/// How late the rig sent first tries: the 99th percentile, in milliseconds.
+/// Returns the 99th percentile of the rig's send delay of first tries, in milliseconds.
 pub(super) fn rig_late_ms(record: &Record) -> f64 {
-    let mut late = Tally::new();
-    for late_us in &record.send_delays_us {
-        late.times.saturating_record(u64::from(*late_us).max(1));
+    let mut delays = Tally::new();
+    for delay_us in &record.send_delays_us {
+        delays
+            .latencies
+            .saturating_record(u64::from(*delay_us).max(1));
     }
-    late.ms(0.99)
+    delays.quantile_ms(0.99)
 }
--- a/crates/lab/src/report/text.rs
+++ b/crates/lab/src/report/text.rs
@@ -1,42 +1,42 @@
-//! A report as text for a terminal.
+//! Formats a report as text for a terminal.
 
 use super::{Figures, Report};
 
-/// Breaches printed in full.
+/// Maximum number of breaches printed in full.
 const MAX_PRINTED_BREACHES: usize = 5;
 
 impl Report {
-    /// The report for a terminal.
+    /// Returns the report as text for a terminal.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        let mut line = |what: String| text.extend([what.as_str(), "\n"]);
+        let mut push_line = |text_line: String| text.extend([text_line.as_str(), "\n"]);
         let verdict = if self.holds { "holds" } else { "DOES NOT HOLD" };
-        line(format!("{}: {verdict} (seed {})", self.scenario, self.seed));
-        line(format!(
+        push_line(format!("{}: {verdict} (seed {})", self.scenario, self.seed));
+        push_line(format!(
             "  {} requests in {:.1} s, {} attempts at servers, {} calls at the database; worth in time:",
             self.all.asked, self.seconds, self.attempts, self.fetches
         ));
         for (name, figures) in &self.classes {
-            line(class_line(name, figures));
+            push_line(class_line(name, figures));
         }
-        line(class_line("all", &self.all));
-        line(self.ends_line());
+        push_line(class_line("all", &self.all));
+        push_line(self.outcome_line());
         for (rule, count) in &self.broken {
-            line(format!("  rule broken {count} times: {rule}"));
+            push_line(format!("  rule broken {count} times: {rule}"));
         }
         for breach in self.breaches.iter().take(MAX_PRINTED_BREACHES) {
-            line(format!("    {}", breach.what));
+            push_line(format!("    {}", breach.what));
         }
         for unmet in &self.unmet {
-            line(format!("  not as expected: {unmet}"));
+            push_line(format!("  not as expected: {unmet}"));
         }
         if let Some(doubt) = &self.doubt {
-            line(format!("  doubt: {doubt}"));
+            push_line(format!("  warning: {doubt}"));
         }
         text
     }
 
-    fn ends_line(&self) -> String {
+    fn outcome_line(&self) -> String {
         let ends: Vec<_> = self
             .ends
             .iter()
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -333,14 +333,12 @@
         // The first of the consecutive "not ready" reports that immediately precede the send.
         let earlier_reports =
             &reports[..reports.partition_point(|(at, _)| *at <= attempt.first_byte_at)];
-        let not_ready_since = earlier_reports
+        let drained = earlier_reports
             .iter()
             .rev()
             .take_while(|(_, ready)| !ready)
             .last();
-        let Some((at, _)) = not_ready_since else {
-            continue;
-        };
+        let Some((at, _)) = drained else { continue };
         let restarted_since = starts.get(&attempt.node).is_some_and(|all| {
             all.iter()
                 .any(|start| start > at && *start <= attempt.first_byte_at)
