--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -31,7 +31,7 @@
 pub struct Totals {
     /// Share of the priority weight that was served in time.
     pub served: f64,
-    /// Median latency of served requests, in milliseconds.
+    /// 50th percentile of the latency of served requests, in milliseconds.
     pub p50_ms: f64,
     /// 99th percentile of the same latency.
     pub p99_ms: f64,
--- a/crates/lab/src/model.rs
+++ b/crates/lab/src/model.rs
@@ -102,7 +102,7 @@
     pub busy: usize,
     /// Requests queued for a core.
     pub waiting: usize,
-    /// All cores.
+    /// Number of cores.
     pub cores: usize,
 }
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -32,8 +32,8 @@
     pub unserved: u64,
     /// Share of the priority weight that was served in time.
     pub served: f64,
-    /// Median latency of served requests in milliseconds, from the due time of the first try to the
-    /// response.
+    /// 50th percentile of the latency of served requests in milliseconds, from the due time of the
+    /// first try to the response.
     pub p50_ms: f64,
     /// 90th percentile of the same latency.
     pub p90_ms: f64,
@@ -50,7 +50,7 @@
     pub asked: u64,
     /// Share of their priority weight that was served in time.
     pub served: f64,
-    /// Median latency of the served requests, in milliseconds.
+    /// 50th percentile of the latency of the served requests, in milliseconds.
     pub p50_ms: f64,
     /// 99th percentile of the same latency.
     pub p99_ms: f64,
