--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,9 +1,10 @@
-//! The lab: a whole platform on loopback around real nodes, and the checker that watches from outside.
+//! Test platform on loopback around real nodes, with a checker that observes them from outside.
 //!
-//! Owns stand-ins for discovery, cache servers, the player database, the front and the clients; open-loop load drawn
-//! ahead from a seed; faults on a time line; the rules; the reports. The models (`model`, `plan`, `rules`, `report`) do
-//! no I/O: time comes in as an argument, randomness as a seed. Nothing here believes what a node says of itself: the
-//! verdict rests on what stand-ins and clients saw.
+//! Owns stand-ins for discovery, cache servers, the player database, the front and the clients;
+//! open-loop load generated in advance from a seed; scheduled faults; the rules; the reports. The
+//! models (`model`, `plan`, `rules`, `report`) do no I/O: time is passed as an argument, randomness
+//! as a seed. The verdict never relies on a node's own statements, only on the observations of
+//! stand-ins and clients.
 #![warn(missing_docs)]
 
 pub mod client;
--- a/crates/lab/src/list_protocol.rs
+++ b/crates/lab/src/list_protocol.rs
@@ -1,105 +1,105 @@
-//! Discovery's protocol as its stand-ins speak it: a call read from its target, entries and answers as they are written.
+//! Discovery protocol of the stand-ins: parsing of calls, and serialisation of endpoint lists.
 
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The longest wait that a watch may ask for.
+/// Maximum wait of a watch; longer ones are capped.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(60);
-/// The path of calls for the list.
+/// Path of calls for the endpoint list.
 const LIST_PATH: &str = "/v1/servers";
 
-/// The answer to a call that is turned away.
+/// Response to a call that is refused.
 pub const REFUSED: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// The answer to a call for something else.
+/// Response to a call with any other path.
 pub const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 
-/// A call for the list.
+/// A call for the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListCall {
-    /// The version that the caller has; `None` where it asks for the whole list.
+    /// Version that the caller holds; `None` for a call for the complete list.
     pub after: Option<u64>,
-    /// How long it waits for something newer.
+    /// Maximum wait for a newer version.
     pub wait: Option<Duration>,
 }
 
 impl ListCall {
-    /// Reads a request's target; `None` where that is no call for the list.
+    /// Parses a request target; returns `None` if it is not a call for the endpoint list.
     pub fn parse(target: &str) -> Option<Self> {
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
         if path != LIST_PATH {
             return None;
         }
-        let figure = |name: &str| {
+        let number = |name: &str| {
             let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
             pairs
                 .find(|pair| pair.0 == name)
                 .and_then(|pair| pair.1.parse::<u64>().ok())
         };
-        let wait = figure("wait_ms").map(|wait| Duration::from_millis(wait).min(MAX_WATCH_WAIT));
+        let wait = number("wait_ms").map(|wait| Duration::from_millis(wait).min(MAX_WATCH_WAIT));
         Some(Self {
-            after: figure("after"),
+            after: number("after"),
             wait,
         })
     }
 }
 
-/// Whether an endpoint takes requests.
+/// Whether an endpoint accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Availability {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It takes no new requests and finishes those it has.
+    /// The endpoint accepts no new requests and completes the running ones.
     Draining,
-    /// It is no longer there.
+    /// The endpoint has left the fleet.
     #[serde(rename = "gone")]
     Removed,
 }
 
-/// An endpoint, as it is written in a list.
+/// An endpoint in the format of a list.
 #[derive(Debug, Serialize)]
 pub struct ListedEndpoint<'a> {
-    /// Its name, the same at every node.
+    /// Name of the endpoint, the same for every node.
     #[serde(rename = "host")]
     pub name: &'a str,
-    /// Where it listens for this node.
+    /// Address at which the endpoint listens for this node.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone of the endpoint.
     #[serde(rename = "site")]
     pub zone: &'a str,
-    /// Its kind of machine.
+    /// Machine class of the endpoint.
     pub class: &'a str,
-    /// Its group.
+    /// Group of the endpoint.
     pub block: u64,
-    /// Whether it takes requests.
+    /// Whether the endpoint accepts requests.
     #[serde(rename = "health")]
     pub availability: Availability,
-    /// Its weight.
+    /// Weight of the endpoint.
     #[serde(rename = "share")]
     pub weight: f64,
-    /// Its last start, in Unix time milliseconds; 0 for long ago.
+    /// Last start as Unix time in milliseconds; 0 for a start long ago.
     #[serde(rename = "born_ms")]
     pub started_ms: u64,
 }
 
-/// An endpoint list, as it is written.
+/// An endpoint list in the format of a response body.
 #[derive(Debug, Serialize)]
 pub struct EndpointListMessage<'a> {
-    /// Its version.
+    /// Version of the list.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether an endpoint that it lacks is removed.
+    /// Whether endpoints missing from the list are removed.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// All endpoints, or those that changed.
+    /// All endpoints of a complete list, or the changed ones.
     #[serde(rename = "hosts")]
     pub endpoints: Vec<ListedEndpoint<'a>>,
 }
 
 impl EndpointListMessage<'_> {
-    /// The HTTP message, head and body.
+    /// Returns the HTTP response, head and body.
     pub fn message(&self) -> serde_json::Result<Vec<u8>> {
         let body = serde_json::to_vec(self)?;
         let head = format!(
--- a/crates/lab/src/list_protocol/tests.rs
+++ b/crates/lab/src/list_protocol/tests.rs
@@ -1,8 +1,9 @@
 use super::*;
 
-// Guards against a stand-in that takes a watch for a call of the whole list, or waits without end.
+// Guards against a stand-in that answers a watch with the complete list, or lets it wait without
+// limit.
 #[test]
-fn a_call_is_read_with_its_version_and_a_bounded_wait() {
+fn list_call_is_parsed_with_its_version_and_a_capped_wait() {
     let call = |after, wait: Option<u64>| ListCall {
         after,
         wait: wait.map(Duration::from_millis),
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A day of the lab, as a TOML file: fleet, load, faults on a time line, and what is expected of it.
+//! Scenario of a run as a TOML file: fleet, load, scheduled faults and expected results.
 
 mod check;
 mod fault;
@@ -16,73 +16,73 @@
 use thiserror::Error;
 use toml::Spanned;
 
-/// Why a scenario cannot be played.
+/// Error of a scenario that cannot be run.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
     /// The file cannot be read.
     #[error("cannot read {}: {error}", .path.display())]
     Unreadable {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         error: std::io::Error,
     },
-    /// It is no scenario.
+    /// The file is not a valid scenario.
     #[error("{} line {line}: {what}", .path.display())]
     Malformed {
-        /// Which.
+        /// Path of the file.
         path: PathBuf,
-        /// Where, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// What was read and what was expected.
+        /// Value met and value expected.
         what: String,
     },
 }
 
-/// A whole scenario.
+/// A complete scenario.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// One line on what it is for.
+    /// Purpose of the scenario in one line.
     pub about: String,
-    /// How long load arrives, in seconds.
+    /// Duration of the load phase in seconds.
     pub seconds: Bounded<100, 3_600_000>,
-    /// Of all that is drawn, unless the command names another.
+    /// Seed of all random values, unless the command line sets another.
     #[serde(default)]
     pub seed: u64,
-    /// Nodes and cache servers.
+    /// Nodes and cache servers under load.
     #[serde(default)]
     pub fleet: Fleet,
     /// The player database.
     #[serde(default)]
     pub database: Database,
-    /// What is asked.
+    /// Request rate and client behaviour.
     pub load: Load,
-    /// Classes of requests; the usual three where none stands here.
+    /// Classes of requests; the three default classes if the file defines none.
     #[serde(default = "default_classes", rename = "class")]
     pub classes: Vec<Class>,
-    /// What goes wrong.
+    /// Scheduled faults.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Spanned<Fault>>,
-    /// Section `front` of each node's operators' file, as the node reads it.
+    /// Section `front` of the operators' file of each node, in the node's own format.
     #[serde(default, skip_serializing_if = "toml::Table::is_empty")]
     pub front: toml::Table,
-    /// What must hold beside the rules.
+    /// Expected results in addition to the rules.
     #[serde(default)]
     pub expect: Expect,
 }
 
-/// What must hold beside the rules.
+/// Expected results in addition to the rules.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Expect {
-    /// At least this share of the worth is served in time.
+    /// Minimum share of the priority weight that is served in time.
     pub served: Option<Share>,
-    /// At least this share in the worst second.
+    /// Minimum share of the priority weight served in time in the worst second.
     pub worst_second: Option<Share>,
-    /// At most this share of the tries is refused.
+    /// Maximum share of tries that are refused.
     pub refused: Option<Share>,
-    /// The 99th percentile of served requests, at most.
+    /// Maximum 99th percentile of the latency of served requests.
     pub p99_ms: Option<Milliseconds>,
 }
 
@@ -96,7 +96,7 @@
         Self::parse(&text, path)
     }
 
-    /// Reads a scenario from its text; `path` is for the errors.
+    /// Parses a scenario from its text; `path` is used only in error messages.
     pub fn parse(text: &str, path: &Path) -> Result<Self, ScenarioError> {
         let malformed = |offset: usize, what: String| {
             let line = text.get(..offset).unwrap_or_default().matches('\n').count() + 1;
--- a/crates/lab/src/scenario/check.rs
+++ b/crates/lab/src/scenario/check.rs
@@ -1,54 +1,57 @@
-//! What a scenario must hold beyond the types of its fields.
+//! Validation of a scenario beyond the types of its fields.
 
 use super::{Fault, FaultKind, Fleet, Scenario};
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-/// Nodes of a fleet.
+/// Allowed number of nodes in a fleet.
 const NODES: RangeInclusive<usize> = 1..=64;
-/// Cache servers of a fleet.
+/// Allowed number of cache servers in a fleet.
 const SERVERS: RangeInclusive<usize> = 1..=512;
-/// Cores of a cache server.
+/// Allowed number of cores of a cache server.
 const CORES: RangeInclusive<usize> = 1..=64;
-/// The classes' shares may miss 1 by this much: they are written in decimals.
+/// Tolerated deviation of the sum of class shares from 1: shares are decimal fractions.
 const SHARE_TOLERANCE: f64 = 1e-6;
 
-/// A scenario that makes no sense.
+/// Validation error and its position in the scenario text.
 #[derive(Debug)]
 pub(super) struct InvalidScenario {
-    /// The byte of its text where that shows.
+    /// Byte offset of the invalid part in the text.
     pub(super) offset: usize,
-    /// Why.
+    /// Cause of the rejection.
     pub(super) problem: Problem,
 }
 
-/// Why a scenario makes no sense.
+/// Cause of the rejection of a scenario.
 #[derive(Debug, Error)]
 pub(super) enum Problem {
-    #[error("a fleet has 1 to 64 nodes, 1 to 512 servers and 1 to 64 cores each, not {nodes}, {servers} and {cores}")]
+    #[error("fleet of {nodes} nodes and {servers} servers with {cores} cores each, expected 1 to 64 nodes, 1 to 512 servers and 1 to 64 cores")]
     FleetSize {
         nodes: usize,
         servers: usize,
         cores: usize,
     },
-    #[error("zones, database workers and keys cannot be none")]
-    Nothing,
-    #[error("the classes' shares add up to {0}, not to 1")]
+    #[error("zones, database workers and keys must each be at least 1")]
+    ZeroCount,
+    #[error("the class shares add up to {0}, expected 1")]
     Shares(f64),
-    #[error("at_s {at_s} lies past the scenario's {end_s} s")]
+    #[error("at_s {at_s} is after the end of the scenario at {end_s} s")]
     FaultAfterEnd { at_s: f64, end_s: f64 },
-    #[error("zone {zone:?} is none of {zones:?}")]
+    #[error("unknown zone {zone:?}, expected one of {zones:?}")]
     UnknownZone { zone: String, zones: Vec<String> },
-    #[error("server {server} is none of 0 to {last}")]
+    #[error("unknown server {server}, expected 0 to {last}")]
     UnknownServer { server: usize, last: usize },
-    #[error("node {node} is none of 0 to {last}")]
+    #[error("unknown node {node}, expected 0 to {last}")]
     UnknownNode { node: usize, last: usize },
-    #[error("a fault of kind {kind} needs {needs}")]
-    FaultNeeds { kind: String, needs: &'static str },
+    #[error("a fault of kind {kind} requires {required}")]
+    MissingField {
+        kind: String,
+        required: &'static str,
+    },
 }
 
 impl Scenario {
-    /// Checks what types alone do not say.
+    /// Checks the constraints that the field types do not express.
     pub(super) fn check(&self) -> Result<(), InvalidScenario> {
         self.check_fleet_and_load()
             .map_err(|problem| InvalidScenario { offset: 0, problem })?;
@@ -78,7 +81,7 @@
             });
         }
         if zones.is_empty() || self.database.workers == 0 || self.load.keys == 0 {
-            return Err(Problem::Nothing);
+            return Err(Problem::ZeroCount);
         }
         let shares: f64 = self.classes.iter().map(|class| class.share.get()).sum();
         if (shares - 1.0).abs() > SHARE_TOLERANCE {
@@ -93,23 +96,23 @@
             return Err(Problem::FaultAfterEnd { at_s, end_s });
         }
         self.check_fault_targets(fault)?;
-        let needs = |needs| {
+        let missing = |required| {
             let kind = serde_json::to_string(&fault.kind).unwrap_or_default();
-            Err(Problem::FaultNeeds { kind, needs })
+            Err(Problem::MissingField { kind, required })
         };
         if fault.kind.targets_servers() && fault.target_servers(&self.fleet).is_empty() {
-            return needs("servers or a zone");
+            return missing("servers or a zone");
         }
         if fault.kind.targets_nodes() && fault.nodes.is_empty() {
-            return needs("nodes");
+            return missing("nodes");
         }
         if matches!(fault.kind, FaultKind::Slow | FaultKind::DiscoveryLate) && fault.by.is_none() {
-            return needs("by");
+            return missing("by");
         }
         Ok(())
     }
 
-    /// Checks that the zone, servers and nodes that a fault names are in the fleet.
+    /// Checks that the zone, servers and nodes of a fault exist in the fleet.
     fn check_fault_targets(&self, fault: &Fault) -> Result<(), Problem> {
         let Fleet {
             nodes,
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -1,32 +1,33 @@
-//! Faults on the time line: what goes wrong, when, and with which servers or nodes.
+//! Scheduled faults: kind, time, and the affected servers or nodes.
 
 use super::fleet::Fleet;
 use super::number::{Bounded, Factor, Seconds};
 use serde::{Deserialize, Serialize};
 
-/// Something that goes wrong, from `at_s` on; with `for_s` it ends by itself.
+/// A fault that begins at `at_s`; with `for_s` it ends by itself.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When, in seconds from the start.
+    /// Start time in seconds from the start of the load.
     pub at_s: Seconds,
-    /// For how long; to the end where nothing stands here.
+    /// Duration; until the end of the run if absent.
     pub for_s: Option<Seconds>,
-    /// What.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// Which servers, by place from 0.
+    /// Indexes of the affected servers, from 0.
     #[serde(default)]
     pub servers: Vec<usize>,
-    /// Or all servers of this zone.
+    /// Zone whose servers are all affected, in place of `servers`.
     pub zone: Option<String>,
-    /// Which nodes, by place from 0.
+    /// Indexes of the affected nodes, from 0.
     #[serde(default)]
     pub nodes: Vec<usize>,
-    /// For `slow`: so many times slower. For `discovery_late`: seconds.
+    /// For `slow`: the slowdown factor. For `discovery_late`: the additional delay in seconds.
     pub by: Option<Factor>,
-    /// For `drain`: so many seconds after it is gone it is back, cold; else it stays away.
+    /// For `drain`: seconds from the removal until the server returns, cold; it stays removed if
+    /// absent.
     pub back_s: Option<Seconds>,
-    /// Each server or node so many seconds after the one before.
+    /// Seconds between the starts of the fault at consecutive servers or nodes.
     #[serde(default = "Fault::no_interval")]
     pub apart_s: Seconds,
 }
@@ -36,7 +37,7 @@
         Bounded(0.0)
     }
 
-    /// The servers it targets, of so many dealt out over these zones.
+    /// Returns the servers of the fleet that the fault targets.
     pub fn target_servers(&self, fleet: &Fleet) -> Vec<usize> {
         match &self.zone {
             Some(zone) => (0..fleet.servers)
@@ -51,55 +52,58 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// A server's process dies: connections are reset and new ones too. After `for_s` it is back, cold and empty.
+    /// The process of a server dies: open and new connections are reset. After `for_s` the server
+    /// restarts, cold and with an empty cache.
     Kill,
-    /// A server accepts and never answers.
+    /// A server accepts connections and never answers.
     Hang,
-    /// A server works `by` times slower.
+    /// A server works slower by the factor `by`.
     Slow,
-    /// A server runs each request and resets its connection.
+    /// A server runs each request and resets the connection without a response.
     Reset,
-    /// A server sends half of each answer and closes.
+    /// A server sends half of each response and closes the connection.
     #[serde(rename = "half")]
     Truncate,
-    /// A server answers with what is no HTTP.
+    /// A server answers with bytes that are not HTTP.
     Garbage,
-    /// A server resets new connections and serves those it has.
+    /// A server resets new connections and still serves the open ones.
     Refuse,
-    /// Discovery reports that a server drains; after `for_s` it is gone, and back after `back_s`.
+    /// Discovery reports a server as draining; after `for_s` the server is removed, and after a
+    /// further `back_s` it returns.
     Drain,
-    /// A server leaves and a new one, cold and with another id, takes its place in the list.
+    /// A server leaves the list and a new one, cold and with another id, replaces it.
     Replace,
-    /// A server is cut off: nothing comes through, nothing is said. After `for_s` old connections are reset.
+    /// A server is partitioned from the nodes: its connections stay silent. After `for_s` the
+    /// connections opened before are reset.
     #[serde(rename = "cut")]
     Partition,
-    /// Discovery is down: calls are reset.
+    /// Discovery is down: its connections are reset.
     DiscoveryDown,
-    /// Discovery answers every call 503.
+    /// Discovery answers every call with status 503.
     DiscoveryRefuses,
-    /// Discovery reports changes `by` seconds later than usual.
+    /// Discovery reports changes with an additional delay of `by` seconds.
     DiscoveryLate,
-    /// Discovery reports all servers as ready, whatever they are.
+    /// Discovery reports all servers as ready, whatever their state.
     #[serde(rename = "discovery_lies")]
     DiscoveryReportsAllReady,
-    /// A node is killed and starts again after `for_s`.
+    /// A node is killed and restarts after `for_s`.
     NodeKill,
-    /// A node gets SIGTERM and, once it has ended, starts again.
+    /// A node receives SIGTERM and restarts once it has exited.
     NodeTerm,
-    /// A node gets SIGHUP with another address of discovery.
+    /// A node receives SIGHUP with a new discovery address.
     NodeHup,
 }
 
 impl FaultKind {
-    /// Whether it targets servers.
+    /// Returns whether the fault targets servers.
     pub fn targets_servers(self) -> bool {
         !self.targets_nodes() && !self.targets_discovery()
     }
-    /// Whether it targets nodes.
+    /// Returns whether the fault targets nodes.
     pub fn targets_nodes(self) -> bool {
         matches!(self, Self::NodeKill | Self::NodeTerm | Self::NodeHup)
     }
-    /// Whether one without an end of its own stays as it is.
+    /// Returns whether a fault without a duration stays in effect until the end of the run.
     pub fn persists(self) -> bool {
         !self.targets_nodes() && self != Self::Replace
     }
--- a/crates/lab/src/scenario/fleet.rs
+++ b/crates/lab/src/scenario/fleet.rs
@@ -7,47 +7,49 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Cache servers.
+    /// Number of cache servers.
     pub servers: usize,
-    /// Names of the zones; servers are dealt out over them in turn.
+    /// Names of the zones; servers are assigned to zones round-robin.
     pub zones: Vec<String>,
-    /// Cores of a server.
+    /// Number of cores of a server.
     pub cores: usize,
-    /// Speed of a core, of a standard one; servers are spread evenly from the first to the second.
+    /// Slowest and fastest core speed, relative to a standard core; servers are spread evenly
+    /// between the two.
     pub speed: [Factor; 2],
-    /// Requests that may wait at a server; more are turned away with `Srv-Declined: 1`.
+    /// Maximum queue length of a server; further requests are rejected with `Srv-Declined: 1`.
     pub queue: usize,
-    /// Connections that a server holds; more are reset.
+    /// Maximum number of open connections of a server; further ones are reset.
     pub connections: usize,
-    /// Values that a server holds, in KiB.
+    /// Size of a server's cache in KiB.
     pub memory_kib: usize,
-    /// A server that starts has this share of its capacity at first.
+    /// Share of its full capacity that a server has when it starts.
     pub cold_share: Share,
-    /// And all of it after so many seconds, evenly.
+    /// Seconds over which the capacity of a started server rises linearly to its full value.
     pub warm_s: Seconds,
-    /// Sent more than this multiple of its capacity for `fall_s` while cold, it falls over and stays down.
+    /// A cold server that receives more work than this multiple of its capacity over `fall_s`
+    /// becomes overloaded and stays down.
     pub fall_times: Factor,
-    /// See `fall_times`, in seconds.
+    /// Span over which `fall_times` is measured, in seconds.
     pub fall_s: Seconds,
-    /// Servers close a connection that has stood idle for so many seconds.
+    /// Idle time in seconds after which servers close a connection.
     pub idle_close_s: Seconds,
-    /// Whether a cancelled request that waits is dropped; one at work always goes on.
+    /// Whether a queued request is dropped when it is cancelled; a running one always continues.
     pub drops_cancelled: bool,
-    /// Whether answers hold load reports (`Srv-Load`).
+    /// Whether responses contain load reports (`Srv-Load`).
     pub reports: bool,
-    /// Whether servers answer `GET /healthz` and `GET /load`; else both are 404.
+    /// Whether servers answer `GET /healthz` and `GET /load`; otherwise both return 404.
     pub probes: bool,
-    /// Discovery reports a change so many seconds late.
+    /// Delay in seconds before discovery reports a change.
     pub discovery_late_s: Seconds,
-    /// Descriptors of a node.
+    /// File descriptor limit of a node.
     pub sockets: usize,
-    /// Memory of a node, in MB: it is told so, and not held to it.
+    /// Memory limit of a node in MB: written into its configuration, and not enforced by the lab.
     pub memory_mb: u32,
-    /// Of a node's descriptors, clients use at most this share for their connections.
+    /// Maximum share of a node's file descriptors that clients use for their connections.
     pub clients: Share,
-    /// So many seconds after a node's death the front deals it no more connections.
+    /// Seconds after the death of a node until the front stops sending it connections.
     pub front_late_s: Seconds,
 }
 
@@ -80,27 +82,27 @@
 }
 
 impl Fleet {
-    /// The zone of a server.
+    /// Returns the zone of a server.
     pub fn zone(&self, server: usize) -> &str {
         &self.zones[server % self.zones.len()]
     }
 }
 
-/// The player database: one queue, so many workers.
+/// The player database: one queue and a fixed number of workers.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Database {
-    /// Fetches and writes that it works on at once.
+    /// Number of workers, each with one fetch or write at a time.
     pub workers: usize,
-    /// Mean time of one, in milliseconds.
+    /// Mean duration of a fetch or write, in milliseconds.
     pub work_ms: Milliseconds,
-    /// Those that may wait; more fail at once.
+    /// Maximum number of queued fetches and writes; further ones fail at once.
     pub queue: usize,
-    /// Sent more than this multiple of what it can do for `fall_s`, it stops.
+    /// A database that receives more work than this multiple of its capacity over `fall_s` stops.
     pub fall_times: Factor,
-    /// See `fall_times`, in seconds.
+    /// Span over which `fall_times` is measured, in seconds.
     pub fall_s: Seconds,
-    /// For so many seconds.
+    /// Seconds for which a database that has stopped stays down.
     pub down_s: Seconds,
 }
 
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -3,31 +3,31 @@
 use super::number::{share, Bounded, Factor, Milliseconds, Seconds, Share};
 use serde::{Deserialize, Serialize};
 
-/// What is asked, and how clients behave.
+/// Request rate and client behaviour.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// First tries a second.
+    /// Rate of first tries per second.
     pub rate: Bounded<1, 200_000_000>,
-    /// Keys there are.
+    /// Number of keys.
     #[serde(default = "Load::default_keys")]
     pub keys: u32,
-    /// Exponent of their Zipf distribution.
+    /// Exponent of the Zipf distribution of keys.
     #[serde(default = "Load::default_zipf")]
     pub zipf: Bounded<1, 5_000>,
-    /// Tries a client makes after the first.
+    /// Maximum number of tries after the first.
     #[serde(default = "Load::default_retries")]
     pub retries: u8,
-    /// It waits so long before each.
+    /// Wait before each further try.
     #[serde(default = "Load::default_wait")]
     pub retry_wait_ms: Milliseconds,
-    /// A client gives a try up after this share of its class's deadline.
+    /// Timeout of a try, as a share of the deadline of its class.
     #[serde(rename = "patience", default = "Load::default_patience")]
     pub give_up_share: Share,
     /// Share of the clients that honour `Retry-After`.
     #[serde(rename = "heed", default = "Load::default_heed")]
     pub honours_retry_after: Share,
-    /// Changes of the load on the time line.
+    /// Scheduled changes of the load.
     #[serde(default, rename = "change")]
     pub changes: Vec<Change>,
 }
@@ -53,55 +53,55 @@
     }
 }
 
-/// A change of the load. Several at once multiply.
+/// A change of the load. Rate changes that overlap are multiplied.
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, tag = "kind", rename_all = "snake_case")]
 pub enum Change {
-    /// A sine over the whole time: the rate goes up and down by this share.
+    /// A sine wave over the whole run, around the base rate.
     Wave {
-        /// Seconds from crest to crest.
+        /// Period in seconds.
         period_s: Bounded<10, 3_600_000>,
-        /// Of the rate.
+        /// Amplitude as a share of the rate.
         depth: Share,
     },
-    /// So many times the rate.
+    /// The rate is multiplied for a limited time.
     Burst {
-        /// From.
+        /// Start in seconds from the start of the load.
         at_s: Seconds,
-        /// For.
+        /// Duration in seconds.
         for_s: Seconds,
-        /// Of the rate.
+        /// Multiple of the rate.
         times: Factor,
     },
-    /// Evenly from the rate at the start to this multiple at the end.
+    /// Linear change from the base rate at the start to a multiple of it at the end.
     Ramp {
-        /// At the end.
+        /// Multiple of the rate at the end.
         to: Factor,
     },
-    /// A few keys draw a share of the reads.
+    /// A few keys receive a share of the reads.
     HotKey {
-        /// From.
+        /// Start in seconds from the start of the load.
         at_s: Seconds,
-        /// For.
+        /// Duration in seconds.
         for_s: Seconds,
-        /// Of the reads.
+        /// Share of the affected reads.
         share: Share,
-        /// How many keys.
+        /// Number of hot keys.
         keys: u32,
     },
-    /// A share of the reads asks for keys that are wanted only once.
+    /// A share of the reads requests keys that are read only once.
     Scan {
-        /// From.
+        /// Start in seconds from the start of the load.
         at_s: Seconds,
-        /// For.
+        /// Duration in seconds.
         for_s: Seconds,
-        /// Of the reads.
+        /// Share of the affected reads.
         share: Share,
     },
 }
 
 impl Change {
-    /// Its name, beginning and length in seconds, where it has one.
+    /// Returns the name, start and duration in seconds of a change of limited duration.
     pub fn span(&self) -> Option<(&'static str, f64, f64)> {
         match self {
             Self::Burst { at_s, for_s, .. } => Some(("burst", at_s.get(), for_s.get())),
@@ -112,16 +112,16 @@
     }
 }
 
-/// What a repeat of a request does.
+/// Effect of a repeated request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
-    /// Nothing: it may be repeated at any time.
+    /// No effect: the request may be repeated at any time.
     #[serde(rename = "safe")]
     Idempotent,
-    /// Nothing within the repeat window: servers drop duplicates by their key.
+    /// No effect within the repeat window: servers drop duplicates by their key.
     Keyed,
-    /// It runs again: it must not be repeated.
+    /// The request runs again: it must not be repeated.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
@@ -130,27 +130,27 @@
 #[derive(Clone, Debug, PartialEq, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Of all requests.
+    /// Share of all requests.
     pub share: Share,
-    /// What a repeat of a request does.
+    /// Effect of a repeated request.
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
-    /// For a keyed class: servers drop repeats for so many seconds.
+    /// For a keyed class: seconds for which servers drop repeats.
     #[serde(rename = "window_s", default = "Class::default_window")]
     pub repeat_window_s: Seconds,
-    /// Whether it goes on to the database and voids kept copies.
+    /// Whether its requests are forwarded to the database and invalidate cached copies.
     #[serde(default)]
     pub write: bool,
-    /// Mean work on a standard core.
+    /// Mean work of a request in milliseconds on a standard core.
     pub work_ms: Bounded<1, 60_000_000>,
-    /// Answers within this time after the first try was due count as in time.
+    /// Maximum time from the due time of the first try for a response to count as in time.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: Bounded<1_000, 60_000_000>,
-    /// The client gives a request up after this time.
+    /// Time after which the client abandons a request.
     pub deadline_ms: Bounded<1_000, 60_000_000>,
-    /// Weight of a request in the share that is served in time.
+    /// Weight of a request in the share served in time.
     #[serde(rename = "worth")]
     pub priority_weight: Bounded<0, 1_000_000>,
 }
@@ -161,7 +161,8 @@
     }
 }
 
-/// Lookups, queue-joins and entry fees, as the operators' fleet has them, a quarter of the times.
+/// Returns the lookup, queue-join and entry-fee classes of the operators' fleet with their times
+/// divided by four.
 pub fn default_classes() -> Vec<Class> {
     let class =
         |name: &str, class_share, idempotency, write, work, aim, deadline, priority_weight| Class {
--- a/crates/lab/src/scenario/number.rs
+++ b/crates/lab/src/scenario/number.rs
@@ -1,17 +1,17 @@
-//! Numbers with a stated range, checked as they are read.
+//! Numbers with a fixed range, validated when they are parsed.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A number that is not in its range.
+/// Error of a number outside its range.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 #[error("{value} is not a number from {min} to {max}")]
 pub struct OutOfRange {
-    /// What was read.
+    /// Value met.
     pub value: f64,
-    /// The least that is allowed.
+    /// Minimum allowed value.
     pub min: f64,
-    /// The most that is allowed.
+    /// Maximum allowed value.
     pub max: f64,
 }
 
@@ -21,7 +21,7 @@
 pub struct Bounded<const MIN: u64, const MAX: u64>(pub(super) f64);
 
 impl<const MIN: u64, const MAX: u64> Bounded<MIN, MAX> {
-    /// The number.
+    /// Returns the number.
     pub fn get(self) -> f64 {
         self.0
     }
@@ -31,7 +31,7 @@
     type Error = OutOfRange;
     fn try_from(value: f64) -> Result<Self, OutOfRange> {
         let (min, max) = (MIN as f64 / 1e3, MAX as f64 / 1e3);
-        // Not a number is in no range.
+        // NaN fails both comparisons and is rejected.
         if value >= min && value <= max {
             Ok(Self(value))
         } else {
@@ -46,11 +46,11 @@
     }
 }
 
-/// A part of a whole, 0 to 1.
+/// A fraction from 0 to 1.
 pub type Share = Bounded<0, 1_000>;
-/// Seconds on the time line, up to an hour.
+/// Seconds, up to an hour.
 pub type Seconds = Bounded<0, 3_600_000>;
-/// A multiple, a thousandth to a thousand.
+/// A factor from 0.001 to 1000.
 pub type Factor = Bounded<1, 1_000_000>;
 /// Milliseconds, up to a minute.
 pub type Milliseconds = Bounded<0, 60_000_000>;
--- a/crates/lab/src/scenario/tests.rs
+++ b/crates/lab/src/scenario/tests.rs
@@ -6,9 +6,9 @@
         .to_string()
 }
 
-// Guards against a typing error that plays another day than the one that was meant.
+// Guards against a typing error in a scenario file that silently runs a different scenario.
 #[test]
-fn what_is_wrong_is_told_with_its_line_and_what_was_expected() {
+fn parse_errors_name_the_line_and_the_expected_value() {
     let head = "about = \"x\"\nseconds = 5\n[load]\nrate = 10\n";
     assert!(Scenario::parse(head, Path::new("day.toml")).is_ok());
     let cases = [
@@ -22,11 +22,11 @@
         ),
         (
             &format!("{head}[[fault]]\nat_s = 9\nkind = \"kill\"\nservers = [0]\n"),
-            "line 5: at_s 9 lies past",
+            "line 5: at_s 9 is after the end of the scenario at 5 s",
         ),
         (
             &format!("{head}[[fault]]\nat_s = 1\nkind = \"kill\"\nservers = [9]\n"),
-            "server 9 is none of 0 to 8",
+            "unknown server 9, expected 0 to 8",
         ),
         (
             &format!("{head}[[fault]]\nat_s = 1\nkind = \"kil\"\n"),
@@ -34,14 +34,18 @@
         ),
         (
             &format!("{head}[[fault]]\nat_s = 1\nkind = \"slow\"\nservers = [1]\n"),
-            "needs by",
+            "requires by",
         ),
         (
             &format!("{head}[[fault]]\nat_s = 1\nkind = \"node_kill\"\n"),
-            "needs nodes",
+            "requires nodes",
         ),
     ];
-    for (text, told) in cases {
-        assert!(error(text).contains(told), "{} lacks {told}", error(text));
+    for (text, expected) in cases {
+        assert!(
+            error(text).contains(expected),
+            "{} lacks {expected}",
+            error(text)
+        );
     }
 }
