--- a/crates/cli/src/lab/idle.rs
+++ b/crates/cli/src/lab/idle.rs
@@ -3,7 +3,7 @@
 use crate::exit::{unusable, CommandResult};
 use crate::node_arguments::NodeArguments;
 use clap::Args;
-use slatelink_lab::idle::{self, Crowd};
+use slatelink_lab::idle::{self, IdleSample};
 use std::io::{self, Write};
 use std::process::ExitCode;
 
@@ -54,7 +54,7 @@
         "idle", "KiB", "bytes each", "look-up p50 ms", "p99 ms"
     )?;
     for crowd in &measured.crowds {
-        let Crowd {
+        let IdleSample {
             held,
             resident_kib,
             bytes_each,
--- a/crates/cli/src/lab/play.rs
+++ b/crates/cli/src/lab/play.rs
@@ -1,7 +1,7 @@
 //! Plays one scenario with a progress bar on the terminal.
 
 use indicatif::{ProgressBar, ProgressStyle};
-use slatelink_lab::client::Live;
+use slatelink_lab::client::LiveCounters;
 use slatelink_lab::nodes::Program;
 use slatelink_lab::report::Report;
 use slatelink_lab::run::{play, Options};
@@ -61,9 +61,9 @@
     bar
 }
 
-fn show(bar: &ProgressBar, scenario: &Scenario, live: &Live) {
+fn show(bar: &ProgressBar, scenario: &Scenario, live: &LiveCounters) {
     let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-    let (begun, in_time) = (count(&live.begun), count(&live.in_time));
+    let (begun, in_time) = (count(&live.started), count(&live.in_time));
     if begun == 0 {
         return;
     }
--- a/crates/cli/src/lab/run.rs
+++ b/crates/cli/src/lab/run.rs
@@ -61,7 +61,7 @@
         }
         self.node.start_log();
         let program = if self.direct {
-            Program::Nothing
+            Program::NoNode
         } else {
             self.node.program()?
         };
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -4,7 +4,7 @@
 use crate::node_arguments::NodeArguments;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
-use slatelink_lab::client::Live;
+use slatelink_lab::client::LiveCounters;
 use slatelink_lab::report::Report;
 use slatelink_lab::run::{play, Options, StartedNode};
 use slatelink_lab::scenario::{Scenario, ScenarioError};
@@ -131,9 +131,9 @@
 }
 
 impl Counts {
-    fn of(live: &Live) -> Self {
+    fn of(live: &LiveCounters) -> Self {
         Self {
-            begun: load(&live.begun),
+            begun: load(&live.started),
             in_time: load(&live.in_time),
             refused: load(&live.refused),
         }
@@ -162,10 +162,10 @@
 }
 
 /// A table that is drawn anew each second where a terminal is there, and a line a second where not.
-fn watch(live: &Live, is_over: impl Fn() -> bool) {
+fn watch(live: &LiveCounters, is_over: impl Fn() -> bool) {
     let terminal = io::stdout().is_terminal();
     let table = table(terminal);
-    let (mut before, mut at) = (Counts::of(&Live::default()), Instant::now());
+    let (mut before, mut at) = (Counts::of(&LiveCounters::default()), Instant::now());
     while !is_over() {
         thread::sleep(POLL_INTERVAL);
         if at.elapsed() < DISPLAY_INTERVAL {
@@ -196,9 +196,9 @@
     table
 }
 
-fn table_text(rates: &Rates, live: &Live) -> String {
+fn table_text(rates: &Rates, live: &LiveCounters) -> String {
     let (p50, p99) = live.percentiles();
-    let tripped = live.tripped_within(BREAKER_SPAN);
+    let tripped = live.breakers_opened_within(BREAKER_SPAN);
     let failed = load(&live.failed);
     let Rates {
         requests,
@@ -213,9 +213,9 @@
     )
 }
 
-fn line_text(rates: &Rates, live: &Live) -> String {
+fn line_text(rates: &Rates, live: &LiveCounters) -> String {
     let (p50, p99) = live.percentiles();
-    let tripped = live.tripped_within(BREAKER_SPAN);
+    let tripped = live.breakers_opened_within(BREAKER_SPAN);
     let failed = load(&live.failed);
     let Rates {
         requests,
--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -128,8 +128,8 @@
     let again = slatelink(&["lab", "run", &day, "--json", "--log-format", "json"]);
     let logged: Value = serde_json::from_str(text(&again.stderr).lines().next().unwrap()).unwrap();
     assert_eq!(
-        (&logged["message"], &logged["life"]),
-        (&"a node".into(), &"Ready".into())
+        (&logged["message"], &logged["process_event"]),
+        (&"node process event".into(), &"Ready".into())
     );
     let again: Value = serde_json::from_str(text(&again.stdout).trim()).unwrap();
     assert_eq!(again["all"]["asked"], reports[0]["all"]["asked"]);
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -1,8 +1,10 @@
-//! The clients and the front that deals out their connections: open-loop load with impatient retries.
+//! The clients, and the front that distributes their connections: open-loop load with timeouts and
+//! retries.
 //!
-//! A request's first try is sent when it is due, whatever earlier answers do, and its time counts from then: a slow
-//! answer cannot hold back what would have shown it (no coordinated omission). How late the rig itself sent a try is
-//! kept apart.
+//! The first try of a request is sent when it is due, independent of earlier responses, and its
+//! latency counts from that time: a slow response cannot delay the requests that would reveal it
+//! (no coordinated omission). The delay by which the lab itself sent a try late is recorded
+//! separately.
 
 mod exchange;
 mod live;
@@ -12,7 +14,7 @@
 use crate::record::{End, Record, Try, TryId};
 use crate::scenario::{Class, Load, Scenario};
 use exchange::Exchange;
-pub use live::{percentiles, Live};
+pub use live::{percentiles, LiveCounters};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -23,28 +25,28 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout_at};
 
-/// How long a wait for the next arrival may go on before the word to stop is looked for.
+/// Interval of checks of the stop flag during a wait for the next arrival.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Where the front sends new connections: a node's address while it counts as up.
-pub type Table = Arc<RwLock<Vec<Option<SocketAddr>>>>;
+/// Addresses to which the front sends new connections, by node; `None` while a node counts as down.
+pub type AddressTable = Arc<RwLock<Vec<Option<SocketAddr>>>>;
 
-/// A connection to a node, which counts as open for as long as this lives.
-struct Link {
+/// A connection to a node, counted as open until it is dropped.
+struct NodeConnection {
     conn: Conn,
     node: usize,
     open_connections: Rc<Vec<Cell<usize>>>,
 }
 
-impl Drop for Link {
+impl Drop for NodeConnection {
     fn drop(&mut self) {
         self.open_connections[self.node].set(self.open_connections[self.node].get() - 1);
     }
 }
 
-/// An idle connection, and the last try on it.
-struct Pooled {
-    link: Link,
+/// An idle connection and the last try sent on it.
+struct IdleConnection {
+    connection: NodeConnection,
     last: Try,
 }
 
@@ -54,25 +56,25 @@
     classes: Vec<Class>,
     load: Load,
     start: Instant,
-    table: Table,
-    live: Arc<Live>,
+    table: AddressTable,
+    live: Arc<LiveCounters>,
     stop: Arc<AtomicBool>,
-    /// Connections to a node at most.
+    /// Maximum number of connections to a node.
     max_connections_per_node: usize,
-    idle: RefCell<Vec<Pooled>>,
+    idle: RefCell<Vec<IdleConnection>>,
     open_connections: Rc<Vec<Cell<usize>>>,
     next_node: Cell<usize>,
     record: RefCell<Record>,
 }
 
 impl Clients {
-    /// Clients that ask what is planned.
+    /// Creates the clients that send the planned requests.
     pub fn new(
         scenario: &Scenario,
         plan: Arc<Plan>,
         start: Instant,
-        table: Table,
-        live: Arc<Live>,
+        table: AddressTable,
+        live: Arc<LiveCounters>,
         stop: Arc<AtomicBool>,
     ) -> Rc<Self> {
         let nodes = table.read().map_or(0, |table| table.len());
@@ -94,7 +96,7 @@
         })
     }
 
-    /// Sends all that is planned, and gives what was seen once all of it has ended.
+    /// Sends all planned requests and returns the observations once all of them have ended.
     pub async fn run(self: Rc<Self>) -> Record {
         let mut requests = JoinSet::new();
         for index in 0..self.plan.arrivals.len() {
@@ -110,17 +112,17 @@
                 .late
                 .push(due.elapsed().as_micros().min(u128::from(u32::MAX)) as u32);
             requests.spawn_local(self.clone().request(index));
-            // What has ended is taken out, or the set would hold the whole day.
+            // Removes completed tasks; otherwise the set would grow for the whole run.
             while requests.try_join_next().is_some() {}
         }
         while requests.join_next().await.is_some() {}
-        // A second answer may stand on a connection that nobody has used since.
+        // A second response may be unread on a connection that was not used again.
         let mut record = self.record.take();
-        for mut pooled in self.idle.take() {
-            if pooled.link.conn.stale() == Some(true) {
+        for mut idle_connection in self.idle.take() {
+            if idle_connection.connection.conn.stale() == Some(true) {
                 record.tries.push(Try {
                     end: End::Twice,
-                    ..pooled.last
+                    ..idle_connection.last
                 });
             }
         }
@@ -132,7 +134,7 @@
     }
 
     async fn request(self: Rc<Self>, index: usize) {
-        self.live.begun.fetch_add(1, Ordering::Relaxed);
+        self.live.started.fetch_add(1, Ordering::Relaxed);
         let arrival = &self.plan.arrivals[index];
         let class = &self.classes[arrival.class];
         let first_due = self.start + arrival.due;
@@ -150,9 +152,9 @@
             let end = self.send_try(id, arrival, class, due, deadline).await;
             match end {
                 End::Served | End::Twice | End::Foreign => {
-                    let took = first_due.elapsed();
-                    let late = took.as_secs_f64() * 1e3 > class.latency_objective_ms.get();
-                    self.live.served(took, late);
+                    let latency = first_due.elapsed();
+                    let late = latency.as_secs_f64() * 1e3 > class.latency_objective_ms.get();
+                    self.live.served(latency, late);
                     return;
                 }
                 End::Refused {
@@ -169,7 +171,8 @@
         self.live.failed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// One try; on a kept connection that its node closed just then, once more on a new one.
+    /// Sends one try; if the node closed the idle connection at that moment, repeats it on a new
+    /// connection.
     async fn send_try(
         &self,
         id: TryId,
@@ -178,48 +181,52 @@
         due: Instant,
         deadline: Instant,
     ) -> End {
-        let give_up_share = class.deadline_ms.get() / 1e3 * self.load.give_up_share.get();
-        let give_up_at = (Instant::now() + Duration::from_secs_f64(give_up_share)).min(deadline);
+        let try_timeout = class.deadline_ms.get() / 1e3 * self.load.give_up_share.get();
+        let try_deadline = (Instant::now() + Duration::from_secs_f64(try_timeout)).min(deadline);
         let exchange = Exchange {
             id,
             arrival,
             class,
             due,
-            give_up_at,
+            try_deadline,
         };
         let mut new_connection = false;
         loop {
-            let tried = self.exchange(&exchange, new_connection).await;
-            self.record.borrow_mut().tries.push(tried);
-            match tried.end {
-                End::Broke { begun: false } if !tried.first_on_connection && !new_connection => {
+            let try_record = self.exchange(&exchange, new_connection).await;
+            self.record.borrow_mut().tries.push(try_record);
+            match try_record.end {
+                End::Broke { begun: false }
+                    if !try_record.first_on_connection && !new_connection =>
+                {
                     new_connection = true
                 }
                 End::Refused { .. } => {
                     self.live.refused.fetch_add(1, Ordering::Relaxed);
-                    return tried.end;
+                    return try_record.end;
                 }
                 end => return end,
             }
         }
     }
 
-    /// Keeps a connection for another request.
-    fn keep_idle(&self, link: Link, last: Try) {
-        self.idle.borrow_mut().push(Pooled { link, last });
+    /// Adds a connection to the idle connections, for use by a later request.
+    fn add_idle(&self, connection: NodeConnection, last: Try) {
+        self.idle
+            .borrow_mut()
+            .push(IdleConnection { connection, last });
     }
 
-    /// The kept connection that was used last.
-    fn take_idle(&self) -> Option<Pooled> {
+    /// Removes and returns the most recently used idle connection that is still usable.
+    fn take_idle(&self) -> Option<IdleConnection> {
         loop {
-            let mut pooled = self.idle.borrow_mut().pop()?;
-            match pooled.link.conn.stale() {
-                None => return Some(pooled),
-                Some(more) => {
-                    if more {
+            let mut idle_connection = self.idle.borrow_mut().pop()?;
+            match idle_connection.connection.conn.stale() {
+                None => return Some(idle_connection),
+                Some(received_bytes) => {
+                    if received_bytes {
                         self.record.borrow_mut().tries.push(Try {
                             end: End::Twice,
-                            ..pooled.last
+                            ..idle_connection.last
                         });
                     }
                 }
@@ -227,8 +234,9 @@
         }
     }
 
-    /// The front: the next node in turn that counts as up and has places left.
-    async fn connect(&self) -> Option<Link> {
+    /// Connects as the front does: round-robin to the next node that counts as up and is below its
+    /// connection limit.
+    async fn connect(&self) -> Option<NodeConnection> {
         let nodes = self.open_connections.len();
         let first = self.next_node.replace(self.next_node.get() + 1);
         let (node, address) =
@@ -241,7 +249,7 @@
                 })?;
         let conn = Conn::new(TcpStream::connect(address).await.ok()?).ok()?;
         self.open_connections[node].set(self.open_connections[node].get() + 1);
-        Some(Link {
+        Some(NodeConnection {
             conn,
             node,
             open_connections: self.open_connections.clone(),
@@ -249,7 +257,7 @@
     }
 }
 
-/// Waits for a try of a health check at `address`: whether it answered 200.
+/// Sends one health check to `address` and returns whether the response has status 200.
 pub async fn healthy(address: SocketAddr) -> bool {
     let check = async {
         let mut conn = Conn::new(TcpStream::connect(address).await.ok()?).ok()?;
--- a/crates/lab/src/client/exchange.rs
+++ b/crates/lab/src/client/exchange.rs
@@ -1,44 +1,45 @@
-//! One exchange of a try with a node: a connection, the request as HTTP/1.1, and what its answer comes to.
+//! One exchange with a node for a try: the connection, the HTTP/1.1 request, and the outcome of the
+//! response.
 
-use super::{Clients, Link};
-use crate::http::{Answered, ReadError};
+use super::{Clients, NodeConnection};
+use crate::http::{ReadError, ReceivedResponse};
 use crate::plan::Arrival;
 use crate::record::{End, Try, TryId};
 use crate::scenario::Class;
 use std::time::Instant;
 use tokio::time::timeout_at;
 
-/// The body of a write: what it says is never read.
+/// Body of a write; its content is never read.
 const WRITE_BODY: [u8; 32] = [b'v'; 32];
-/// `Retry-After` of this many seconds or more is taken for none.
+/// A `Retry-After` of this many seconds or more is ignored.
 const MAX_RETRY_AFTER_S: f64 = 1e6;
 
-/// A try to be sent.
+/// A try to send.
 pub(super) struct Exchange<'a> {
-    /// Which try.
+    /// Id of the try.
     pub(super) id: TryId,
-    /// Its request.
+    /// Planned request of the try.
     pub(super) arrival: &'a Arrival,
-    /// The class of its request.
+    /// Class of the request.
     pub(super) class: &'a Class,
-    /// When it should be sent.
+    /// Scheduled time of sending.
     pub(super) due: Instant,
-    /// When its client stops waiting for the answer.
-    pub(super) give_up_at: Instant,
+    /// Time at which the client abandons the try.
+    pub(super) try_deadline: Instant,
 }
 
-/// What the answer to a try comes to.
+/// Outcome of the response to a try.
 struct Outcome {
     end: End,
-    /// The connection may carry another request.
+    /// Whether the connection may carry another request.
     reusable: bool,
 }
 
 impl Exchange<'_> {
-    /// The request, head and body.
+    /// Returns the request, head and body.
     fn request(&self) -> Vec<u8> {
         let remaining_ms = self
-            .give_up_at
+            .try_deadline
             .saturating_duration_since(Instant::now())
             .as_millis();
         let (method, extra, body) = match self.class.write {
@@ -68,8 +69,8 @@
         [head.as_bytes(), body].concat()
     }
 
-    /// What an answer comes to for this try.
-    fn outcome(&self, answer: Result<Answered, ReadError>) -> Outcome {
+    /// Classifies the response to this try.
+    fn outcome(&self, answer: Result<ReceivedResponse, ReadError>) -> Outcome {
         match answer {
             Ok(answer) => Outcome {
                 end: self.end_of(&answer),
@@ -86,9 +87,9 @@
         }
     }
 
-    fn end_of(&self, answer: &Answered) -> End {
+    fn end_of(&self, answer: &ReceivedResponse) -> End {
         match answer.status {
-            200 if self.is_made_for_this(&answer.body) => End::Served,
+            200 if self.is_body_for_this_try(&answer.body) => End::Served,
             200 => End::Foreign,
             429 | 503 => End::Refused {
                 retry_after: answer
@@ -100,18 +101,18 @@
         }
     }
 
-    /// Whether a server made this body for this try: it begins with the try's id.
-    fn is_made_for_this(&self, body: &[u8]) -> bool {
+    /// Checks whether a server produced this body for this try: the body starts with the try's id.
+    fn is_body_for_this_try(&self, body: &[u8]) -> bool {
         body.strip_prefix(self.id.text().as_bytes())
             .is_some_and(|rest| rest.starts_with(b" "))
     }
 }
 
 impl Clients {
-    /// Sends a try on an idle connection, or on a new one, and waits for its answer.
+    /// Sends a try on an idle connection, or on a new one, and waits for the response.
     pub(super) async fn exchange(&self, exchange: &Exchange<'_>, new_connection: bool) -> Try {
         let due = exchange.due.saturating_duration_since(self.start);
-        let mut tried = Try {
+        let mut try_record = Try {
             id: exchange.id,
             node: 0,
             due: due.as_micros() as u64,
@@ -120,49 +121,49 @@
             first_on_connection: true,
             end: End::NotSent,
         };
-        let link = self.link(&mut tried, exchange.give_up_at, new_connection);
-        let Some(mut link) = link.await else {
-            tried.ended = self.now();
-            return tried;
+        let connection = self.connection(&mut try_record, exchange.try_deadline, new_connection);
+        let Some(mut connection) = connection.await else {
+            try_record.ended = self.now();
+            return try_record;
         };
-        tried.node = link.node;
-        if link.conn.write(&exchange.request()).await.is_err() {
-            // Nothing of it may have been read.
-            tried.ended = self.now();
-            if !tried.first_on_connection {
-                tried.end = End::Broke { begun: false };
+        try_record.node = connection.node;
+        if connection.conn.write(&exchange.request()).await.is_err() {
+            // The node may have read nothing of the request.
+            try_record.ended = self.now();
+            if !try_record.first_on_connection {
+                try_record.end = End::Broke { begun: false };
             }
-            return tried;
+            return try_record;
         }
-        tried.sent = self.now();
-        let answer = timeout_at(exchange.give_up_at.into(), link.conn.answer()).await;
-        tried.ended = self.now();
+        try_record.sent = self.now();
+        let answer = timeout_at(exchange.try_deadline.into(), connection.conn.answer()).await;
+        try_record.ended = self.now();
         let Ok(answer) = answer else {
-            tried.end = End::TimedOut;
-            return tried;
+            try_record.end = End::TimedOut;
+            return try_record;
         };
         let Outcome { end, reusable } = exchange.outcome(answer);
-        tried.end = end;
+        try_record.end = end;
         if reusable {
-            self.keep_idle(link, tried);
+            self.add_idle(connection, try_record);
         }
-        tried
+        try_record
     }
 
-    /// A connection for a try; `None` where no node accepts one in time.
-    async fn link(
+    /// Returns a connection for a try; `None` if no node accepts one in time.
+    async fn connection(
         &self,
-        tried: &mut Try,
-        give_up_at: Instant,
+        try_record: &mut Try,
+        try_deadline: Instant,
         new_connection: bool,
-    ) -> Option<Link> {
+    ) -> Option<NodeConnection> {
         if !new_connection {
             if let Some(idle) = self.take_idle() {
-                tried.first_on_connection = false;
-                return Some(idle.link);
+                try_record.first_on_connection = false;
+                return Some(idle.connection);
             }
         }
-        let connected = timeout_at(give_up_at.into(), self.connect()).await;
+        let connected = timeout_at(try_deadline.into(), self.connect()).await;
         connected.ok().flatten()
     }
 }
--- a/crates/lab/src/client/live.rs
+++ b/crates/lab/src/client/live.rs
@@ -1,76 +1,86 @@
-//! Running counts of a run's load, for a terminal that shows them while it plays.
+//! Live counters of the load of a run, displayed on a terminal during the run.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::RwLock;
 use std::time::{Duration, Instant};
 
-/// Latencies kept; past this the older half is dropped.
-const LATENCIES_KEPT: usize = 4096;
-/// Openings of circuit breakers kept; past this the oldest is dropped.
-const TRIPS_KEPT: usize = 1024;
+/// Number of latencies kept; beyond it the older half is dropped.
+const MAX_LATENCIES: usize = 4096;
+/// Number of breaker openings kept; beyond it the oldest is dropped.
+const MAX_BREAKER_OPENINGS: usize = 1024;
 
-/// Running counts of a load that is being played.
+/// Counters of a running load.
 #[derive(Debug, Default)]
-pub struct Live {
-    /// Requests whose first try has been started.
-    pub begun: AtomicU64,
-    /// Requests served within the latency objective.
+pub struct LiveCounters {
+    /// Number of requests whose first try has started.
+    pub started: AtomicU64,
+    /// Number of requests served within the latency objective.
     pub in_time: AtomicU64,
-    /// Requests served after it.
+    /// Number of requests served after the latency objective.
     pub late: AtomicU64,
-    /// Tries that were answered 429 or 503.
+    /// Number of tries answered with status 429 or 503.
     pub refused: AtomicU64,
-    /// Requests that were never served.
+    /// Number of requests that were never served.
     pub failed: AtomicU64,
-    /// Milliseconds from when the first try was due to the answer, of the latest requests served.
-    pub latest: RwLock<Vec<f32>>,
-    /// When nodes last logged that a circuit breaker opened. For display only: no rule is checked against it.
-    pub trips: RwLock<VecDeque<Instant>>,
+    /// Latencies of the most recently served requests in milliseconds, from the due time of the
+    /// first try to the response.
+    pub recent_latencies_ms: RwLock<Vec<f32>>,
+    /// Times at which nodes recently logged that a circuit breaker opened. For display only: no
+    /// rule uses them.
+    pub breaker_openings: RwLock<VecDeque<Instant>>,
 }
 
-impl Live {
-    /// The 50th and 99th percentile of the latest latencies, in milliseconds.
+impl LiveCounters {
+    /// Returns the 50th and 99th percentile of the latest latencies, in milliseconds.
     pub fn percentiles(&self) -> (f32, f32) {
         percentiles(
-            self.latest
+            self.recent_latencies_ms
                 .read()
-                .map(|latest| latest.clone())
+                .map(|recent_latencies_ms| recent_latencies_ms.clone())
                 .unwrap_or_default(),
         )
     }
 
-    /// Counts a request that was served, `took` after its first try was due, in time or late.
-    pub(super) fn served(&self, took: Duration, late: bool) {
+    /// Counts a request served after the latency `took` from the due time of its first try, in time
+    /// or late.
+    pub(super) fn served(&self, latency: Duration, late: bool) {
         let count = if late { &self.late } else { &self.in_time };
         count.fetch_add(1, Ordering::Relaxed);
-        if let Ok(mut latest) = self.latest.write() {
-            if latest.len() >= LATENCIES_KEPT {
-                latest.drain(..LATENCIES_KEPT / 2);
+        if let Ok(mut recent_latencies_ms) = self.recent_latencies_ms.write() {
+            if recent_latencies_ms.len() >= MAX_LATENCIES {
+                recent_latencies_ms.drain(..MAX_LATENCIES / 2);
             }
-            latest.push(took.as_secs_f32() * 1e3);
+            recent_latencies_ms.push(latency.as_secs_f32() * 1e3);
         }
     }
 
-    /// A node has logged that a circuit breaker opened.
-    pub fn tripped(&self) {
-        if let Ok(mut trips) = self.trips.write() {
-            trips.push_back(Instant::now());
-            if trips.len() > TRIPS_KEPT {
-                trips.pop_front();
+    /// Records that a node has logged the opening of a circuit breaker.
+    pub fn record_breaker_opening(&self) {
+        if let Ok(mut breaker_openings) = self.breaker_openings.write() {
+            breaker_openings.push_back(Instant::now());
+            if breaker_openings.len() > MAX_BREAKER_OPENINGS {
+                breaker_openings.pop_front();
             }
         }
     }
 
-    /// How many circuit breakers opened within this time.
-    pub fn tripped_within(&self, span: Duration) -> usize {
-        let count =
-            |trips: &VecDeque<Instant>| trips.iter().filter(|at| at.elapsed() < span).count();
-        self.trips.read().map(|trips| count(&trips)).unwrap_or(0)
+    /// Returns the number of circuit breakers that opened within the last `span`.
+    pub fn breakers_opened_within(&self, span: Duration) -> usize {
+        let count = |breaker_openings: &VecDeque<Instant>| {
+            breaker_openings
+                .iter()
+                .filter(|at| at.elapsed() < span)
+                .count()
+        };
+        self.breaker_openings
+            .read()
+            .map(|breaker_openings| count(&breaker_openings))
+            .unwrap_or(0)
     }
 }
 
-/// The 50th and 99th percentile of these values; 0 of none.
+/// Returns the 50th and 99th percentile of these values; 0 for an empty list.
 pub fn percentiles(mut values: Vec<f32>) -> (f32, f32) {
     values.sort_by(f32::total_cmp);
     let at = |share: f64| {
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -1,6 +1,7 @@
-//! Stand-in for discovery: the whole list, the watch on changes, delays, outages, and false reports.
+//! Stand-in for discovery: the complete list, the watch on changes, delays, outages, and false
+//! reports.
 //!
-//! Each node has two addresses of its own; the second is where a SIGHUP sends it.
+//! Each node has two discovery addresses of its own; a SIGHUP switches the node to the other one.
 
 use crate::http::{listen, reset, Conn};
 use crate::list_protocol::{
@@ -19,101 +20,104 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Time from a SIGHUP until a node's old address closes its connections.
-const OLD_ADDRESS_CLOSES_AFTER: Duration = Duration::from_millis(1500);
+/// Time from a SIGHUP until the previous address of a node closes its connections.
+const OLD_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1500);
 
-/// What discovery knows of a server.
+/// State of a server as known to discovery.
 #[derive(Clone, Debug, PartialEq)]
 struct Entry {
     availability: Availability,
     started_ms: u64,
-    /// Version of the list with its last change; 0 for one that was never listed.
+    /// Version of the list with the last change of the server; 0 for a server that was never
+    /// listed.
     version: u64,
 }
 
-/// What a message says of one server.
+/// Availability of one server as reported by a message.
 struct ReportedEndpoint {
     server: usize,
     ready: bool,
 }
 
-/// The answer to a call.
+/// Response to a call.
 struct ListAnswer {
-    /// The HTTP message.
+    /// HTTP response, head and body.
     message: Vec<u8>,
-    /// What it says of each endpoint.
+    /// Availability of each endpoint as reported by the response.
     reported: Vec<ReportedEndpoint>,
 }
 
-/// Why a connection is reset.
+/// Reason for the reset of a connection.
 #[derive(Debug, Error)]
 enum ConnectionReset {
-    /// Discovery went down, or the address serves no more.
+    /// Discovery is down, or the address is closed.
     #[error("discovery does not serve this address")]
     Unavailable,
-    /// An answer cannot be written.
-    #[error("an answer cannot be written: {0}")]
+    /// A response cannot be written.
+    #[error("cannot write a response: {0}")]
     Write(#[from] io::Error),
-    /// A list cannot be written as JSON.
-    #[error("a list cannot be written: {0}")]
+    /// A list cannot be serialised as JSON.
+    #[error("cannot serialise a list: {0}")]
     List(#[from] serde_json::Error),
 }
 
-/// Discovery.
+/// Stand-in for discovery.
 pub struct Directory {
     cache_servers: Rc<CacheServers>,
     fleet: Fleet,
     entries: RefCell<Vec<Entry>>,
-    /// What each server is called.
+    /// Name of each server.
     names: Vec<String>,
-    /// Where each server listens for each node: `[node][server]`.
+    /// Address of each server for each node: `[node][server]`.
     addresses: Vec<Vec<SocketAddr>>,
     version: watch::Sender<u64>,
-    /// Down: calls and open connections are reset.
+    /// Whether discovery is down, with new and open connections reset.
     down: watch::Sender<bool>,
-    /// Every server is reported ready, whatever it is.
+    /// Whether every server is reported as ready, whatever its state.
     reports_all_ready: Cell<bool>,
-    /// Calls are answered 503.
+    /// Whether calls are answered with status 503.
     pub refuses: Cell<bool>,
-    /// Changes are reported so much later.
-    pub late: Cell<Duration>,
-    /// The address of each node's that no longer serves.
+    /// Delay before a change is reported.
+    pub report_delay: Cell<Duration>,
+    /// Index of the closed address of each node, if any.
     closed: watch::Sender<Vec<Option<usize>>>,
 }
 
 impl Directory {
-    /// With the fleet's servers listed as ready, and the spare ones, up to `all`, unknown.
+    /// Lists the fleet's servers as ready; the spare servers, up to `server_count`, are unlisted.
     pub fn new(
         cache_servers: Rc<CacheServers>,
         fleet: &Fleet,
-        all: usize,
+        server_count: usize,
         addresses: Vec<Vec<SocketAddr>>,
     ) -> Rc<Self> {
-        let entry = |i| Entry {
+        let entry = |index| Entry {
             availability: Availability::Ready,
             started_ms: 0,
-            version: u64::from(i < fleet.servers),
+            version: u64::from(index < fleet.servers),
         };
         Rc::new(Self {
             cache_servers,
             fleet: fleet.clone(),
-            entries: RefCell::new((0..all).map(entry).collect()),
-            names: (0..all).map(|server| format!("s-{server:03}")).collect(),
+            entries: RefCell::new((0..server_count).map(entry).collect()),
+            names: (0..server_count)
+                .map(|server| format!("s-{server:03}"))
+                .collect(),
             closed: watch::Sender::new(vec![None; addresses.len()]),
             addresses,
             version: watch::Sender::new(1),
             down: watch::Sender::new(false),
             reports_all_ready: Cell::new(false),
             refuses: Cell::new(false),
-            late: Cell::new(Duration::from_secs_f64(fleet.discovery_late_s.get())),
+            report_delay: Cell::new(Duration::from_secs_f64(fleet.discovery_late_s.get())),
         })
     }
 
-    /// A server's state changes; discovery reports it once its delay is over.
+    /// Changes the state of a server, reported after the report delay.
     pub fn change(self: &Rc<Self>, server: usize, availability: Availability, started_ms: u64) {
         let directory = self.clone();
         spawn_local(async move {
-            sleep(directory.late.get()).await;
+            sleep(directory.report_delay.get()).await;
             let version = *directory.version.borrow() + 1;
             directory.entries.borrow_mut()[server] = Entry {
                 availability,
@@ -135,15 +139,15 @@
         });
     }
 
-    /// Goes down or comes back.
+    /// Starts or ends an outage of discovery.
     pub fn set_down(&self, down: bool) {
         self.down.send_replace(down);
     }
 
-    /// Reports every server as ready from now on, or each as it is again.
+    /// Starts or ends false reports that every server is ready.
     pub fn set_reports_all_ready(&self, all_ready: bool) {
         self.reports_all_ready.set(all_ready);
-        // Each server may be reported otherwise than before.
+        // The reported availability of any server may change.
         let at = self.cache_servers.now().as_micros() as u64;
         let entries = self.entries.borrow();
         let changes = entries
@@ -169,49 +173,57 @@
         self.version.send_replace(version);
     }
 
-    /// A node's old address accepts no more and closes what is open after a while.
-    pub fn close_old(self: &Rc<Self>, node: usize, which: usize) {
+    /// Closes the previous address of a node and its connections after `OLD_ADDRESS_CLOSE_DELAY`.
+    pub fn close_old_address(self: &Rc<Self>, node: usize, address_index: usize) {
         let directory = self.clone();
         spawn_local(async move {
-            sleep(OLD_ADDRESS_CLOSES_AFTER).await;
+            sleep(OLD_ADDRESS_CLOSE_DELAY).await;
             directory
                 .closed
-                .send_modify(|closed| closed[node] = Some(which));
+                .send_modify(|closed| closed[node] = Some(address_index));
         });
     }
 
     /// Listens for a node at its first or second address.
-    pub async fn listen(self: &Rc<Self>, node: usize, which: usize) -> io::Result<SocketAddr> {
+    pub async fn listen(
+        self: &Rc<Self>,
+        node: usize,
+        address_index: usize,
+    ) -> io::Result<SocketAddr> {
         let directory = self.clone();
         listen(move |stream| {
-            let closed = directory.closed.borrow()[node] == Some(which);
+            let closed = directory.closed.borrow()[node] == Some(address_index);
             if *directory.down.borrow() || closed {
                 reset(stream);
             } else if let Ok(conn) = Conn::new(stream) {
-                spawn_local(directory.clone().connection(node, which, conn));
+                spawn_local(
+                    directory
+                        .clone()
+                        .serve_connection(node, address_index, conn),
+                );
             }
         })
         .await
     }
 
-    async fn connection(self: Rc<Self>, node: usize, which: usize, mut conn: Conn) {
+    async fn serve_connection(self: Rc<Self>, node: usize, address_index: usize, mut conn: Conn) {
         let (mut down, mut closed) = (self.down.subscribe(), self.closed.subscribe());
         let ended = tokio::select! {
-            ended = self.calls(node, &mut conn) => ended,
+            ended = self.serve_calls(node, &mut conn) => ended,
             _ = down.wait_for(|down| *down) => Err(ConnectionReset::Unavailable),
-            _ = closed.wait_for(|closed| closed[node] == Some(which)) => Err(ConnectionReset::Unavailable),
+            _ = closed.wait_for(|closed| closed[node] == Some(address_index)) => Err(ConnectionReset::Unavailable),
         };
         if ended.is_err() {
             conn.reset();
         }
     }
 
-    async fn calls(&self, node: usize, conn: &mut Conn) -> Result<(), ConnectionReset> {
+    async fn serve_calls(&self, node: usize, conn: &mut Conn) -> Result<(), ConnectionReset> {
         loop {
-            let Ok(asked) = conn.request().await else {
+            let Ok(http_request) = conn.request().await else {
                 return Ok(());
             };
-            let Some(call) = ListCall::parse(&asked.path) else {
+            let Some(call) = ListCall::parse(&http_request.path) else {
                 conn.write(NOT_FOUND).await?;
                 continue;
             };
@@ -225,7 +237,7 @@
             }
             let ListAnswer { message, reported } = self.list(node, call.after)?;
             conn.write(&message).await?;
-            // The node counts as informed once it is written.
+            // A node counts as notified once the response is written.
             let at = self.cache_servers.now().as_micros() as u64;
             let notices = reported
                 .into_iter()
@@ -243,7 +255,7 @@
         }
     }
 
-    /// The answer to a call, as a message, and what that says of each server.
+    /// Builds the response to a call, with the availability that it reports for each server.
     fn list(&self, node: usize, after: Option<u64>) -> serde_json::Result<ListAnswer> {
         let entries = self.entries.borrow();
         let version = *self.version.borrow();
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 messages on a socket, read with `httparse` and nothing between the bytes and the lab: half answers, silent
-//! peers and resets must stay what they are.
+//! HTTP/1.1 messages on a socket, parsed with `httparse` without a client or server library in
+//! between, so that truncated responses, silent peers and resets reach the lab unchanged.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,92 +10,93 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Bytes of a message, head and body, at most; reading a longer one is an error.
+/// Maximum size of a message, head and body, in bytes; a longer one is an error.
 const MAX_MESSAGE_BYTES: usize = 256 << 10;
-/// Headers of a message, at most; more are malformed.
+/// Maximum number of headers of a message; a message with more is malformed.
 const MAX_HEADERS: usize = 32;
-/// Bytes that the buffer has room for before each read.
+/// Free space in the buffer before each read, in bytes.
 const READ_BYTES: usize = 8 << 10;
-/// Pause after a failed accept: tried again at once, it would fail and spin.
+/// Pause after a failed accept: an immediate retry would fail again and spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Why there is no message.
+/// Error of reading a message.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The peer ended or broke the connection; whether bytes of a message had come.
+    /// The peer closed or reset the connection.
     #[error("the connection ended")]
     Ended {
-        /// Bytes of the message had come.
+        /// Whether bytes of the message had arrived.
         begun: bool,
     },
-    /// It is no HTTP.
+    /// The message is not HTTP.
     #[error("not HTTP: {0}")]
     Malformed(#[from] httparse::Error),
-    /// It is longer than `MAX_MESSAGE_BYTES`.
+    /// The message is longer than `MAX_MESSAGE_BYTES`.
     #[error("not HTTP: a message too large")]
     TooLarge,
 }
 
-/// A connection and what was read ahead on it.
+/// A connection and its read buffer.
 pub struct Conn {
     stream: TcpStream,
     buffer: Vec<u8>,
-    /// When the first byte of the next message came.
-    first: Option<Instant>,
+    /// Arrival time of the first byte of the next message.
+    first_byte_at: Option<Instant>,
 }
 
-/// A request, as it came.
+/// A received request.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
-    /// `GET` or `PUT`.
+pub struct ReceivedRequest {
+    /// Method: `GET` or `PUT`.
     pub method: String,
-    /// The target.
+    /// Request target.
     pub path: String,
-    /// `Req-Id`.
+    /// Value of `Req-Id`.
     pub id: Option<String>,
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     pub body: usize,
-    /// Bytes of the whole message.
+    /// Length of the whole message in bytes.
     pub bytes: usize,
-    /// When its first byte came.
-    pub first: Option<Instant>,
+    /// Arrival time of the first byte.
+    pub first_byte_at: Option<Instant>,
 }
 
-/// An answer, as it came.
+/// A received response.
 #[derive(Clone, Debug, Default)]
-pub struct Answered {
-    /// The status.
+pub struct ReceivedResponse {
+    /// Status code.
     pub status: u16,
-    /// `Retry-After`, in seconds.
+    /// Value of `Retry-After`, in seconds.
     pub retry_after: Option<f64>,
-    /// Whether the connection ends with it.
+    /// Whether the peer closes the connection after the response.
     pub close: bool,
-    /// The body.
+    /// Body of the response.
     pub body: Vec<u8>,
 }
 
 impl Conn {
-    /// A connection as it begins.
+    /// Creates a connection with an empty read buffer on a connected socket.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Self {
             stream,
             buffer: Vec::new(),
-            first: None,
+            first_byte_at: None,
         })
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Ends it with a reset, as a process that dies does.
+    /// Resets the connection, as the death of a process does.
     pub fn reset(self) {
         reset(self.stream);
     }
 
-    /// Whether the peer has sent what nobody asked for, or has closed: then `Some` with whether bytes came.
+    /// Checks an idle connection: `Some(true)` if the peer sent unrequested bytes, `Some(false)` if
+    /// it closed the connection, `None` if the connection is usable.
     pub fn stale(&mut self) -> Option<bool> {
         if !self.buffer.is_empty() {
             return Some(true);
@@ -109,21 +110,22 @@
         }
     }
 
-    /// Waits until the peer ends the connection or sends more.
-    pub async fn gone(&mut self) {
+    /// Waits until the peer ends the connection or sends bytes; returns at once if bytes are
+    /// buffered.
+    pub async fn closed_or_readable(&mut self) {
         if self.buffer.is_empty() {
-            let _ = self.more().await;
+            let _ = self.read_more().await;
         }
     }
 
-    /// Reads and drops whatever comes, until the peer ends the connection.
+    /// Reads and discards all bytes until the peer ends the connection.
     pub async fn drain(&mut self) {
-        while self.more().await.is_ok() {
+        while self.read_more().await.is_ok() {
             self.buffer.clear();
         }
     }
 
-    async fn more(&mut self) -> Result<(), ReadError> {
+    async fn read_more(&mut self) -> Result<(), ReadError> {
         let had = !self.buffer.is_empty();
         self.buffer.reserve(READ_BYTES);
         match self.stream.read_buf(&mut self.buffer).await {
@@ -131,15 +133,15 @@
             Ok(_) if self.buffer.len() > MAX_MESSAGE_BYTES => Err(ReadError::TooLarge),
             Ok(_) => {
                 if !had {
-                    self.first = Some(Instant::now());
+                    self.first_byte_at = Some(Instant::now());
                 }
                 Ok(())
             }
         }
     }
 
-    /// The next request, whole.
-    pub async fn request(&mut self) -> Result<Asked, ReadError> {
+    /// Reads the next complete request.
+    pub async fn request(&mut self) -> Result<ReceivedRequest, ReadError> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Request::new(&mut headers);
@@ -148,24 +150,24 @@
                 let body = length(head.headers);
                 if self.buffer.len() >= start + body {
                     let text = |name: &str| header(head.headers, name).map(str::to_owned);
-                    let asked = Asked {
+                    let received_request = ReceivedRequest {
                         method: head.method.unwrap_or_default().to_owned(),
                         path: head.path.unwrap_or_default().to_owned(),
                         id: text("req-id"),
                         body,
                         bytes: start + body,
-                        first: self.first.take(),
+                        first_byte_at: self.first_byte_at.take(),
                     };
                     self.buffer.drain(..start + body);
-                    return Ok(asked);
+                    return Ok(received_request);
                 }
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 
-    /// The next answer, whole.
-    pub async fn answer(&mut self) -> Result<Answered, ReadError> {
+    /// Reads the next complete response.
+    pub async fn answer(&mut self) -> Result<ReceivedResponse, ReadError> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Response::new(&mut headers);
@@ -174,7 +176,7 @@
                 let body = length(head.headers);
                 if self.buffer.len() >= start + body {
                     let text = |name| header(head.headers, name);
-                    let answered = Answered {
+                    let received_response = ReceivedResponse {
                         status: head.code.unwrap_or_default(),
                         retry_after: text("retry-after").and_then(|text| text.parse().ok()),
                         close: text("connection")
@@ -182,16 +184,17 @@
                         body: self.buffer[start..start + body].to_vec(),
                     };
                     self.buffer.drain(..start + body);
-                    self.first = None;
-                    return Ok(answered);
+                    self.first_byte_at = None;
+                    return Ok(received_response);
                 }
             }
-            self.more().await?;
+            self.read_more().await?;
         }
     }
 }
 
-/// Listens on a port of the kernel's choice, on this thread's local set, and hands each connection over as it comes.
+/// Listens on a port chosen by the kernel, in a task of this thread's local set, and passes each
+/// accepted connection to `on`.
 pub async fn listen(on: impl Fn(TcpStream) + 'static) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -199,7 +202,7 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => on(stream),
-                // Out of descriptors, say: the rig's own want, and the next one may have room.
+                // For example, the lab is out of file descriptors; a later accept may succeed.
                 Err(_) => sleep(ACCEPT_PAUSE).await,
             }
         }
@@ -207,9 +210,10 @@
     Ok(address)
 }
 
-/// Ends a connection with a reset.
+/// Resets a connection.
 pub fn reset(stream: TcpStream) {
-    // Without waiting for anything to drain: what follows is a reset. It may be broken already.
+    // With a linger time of zero, the drop of the stream sends a reset and waits for no unsent
+    // bytes. Fails if the connection is already broken.
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
--- a/crates/lab/src/idle.rs
+++ b/crates/lab/src/idle.rs
@@ -1,4 +1,5 @@
-//! What idle connections cost a node: many clients that have asked once and then say nothing, and then all speak.
+//! Cost of idle connections at a node: many clients send one request each, stay idle, and at the
+//! end all send a request at once.
 
 use crate::client::percentiles;
 use crate::http::{Conn, ReadError};
@@ -20,57 +21,61 @@
 use tokio::task::{JoinSet, LocalSet};
 use tokio::time::{sleep, timeout};
 
-/// Asked at once while connections are made.
+/// Maximum number of concurrent connection attempts, each with its first request.
 const CONCURRENT_CONNECTS: usize = 64;
-/// Connections idle for so long when the node is measured.
+/// Idle time of the connections before the node is measured.
 const IDLE_TIME: Duration = Duration::from_secs(1);
-/// Between two batches: longer than it takes a node to see that the last one is idle.
+/// Pause between two batches: longer than a node needs to detect that the previous batch is idle.
 const BATCH_INTERVAL: Duration = Duration::from_millis(450);
-/// For an answer.
+/// Timeout of a response.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Look-ups beside a crowd, one after the other on each of a few connections.
+/// Total number of look-ups that measure latency, sequential on each of a few connections.
 const LOOKUPS: usize = 4_000;
+/// Number of connections for these look-ups.
 const LOOKUP_CONNECTIONS: usize = 8;
 
-/// A node with a crowd of idle connections.
+/// Measurement of a node with a given number of idle connections.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Crowd {
-    /// Connections that are held.
+pub struct IdleSample {
+    /// Number of idle connections held open.
     pub held: usize,
     /// Resident memory of the node, in KiB.
     pub resident_kib: u64,
-    /// Bytes of it for each, over what the node took before.
+    /// Growth of resident memory per idle connection, in bytes.
     pub bytes_each: f64,
-    /// Milliseconds of look-ups on other connections, at the 50th and 99th percentile.
+    /// 50th percentile of the latency of look-ups on other connections, in milliseconds.
     pub p50_ms: f32,
-    /// See `p50_ms`.
+    /// 99th percentile of the same latencies, in milliseconds.
     pub p99_ms: f32,
 }
 
-/// What was measured.
+/// Results of a measurement of idle connections.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Idle {
-    /// By the size of the crowd.
-    pub crowds: Vec<Crowd>,
-    /// Of the connections that were made, closed by the node with their first answer.
+    /// Measurements by number of idle connections.
+    pub crowds: Vec<IdleSample>,
+    /// Number of connections that the node closed with their first response.
     pub closed: usize,
-    /// When all spoke at once: how many were answered.
+    /// Number of responses when all connections sent a request at once.
     pub answered: usize,
-    /// And the time to the last answer, in milliseconds.
+    /// Time to the last of these responses, in milliseconds.
     pub burst_ms: f64,
-    /// The most memory that the node ever took, in KiB.
+    /// Peak resident memory of the node, in KiB.
     pub peak_kib: u64,
-    /// From SIGTERM, with those that were answered idle again, until the last of them was closed, in milliseconds.
+    /// Time from SIGTERM, sent when the answered connections were idle again, to the end of the
+    /// last one, in milliseconds.
     pub stop_ms: f64,
-    /// So many of them the node closed by itself.
+    /// Number of these connections that the node closed in order.
     pub stopped: usize,
 }
 
-/// Holds idle connections at one node, up to each of `sizes` in turn, made in batches; measures the node with each, and
-/// at the end lets all speak at once. Clients that come over an evening are in small batches; all in one have their
-/// buffers at the same time.
+/// Opens idle connections to one node in batches, up to each of `sizes` in turn; measures the node
+/// at each size, and at the end sends a request on all connections at once. Small batches model
+/// clients that connect over an evening; in a single batch all clients hold their buffers at the
+/// same time.
 pub fn measure(program: Program, sizes: &[usize], batch: usize) -> Result<Idle, RunError> {
-    // Clients may have all but the servers' part, and idle ones stay.
+    // Clients may use all descriptors except the reserve for cache servers, and idle connections
+    // are kept.
     let sockets = sizes.iter().max().copied().unwrap_or_default() * 3 + 1024;
     let text = format!(
         "about = \"idle\"\nseconds = 3600\n[fleet]\nnodes = 1\nqueue = 100000\nsockets = {sockets}\nmemory_mb = 1024\n\
@@ -100,7 +105,7 @@
     let played = playing.join().map_err(|_| RunError::Thread("run"))?;
     match measured {
         Some(measured) => Ok(measured?),
-        // Its nodes did not start, and it says why.
+        // The node did not start; the run returns the cause.
         None => Err(played.err().unwrap_or(RunError::Thread("run"))),
     }
 }
@@ -109,18 +114,18 @@
     let address = node.address;
     let pid = node
         .pid
-        .ok_or_else(|| io::Error::other("the node is no process of its own"))?;
+        .ok_or_else(|| io::Error::other("the node does not run as a separate process"))?;
     let mut idle = Idle::default();
-    // What the node takes for its first look-ups is not the crowd's.
-    lookups(address).await?;
+    // Memory for the first look-ups is not attributed to the idle connections.
+    measure_lookups(address).await?;
     sleep(IDLE_TIME).await;
     let empty_kib = process_memory_kib(pid, "VmRSS:")?;
     let mut held = Vec::new();
     for &size in sizes {
-        grow(address, &mut held, &mut idle.closed, size, batch).await?;
+        open_in_batches(address, &mut held, &mut idle.closed, size, batch).await?;
         sleep(IDLE_TIME).await;
-        let crowd = measure_crowd(address, pid, held.len(), empty_kib).await?;
-        idle.crowds.push(crowd);
+        let sample = measure_sample(address, pid, held.len(), empty_kib).await?;
+        idle.crowds.push(sample);
     }
     let (held, burst_ms) = send_at_once(held).await?;
     idle.answered = held.len();
@@ -134,8 +139,9 @@
     Ok(idle)
 }
 
-/// Makes connections in batches, until so many were made; `closed` counts those that the node did not keep.
-async fn grow(
+/// Opens connections in batches until `size` were made; `closed` counts those that the node closed
+/// with their first response.
+async fn open_in_batches(
     address: SocketAddr,
     held: &mut Vec<Conn>,
     closed: &mut usize,
@@ -152,17 +158,18 @@
     Ok(())
 }
 
-/// Measures the node's memory, over what it took before any connection, and look-ups on other connections.
-async fn measure_crowd(
+/// Measures the growth of the node's memory since `empty_kib`, before any idle connection, and the
+/// latency of look-ups on other connections.
+async fn measure_sample(
     address: SocketAddr,
     pid: i32,
     held: usize,
     empty_kib: u64,
-) -> io::Result<Crowd> {
+) -> io::Result<IdleSample> {
     let resident_kib = process_memory_kib(pid, "VmRSS:")?;
     let grown_bytes = resident_kib.saturating_sub(empty_kib) << 10;
-    let (p50_ms, p99_ms) = lookups(address).await?;
-    Ok(Crowd {
+    let (p50_ms, p99_ms) = measure_lookups(address).await?;
+    Ok(IdleSample {
         held,
         resident_kib,
         bytes_each: grown_bytes as f64 / held.max(1) as f64,
@@ -171,7 +178,8 @@
     })
 }
 
-/// Sends a request on every connection at once; those that were answered, and milliseconds to the last answer.
+/// Sends a request on every connection at once; returns the answered connections and the time to
+/// the last response in milliseconds.
 async fn send_at_once(held: Vec<Conn>) -> io::Result<(Vec<Conn>, f64)> {
     let started = Instant::now();
     let mut sending = JoinSet::new();
@@ -191,7 +199,8 @@
     Ok((answered, last_ms))
 }
 
-/// Waits until the connections end; how many of them the node closed in order, with nothing sent.
+/// Waits until the connections end; returns the number that the node closed in order, without
+/// sending bytes.
 async fn count_closed(held: Vec<Conn>) -> io::Result<usize> {
     let mut closing = JoinSet::new();
     for mut conn in held {
@@ -207,56 +216,61 @@
     Ok(closed)
 }
 
-/// Connections that have asked once, and were kept.
+/// Opens connections with one request each; returns those that the node kept open.
 async fn connect(address: SocketAddr, first: usize, count: usize) -> io::Result<Vec<Conn>> {
-    let places = Arc::new(Semaphore::new(CONCURRENT_CONNECTS));
-    let mut making = JoinSet::new();
-    for i in first..first + count {
-        let place = places
+    let permits = Arc::new(Semaphore::new(CONCURRENT_CONNECTS));
+    let mut connecting = JoinSet::new();
+    for index in first..first + count {
+        let permit = permits
             .clone()
             .acquire_owned()
             .await
             .map_err(io::Error::other)?;
-        making.spawn_local(async move {
+        connecting.spawn_local(async move {
             let mut conn = Conn::new(TcpStream::connect(address).await?)?;
-            let kept = send_lookup(&mut conn, i).await?;
-            drop(place);
+            let kept = send_lookup(&mut conn, index).await?;
+            drop(permit);
             Ok::<_, io::Error>(kept.then_some(conn))
         });
     }
     let mut made = Vec::new();
-    while let Some(connected) = making.join_next().await {
+    while let Some(connected) = connecting.join_next().await {
         made.extend(connected.map_err(io::Error::other)??);
     }
     Ok(made)
 }
 
-/// The 50th and 99th percentile of look-ups, in milliseconds.
-async fn lookups(address: SocketAddr) -> io::Result<(f32, f32)> {
-    let mut asking = JoinSet::new();
+/// Measures the latency of look-ups; returns the 50th and 99th percentile in milliseconds.
+async fn measure_lookups(address: SocketAddr) -> io::Result<(f32, f32)> {
+    let mut running = JoinSet::new();
     for connection in 0..LOOKUP_CONNECTIONS {
-        asking.spawn_local(async move {
+        running.spawn_local(async move {
             let mut conn = Conn::new(TcpStream::connect(address).await?)?;
-            let mut took: Vec<f32> = Vec::new();
-            for i in 0..LOOKUPS / LOOKUP_CONNECTIONS {
+            let mut latencies: Vec<f32> = Vec::new();
+            for round in 0..LOOKUPS / LOOKUP_CONNECTIONS {
                 let started = Instant::now();
-                if !send_lookup(&mut conn, 10_000_000 + i * LOOKUP_CONNECTIONS + connection).await?
+                if !send_lookup(
+                    &mut conn,
+                    10_000_000 + round * LOOKUP_CONNECTIONS + connection,
+                )
+                .await?
                 {
                     conn = Conn::new(TcpStream::connect(address).await?)?;
                 }
-                took.push(started.elapsed().as_secs_f32() * 1e3);
+                latencies.push(started.elapsed().as_secs_f32() * 1e3);
             }
-            Ok::<_, io::Error>(took)
+            Ok::<_, io::Error>(latencies)
         });
     }
     let mut all = Vec::new();
-    while let Some(took) = asking.join_next().await {
-        all.extend(took.map_err(io::Error::other)??);
+    while let Some(latencies) = running.join_next().await {
+        all.extend(latencies.map_err(io::Error::other)??);
     }
     Ok(percentiles(all))
 }
 
-/// One request, to its answer: whatever it says, it is one. Whether the connection stays.
+/// Sends one request and waits for a response of any status; returns whether the connection stays
+/// open.
 async fn send_lookup(conn: &mut Conn, number: usize) -> io::Result<bool> {
     let request = format!(
         "GET /api/{:x} HTTP/1.1\r\nHost: lab\r\nReq-Id: by-hand-{number}\r\nReq-Kind: lookup\r\n\
@@ -270,7 +284,7 @@
     Ok(!answer.close)
 }
 
-/// A line of a process's memory, in KiB (proc(5): `VmRSS:` now, `VmHWM:` at its most).
+/// Reads a memory figure of a process in KiB (proc(5): `VmRSS:` current, `VmHWM:` peak).
 fn process_memory_kib(pid: i32, name: &str) -> io::Result<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
     let line = status.lines().find_map(|line| line.strip_prefix(name));
--- a/crates/lab/src/nodes.rs
+++ b/crates/lab/src/nodes.rs
@@ -1,10 +1,10 @@
-//! The nodes under test: real processes of a given binary, their configuration, their signals and their ends.
+//! The nodes under test: processes of a given binary, their configuration, signals and exits.
 
 mod config;
 mod log;
 mod program;
 
-use crate::client::{healthy, Live, Table};
+use crate::client::{healthy, AddressTable, LiveCounters};
 use crate::record::{NodeEvent, ProcessEvent};
 use crate::scenario::{Fault, FaultKind, Scenario};
 pub(crate) use config::config;
@@ -24,85 +24,88 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-/// A node that is not ready by then does not come up.
+/// Timeout for the listening address of a starting node, and then for its first successful health
+/// check.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// A node that starts is asked for its health so often.
+/// Interval of health checks on a starting node.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// A node that does not exit in this time after SIGTERM has failed to stop; the platform would kill it.
+/// Time for a node to exit after SIGTERM, counted from the end of `TERMINATED_IN_TABLE`. A node
+/// that exceeds it counts as failed, since the platform would kill it.
 const STOP_TIMEOUT: Duration = Duration::from_millis(4500);
-/// A node that was sent SIGTERM stays in the table of clients for so long: connections keep coming for a while.
+/// Time that a node stays in the clients' address table after SIGTERM: the front keeps opening
+/// connections for a while.
 const TERMINATED_IN_TABLE: Duration = Duration::from_millis(300);
 
-/// Why nodes do not run.
+/// Error of starting or controlling a node.
 #[derive(Debug, Error)]
 pub enum NodeError {
     /// The process cannot be started.
     #[error("cannot start {0}: {1}")]
     Start(String, io::Error),
-    /// It ended, or never was ready.
+    /// The process exited, or did not become ready in time.
     #[error("node {node} did not become ready: {why}")]
     NotReady {
-        /// Which.
+        /// Index of the node.
         node: usize,
-        /// The end of its log.
+        /// Last lines of the log, or the cause.
         why: String,
     },
-    /// Two operators' files.
-    #[error("the scenario has a section [front] of the operators' file, and --features names another file: one of the two must go")]
-    TwoFiles,
-    /// Its files cannot be written.
+    /// Both the scenario and the command line give an operators' file.
+    #[error("the scenario has a [front] section of the operators' file and --features names another file; use only one of the two")]
+    ConflictingOperatorsFiles,
+    /// A file of the node cannot be written.
     #[error("cannot write {}: {error}", .path.display())]
-    Files {
-        /// Which.
+    WriteFile {
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Cause of the failure.
         error: io::Error,
     },
 }
 
-/// The events of all nodes' processes, in order.
+/// Events of all nodes' processes, in order.
 pub type NodeEvents = Arc<Mutex<Vec<NodeEvent>>>;
 
-/// What all nodes of a run have in common.
+/// Environment shared by all nodes of a run.
 pub struct NodeEnvironment<'a> {
-    /// The fleet that they belong to.
+    /// Scenario of the run.
     pub scenario: &'a Scenario,
-    /// The seed of the run.
+    /// Seed of the run.
     pub seed: u64,
-    /// What is started.
+    /// Program to start.
     pub program: Program,
-    /// Where their configurations go.
+    /// Folder of the configuration files.
     pub folder: &'a Path,
-    /// Where they listen, for their clients.
-    pub table: Table,
-    /// The record of their processes.
+    /// Address table of the clients.
+    pub table: AddressTable,
+    /// Events of the nodes' processes.
     pub events: NodeEvents,
-    /// The run's start, which times of events count from.
+    /// Start of the run, from which the times of events count.
     pub start: Instant,
-    /// Running counts, which the circuit breakers they log are added to.
-    pub live: Arc<Live>,
+    /// Live counters, which include the breaker openings that nodes log.
+    pub live: Arc<LiveCounters>,
 }
 
-/// One node, over all starts of its process.
+/// One node across all starts of its process.
 pub struct Node {
     index: usize,
     program: Program,
     config: Value,
     discovery: [SocketAddr; 2],
-    /// Which of the two its configuration names.
+    /// Index into `discovery` of the address in the current configuration.
     current_discovery: usize,
-    file: PathBuf,
-    table: Table,
+    config_path: PathBuf,
+    table: AddressTable,
     events: NodeEvents,
     start: Instant,
     front_late: Duration,
     child: Option<Child>,
     log: LogTail,
-    live: Arc<Live>,
+    live: Arc<LiveCounters>,
 }
 
 impl Node {
-    /// A node that is not started yet, with the two addresses that discovery answers it at.
+    /// Creates a node that is not started yet, with its two discovery addresses.
     pub fn new(index: usize, discovery: [SocketAddr; 2], environment: &NodeEnvironment) -> Self {
         let NodeEnvironment { scenario, seed, .. } = *environment;
         Self {
@@ -111,7 +114,7 @@
             config: config(index, scenario, seed, discovery[0]),
             discovery,
             current_discovery: 0,
-            file: environment.folder.join(format!("n{index}.json")),
+            config_path: environment.folder.join(format!("n{index}.json")),
             table: environment.table.clone(),
             events: environment.events.clone(),
             start: environment.start,
@@ -124,7 +127,7 @@
 
     fn record_event(&self, event: ProcessEvent, detail: &str) {
         let at = self.start.elapsed().as_micros() as u64;
-        tracing::info!(node = self.index, life = ?event, word = detail, "a node");
+        tracing::info!(node = self.index, process_event = ?event, details = detail, "node process event");
         if let Ok(mut events) = self.events.lock() {
             events.push(NodeEvent {
                 node: self.index,
@@ -141,23 +144,24 @@
         }
     }
 
-    /// Puts its configuration in place whole, as it must be where a process may be reading it.
+    /// Writes the configuration to a new file and renames it into place, so that a running node
+    /// never reads a partial file.
     fn write_config(&self) -> Result<(), NodeError> {
-        let new = self.file.with_extension("new");
+        let new = self.config_path.with_extension("new");
         std::fs::write(&new, self.config.to_string())
-            .and_then(|()| std::fs::rename(&new, &self.file))
-            .map_err(|error| NodeError::Files {
-                path: self.file.clone(),
+            .and_then(|()| std::fs::rename(&new, &self.config_path))
+            .map_err(|error| NodeError::WriteFile {
+                path: self.config_path.clone(),
                 error,
             })
     }
 
-    /// Its position in the fleet.
+    /// Returns the position of the node in the fleet.
     pub fn index(&self) -> usize {
         self.index
     }
 
-    /// The process's id, while it runs.
+    /// Returns the process id while the process runs.
     pub fn pid(&self) -> Option<i32> {
         self.child
             .as_ref()?
@@ -165,13 +169,13 @@
             .and_then(|id| i32::try_from(id).ok())
     }
 
-    /// Starts its process and waits until it is ready; then clients get its address.
+    /// Starts the process, waits until it is ready and then adds its address to the clients' table.
     pub async fn start(&mut self) -> Result<SocketAddr, NodeError> {
         self.write_config()?;
         let address = match self.program.clone() {
             Program::InProcess(launch) => launch(self.config.clone())
                 .map_err(|error| NodeError::Start("a node inside".into(), error))?,
-            Program::Nothing => return Err(self.not_ready("there is none")),
+            Program::NoNode => return Err(self.not_ready("there is none")),
             Program::Binary(path, arguments) => self.start_process(&path, &arguments).await?,
         };
         self.wait_until_healthy(address).await?;
@@ -180,7 +184,7 @@
         Ok(address)
     }
 
-    /// Starts a binary as the platform does; where it listens.
+    /// Starts a binary as the platform does, and returns the address that the node listens on.
     async fn start_process(
         &mut self,
         path: &Path,
@@ -189,7 +193,7 @@
         let discovery = self.discovery[self.current_discovery];
         let mut child = Command::new(path)
             .args(arguments)
-            .env("LB_CONFIG", &self.file)
+            .env("LB_CONFIG", &self.config_path)
             .env("LB_DISCOVERY", discovery.to_string())
             .env_remove("LB_NAME")
             .env_remove("LB_LISTEN")
@@ -197,7 +201,7 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .kill_on_drop(true)
-            // Ctrl-C is for the lab, which ends its nodes itself.
+            // Keeps Ctrl-C from reaching the node: the lab stops its nodes itself.
             .process_group(0)
             .spawn()
             .map_err(|error| NodeError::Start(path.display().to_string(), error))?;
@@ -205,8 +209,8 @@
         self.child = Some(child);
         let stderr = stderr.ok_or_else(|| self.not_ready("it has no standard error"))?;
         let mut lines = BufReader::new(stderr).lines();
-        let listens = listening_address(&mut lines, &self.log);
-        let address = timeout(READY_TIMEOUT, listens).await.ok().flatten();
+        let listening = listening_address(&mut lines, &self.log);
+        let address = timeout(READY_TIMEOUT, listening).await.ok().flatten();
         tokio::spawn(log::follow(lines, self.log.clone(), self.live.clone()));
         address.ok_or_else(|| self.not_ready(&self.log.text()))
     }
@@ -229,7 +233,7 @@
         }
     }
 
-    /// Whether it has exited by itself; `true` only the first time.
+    /// Checks whether the process has exited by itself; returns `true` only the first time.
     pub fn has_died(&mut self) -> bool {
         let Some(child) = &mut self.child else {
             return false;
@@ -248,12 +252,13 @@
 
     fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
-            // It may have ended meanwhile, which shows elsewhere.
+            // The process may have exited since; its exit is detected elsewhere.
             let _ = kill(Pid::from_raw(pid), signal);
         }
     }
 
-    /// Plays a fault on this node. After SIGHUP: which discovery address it followed before.
+    /// Applies a fault to this node. After SIGHUP, returns the index of the previous discovery
+    /// address.
     pub async fn inject_fault(&mut self, fault: &Fault) -> Result<Option<usize>, NodeError> {
         match fault.kind {
             FaultKind::NodeKill => {
@@ -278,7 +283,8 @@
         Ok(None)
     }
 
-    /// Gives it a new configuration with discovery at its other address; which one it was before.
+    /// Writes a configuration with the other discovery address and sends SIGHUP; returns the index
+    /// of the previous address.
     pub fn move_discovery(&mut self) -> Result<usize, NodeError> {
         let old = self.current_discovery;
         self.current_discovery = 1 - old;
@@ -295,7 +301,7 @@
         status
     }
 
-    /// Sends SIGTERM, and SIGKILL if it does not exit in time.
+    /// Sends SIGTERM, and SIGKILL if the process does not exit in time.
     pub async fn stop(&mut self) {
         if self.child.is_none() {
             return;
--- a/crates/lab/src/nodes/config.rs
+++ b/crates/lab/src/nodes/config.rs
@@ -1,13 +1,13 @@
-//! A node's configuration file, as the platform writes it.
+//! Configuration file of a node in the platform's format.
 
 use crate::scenario::{Idempotency, Scenario};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// Microseconds in a second: the unit of the configuration's times.
+/// Microseconds per second; the configuration gives times in microseconds.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The configuration of the node at this position, with discovery at this address.
+/// Returns the configuration of the node at position `index`, with discovery at `discovery`.
 pub(crate) fn config(index: usize, scenario: &Scenario, seed: u64, discovery: SocketAddr) -> Value {
     let fleet = &scenario.fleet;
     let us = |seconds: f64| (seconds * MICROS_PER_SECOND) as u64;
--- a/crates/lab/src/nodes/log.rs
+++ b/crates/lab/src/nodes/log.rs
@@ -1,21 +1,22 @@
-//! The log of a node's process: its end is kept for reports, and what the lab reads of it is read here.
+//! Log of a node's process: reads the listening address and breaker openings, and keeps the last
+//! lines for reports.
 
-use crate::client::Live;
+use crate::client::LiveCounters;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use tokio::io::{BufReader, Lines};
 use tokio::process::ChildStderr;
 
-/// Lines kept for a report of a process's failure; past this the oldest is dropped.
+/// Number of log lines kept for the report of a process failure; older ones are dropped.
 const LOG_TAIL_LINES: usize = 20;
-/// What stands before the address in the line by which a node says where it listens.
+/// Text before the address in the log line that reports a node's listening address.
 const LISTENS_ON: &str = " listens on ";
 
-/// A process's log, line by line.
+/// Lines of a process's log.
 pub(super) type LogLines = Lines<BufReader<ChildStderr>>;
 
-/// The end of a node's log, over all starts of its process.
+/// Last lines of a node's log, across all starts of its process.
 #[derive(Clone, Default)]
 pub(super) struct LogTail(Arc<Mutex<VecDeque<String>>>);
 
@@ -29,7 +30,7 @@
         }
     }
 
-    /// All kept lines as one text.
+    /// Returns all kept lines, joined by "; ".
     pub(super) fn text(&self) -> String {
         let lines = self.0.lock();
         let text = lines.map(|mut lines| lines.make_contiguous().join("; "));
@@ -39,7 +40,8 @@
     }
 }
 
-/// Reads a process's log up to the address it listens on; `None` where the log ends before, or says no address.
+/// Reads a process's log up to the line with its listening address; returns `None` if the log ends
+/// first or the address is invalid.
 pub(super) async fn listening_address(lines: &mut LogLines, tail: &LogTail) -> Option<SocketAddr> {
     while let Ok(Some(line)) = lines.next_line().await {
         if let Some((_, address)) = line.split_once(LISTENS_ON) {
@@ -50,11 +52,11 @@
     None
 }
 
-/// Reads a process's log to its end, and counts the circuit breakers that it says opened.
-pub(super) async fn follow(mut lines: LogLines, tail: LogTail, live: Arc<Live>) {
+/// Reads a process's log to its end and counts the breaker openings that it reports.
+pub(super) async fn follow(mut lines: LogLines, tail: LogTail, live: Arc<LiveCounters>) {
     while let Ok(Some(line)) = lines.next_line().await {
         if line.starts_with("breaker of ") && line.contains(" tripped") {
-            live.tripped();
+            live.record_breaker_opening();
         }
         tail.push(line);
     }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,10 +1,11 @@
-//! Plays a scenario: stand-ins on one thread, clients on another, nodes as processes, faults on the time line.
+//! Runs a scenario: stand-ins on one thread, clients on another, nodes as processes, and scheduled
+//! faults.
 
 mod faults;
 mod nodes;
 mod stand_ins;
 
-use crate::client::Live;
+use crate::client::LiveCounters;
 use crate::nodes::{NodeError, Program};
 use crate::plan::{mix, Plan};
 use crate::record::{Record, TryId};
@@ -23,16 +24,16 @@
 use tokio::runtime;
 use tokio::sync::{mpsc as channel, watch};
 
-/// Why a run did not happen. What a node does wrong is a verdict, and not an error.
+/// Error that prevents a run. A fault of a node is part of the verdict, not an error.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A socket, thread or folder of the rig's own.
-    #[error("the rig cannot run: {0}")]
-    Rig(#[from] io::Error),
-    /// A thread of the rig has gone.
-    #[error("the rig's {0} ended early")]
+    /// A socket, thread or folder of the lab itself failed.
+    #[error("I/O of the lab failed: {0}")]
+    Io(#[from] io::Error),
+    /// A thread of the lab ended early.
+    #[error("lab thread {0} ended early")]
     Thread(&'static str),
-    /// Nodes do not start.
+    /// A node did not start.
     #[error("{0}")]
     Node(#[from] NodeError),
 }
@@ -40,31 +41,31 @@
 /// A node that is ready for clients.
 #[derive(Clone, Copy, Debug)]
 pub struct StartedNode {
-    /// Where it answers.
+    /// Address at which the node answers.
     pub address: SocketAddr,
-    /// Its process; `None` for one inside this process.
+    /// Process id of the node; `None` for a node inside this process.
     pub pid: Option<i32>,
 }
 
-/// How to play.
+/// Options of a run.
 #[derive(Clone)]
 pub struct Options {
-    /// What is under test.
+    /// Program under test.
     pub program: Program,
-    /// Of all that is drawn.
+    /// Seed of all random values.
     pub seed: u64,
-    /// Ids of people's own may be asked for beside the load.
+    /// Whether cache servers answer manual requests in addition to the load.
     pub by_hand: bool,
-    /// Running counts.
-    pub live: Arc<Live>,
-    /// Set to end early; what was asked by then is finished.
+    /// Live counters of the run.
+    pub live: Arc<LiveCounters>,
+    /// Set to end the run early; requests already sent are completed.
     pub stop: Arc<AtomicBool>,
-    /// Gets all nodes once they are ready.
+    /// Receives all nodes once they are ready.
     pub ready: Option<mpsc::Sender<Vec<StartedNode>>>,
 }
 
 impl Options {
-    /// A plain run of a binary.
+    /// Returns default options for a run of `program`.
     pub fn new(program: Program, seed: u64) -> Self {
         let (live, stop) = (Arc::default(), Arc::default());
         Self {
@@ -78,19 +79,19 @@
     }
 }
 
-/// A run that was played to its end.
+/// A completed run.
 pub struct Played {
-    /// What was asked.
+    /// Requests that were planned.
     pub plan: Arc<Plan>,
-    /// What was seen.
+    /// Observations of stand-ins and clients.
     pub record: Record,
-    /// The rules that were broken.
+    /// Breaches of the rules.
     pub breaches: Vec<Breach>,
-    /// For how long load arrived.
+    /// Duration of the load phase.
     pub lasted: Duration,
 }
 
-/// A folder of this run's own, which goes with it.
+/// Temporary folder of one run, removed on drop.
 pub(crate) struct Folder(pub(crate) PathBuf);
 
 impl Folder {
@@ -107,32 +108,33 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // What cannot be removed is a small file in the system's temporary folder.
+        // A failed removal leaves only small files in the system's temporary folder.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// What the stand-ins listen on.
+/// Addresses at which the stand-ins listen.
 struct Addresses {
-    /// For each node: discovery's two addresses.
+    /// The two discovery addresses of each node.
     discovery: Vec<[SocketAddr; 2]>,
-    /// The servers', as the first node knows them.
+    /// Addresses of the servers for the first node.
     servers: Vec<SocketAddr>,
 }
 
-/// A command to the stand-ins while they run.
+/// Command to the running stand-ins.
 enum Command {
-    /// Load begins: faults count from now.
+    /// Start of the load, from which the times of faults count.
     StartFaults,
-    /// A node follows another address: its old one closes.
-    CloseOldAddress { node: usize, which: usize },
+    /// Closes the previous discovery address of a node that switched to the other one.
+    CloseOldAddress { node: usize, address_index: usize },
 }
 
-/// Plays a scenario once.
+/// Runs a scenario once.
 pub fn play(scenario: &Scenario, options: &Options) -> Result<Played, RunError> {
     let plan = Arc::new(Plan::draw(scenario, options.seed));
     let folder = Folder::new()?;
-    // One clock for all; the run's zero precedes the nodes' start, and is moved to the load's at the end.
+    // All threads share one clock. Its zero precedes the start of the nodes; at the end of the run,
+    // recorded times are shifted to the start of the load.
     let start = Instant::now();
     let (shutdown, shutdown_seen) = watch::channel(false);
     let (commands, received_commands) = channel::unbounded_channel();
@@ -156,7 +158,7 @@
         Err(_) => {
             return Err(join_thread(stand_ins, "stand-ins")?
                 .err()
-                .map_or(RunError::Thread("stand-ins"), RunError::Rig))
+                .map_or(RunError::Thread("stand-ins"), RunError::Io))
         }
     };
     let runtime = runtime::Builder::new_multi_thread()
--- a/crates/lab/src/run/faults.rs
+++ b/crates/lab/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of servers and discovery, set and lifted on the time line.
+//! Application and reversal of scheduled faults of servers and discovery.
 
 use crate::discovery::Directory;
 use crate::list_protocol::Availability;
@@ -10,7 +10,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
-/// Each fault with each server or node that it targets, and when; faults of discovery once.
+/// Returns each fault with each server or node that it targets and its start time; a fault of
+/// discovery is returned once.
 pub(super) fn faults_by_target(
     scenario: &Scenario,
 ) -> impl Iterator<Item = (Fault, usize, Duration)> + '_ {
@@ -38,17 +39,17 @@
         })
 }
 
-/// Starts a task for each fault of servers and discovery, counted from now.
+/// Starts a task for each fault of servers and discovery; start times count from now.
 pub(super) fn schedule_faults(
     scenario: &Scenario,
     cache_servers: &Rc<CacheServers>,
     directory: &Rc<Directory>,
 ) {
     let load_start = Instant::now();
-    let mut spare = scenario.fleet.servers;
+    let mut next_spare = scenario.fleet.servers;
     for (fault, server, at) in faults_by_target(scenario) {
-        let replacement = spare;
-        spare += usize::from(fault.kind == FaultKind::Replace);
+        let replacement = next_spare;
+        next_spare += usize::from(fault.kind == FaultKind::Replace);
         let duration = fault
             .for_s
             .map(|seconds| Duration::from_secs_f64(seconds.get()));
@@ -69,11 +70,11 @@
         let (cache_servers, directory) = (cache_servers.clone(), directory.clone());
         spawn_local(async move {
             sleep_until((load_start + at).into()).await;
-            tracing::info!(kind = ?fault.kind, whom = server, "a fault begins");
+            tracing::info!(kind = ?fault.kind, target_index = server, "fault begins");
             apply(&fault, server, replacement, &cache_servers, &directory);
             if let Some(duration) = duration {
                 sleep(duration).await;
-                tracing::info!(kind = ?fault.kind, whom = server, "a fault ends");
+                tracing::info!(kind = ?fault.kind, target_index = server, "fault ends");
                 revert(&fault, server, &cache_servers, &directory);
             }
             if let Some(back) = fault.back_s.filter(|_| fault.kind == FaultKind::Drain) {
@@ -122,8 +123,8 @@
         FaultKind::DiscoveryDown => directory.set_down(true),
         FaultKind::DiscoveryRefuses => directory.refuses.set(true),
         FaultKind::DiscoveryLate => directory
-            .late
-            .set(directory.late.get() + Duration::from_secs_f64(by)),
+            .report_delay
+            .set(directory.report_delay.get() + Duration::from_secs_f64(by)),
         FaultKind::DiscoveryReportsAllReady => directory.set_reports_all_ready(true),
         FaultKind::NodeKill | FaultKind::NodeTerm | FaultKind::NodeHup => {}
     }
@@ -157,9 +158,9 @@
         FaultKind::DiscoveryDown => directory.set_down(false),
         FaultKind::DiscoveryRefuses => directory.refuses.set(false),
         FaultKind::DiscoveryLate => {
-            directory.late.set(
+            directory.report_delay.set(
                 directory
-                    .late
+                    .report_delay
                     .get()
                     .saturating_sub(Duration::from_secs_f64(by)),
             );
--- a/crates/lab/src/run/nodes.rs
+++ b/crates/lab/src/run/nodes.rs
@@ -1,10 +1,11 @@
-//! The nodes' and clients' side of a run: starts them, plays the faults of nodes, and waits for the load's end.
+//! Nodes and clients of a run: starts them, applies the faults of nodes, and waits for the end of
+//! the load.
 
 use super::faults::faults_by_target;
 use super::{
     join_thread, spawn_thread, Addresses, Command, Folder, Options, RunError, StartedNode,
 };
-use crate::client::{Clients, Table};
+use crate::client::{AddressTable, Clients};
 use crate::nodes::{Node, NodeEnvironment, NodeError, NodeEvents, Program};
 use crate::plan::Plan;
 use crate::record::{NodeEvent, ProcessEvent, Record};
@@ -20,26 +21,28 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// Load begins so long after all nodes are ready, so that no connection of the start is in its figures.
+/// Delay from the last node becoming ready to the start of the load, so that no start-up connection
+/// is part of its figures.
 const SETTLE_TIME: Duration = Duration::from_millis(200);
-/// Stand-ins serve on for so long after the last answer: what was refused or given up may still arrive.
+/// Time that stand-ins keep serving after the last response: attempts of refused or abandoned
+/// requests may still arrive.
 const LINGER_TIME: Duration = Duration::from_millis(300);
-/// The nodes are looked at so often.
+/// Interval of checks on the nodes and the clients.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the nodes' and clients' side of a run has seen.
+/// Observations of the nodes and clients of a run.
 pub(super) struct LoadOutcome {
-    /// By the clients.
+    /// Observations of the clients.
     pub(super) clients: Record,
-    /// Of the nodes' processes.
+    /// Events of the nodes' processes.
     pub(super) node_events: Vec<NodeEvent>,
-    /// The load's start, in microseconds from the run's.
+    /// Start of the load, in microseconds from the start of the run.
     pub(super) load_start: u64,
-    /// For how long load arrived.
+    /// Duration of the load phase.
     pub(super) lasted: Duration,
 }
 
-/// Runs the nodes and the clients, until all requests have ended.
+/// Runs the nodes and the clients until all requests have ended.
 pub(super) async fn play_load(
     scenario: &Scenario,
     options: &Options,
@@ -58,7 +61,7 @@
             .clone()
             .with_front(&scenario.front, &folder.0)?,
         folder: &folder.0,
-        table: table(&options.program, &discovery, servers),
+        table: address_table(&options.program, &discovery, servers),
         events: NodeEvents::default(),
         start,
         live: options.live.clone(),
@@ -66,7 +69,7 @@
     let nodes = start_nodes(&environment, options, discovery).await?;
     sleep(SETTLE_TIME).await;
     let load_start = Instant::now();
-    // The stand-ins end only after this.
+    // The stand-ins run until after this function returns, so the receiver exists.
     let _ = commands.send(Command::StartFaults);
     let clients = spawn_clients(scenario, options, plan, &environment.table, load_start)?;
     let nodes: Vec<_> = nodes
@@ -92,22 +95,27 @@
     })
 }
 
-/// Where clients connect: to nodes once they are up, or to the servers themselves where there are no nodes.
-fn table(program: &Program, discovery: &[[SocketAddr; 2]], servers: Vec<SocketAddr>) -> Table {
+/// Returns the addresses for clients: empty slots that nodes fill once ready, or the cache servers
+/// in a run without nodes.
+fn address_table(
+    program: &Program,
+    discovery: &[[SocketAddr; 2]],
+    servers: Vec<SocketAddr>,
+) -> AddressTable {
     let listed = match program {
-        Program::Nothing => servers.into_iter().map(Some).collect(),
+        Program::NoNode => servers.into_iter().map(Some).collect(),
         _ => vec![None; discovery.len()],
     };
     Arc::new(RwLock::new(listed))
 }
 
-/// Starts the nodes one after the other, and reports them as ready.
+/// Starts the nodes one after the other and sends them to `options.ready`.
 async fn start_nodes(
     environment: &NodeEnvironment<'_>,
     options: &Options,
     mut discovery: Vec<[SocketAddr; 2]>,
 ) -> Result<Vec<Node>, RunError> {
-    if matches!(options.program, Program::Nothing) {
+    if matches!(options.program, Program::NoNode) {
         discovery.clear();
     }
     let (mut nodes, mut started) = (Vec::new(), Vec::new());
@@ -121,18 +129,18 @@
         nodes.push(node);
     }
     if let Some(ready) = &options.ready {
-        // Whoever asked may have gone.
+        // The receiver may have been dropped.
         let _ = ready.send(started);
     }
     Ok(nodes)
 }
 
-/// Starts the clients on a thread of their own.
+/// Starts the clients on a separate thread.
 fn spawn_clients(
     scenario: &Scenario,
     options: &Options,
     plan: &Arc<Plan>,
-    table: &Table,
+    table: &AddressTable,
     load_start: Instant,
 ) -> io::Result<JoinHandle<io::Result<Record>>> {
     let (scenario, plan, table) = (scenario.clone(), plan.clone(), table.clone());
@@ -146,15 +154,15 @@
     })
 }
 
-/// A node that a task of its own watches.
+/// A node watched by its own task.
 struct RunningNode {
-    /// Set to end the watch, and with it the node.
+    /// Set to end the task, which then stops the node.
     stop_watching: watch::Sender<bool>,
     task: tokio::task::JoinHandle<Result<(), NodeError>>,
 }
 
 impl RunningNode {
-    /// Plays the scenario's faults of this node, until it is stopped.
+    /// Spawns the task that applies the scenario's faults of this node until it is stopped.
     fn spawn(
         node: Node,
         scenario: &Scenario,
@@ -184,7 +192,7 @@
     }
 }
 
-/// Stops all nodes; the first that did not come back after a fault says why.
+/// Stops all nodes; returns the error of the first one that did not restart after a fault.
 async fn stop_nodes(nodes: Vec<RunningNode>) -> Option<NodeError> {
     let mut first_error = None;
     for RunningNode {
@@ -200,7 +208,7 @@
     first_error
 }
 
-/// A node that does not come back is a failure of the node under test, and stands in the record as one.
+/// Records a node that did not restart as a failure of the node under test.
 fn record_failure(environment: &NodeEnvironment, error: &NodeError) {
     let at = environment.start.elapsed().as_micros() as u64;
     if let Ok(mut events) = environment.events.lock() {
@@ -213,7 +221,7 @@
     }
 }
 
-/// Watches a node until `watch_ended` is set, and stops it then.
+/// Watches a node until `watch_ended` is set, then stops it.
 async fn watch_node(
     mut node: Node,
     load_start: Instant,
@@ -222,13 +230,13 @@
     stop: Arc<AtomicBool>,
     watch_ended: watch::Receiver<bool>,
 ) -> Result<(), NodeError> {
-    let played = play_faults(&mut node, load_start, faults, commands, stop, watch_ended).await;
+    let result = apply_faults(&mut node, load_start, faults, commands, stop, watch_ended).await;
     node.stop().await;
-    played
+    result
 }
 
-/// Plays a node's faults and watches whether its process has died.
-async fn play_faults(
+/// Applies the faults of a node and checks whether its process has died.
+async fn apply_faults(
     node: &mut Node,
     load_start: Instant,
     faults: Vec<(Duration, Fault)>,
@@ -241,10 +249,10 @@
         let next = faults.peek().map(|(at, _)| load_start + *at);
         if next.is_some_and(|at| at <= Instant::now()) && !stop.load(Ordering::Relaxed) {
             if let Some((_, fault)) = faults.next() {
-                if let Some(which) = node.inject_fault(&fault).await? {
+                if let Some(address_index) = node.inject_fault(&fault).await? {
                     let _ = commands.send(Command::CloseOldAddress {
                         node: node.index(),
-                        which,
+                        address_index,
                     });
                 }
             }
--- a/crates/lab/src/run/stand_ins.rs
+++ b/crates/lab/src/run/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' thread of a run: cache servers, database and discovery.
+//! Thread of the stand-ins of a run: cache servers, database and discovery.
 
 use super::faults::{faults_by_target, schedule_faults};
 use super::{Addresses, Command};
@@ -16,7 +16,7 @@
 use tokio::sync::{mpsc as channel, watch};
 use tokio::task::{spawn_local, LocalSet};
 
-/// The stand-ins' thread.
+/// Runs the stand-ins until `shutdown` is set and returns their record.
 pub(super) fn stand_ins(
     scenario: Scenario,
     plan: Arc<Plan>,
@@ -31,7 +31,7 @@
         .build()?;
     LocalSet::new().block_on(&runtime, async {
         let fleet = &scenario.fleet;
-        // Machines that replace others stand ready, unknown to discovery.
+        // Spare servers for `replace` faults listen from the start, unlisted by discovery.
         let spares: usize = faults_by_target(&scenario)
             .filter(|(fault, ..)| fault.kind == FaultKind::Replace)
             .count();
@@ -44,14 +44,19 @@
             start,
             by_hand,
         );
-        let mut dials = vec![Vec::new(); fleet.nodes];
-        for (node, dials) in dials.iter_mut().enumerate() {
+        let mut addresses_by_node = vec![Vec::new(); fleet.nodes];
+        for (node, node_addresses) in addresses_by_node.iter_mut().enumerate() {
             for server in 0..server_count {
-                dials.push(cache_servers.listen(server, node).await?);
+                node_addresses.push(cache_servers.listen(server, node).await?);
             }
         }
-        let servers = dials[0][..fleet.servers].to_vec();
-        let directory = Directory::new(cache_servers.clone(), fleet, server_count, dials);
+        let servers = addresses_by_node[0][..fleet.servers].to_vec();
+        let directory = Directory::new(
+            cache_servers.clone(),
+            fleet,
+            server_count,
+            addresses_by_node,
+        );
         let mut discovery_addresses = Vec::new();
         for node in 0..fleet.nodes {
             discovery_addresses.push([
@@ -61,13 +66,13 @@
         }
         spawn_local(cache_servers.clone().run_model());
         spawn_local(cache_servers.clone().sample());
-        spawn_local(follow_commands(
+        spawn_local(execute_commands(
             scenario.clone(),
             cache_servers.clone(),
             directory,
             received_commands,
         ));
-        // The run may have ended before it began.
+        // The receiver is dropped if the run has already failed.
         let _ = addresses.send(Addresses {
             discovery: discovery_addresses,
             servers,
@@ -80,7 +85,7 @@
     })
 }
 
-async fn follow_commands(
+async fn execute_commands(
     scenario: Scenario,
     cache_servers: Rc<CacheServers>,
     directory: Rc<Directory>,
@@ -89,12 +94,16 @@
     while let Some(command) = received_commands.recv().await {
         match command {
             Command::StartFaults => schedule_faults(&scenario, &cache_servers, &directory),
-            Command::CloseOldAddress { node, which } => directory.close_old(node, which),
+            Command::CloseOldAddress {
+                node,
+                address_index,
+            } => directory.close_old_address(node, address_index),
         }
     }
 }
 
-/// The servers as they stand when the run begins: warm, and holding the keys that are asked for most.
+/// Returns the servers in their state at the start of the run: warm, with the most requested keys
+/// cached.
 fn initial_cluster(scenario: &Scenario, plan: &Plan, server_count: usize) -> Cluster {
     let fleet = &scenario.fleet;
     let [slowest, fastest] = fleet.speed.map(|speed| speed.get());
@@ -124,7 +133,8 @@
         database_settings,
         plan.seed,
     );
-    // Placement is the nodes' own affair: each server begins with the hottest keys that fit.
+    // The placement of keys is decided by the nodes, so each server starts with the hottest keys
+    // that fit.
     let mut total_size = 0;
     let hottest: Vec<_> = (1..=u64::from(scenario.load.keys))
         .map(|rank| (mix(plan.seed ^ rank), plan.size(mix(plan.seed ^ rank))))
@@ -134,7 +144,7 @@
         })
         .collect();
     for server in 0..fleet.servers {
-        // The hottest last: it is the last to be evicted.
+        // The hottest key is inserted last and therefore evicted last.
         hottest
             .iter()
             .rev()
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,6 +1,6 @@
 //! All that a run starts: discovery, traffic, real nodes and workers, from their start to their end.
 
-use crate::client::Table;
+use crate::client::AddressTable;
 use crate::nodes::{NodeEnvironment, NodeEvents, Program};
 use crate::run::Folder;
 use crate::scale::assignment::Assignment;
@@ -86,7 +86,7 @@
         let folder = Folder::new()?;
         let scenario = real::scenario(options)?;
         let assignment = Assignment::new(options);
-        let table: Table = Arc::new(RwLock::new(vec![None; options.nodes()]));
+        let table: AddressTable = Arc::new(RwLock::new(vec![None; options.nodes()]));
         let traffic =
             Traffic::start(table.clone(), options.real, options.requests, options.seed).await?;
         let (version_sender, acknowledged) = unbounded_channel();
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -67,7 +67,7 @@
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
     let configuration = crate::nodes::config(0, scenario, seed, nowhere);
     let written = std::fs::write(&path, configuration.to_string());
-    written.map_err(|error| NodeError::Files {
+    written.map_err(|error| NodeError::WriteFile {
         path: path.clone(),
         error,
     })?;
--- a/crates/lab/src/scale/traffic.rs
+++ b/crates/lab/src/scale/traffic.rs
@@ -1,6 +1,6 @@
 //! Cache servers that answer at once, and clients that ask real nodes at a rate; on a thread of their own.
 
-use crate::client::Table;
+use crate::client::AddressTable;
 use crate::http::{listen, Conn};
 use crate::scale::bounds::CLIENT_CONNECTIONS;
 use rand::rngs::StdRng;
@@ -49,7 +49,12 @@
 
 impl Traffic {
     /// Starts servers, and for each of so many nodes in the table clients that ask at this rate.
-    pub async fn start(table: Table, nodes: usize, rate: f64, seed: u64) -> io::Result<Self> {
+    pub async fn start(
+        table: AddressTable,
+        nodes: usize,
+        rate: f64,
+        seed: u64,
+    ) -> io::Result<Self> {
         let one = runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
@@ -103,7 +108,7 @@
     node: usize,
     rate: f64,
     mut random: StdRng,
-    table: Table,
+    table: AddressTable,
     counts: Rc<Cell<TrafficCounts>>,
 ) {
     let mut conn = None;
@@ -130,7 +135,7 @@
 }
 
 /// A connection to a node, once there is one.
-async fn connect(node: usize, table: &Table) -> Conn {
+async fn connect(node: usize, table: &AddressTable) -> Conn {
     loop {
         let address = table
             .read()
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -1,9 +1,11 @@
-//! Stand-ins for the cache servers and the database: the model's jobs, asked for over the platform's HTTP.
+//! Stand-ins for the cache servers and the database: serves the jobs of the model over the
+//! platform's HTTP.
 //!
-//! Each server listens once for each node, so that it knows who asks and a path between two can be broken alone. A
-//! server that is down, or that refuses, accepts and resets: on loopback nobody but the kernel can refuse a connection
-//! on a port that must stay its own. One that is cut off accepts and says nothing; once it is back, what was open is
-//! reset.
+//! Each server listens on a separate port for each node, which identifies the calling node and
+//! allows a fault on a single path. A server that is down or refuses connections accepts and resets
+//! them: on loopback only the kernel can refuse a connection, and the port must stay reserved. A
+//! partitioned server accepts connections and stays silent; when the partition ends, the open
+//! connections are reset.
 
 mod connection;
 
@@ -23,41 +25,41 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until};
 
-/// How a server behaves beside its model.
+/// Network behaviour of a server, in addition to its model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerMode {
-    /// As it should.
+    /// Serves normally.
     Healthy,
-    /// Accepts and reads, and never answers.
+    /// Accepts connections, reads requests and never answers.
     Hang,
-    /// Runs each request and resets.
+    /// Runs each request and resets the connection.
     Reset,
-    /// Half an answer.
+    /// Sends half of each response and closes the connection.
     Truncate,
-    /// What is no HTTP.
+    /// Sends bytes that are not HTTP.
     Garbage,
-    /// No new connections.
+    /// Resets new connections and serves the open ones.
     Refuse,
-    /// Nothing comes through.
+    /// Accepts connections and stays silent.
     Partitioned,
-    /// Its process is gone, and its connections with it.
+    /// The process is dead: open and new connections are reset.
     Down,
 }
 
-/// Ids that people use by hand against a running fleet begin so.
-pub const BY_HAND: &str = "by-hand";
-/// Servers are sampled so often.
+/// Prefix of the ids of requests sent manually to a running fleet.
+pub const BY_HAND_PREFIX: &str = "by-hand";
+/// Interval of samples of every server.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// The body of an answer to a write.
+/// Length of the body of a response to a write.
 const WRITE_BODY_BYTES: usize = 64;
 
-/// All cache servers, on one thread.
+/// All cache servers; they run on one thread.
 pub struct CacheServers {
-    /// The model.
+    /// Model of the servers and the database.
     pub cluster: RefCell<Cluster>,
-    /// What was seen.
+    /// Observations of the servers and discovery.
     pub record: RefCell<Record>,
-    /// The run's start.
+    /// Start of the run.
     pub start: Instant,
     plan: Arc<Plan>,
     classes: Vec<Class>,
@@ -71,12 +73,13 @@
     waiting: RefCell<HashMap<JobId, oneshot::Sender<JobResult>>>,
     next_job: Cell<JobId>,
     job_added: Notify,
-    /// When a keyed request was first begun, by its arrival: repeats within the window are not run.
+    /// Start of the first run of each keyed request, by arrival: repeats within the window are not
+    /// run.
     first_runs: RefCell<HashMap<u32, Duration>>,
 }
 
 impl CacheServers {
-    /// Servers for this cluster.
+    /// Creates the servers of `cluster`, all healthy.
     pub fn new(
         scenario: &Scenario,
         plan: Arc<Plan>,
@@ -107,7 +110,7 @@
         })
     }
 
-    /// Time since the run's start.
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
@@ -116,7 +119,7 @@
         at.saturating_duration_since(self.start).as_micros() as u64
     }
 
-    /// A server behaves like this from now on.
+    /// Switches a server to `mode`; leaving `Down` restarts the server in the model.
     pub fn set_mode(&self, server: usize, mode: ServerMode) {
         match mode {
             ServerMode::Down => self.cluster.borrow_mut().kill(server),
@@ -128,7 +131,7 @@
         self.modes[server].send_replace(mode);
     }
 
-    /// Listens for one node at one server.
+    /// Starts listening at one server for one node and returns the address.
     pub async fn listen(self: &Rc<Self>, server: usize, node: usize) -> io::Result<SocketAddr> {
         let cache_servers = self.clone();
         listen(move |stream| {
@@ -144,14 +147,15 @@
         .await
     }
 
-    /// The try that an id names, where the plan has its request.
+    /// Returns the try with this id if its request is part of the plan.
     fn planned_try(&self, id: &str) -> Option<TryId> {
         TryId::parse(id).filter(|id| (id.arrival as usize) < self.plan.arrivals.len())
     }
 
-    /// Whether a person sent the request with this id beside the load, where the run allows that.
+    /// Checks whether the request with this id was sent manually and the run allows manual
+    /// requests.
     fn is_by_hand(&self, id: &str) -> bool {
-        self.by_hand && id.starts_with(BY_HAND)
+        self.by_hand && id.starts_with(BY_HAND_PREFIX)
     }
 
     fn job(&self, id: Option<TryId>, path: &str) -> Job {
@@ -171,7 +175,8 @@
         }
     }
 
-    /// Whether a keyed request has begun elsewhere within the window: servers share that memory, and drop it.
+    /// Checks whether a keyed request was already run on any server within the window: servers
+    /// share this record and drop duplicates.
     fn is_duplicate(&self, id: TryId) -> bool {
         let class = &self.classes[self.plan.arrivals[id.arrival as usize].class];
         if class.idempotency != Idempotency::Keyed {
@@ -189,14 +194,15 @@
         at != now && at + window >= now
     }
 
-    fn answer(&self, server: usize, id: &str, job: Job, result: JobResult) -> Vec<u8> {
+    fn response(&self, server: usize, id: &str, job: Job, result: JobResult) -> Vec<u8> {
         let cache_header = match result {
             JobResult::Ok(CacheResult::Hit) => "Srv-Cache: hit\r\n",
             JobResult::Ok(CacheResult::Miss) => "Srv-Cache: miss\r\n",
             JobResult::Ok(CacheResult::Pending) => "Srv-Cache: pending\r\n",
             JobResult::Error | JobResult::Dropped => return response_head(500, "", 0),
         };
-        // Its first words say for whom it was made: a body for another request would show.
+        // The body starts with the id of the request and the server, so that clients detect a body
+        // for another request.
         let prefix = format!("{id} by {server} ");
         let length = if job.write {
             WRITE_BODY_BYTES
@@ -214,7 +220,7 @@
         bytes
     }
 
-    /// A server's load report.
+    /// Returns the load report of a server.
     fn load_report(&self, server: usize) -> String {
         let ServerLoad {
             busy,
@@ -228,14 +234,14 @@
         )
     }
 
-    /// Moves the model on, for as long as the run lasts.
+    /// Advances the model for the duration of the run.
     pub async fn run_model(self: Rc<Self>) {
         let mut finished = Vec::new();
         loop {
             self.cluster.borrow_mut().advance(self.now(), &mut finished);
             for (_, job, result) in finished.drain(..) {
                 if let Some(waiting) = self.waiting.borrow_mut().remove(&job) {
-                    // A node that left meanwhile hears nothing.
+                    // The receiver is dropped if the node has disconnected.
                     let _ = waiting.send(result);
                 }
             }
@@ -253,19 +259,19 @@
         }
     }
 
-    /// Samples every server, for as long as the run lasts.
+    /// Samples every server for the duration of the run.
     pub async fn sample(self: Rc<Self>) {
         loop {
             sleep(SAMPLE_INTERVAL).await;
             let cluster = self.cluster.borrow();
             let (at, fetches) = (self.now().as_micros() as u64, cluster.database_calls());
-            let all = (0..self.open_connections.len()).map(|server| Sample {
+            let new_samples = (0..self.open_connections.len()).map(|server| Sample {
                 at,
                 server,
                 held: cluster.request_count(server),
                 fetches,
             });
-            self.record.borrow_mut().samples.extend(all);
+            self.record.borrow_mut().samples.extend(new_samples);
         }
     }
 }
--- a/crates/lab/src/servers/connection.rs
+++ b/crates/lab/src/servers/connection.rs
@@ -1,8 +1,8 @@
-//! One connection of a node to one server: its requests are read, run by the model, and answered as the server's mode
-//! has it.
+//! One connection of a node to one server: reads requests, runs them in the model, and responds as
+//! the mode of the server requires.
 
 use super::{response_head, CacheServers, ServerMode};
-use crate::http::{Asked, Conn, ReadError};
+use crate::http::{Conn, ReadError, ReceivedRequest};
 use crate::model::{Admission, CacheResult, Job, JobResult};
 use crate::record::{Attempt, AttemptOutcome, TryId, UnknownRequest};
 use std::rc::Rc;
@@ -10,24 +10,24 @@
 use tokio::sync::{oneshot, watch};
 use tokio::time::timeout;
 
-/// How the server ends a connection.
+/// Way in which the server ends a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionEnd {
-    /// In order, with what was written delivered.
+    /// Closed in order, with all written bytes delivered.
     Close,
-    /// With a reset, as a process that dies does.
+    /// Reset, as when a process dies.
     Reset,
 }
 
-/// What the model made of a job.
+/// Outcome of a job in the model.
 enum JobOutcome {
-    /// It ended with this result.
+    /// The job ended with this result.
     Finished(JobResult),
-    /// It was rejected unseen, and the node was answered so.
+    /// The job was declined without being run, and the rejection was sent to the node.
     Declined,
 }
 
-/// Place of an attempt in the record; `None` for a request sent by hand, which is not recorded.
+/// Index of an attempt in the record; `None` for a manual request, which is not recorded.
 type AttemptIndex = Option<usize>;
 
 struct Connection {
@@ -38,7 +38,7 @@
     mode: watch::Receiver<ServerMode>,
 }
 
-/// Serves a node's connection to a server until either side ends it.
+/// Serves a node's connection to a server until either peer ends it.
 pub(super) async fn serve(servers: Rc<CacheServers>, server: usize, node: usize, conn: Conn) {
     let open = &servers.open_connections[server];
     open.set(open.get() + 1);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Serves one request, or takes a change of the server's mode in.
+    /// Serves one request, or handles a change of the server's mode.
     async fn serve_next(&mut self) -> Result<(), ConnectionEnd> {
         let mode = *self.mode.borrow_and_update();
         self.end_if_unreachable(mode).await?;
@@ -73,16 +73,16 @@
         };
         let received = Instant::now();
         let Some(text) = request.id else {
-            return self.answer_probe(mode, &request.path).await;
+            return self.respond_to_probe(mode, &request.path).await;
         };
         let id = self.servers.planned_try(&text);
         if id.is_none() && !self.servers.is_by_hand(&text) {
             return self.reject_unknown(text, received).await;
         }
-        let first_byte = request.first.unwrap_or(received);
+        let first_byte = request.first_byte_at.unwrap_or(received);
         let attempt = id.map(|id| self.record_attempt(id, first_byte, received));
         if *self.mode.borrow() == ServerMode::Hang {
-            self.conn.gone().await;
+            self.conn.closed_or_readable().await;
             return Err(ConnectionEnd::Close);
         }
         let job = self.servers.job(id, &request.path);
@@ -92,16 +92,17 @@
             self.run(job, attempt).await?
         };
         match outcome {
-            JobOutcome::Finished(result) => self.write_answer(&text, job, result).await,
+            JobOutcome::Finished(result) => self.write_response(&text, job, result).await,
             JobOutcome::Declined => Ok(()),
         }
     }
 
-    /// Ends the connection where the server is down, or once a partition is over: what was open then is reset.
+    /// Ends the connection if the server is down, or at the end of a partition, which resets the
+    /// open connections.
     async fn end_if_unreachable(&mut self, mode: ServerMode) -> Result<(), ConnectionEnd> {
         match mode {
             ServerMode::Partitioned => {
-                // The sender lives as long as the servers do.
+                // Cannot fail: the sender lives as long as the servers.
                 let _ = self.mode.changed().await;
                 Err(ConnectionEnd::Reset)
             }
@@ -110,8 +111,8 @@
         }
     }
 
-    /// The next request; `None` where the server's mode changed first.
-    async fn read_request(&mut self) -> Result<Option<Asked>, ConnectionEnd> {
+    /// Reads the next request; returns `None` if the server's mode changes first.
+    async fn read_request(&mut self) -> Result<Option<ReceivedRequest>, ConnectionEnd> {
         let read = tokio::select! {
             read = timeout(self.servers.idle_close, self.conn.request()) => read,
             _ = self.mode.changed() => return Ok(None),
@@ -123,8 +124,12 @@
         }
     }
 
-    /// Answers a request without an id: a probe for the server's load or health, or else 404.
-    async fn answer_probe(&mut self, mode: ServerMode, path: &str) -> Result<(), ConnectionEnd> {
+    /// Answers a request without an id: a probe for the server's load or health, otherwise 404.
+    async fn respond_to_probe(
+        &mut self,
+        mode: ServerMode,
+        path: &str,
+    ) -> Result<(), ConnectionEnd> {
         let body = match path {
             _ if !self.servers.probes || mode == ServerMode::Hang => None,
             "/load" => Some(self.servers.load_report(self.server)),
@@ -150,7 +155,7 @@
         self.write(&response_head(400, "", 0)).await
     }
 
-    /// Records an attempt as run; its place in the record.
+    /// Records an attempt as run and returns its index in the record.
     fn record_attempt(&self, id: TryId, first_byte: Instant, received: Instant) -> usize {
         let attempts = &mut self.servers.record.borrow_mut().attempts;
         attempts.push(Attempt {
@@ -170,7 +175,7 @@
         }
     }
 
-    /// Submits a job to the model, and waits for its result where the model accepts it.
+    /// Submits a job to the model and waits for its result if the model accepts it.
     async fn run(&mut self, job: Job, attempt: AttemptIndex) -> Result<JobOutcome, ConnectionEnd> {
         let now = self.servers.now();
         let admission = self
@@ -189,12 +194,15 @@
                 self.servers.modes[self.server].send_replace(ServerMode::Down);
                 Err(ConnectionEnd::Reset)
             }
-            Admission::Accepted => Ok(JobOutcome::Finished(self.finished(job, attempt).await?)),
+            Admission::Accepted => Ok(JobOutcome::Finished(
+                self.wait_for_result(job, attempt).await?,
+            )),
         }
     }
 
-    /// Waits for an accepted job's result. A node that ends the connection first cancels the job.
-    async fn finished(
+    /// Waits for the result of an accepted job. The job is cancelled if the node ends the
+    /// connection first.
+    async fn wait_for_result(
         &mut self,
         job: Job,
         attempt: AttemptIndex,
@@ -204,9 +212,9 @@
         self.servers.job_added.notify_one();
         loop {
             tokio::select! {
-                // The sender is dropped where the server has died.
+                // The sender is dropped if the server has died.
                 result = &mut result => return result.map_err(|_| ConnectionEnd::Reset),
-                () = self.conn.gone() => {
+                () = self.conn.closed_or_readable() => {
                     self.cancel(job, attempt);
                     return Err(ConnectionEnd::Close);
                 }
@@ -222,7 +230,7 @@
         }
     }
 
-    /// Cancels a job whose node has given it up.
+    /// Cancels a job whose node has disconnected.
     fn cancel(&self, job: Job, attempt: AttemptIndex) {
         let dropped = self
             .servers
@@ -235,19 +243,19 @@
         self.servers.waiting.borrow_mut().remove(&job.id);
     }
 
-    /// Writes a job's answer, or what the server's mode makes of it.
-    async fn write_answer(
+    /// Writes the response to a job, altered as the server's mode requires.
+    async fn write_response(
         &mut self,
         id: &str,
         job: Job,
         result: JobResult,
     ) -> Result<(), ConnectionEnd> {
-        let bytes = self.servers.answer(self.server, id, job, result);
+        let bytes = self.servers.response(self.server, id, job, result);
         let mode = *self.mode.borrow();
         match mode {
             ServerMode::Reset => Err(ConnectionEnd::Reset),
             ServerMode::Garbage => {
-                // How much of it arrives is the peer's affair.
+                // The node may have disconnected already.
                 let _ = self.write(b"\x16\x03\x01 not a status line\r\n\r\n").await;
                 Err(ConnectionEnd::Close)
             }
@@ -259,7 +267,7 @@
         }
     }
 
-    /// Writes all of it; a connection that cannot be written is reset.
+    /// Writes all bytes; a connection that cannot be written is reset.
     async fn write(&mut self, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         let written = self.conn.write(bytes).await;
         written.map_err(|_| ConnectionEnd::Reset)
