--- a/crates/cli/src/lab/idle.rs
+++ b/crates/cli/src/lab/idle.rs
@@ -46,7 +46,7 @@
         .collect()
 }
 
-fn print(measured: &idle::Idle) -> io::Result<()> {
+fn print(measured: &idle::IdleReport) -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(
         out,
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -264,7 +264,7 @@
         conn.write(b"GET /healthz HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
             .await
             .ok()?;
-        Some(conn.answer().await.ok()?.status == 200)
+        Some(conn.response().await.ok()?.status == 200)
     };
     let deadline = Instant::now() + Duration::from_secs(1);
     matches!(timeout_at(deadline.into(), check).await, Ok(Some(true)))
--- a/crates/lab/src/client/exchange.rs
+++ b/crates/lab/src/client/exchange.rs
@@ -70,11 +70,11 @@
     }
 
     /// Classifies the response to this try.
-    fn outcome(&self, answer: Result<ReceivedResponse, ReadError>) -> Outcome {
-        match answer {
-            Ok(answer) => Outcome {
-                end: self.end_of(&answer),
-                reusable: !answer.close,
+    fn outcome(&self, response: Result<ReceivedResponse, ReadError>) -> Outcome {
+        match response {
+            Ok(response) => Outcome {
+                end: self.end_of(&response),
+                reusable: !response.close,
             },
             Err(ReadError::Ended { begun }) => Outcome {
                 end: End::Broke { begun },
@@ -87,12 +87,12 @@
         }
     }
 
-    fn end_of(&self, answer: &ReceivedResponse) -> End {
-        match answer.status {
-            200 if self.is_body_for_this_try(&answer.body) => End::Served,
+    fn end_of(&self, response: &ReceivedResponse) -> End {
+        match response.status {
+            200 if self.is_body_for_this_try(&response.body) => End::Served,
             200 => End::Foreign,
             429 | 503 => End::Refused {
-                retry_after: answer
+                retry_after: response
                     .retry_after
                     .filter(|seconds| (0.0..MAX_RETRY_AFTER_S).contains(seconds))
                     .map(|seconds| (seconds * 1e3) as u32),
@@ -136,13 +136,13 @@
             return try_record;
         }
         try_record.sent = self.now();
-        let answer = timeout_at(exchange.try_deadline.into(), connection.conn.answer()).await;
+        let response = timeout_at(exchange.try_deadline.into(), connection.conn.response()).await;
         try_record.ended = self.now();
-        let Ok(answer) = answer else {
+        let Ok(response) = response else {
             try_record.end = End::TimedOut;
             return try_record;
         };
-        let Outcome { end, reusable } = exchange.outcome(answer);
+        let Outcome { end, reusable } = exchange.outcome(response);
         try_record.end = end;
         if reusable {
             self.add_idle(connection, try_record);
--- a/crates/lab/src/client/live.rs
+++ b/crates/lab/src/client/live.rs
@@ -32,7 +32,7 @@
 }
 
 impl LiveCounters {
-    /// Returns the 50th and 99th percentile of the latest latencies, in milliseconds.
+    /// Returns the 50th and 99th percentile of the most recent latencies, in milliseconds.
     pub fn percentiles(&self) -> (f32, f32) {
         percentiles(
             self.recent_latencies_ms
@@ -42,8 +42,7 @@
         )
     }
 
-    /// Counts a request served after the latency `took` from the due time of its first try, in time
-    /// or late.
+    /// Counts a request served `latency` after the due time of its first try, in time or late.
     pub(super) fn served(&self, latency: Duration, late: bool) {
         let count = if late { &self.late } else { &self.in_time };
         count.fetch_add(1, Ordering::Relaxed);
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -58,7 +58,7 @@
     /// Length of the whole message in bytes.
     pub bytes: usize,
     /// Arrival time of the first byte.
-    pub first_byte_at: Option<Instant>,
+    pub started_at: Option<Instant>,
 }
 
 /// A received response.
@@ -126,13 +126,13 @@
     }
 
     async fn read_more(&mut self) -> Result<(), ReadError> {
-        let had = !self.buffer.is_empty();
+        let had_bytes = !self.buffer.is_empty();
         self.buffer.reserve(READ_BYTES);
         match self.stream.read_buf(&mut self.buffer).await {
-            Ok(0) | Err(_) => Err(ReadError::Ended { begun: had }),
+            Ok(0) | Err(_) => Err(ReadError::Ended { begun: had_bytes }),
             Ok(_) if self.buffer.len() > MAX_MESSAGE_BYTES => Err(ReadError::TooLarge),
             Ok(_) => {
-                if !had {
+                if !had_bytes {
                     self.first_byte_at = Some(Instant::now());
                 }
                 Ok(())
@@ -156,7 +156,7 @@
                         id: text("req-id"),
                         body,
                         bytes: start + body,
-                        first_byte_at: self.first_byte_at.take(),
+                        started_at: self.first_byte_at.take(),
                     };
                     self.buffer.drain(..start + body);
                     return Ok(received_request);
@@ -167,7 +167,7 @@
     }
 
     /// Reads the next complete response.
-    pub async fn answer(&mut self) -> Result<ReceivedResponse, ReadError> {
+    pub async fn response(&mut self) -> Result<ReceivedResponse, ReadError> {
         loop {
             let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Response::new(&mut headers);
--- a/crates/lab/src/idle.rs
+++ b/crates/lab/src/idle.rs
@@ -28,10 +28,10 @@
 /// Pause between two batches: longer than a node needs to detect that the previous batch is idle.
 const BATCH_INTERVAL: Duration = Duration::from_millis(450);
 /// Timeout of a response.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Total number of look-ups that measure latency, sequential on each of a few connections.
 const LOOKUPS: usize = 4_000;
-/// Number of connections for these look-ups.
+/// Number of connections that share the look-ups.
 const LOOKUP_CONNECTIONS: usize = 8;
 
 /// Measurement of a node with a given number of idle connections.
@@ -45,27 +45,27 @@
     pub bytes_each: f64,
     /// 50th percentile of the latency of look-ups on other connections, in milliseconds.
     pub p50_ms: f32,
-    /// 99th percentile of the same latencies, in milliseconds.
+    /// 99th percentile of the latency of look-ups on other connections, in milliseconds.
     pub p99_ms: f32,
 }
 
 /// Results of a measurement of idle connections.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Idle {
+pub struct IdleReport {
     /// Measurements by number of idle connections.
     pub crowds: Vec<IdleSample>,
     /// Number of connections that the node closed with their first response.
     pub closed: usize,
     /// Number of responses when all connections sent a request at once.
     pub answered: usize,
-    /// Time to the last of these responses, in milliseconds.
+    /// Time from the simultaneous requests to the last response, in milliseconds.
     pub burst_ms: f64,
     /// Peak resident memory of the node, in KiB.
     pub peak_kib: u64,
-    /// Time from SIGTERM, sent when the answered connections were idle again, to the end of the
-    /// last one, in milliseconds.
+    /// Time from SIGTERM, sent when the answered connections were idle again, until the last of
+    /// them was closed, in milliseconds.
     pub stop_ms: f64,
-    /// Number of these connections that the node closed in order.
+    /// Number of the answered connections that the node closed in order after SIGTERM.
     pub stopped: usize,
 }
 
@@ -73,7 +73,7 @@
 /// at each size, and at the end sends a request on all connections at once. Small batches model
 /// clients that connect over an evening; in a single batch all clients hold their buffers at the
 /// same time.
-pub fn measure(program: Program, sizes: &[usize], batch: usize) -> Result<Idle, RunError> {
+pub fn measure(program: Program, sizes: &[usize], batch: usize) -> Result<IdleReport, RunError> {
     // Clients may use all descriptors except the reserve for cache servers, and idle connections
     // are kept.
     let sockets = sizes.iter().max().copied().unwrap_or_default() * 3 + 1024;
@@ -110,12 +110,12 @@
     }
 }
 
-async fn measure_node(node: StartedNode, sizes: &[usize], batch: usize) -> io::Result<Idle> {
+async fn measure_node(node: StartedNode, sizes: &[usize], batch: usize) -> io::Result<IdleReport> {
     let address = node.address;
     let pid = node
         .pid
         .ok_or_else(|| io::Error::other("the node does not run as a separate process"))?;
-    let mut idle = Idle::default();
+    let mut idle = IdleReport::default();
     // Memory for the first look-ups is not attributed to the idle connections.
     measure_lookups(address).await?;
     sleep(IDLE_TIME).await;
@@ -205,7 +205,7 @@
     let mut closing = JoinSet::new();
     for mut conn in held {
         closing.spawn_local(async move {
-            let ended = timeout(ANSWER_TIMEOUT, conn.answer()).await;
+            let ended = timeout(RESPONSE_TIMEOUT, conn.response()).await;
             matches!(ended, Ok(Err(ReadError::Ended { begun: false })))
         });
     }
@@ -278,10 +278,10 @@
         number % 64
     );
     conn.write(request.as_bytes()).await?;
-    let answer = timeout(ANSWER_TIMEOUT, conn.answer())
+    let response = timeout(RESPONSE_TIMEOUT, conn.response())
         .await?
         .map_err(io::Error::other)?;
-    Ok(!answer.close)
+    Ok(!response.close)
 }
 
 /// Reads a memory figure of a process in KiB (proc(5): `VmRSS:` current, `VmHWM:` peak).
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -123,10 +123,10 @@
             plan,
             record,
             breaches,
-            lasted,
+            load_duration,
         } = played;
         let sent_count = record.late.len();
-        let seconds = lasted.as_secs_f64().min(scenario.seconds.get());
+        let seconds = load_duration.as_secs_f64().min(scenario.seconds.get());
         let tallies = Tallies::of(scenario, plan, record, seconds);
         let by_second = tallies.by_second();
         let loads = LoadsBySecond::of(record, by_second.len());
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -58,7 +58,7 @@
     pub by_hand: bool,
     /// Live counters of the run.
     pub live: Arc<LiveCounters>,
-    /// Set to end the run early; requests already sent are completed.
+    /// Set to end the run early; requests already started are completed.
     pub stop: Arc<AtomicBool>,
     /// Receives all nodes once they are ready.
     pub ready: Option<mpsc::Sender<Vec<StartedNode>>>,
@@ -88,7 +88,7 @@
     /// Breaches of the rules.
     pub breaches: Vec<Breach>,
     /// Duration of the load phase.
-    pub lasted: Duration,
+    pub load_duration: Duration,
 }
 
 /// Temporary folder of one run, removed on drop.
@@ -174,7 +174,7 @@
         clients,
         node_events,
         load_start,
-        lasted,
+        load_duration,
     } = played?;
     let mut record = Record {
         tries: clients.tries,
@@ -189,7 +189,7 @@
         plan,
         record,
         breaches,
-        lasted,
+        load_duration,
     })
 }
 
--- a/crates/lab/src/run/nodes.rs
+++ b/crates/lab/src/run/nodes.rs
@@ -39,7 +39,7 @@
     /// Start of the load, in microseconds from the start of the run.
     pub(super) load_start: u64,
     /// Duration of the load phase.
-    pub(super) lasted: Duration,
+    pub(super) load_duration: Duration,
 }
 
 /// Runs the nodes and the clients until all requests have ended.
@@ -79,7 +79,7 @@
     while !clients.is_finished() {
         sleep(POLL_INTERVAL).await;
     }
-    let lasted = load_start.elapsed();
+    let load_duration = load_start.elapsed();
     sleep(LINGER_TIME).await;
     let failure = stop_nodes(nodes).await;
     let clients = join_thread(clients, "clients")??;
@@ -91,7 +91,7 @@
         clients,
         node_events: node_events.map(|events| events.clone()).unwrap_or_default(),
         load_start: load_start.duration_since(start).as_micros() as u64,
-        lasted,
+        load_duration,
     })
 }
 
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -96,7 +96,7 @@
     };
     conn.write(format!("GET {STATUS_PATH} HTTP/1.1\r\nHost: {address}\r\n\r\n").as_bytes())
         .await?;
-    let status = serde_json::from_slice(&conn.answer().await?.body)?;
+    let status = serde_json::from_slice(&conn.response().await?.body)?;
     *kept = Some(conn);
     Ok(status)
 }
--- a/crates/lab/src/scale/traffic.rs
+++ b/crates/lab/src/scale/traffic.rs
@@ -158,6 +158,6 @@
         REQUEST_DEADLINE.as_millis()
     );
     conn.write(text.as_bytes()).await?;
-    let answer = conn.answer().await.map_err(io::Error::other)?;
+    let answer = conn.response().await.map_err(io::Error::other)?;
     Ok((answer.status, answer.close))
 }
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the cache servers and the database: serves the jobs of the model over the
+//! Stand-ins for the cache servers and the database, which serve the jobs of the model over the
 //! platform's HTTP.
 //!
 //! Each server listens on a separate port for each node, which identifies the calling node and
--- a/crates/lab/src/servers/connection.rs
+++ b/crates/lab/src/servers/connection.rs
@@ -79,7 +79,7 @@
         if id.is_none() && !self.servers.is_by_hand(&text) {
             return self.reject_unknown(text, received).await;
         }
-        let first_byte = request.first_byte_at.unwrap_or(received);
+        let first_byte = request.started_at.unwrap_or(received);
         let attempt = id.map(|id| self.record_attempt(id, first_byte, received));
         if *self.mode.borrow() == ServerMode::Hang {
             self.conn.closed_or_readable().await;
@@ -207,8 +207,11 @@
         job: Job,
         attempt: AttemptIndex,
     ) -> Result<JobResult, ConnectionEnd> {
-        let (finished, mut result) = oneshot::channel();
-        self.servers.waiting.borrow_mut().insert(job.id, finished);
+        let (result_sender, mut result) = oneshot::channel();
+        self.servers
+            .waiting
+            .borrow_mut()
+            .insert(job.id, result_sender);
         self.servers.job_added.notify_one();
         loop {
             tokio::select! {
