--- a/crates/cli/src/lab/play.rs
+++ b/crates/cli/src/lab/play.rs
@@ -4,7 +4,7 @@
 use slatelink_lab::client::LiveCounters;
 use slatelink_lab::nodes::Program;
 use slatelink_lab::report::Report;
-use slatelink_lab::run::{play, Options};
+use slatelink_lab::run::{run_scenario, Options};
 use slatelink_lab::scenario::Scenario;
 use std::error::Error;
 use std::path::Path;
@@ -40,7 +40,7 @@
     };
     let bar = bar(name, scenario, seed);
     let played = thread::scope(|scope| {
-        let playing = scope.spawn(|| play(scenario, &options));
+        let playing = scope.spawn(|| run_scenario(scenario, &options));
         while !playing.is_finished() {
             thread::sleep(BAR_INTERVAL);
             show(&bar, scenario, &options.live);
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -6,7 +6,7 @@
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use slatelink_lab::client::LiveCounters;
 use slatelink_lab::report::Report;
-use slatelink_lab::run::{play, Options, StartedNode};
+use slatelink_lab::run::{run_scenario, Options, StartedNode};
 use slatelink_lab::scenario::{Scenario, ScenarioError};
 use std::io::{self, IsTerminal, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -70,7 +70,7 @@
         self.node.start_log();
         let (ready, ready_nodes) = mpsc::channel();
         let options = Options {
-            by_hand: true,
+            manual_requests: true,
             ready: Some(ready),
             stop: crate::signals::stop_at_interrupt()?,
             ..Options::new(self.node.program()?, SEED)
@@ -78,7 +78,7 @@
         let live = options.live.clone();
         let playing = {
             let scenario = scenario.clone();
-            thread::spawn(move || play(&scenario, &options))
+            thread::spawn(move || run_scenario(&scenario, &options))
         };
         // The sender goes with the run, also where its nodes do not start.
         if let Ok(nodes) = ready_nodes.recv() {
--- a/crates/lab/src/idle.rs
+++ b/crates/lab/src/idle.rs
@@ -4,7 +4,7 @@
 use crate::client::percentiles;
 use crate::http::{Conn, ReadError};
 use crate::nodes::Program;
-use crate::run::{play, Options, RunError, StartedNode};
+use crate::run::{run_scenario, Options, RunError, StartedNode};
 use crate::scenario::Scenario;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -85,12 +85,12 @@
         .map_err(|error| io::Error::other(error.to_string()))?;
     let (ready, ready_nodes) = mpsc::channel();
     let options = Options {
-        by_hand: true,
+        manual_requests: true,
         ready: Some(ready),
         ..Options::new(program, 1)
     };
     let stop = options.stop.clone();
-    let playing = thread::spawn(move || play(&scenario, &options));
+    let run_thread = thread::spawn(move || run_scenario(&scenario, &options));
     let measured = ready_nodes
         .recv()
         .ok()
@@ -102,11 +102,11 @@
             LocalSet::new().block_on(&runtime, measure_node(node, sizes, batch.max(1)))
         });
     stop.store(true, Ordering::Relaxed);
-    let played = playing.join().map_err(|_| RunError::Thread("run"))?;
+    let completed_run = run_thread.join().map_err(|_| RunError::Thread("run"))?;
     match measured {
         Some(measured) => Ok(measured?),
         // The node did not start; the run returns the cause.
-        None => Err(played.err().unwrap_or(RunError::Thread("run"))),
+        None => Err(completed_run.err().unwrap_or(RunError::Thread("run"))),
     }
 }
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -5,7 +5,7 @@
 
 use crate::record::{AppliedFault, Record};
 use crate::rules::Breach;
-use crate::run::Played;
+use crate::run::CompletedRun;
 use crate::scenario::{FaultKind, Scenario};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -118,8 +118,8 @@
 
 impl Report {
     /// Makes a report of a run.
-    pub fn new(name: &str, scenario: &Scenario, seed: u64, played: &Played) -> Self {
-        let Played {
+    pub fn new(name: &str, scenario: &Scenario, seed: u64, played: &CompletedRun) -> Self {
+        let CompletedRun {
             plan,
             record,
             breaches,
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -11,7 +11,7 @@
 use crate::record::{Record, TryId};
 use crate::rules::{self, Breach};
 use crate::scenario::Scenario;
-use nodes::{play_load, LoadOutcome};
+use nodes::{run_load, LoadOutcome};
 use stand_ins::stand_ins;
 use std::io;
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
     /// Seed of all random values.
     pub seed: u64,
     /// Whether cache servers answer manual requests in addition to the load.
-    pub by_hand: bool,
+    pub manual_requests: bool,
     /// Live counters of the run.
     pub live: Arc<LiveCounters>,
     /// Set to end the run early; requests already started are completed.
@@ -71,7 +71,7 @@
         Self {
             program,
             seed,
-            by_hand: false,
+            manual_requests: false,
             live,
             stop,
             ready: None,
@@ -80,7 +80,7 @@
 }
 
 /// A completed run.
-pub struct Played {
+pub struct CompletedRun {
     /// Requests that were planned.
     pub plan: Arc<Plan>,
     /// Observations of stand-ins and clients.
@@ -130,7 +130,7 @@
 }
 
 /// Runs a scenario once.
-pub fn play(scenario: &Scenario, options: &Options) -> Result<Played, RunError> {
+pub fn run_scenario(scenario: &Scenario, options: &Options) -> Result<CompletedRun, RunError> {
     let plan = Arc::new(Plan::draw(scenario, options.seed));
     let folder = Folder::new()?;
     // All threads share one clock. Its zero precedes the start of the nodes; at the end of the run,
@@ -140,13 +140,14 @@
     let (commands, received_commands) = channel::unbounded_channel();
     let (addresses, listening) = mpsc::channel();
     let stand_ins = spawn_thread("stand-ins", {
-        let (scenario, plan, by_hand) = (scenario.clone(), plan.clone(), options.by_hand);
+        let (scenario, plan, manual_requests) =
+            (scenario.clone(), plan.clone(), options.manual_requests);
         move || {
             stand_ins(
                 scenario,
                 plan,
                 start,
-                by_hand,
+                manual_requests,
                 addresses,
                 received_commands,
                 shutdown_seen,
@@ -165,7 +166,7 @@
         .worker_threads(1)
         .enable_all()
         .build()?;
-    let played = runtime.block_on(play_load(
+    let outcome = runtime.block_on(run_load(
         scenario, options, &plan, start, listening, &folder, commands,
     ));
     shutdown.send_replace(true);
@@ -175,7 +176,7 @@
         node_events,
         load_start,
         load_duration,
-    } = played?;
+    } = outcome?;
     let mut record = Record {
         tries: clients.tries,
         late: clients.late,
@@ -185,7 +186,7 @@
     record.shift(load_start);
     let class_of = |id: TryId| plan.arrivals[id.arrival as usize].class;
     let breaches = rules::check(&record, &scenario.classes, class_of);
-    Ok(Played {
+    Ok(CompletedRun {
         plan,
         record,
         breaches,
--- a/crates/lab/src/run/nodes.rs
+++ b/crates/lab/src/run/nodes.rs
@@ -43,7 +43,7 @@
 }
 
 /// Runs the nodes and the clients until all requests have ended.
-pub(super) async fn play_load(
+pub(super) async fn run_load(
     scenario: &Scenario,
     options: &Options,
     plan: &Arc<Plan>,
--- a/crates/lab/src/run/stand_ins.rs
+++ b/crates/lab/src/run/stand_ins.rs
@@ -21,7 +21,7 @@
     scenario: Scenario,
     plan: Arc<Plan>,
     start: Instant,
-    by_hand: bool,
+    manual_requests: bool,
     addresses: mpsc::Sender<Addresses>,
     received_commands: channel::UnboundedReceiver<Command>,
     mut shutdown: watch::Receiver<bool>,
@@ -42,7 +42,7 @@
             initial_cluster(&scenario, &plan, server_count),
             server_count,
             start,
-            by_hand,
+            manual_requests,
         );
         let mut addresses_by_node = vec![Vec::new(); fleet.nodes];
         for (node, node_addresses) in addresses_by_node.iter_mut().enumerate() {
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -47,7 +47,7 @@
 }
 
 /// Prefix of the ids of requests sent manually to a running fleet.
-pub const BY_HAND_PREFIX: &str = "by-hand";
+pub const MANUAL_ID_PREFIX: &str = "by-hand";
 /// Interval of samples of every server.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// Length of the body of a response to a write.
@@ -67,7 +67,7 @@
     max_connections: usize,
     reports: bool,
     probes: bool,
-    by_hand: bool,
+    manual_requests: bool,
     modes: Vec<watch::Sender<ServerMode>>,
     open_connections: Vec<Cell<usize>>,
     waiting: RefCell<HashMap<JobId, oneshot::Sender<JobResult>>>,
@@ -86,7 +86,7 @@
         cluster: Cluster,
         count: usize,
         start: Instant,
-        by_hand: bool,
+        manual_requests: bool,
     ) -> Rc<Self> {
         Rc::new(Self {
             cluster: RefCell::new(cluster),
@@ -98,7 +98,7 @@
             max_connections: scenario.fleet.connections,
             reports: scenario.fleet.reports,
             probes: scenario.fleet.probes,
-            by_hand,
+            manual_requests,
             modes: (0..count)
                 .map(|_| watch::Sender::new(ServerMode::Healthy))
                 .collect(),
@@ -154,8 +154,8 @@
 
     /// Checks whether the request with this id was sent manually and the run allows manual
     /// requests.
-    fn is_by_hand(&self, id: &str) -> bool {
-        self.by_hand && id.starts_with(BY_HAND_PREFIX)
+    fn is_manual(&self, id: &str) -> bool {
+        self.manual_requests && id.starts_with(MANUAL_ID_PREFIX)
     }
 
     fn job(&self, id: Option<TryId>, path: &str) -> Job {
--- a/crates/lab/src/servers/connection.rs
+++ b/crates/lab/src/servers/connection.rs
@@ -76,7 +76,7 @@
             return self.respond_to_probe(mode, &request.path).await;
         };
         let id = self.servers.planned_try(&text);
-        if id.is_none() && !self.servers.is_by_hand(&text) {
+        if id.is_none() && !self.servers.is_manual(&text) {
             return self.reject_unknown(text, received).await;
         }
         let first_byte = request.started_at.unwrap_or(received);
--- a/crates/lab/tests/rule_checker.rs
+++ b/crates/lab/tests/rule_checker.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use slatelink_lab::nodes::Program;
 use slatelink_lab::rules::Rule;
-use slatelink_lab::run::{play, Options};
+use slatelink_lab::run::{run_scenario, Options};
 use slatelink_lab::scenario::Scenario;
 use std::collections::BTreeSet;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -152,7 +152,7 @@
          discovery_late_s = 0.01\nqueue = 500\nfall_s = 0.1\nfall_times = 0.2\n{classes}{rest}"
     );
     let scenario = Scenario::parse(&text, Path::new("day.toml")).unwrap();
-    let played = play(&scenario, &Options::new(node(fault), 1)).unwrap();
+    let played = run_scenario(&scenario, &Options::new(node(fault), 1)).unwrap();
     assert!(!played.record.tries.is_empty());
     played.breaches.iter().map(|breach| breach.rule).collect()
 }
