--- a/crates/cli/src/lab/idle.rs
+++ b/crates/cli/src/lab/idle.rs
@@ -3,7 +3,7 @@
 use crate::exit::{unusable, CommandResult};
 use crate::node_arguments::NodeArguments;
 use clap::Args;
-use slatelink_lab::idle::{self, Crowd};
+use slatelink_lab::idle::{self, IdleSample};
 use std::io::{self, Write};
 use std::process::ExitCode;
 
@@ -48,7 +48,7 @@
         .collect()
 }
 
-fn print(measured: &idle::Idle) -> io::Result<()> {
+fn print(measured: &idle::IdleReport) -> io::Result<()> {
     let mut out = io::stdout().lock();
     writeln!(
         out,
@@ -56,7 +56,7 @@
         "idle", "KiB", "bytes each", "look-up p50 ms", "p99 ms"
     )?;
     for crowd in &measured.crowds {
-        let Crowd {
+        let IdleSample {
             held,
             resident_kib,
             bytes_each,
--- a/crates/cli/src/lab/play.rs
+++ b/crates/cli/src/lab/play.rs
@@ -1,10 +1,10 @@
 //! Plays one scenario with a progress bar on the terminal.
 
 use indicatif::{ProgressBar, ProgressStyle};
-use slatelink_lab::client::Live;
+use slatelink_lab::client::LiveCounters;
 use slatelink_lab::nodes::Program;
 use slatelink_lab::report::Report;
-use slatelink_lab::run::{play, Options};
+use slatelink_lab::run::{run_scenario, Options};
 use slatelink_lab::scenario::Scenario;
 use std::error::Error;
 use std::path::Path;
@@ -41,7 +41,7 @@
     };
     let bar = bar(name, scenario, seed);
     let played = thread::scope(|scope| {
-        let playing = scope.spawn(|| play(scenario, &options));
+        let playing = scope.spawn(|| run_scenario(scenario, &options));
         while !playing.is_finished() {
             thread::sleep(BAR_INTERVAL);
             update_bar(&bar, scenario, &options.live);
@@ -62,9 +62,9 @@
     bar
 }
 
-fn update_bar(bar: &ProgressBar, scenario: &Scenario, live: &Live) {
+fn update_bar(bar: &ProgressBar, scenario: &Scenario, live: &LiveCounters) {
     let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-    let (begun, in_time) = (count(&live.begun), count(&live.in_time));
+    let (begun, in_time) = (count(&live.started), count(&live.in_time));
     if begun == 0 {
         return;
     }
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -5,9 +5,9 @@
 use crate::node_arguments::NodeArguments;
 use clap::Args;
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
-use slatelink_lab::client::Live;
+use slatelink_lab::client::LiveCounters;
 use slatelink_lab::report::Report;
-use slatelink_lab::run::{play, Options, StartedNode};
+use slatelink_lab::run::{run_scenario, Options, StartedNode};
 use slatelink_lab::scenario::{Scenario, ScenarioError};
 use std::io::{self, IsTerminal, Write};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -72,7 +72,7 @@
         self.node.start_log();
         let (ready, ready_nodes) = mpsc::channel();
         let options = Options {
-            by_hand: true,
+            manual_requests: true,
             ready: Some(ready),
             stop: crate::signals::stop_at_interrupt()?,
             ..Options::new(self.node.program()?, SEED)
@@ -80,7 +80,7 @@
         let live = options.live.clone();
         let playing = {
             let scenario = scenario.clone();
-            thread::spawn(move || play(&scenario, &options))
+            thread::spawn(move || run_scenario(&scenario, &options))
         };
         // The run drops the sender at its end, so `recv` also returns if the nodes do not start.
         if let Ok(nodes) = ready_nodes.recv() {
@@ -136,9 +136,9 @@
 }
 
 impl Counts {
-    fn of(live: &Live) -> Self {
+    fn of(live: &LiveCounters) -> Self {
         Self {
-            begun: load(&live.begun),
+            begun: load(&live.started),
             in_time: load(&live.in_time),
             refused: load(&live.refused),
         }
@@ -167,10 +167,10 @@
 }
 
 /// Displays the counts every second until the run is over: as a table on a terminal, else as lines.
-fn display_counts(live: &Live, is_over: impl Fn() -> bool) {
+fn display_counts(live: &LiveCounters, is_over: impl Fn() -> bool) {
     let terminal = io::stdout().is_terminal();
     let table = table(terminal);
-    let (mut previous, mut displayed_at) = (Counts::of(&Live::default()), Instant::now());
+    let (mut previous, mut displayed_at) = (Counts::of(&LiveCounters::default()), Instant::now());
     while !is_over() {
         thread::sleep(POLL_INTERVAL);
         if displayed_at.elapsed() < DISPLAY_INTERVAL {
@@ -201,9 +201,9 @@
     table
 }
 
-fn table_text(rates: &Rates, live: &Live) -> String {
+fn table_text(rates: &Rates, live: &LiveCounters) -> String {
     let (p50, p99) = live.percentiles();
-    let tripped = live.tripped_within(BREAKER_WINDOW);
+    let tripped = live.breakers_opened_within(BREAKER_WINDOW);
     let failed = load(&live.failed);
     let Rates {
         requests,
@@ -218,9 +218,9 @@
     )
 }
 
-fn line_text(rates: &Rates, live: &Live) -> String {
+fn line_text(rates: &Rates, live: &LiveCounters) -> String {
     let (p50, p99) = live.percentiles();
-    let tripped = live.tripped_within(BREAKER_WINDOW);
+    let tripped = live.breakers_opened_within(BREAKER_WINDOW);
     let failed = load(&live.failed);
     let Rates {
         requests,
--- a/crates/cli/tests/lab.rs
+++ b/crates/cli/tests/lab.rs
@@ -136,7 +136,7 @@
         serde_json::from_str(text(&second_run.stderr).lines().next().unwrap()).unwrap();
     assert_eq!(
         (&log_entry["message"], &log_entry["life"]),
-        (&"a node".into(), &"Ready".into())
+        (&"node process event".into(), &"Ready".into())
     );
     let second_report: Value = serde_json::from_str(text(&second_run.stdout).trim()).unwrap();
     assert_eq!(second_report["all"]["asked"], reports[0]["all"]["asked"]);
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -5,7 +5,7 @@
 
 use crate::record::{AppliedFault, Record};
 use crate::rules::Breach;
-use crate::run::Played;
+use crate::run::CompletedRun;
 use crate::scenario::{FaultKind, Scenario};
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -121,15 +121,15 @@
 
 impl Report {
     /// Creates the report of a run.
-    pub fn new(name: &str, scenario: &Scenario, seed: u64, played: &Played) -> Self {
-        let Played {
+    pub fn new(name: &str, scenario: &Scenario, seed: u64, played: &CompletedRun) -> Self {
+        let CompletedRun {
             plan,
             record,
             breaches,
-            lasted,
+            load_duration,
         } = played;
         let sent_count = record.send_delays_us.len();
-        let seconds = lasted.as_secs_f64().min(scenario.seconds.get());
+        let seconds = load_duration.as_secs_f64().min(scenario.seconds.get());
         let tallies = Tallies::of(scenario, plan, record, seconds);
         let by_second = tallies.by_second();
         let peaks = PeakLoads::of(record, by_second.len());
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,16 +1,17 @@
-//! Plays a scenario: stand-ins on one thread, clients on another, nodes as processes, faults on the time line.
+//! Runs a scenario: stand-ins on one thread, clients on another, nodes as processes, and scheduled
+//! faults.
 
 mod faults;
 mod nodes;
 mod stand_ins;
 
-use crate::client::Live;
+use crate::client::LiveCounters;
 use crate::nodes::{NodeError, Program};
 use crate::plan::{mix, Plan};
 use crate::record::{Record, TryId};
 use crate::rules::{self, Breach};
 use crate::scenario::Scenario;
-use nodes::{play_load, LoadOutcome};
+use nodes::{run_load, LoadOutcome};
 use stand_ins::stand_ins;
 use std::io;
 use std::net::SocketAddr;
@@ -23,16 +24,16 @@
 use tokio::runtime;
 use tokio::sync::{mpsc as channel, watch};
 
-/// Why a run did not happen. What a node does wrong is a verdict, and not an error.
+/// Error that prevents a run. A fault of a node is part of the verdict, not an error.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A socket, thread or folder of the rig's own.
-    #[error("the rig cannot run: {0}")]
-    Rig(#[from] io::Error),
-    /// A thread of the rig has gone.
-    #[error("the rig's {0} ended early")]
+    /// A socket, thread or folder of the lab itself failed.
+    #[error("I/O of the lab failed: {0}")]
+    Io(#[from] io::Error),
+    /// A thread of the lab ended early.
+    #[error("lab thread {0} ended early")]
     Thread(&'static str),
-    /// Nodes do not start.
+    /// A node did not start.
     #[error("{0}")]
     Node(#[from] NodeError),
 }
@@ -40,37 +41,37 @@
 /// A node that is ready for clients.
 #[derive(Clone, Copy, Debug)]
 pub struct StartedNode {
-    /// Where it answers.
+    /// Address at which the node answers.
     pub address: SocketAddr,
-    /// Its process; `None` for one inside this process.
+    /// Process id of the node; `None` for a node inside this process.
     pub pid: Option<i32>,
 }
 
-/// How to play.
+/// Options of a run.
 #[derive(Clone)]
 pub struct Options {
-    /// What is under test.
+    /// Program under test.
     pub program: Program,
-    /// Of all that is drawn.
+    /// Seed of all random values.
     pub seed: u64,
-    /// Ids of people's own may be asked for beside the load.
-    pub by_hand: bool,
-    /// Running counts.
-    pub live: Arc<Live>,
-    /// Set to end early; what was asked by then is finished.
+    /// Whether cache servers answer manual requests in addition to the load.
+    pub manual_requests: bool,
+    /// Live counters of the run.
+    pub live: Arc<LiveCounters>,
+    /// Set to end the run early; requests already started are completed.
     pub stop: Arc<AtomicBool>,
-    /// Gets all nodes once they are ready.
+    /// Receives all nodes once they are ready.
     pub ready: Option<mpsc::Sender<Vec<StartedNode>>>,
 }
 
 impl Options {
-    /// A plain run of a binary.
+    /// Returns default options for a run of `program`.
     pub fn new(program: Program, seed: u64) -> Self {
         let (live, stop) = (Arc::default(), Arc::default());
         Self {
             program,
             seed,
-            by_hand: false,
+            manual_requests: false,
             live,
             stop,
             ready: None,
@@ -78,19 +79,19 @@
     }
 }
 
-/// A run that was played to its end.
-pub struct Played {
-    /// What was asked.
+/// A completed run.
+pub struct CompletedRun {
+    /// Requests that were planned.
     pub plan: Arc<Plan>,
-    /// What was seen.
+    /// Observations of stand-ins and clients.
     pub record: Record,
-    /// The rules that were broken.
+    /// Breaches of the rules.
     pub breaches: Vec<Breach>,
-    /// For how long load arrived.
-    pub lasted: Duration,
+    /// Duration of the load phase.
+    pub load_duration: Duration,
 }
 
-/// A folder of this run's own, which goes with it.
+/// Temporary folder of one run, removed on drop.
 pub(crate) struct Folder(pub(crate) PathBuf);
 
 impl Folder {
@@ -107,44 +108,46 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        // What cannot be removed is a small file in the system's temporary folder.
+        // A failed removal leaves only small files in the system's temporary folder.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// What the stand-ins listen on.
+/// Addresses at which the stand-ins listen.
 struct Addresses {
-    /// For each node: discovery's two addresses.
+    /// The two discovery addresses of each node.
     discovery: Vec<[SocketAddr; 2]>,
-    /// The servers', as the first node knows them.
+    /// Addresses of the servers for the first node.
     servers: Vec<SocketAddr>,
 }
 
-/// A command to the stand-ins while they run.
+/// Command to the running stand-ins.
 enum Command {
-    /// Load begins: faults count from now.
+    /// Start of the load, from which the times of faults count.
     StartFaults,
-    /// A node follows another address: its old one closes.
-    CloseOldAddress { node: usize, which: usize },
+    /// Closes the previous discovery address of a node that switched to the other one.
+    CloseOldAddress { node: usize, address_index: usize },
 }
 
-/// Plays a scenario once.
-pub fn play(scenario: &Scenario, options: &Options) -> Result<Played, RunError> {
+/// Runs a scenario once.
+pub fn run_scenario(scenario: &Scenario, options: &Options) -> Result<CompletedRun, RunError> {
     let plan = Arc::new(Plan::draw(scenario, options.seed));
     let folder = Folder::new()?;
-    // One clock for all; the run's zero precedes the nodes' start, and is moved to the load's at the end.
+    // All threads share one clock. Its zero precedes the start of the nodes; at the end of the run,
+    // recorded times are shifted to the start of the load.
     let start = Instant::now();
     let (shutdown, shutdown_seen) = watch::channel(false);
     let (commands, received_commands) = channel::unbounded_channel();
     let (addresses, listening) = mpsc::channel();
     let stand_ins = spawn_thread("stand-ins", {
-        let (scenario, plan, by_hand) = (scenario.clone(), plan.clone(), options.by_hand);
+        let (scenario, plan, manual_requests) =
+            (scenario.clone(), plan.clone(), options.manual_requests);
         move || {
             stand_ins(
                 scenario,
                 plan,
                 start,
-                by_hand,
+                manual_requests,
                 addresses,
                 received_commands,
                 shutdown_seen,
@@ -156,14 +159,14 @@
         Err(_) => {
             return Err(join_thread(stand_ins, "stand-ins")?
                 .err()
-                .map_or(RunError::Thread("stand-ins"), RunError::Rig))
+                .map_or(RunError::Thread("stand-ins"), RunError::Io))
         }
     };
     let runtime = runtime::Builder::new_multi_thread()
         .worker_threads(1)
         .enable_all()
         .build()?;
-    let played = runtime.block_on(play_load(
+    let outcome = runtime.block_on(run_load(
         scenario, options, &plan, start, listening, &folder, commands,
     ));
     shutdown.send_replace(true);
@@ -172,8 +175,8 @@
         clients,
         node_events,
         load_start,
-        lasted,
-    } = played?;
+        load_duration,
+    } = outcome?;
     let mut record = Record {
         tries: clients.tries,
         send_delays_us: clients.send_delays_us,
@@ -183,11 +186,11 @@
     record.shift(load_start);
     let class_of = |id: TryId| plan.arrivals[id.arrival as usize].class;
     let breaches = rules::check(&record, &scenario.classes, class_of);
-    Ok(Played {
+    Ok(CompletedRun {
         plan,
         record,
         breaches,
-        lasted,
+        load_duration,
     })
 }
 
