--- a/crates/lab/src/scale/assignment.rs
+++ b/crates/lab/src/scale/assignment.rs
@@ -1,25 +1,27 @@
-//! Which worker has which nodes, which address of discovery is for whom, and which side of a split a node is on. No I/O.
+//! Assigns simulated nodes to workers, discovery addresses to callers, and nodes to the two sides
+//! of a partition. No I/O.
 
 use crate::scale::options::Options;
 use crate::scale::service::{Caller, Peer};
 use std::net::SocketAddr;
 use std::ops::Range;
 
-/// How nodes are dealt out over workers. Nodes are numbered from 0, the real ones first.
+/// Distribution of the simulated nodes over the workers. Nodes are numbered from 0, with the real
+/// nodes first.
 #[derive(Clone, Debug)]
 pub struct Assignment {
     real: usize,
-    /// Relays that have discovery upstream.
+    /// Number of relays that call discovery directly.
     relays: usize,
-    /// The first node of each worker, and the end.
+    /// First node of each worker, followed by the number of all nodes.
     bounds: Vec<usize>,
 }
 
 impl Assignment {
-    /// Of a run: workers differ by one node at most.
+    /// Assigns the nodes of a run. Node counts of workers differ by at most one.
     pub fn new(options: &Options) -> Self {
         let workers = options.used_workers();
-        let bound = |place: usize| options.real + options.simulated * place / workers.max(1);
+        let bound = |index: usize| options.real + options.simulated * index / workers.max(1);
         let relays = options.relays.first().copied().unwrap_or(0);
         Self {
             real: options.real,
@@ -28,71 +30,73 @@
         }
     }
 
-    /// Workers there are.
+    /// Returns the number of workers.
     pub fn workers(&self) -> usize {
         self.bounds.len() - 1
     }
 
-    /// The nodes of a worker.
+    /// Returns the nodes of a worker.
     pub fn nodes(&self, worker: usize) -> Range<usize> {
         self.bounds[worker]..self.bounds[worker + 1]
     }
 
-    /// Who calls at discovery's addresses: two follow one another for each real node, and two for each worker's nodes on
-    /// each side of a split. At the end there is one for each relay.
+    /// Returns the caller expected at each of discovery's addresses, in this order: two addresses
+    /// for each real node, two for each worker and side of a partition, and one for each relay.
     pub fn peers(&self) -> Vec<Peer> {
-        let both = |caller, beyond_partition| {
+        let both_addresses = |caller, beyond_partition| {
             (0..2).map(move |address| Peer {
                 caller,
                 address,
                 beyond_partition,
             })
         };
-        let real =
-            (0..self.real).flat_map(|node| both(Caller::RealNode(node), is_beyond_partition(node)));
-        let simulated = |beyond_partition| both(Caller::SimulatedNodes, beyond_partition);
-        let shared = (0..self.workers()).flat_map(|_| simulated(false).chain(simulated(true)));
+        let real = (0..self.real)
+            .flat_map(|node| both_addresses(Caller::RealNode(node), is_beyond_partition(node)));
+        let simulated = |beyond_partition| both_addresses(Caller::SimulatedNodes, beyond_partition);
+        let simulated_groups =
+            (0..self.workers()).flat_map(|_| simulated(false).chain(simulated(true)));
         let relay = Peer {
             caller: Caller::Relay,
             address: 0,
             beyond_partition: false,
         };
-        real.chain(shared)
+        real.chain(simulated_groups)
             .chain((0..self.relays).map(|_| relay))
             .collect()
     }
 
-    /// The relays' addresses, of those listed for the peers.
-    pub fn of_relays<'a>(&self, addresses: &'a [SocketAddr]) -> &'a [SocketAddr] {
+    /// Returns the relays' addresses, given the addresses of all [`peers`](Self::peers).
+    pub fn relay_addresses<'a>(&self, addresses: &'a [SocketAddr]) -> &'a [SocketAddr] {
         &addresses[addresses.len() - self.relays..]
     }
 
-    /// A real node's two addresses, of those listed for the peers.
-    pub fn of_real(&self, node: usize, addresses: &[SocketAddr]) -> [SocketAddr; 2] {
-        pair(addresses, node)
+    /// Returns a real node's two addresses, given the addresses of all [`peers`](Self::peers).
+    pub fn real_node_addresses(&self, node: usize, addresses: &[SocketAddr]) -> [SocketAddr; 2] {
+        address_pair(addresses, node)
     }
 
-    /// A simulated node's two addresses, of those listed for the peers.
-    pub fn of_simulated(
+    /// Returns a simulated node's two addresses, given the addresses of all
+    /// [`peers`](Self::peers).
+    pub fn simulated_node_addresses(
         &self,
         worker: usize,
         node: usize,
         addresses: &[SocketAddr],
     ) -> [SocketAddr; 2] {
-        pair(
+        address_pair(
             addresses,
             self.real + 2 * worker + usize::from(is_beyond_partition(node)),
         )
     }
 }
 
-/// Every second node is cut off by a split.
+/// Checks whether a partition cuts the node off; true for every second node.
 fn is_beyond_partition(node: usize) -> bool {
     node % 2 == 1
 }
 
-fn pair(addresses: &[SocketAddr], place: usize) -> [SocketAddr; 2] {
-    [addresses[2 * place], addresses[2 * place + 1]]
+fn address_pair(addresses: &[SocketAddr], index: usize) -> [SocketAddr; 2] {
+    [addresses[2 * index], addresses[2 * index + 1]]
 }
 
 #[cfg(test)]
--- a/crates/lab/src/scale/convergence.rs
+++ b/crates/lab/src/scale/convergence.rs
@@ -1,38 +1,39 @@
-//! Which node has which version in force, and how long a change takes to the last of them. No I/O and no clock.
+//! Tracks the versions that each node has applied and the time until a change has reached the last
+//! node. No I/O and no clock.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What changed, with the version that has it.
+/// Change of the fleet's state, identified by its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The list.
+    /// Version of the endpoint list.
     List(u64),
-    /// The fleet's configuration.
+    /// Version of the fleet's configuration.
     Configuration(u64),
 }
 
-/// What a change is part of.
+/// Cause of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ChangeCause {
-    /// The planned changes.
+    /// Planned change.
     Planned,
-    /// The begin of a fault.
+    /// Start of a fault.
     FaultBegins,
-    /// The end of a fault.
+    /// End of a fault.
     FaultEnds,
 }
 
-/// What a node has in force.
+/// Versions that a node has applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct InForce {
+struct AppliedVersions {
     list: u64,
     configuration: u64,
 }
 
-impl InForce {
-    fn has(self, change: Change) -> bool {
+impl AppliedVersions {
+    fn includes(self, change: Change) -> bool {
         match change {
             Change::List(version) => self.list >= version,
             Change::Configuration(version) => self.configuration >= version,
@@ -40,58 +41,60 @@
     }
 }
 
-/// A change that some node does not have yet.
+/// Change that at least one node has not applied yet.
 #[derive(Debug)]
 struct Pending {
     change: Change,
     cause: ChangeCause,
     at_us: u64,
+    /// Number of nodes that have not applied the change.
     missing: usize,
+    /// Latest time at which a node applied the change.
     last_us: u64,
 }
 
-/// Times of changes of one kind, in microseconds.
+/// Propagation times of changes of one kind, in microseconds.
 #[derive(Debug)]
-pub struct Times {
-    /// To the last node, of each change.
-    pub to_last: Histogram<u64>,
-    /// To each node, of each change.
-    pub to_each: Histogram<u64>,
+pub struct PropagationTimes {
+    /// Time until the last node applied the change; one value per change.
+    pub to_last_node: Histogram<u64>,
+    /// Time until a node applied the change; one value per change and node.
+    pub to_each_node: Histogram<u64>,
 }
 
-/// Significant digits that times are recorded to.
+/// Significant digits of recorded times.
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// The longest time recorded, an hour in microseconds; a longer one counts as this.
+/// Longest recorded time, one hour in microseconds; longer times are recorded as one hour.
 const MAX_RECORDED_US: u64 = 3_600_000_000;
 
 fn histogram() -> Result<Histogram<u64>, hdrhistogram::CreationError> {
     Histogram::new_with_max(MAX_RECORDED_US, SIGNIFICANT_DIGITS)
 }
 
-impl Times {
+impl PropagationTimes {
     fn new() -> Result<Self, hdrhistogram::CreationError> {
         Ok(Self {
-            to_last: histogram()?,
-            to_each: histogram()?,
+            to_last_node: histogram()?,
+            to_each_node: histogram()?,
         })
     }
 }
 
-/// A summary of times, in milliseconds.
+/// Distribution summary of times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct TimeSummary {
-    /// How many there are.
+    /// Number of recorded times.
     pub count: u64,
-    /// The median.
+    /// Median.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// The longest.
+    /// Longest time.
     pub worst_ms: f64,
 }
 
 impl TimeSummary {
-    /// Of times in microseconds.
+    /// Summarizes a histogram of times in microseconds.
     pub fn of(times: &Histogram<u64>) -> Self {
         let ms = |us: u64| us as f64 / 1e3;
         Self {
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Of times in microseconds.
+    /// Summarizes individual times in microseconds.
     pub fn of_each(
         times: impl IntoIterator<Item = u64>,
     ) -> Result<Self, hdrhistogram::CreationError> {
@@ -114,47 +117,52 @@
     }
 }
 
-/// The whole fleet.
+/// Versions applied by all nodes of the fleet, and the propagation times of changes.
 #[derive(Debug)]
 pub struct Convergence {
-    nodes: Vec<InForce>,
-    newest: InForce,
+    nodes: Vec<AppliedVersions>,
+    newest: AppliedVersions,
     pending: VecDeque<Pending>,
-    /// When each node that has no list yet was started.
+    /// Start time of each node that has no list yet.
     starting: BTreeMap<usize, u64>,
+    /// Nodes with their time from start to first list, not yet taken by
+    /// [`take_start_times`](Self::take_start_times).
     started: Vec<(usize, u64)>,
-    lists: Times,
-    configurations: Times,
+    list_times: PropagationTimes,
+    configuration_times: PropagationTimes,
     fault_times: BTreeMap<ChangeCause, u64>,
 }
 
 impl Convergence {
-    /// A fleet of so many nodes that have nothing yet, and a list of version 1.
+    /// Returns the state of a fleet whose nodes have applied nothing, with a list of version 1.
     pub fn new(nodes: usize) -> Result<Self, hdrhistogram::CreationError> {
         Ok(Self {
-            nodes: vec![InForce::default(); nodes],
-            newest: InForce {
+            nodes: vec![AppliedVersions::default(); nodes],
+            newest: AppliedVersions {
                 list: 1,
                 configuration: 0,
             },
             pending: VecDeque::new(),
             starting: BTreeMap::new(),
             started: Vec::new(),
-            lists: Times::new()?,
-            configurations: Times::new()?,
+            list_times: PropagationTimes::new()?,
+            configuration_times: PropagationTimes::new()?,
             fault_times: BTreeMap::new(),
         })
     }
 
-    /// A node starts under this configuration, with no list in force.
-    pub fn starts(&mut self, node: usize, configuration: u64, at_us: u64) {
-        let has = InForce {
+    /// Records the start of a node with this configuration and without a list.
+    pub fn node_started(&mut self, node: usize, configuration: u64, at_us: u64) {
+        let applied = AppliedVersions {
             list: 0,
             configuration,
         };
-        let had = std::mem::replace(&mut self.nodes[node], has);
+        let previous = std::mem::replace(&mut self.nodes[node], applied);
         for pending in &mut self.pending {
-            match (had.has(pending.change), has.has(pending.change)) {
+            match (
+                previous.includes(pending.change),
+                applied.includes(pending.change),
+            ) {
                 (true, false) => pending.missing += 1,
                 (false, true) => pending.missing -= 1,
                 _ => {}
@@ -163,13 +171,17 @@
         self.starting.insert(node, at_us);
     }
 
-    /// Something changed.
-    pub fn changed(&mut self, change: Change, cause: ChangeCause, at_us: u64) {
+    /// Records a published change.
+    pub fn change_published(&mut self, change: Change, cause: ChangeCause, at_us: u64) {
         match change {
             Change::List(version) => self.newest.list = version,
             Change::Configuration(version) => self.newest.configuration = version,
         }
-        let missing = self.nodes.iter().filter(|node| !node.has(change)).count();
+        let missing = self
+            .nodes
+            .iter()
+            .filter(|node| !node.includes(change))
+            .count();
         self.pending.push_back(Pending {
             change,
             cause,
@@ -177,93 +189,97 @@
             missing,
             last_us: at_us,
         });
-        self.retire();
+        self.record_completed_changes();
     }
 
-    /// A node has these versions in force; one that is lower than before is no news.
-    pub fn in_force(&mut self, node: usize, list: u64, configuration: u64, at_us: u64) {
-        let had = self.nodes[node];
-        let has = InForce {
-            list: had.list.max(list),
-            configuration: had.configuration.max(configuration),
+    /// Records the versions that a node has applied; versions below the recorded ones are ignored.
+    pub fn versions_applied(&mut self, node: usize, list: u64, configuration: u64, at_us: u64) {
+        let previous = self.nodes[node];
+        let applied = AppliedVersions {
+            list: previous.list.max(list),
+            configuration: previous.configuration.max(configuration),
         };
-        self.nodes[node] = has;
-        if has.list > 0 {
-            if let Some(since) = self.starting.remove(&node) {
-                self.started.push((node, at_us.saturating_sub(since)));
+        self.nodes[node] = applied;
+        if applied.list > 0 {
+            if let Some(started_us) = self.starting.remove(&node) {
+                self.started.push((node, at_us.saturating_sub(started_us)));
             }
         }
         for pending in &mut self.pending {
-            if has.has(pending.change) && !had.has(pending.change) {
+            if applied.includes(pending.change) && !previous.includes(pending.change) {
                 pending.missing -= 1;
                 pending.last_us = pending.last_us.max(at_us);
                 let times = match pending.change {
-                    Change::List(_) => &mut self.lists,
-                    Change::Configuration(_) => &mut self.configurations,
+                    Change::List(_) => &mut self.list_times,
+                    Change::Configuration(_) => &mut self.configuration_times,
                 };
                 if pending.cause == ChangeCause::Planned {
                     times
-                        .to_each
+                        .to_each_node
                         .saturating_record(at_us.saturating_sub(pending.at_us));
                 }
             }
         }
-        self.retire();
+        self.record_completed_changes();
     }
 
-    /// Notes the times of changes that all nodes have.
-    fn retire(&mut self) {
-        let everywhere = |pending: &Pending| pending.missing == 0;
-        while let Some(place) = self.pending.iter().position(everywhere) {
-            let Some(pending) = self.pending.remove(place) else {
+    /// Removes pending changes that all nodes have applied, and records their times.
+    fn record_completed_changes(&mut self) {
+        let is_complete = |pending: &Pending| pending.missing == 0;
+        while let Some(index) = self.pending.iter().position(is_complete) {
+            let Some(pending) = self.pending.remove(index) else {
                 return;
             };
-            let took = pending.last_us - pending.at_us;
+            let duration_us = pending.last_us - pending.at_us;
             match (pending.cause, pending.change) {
                 (ChangeCause::Planned, Change::List(_)) => {
-                    self.lists.to_last.saturating_record(took)
+                    self.list_times.to_last_node.saturating_record(duration_us)
                 }
                 (ChangeCause::Planned, Change::Configuration(_)) => {
-                    self.configurations.to_last.saturating_record(took);
+                    self.configuration_times
+                        .to_last_node
+                        .saturating_record(duration_us);
                 }
                 (cause, _) => {
-                    self.fault_times.insert(cause, took);
+                    self.fault_times.insert(cause, duration_us);
                 }
             }
         }
     }
 
-    /// Nodes that do not have the newest list and configuration in force.
-    pub fn behind(&self) -> usize {
+    /// Returns the number of nodes that have not applied the newest list and configuration.
+    pub fn outdated_nodes(&self) -> usize {
         let newest = self.newest;
-        let current = |node: &&InForce| {
-            node.has(Change::List(newest.list))
-                && node.has(Change::Configuration(newest.configuration))
+        let is_current = |node: &&AppliedVersions| {
+            node.includes(Change::List(newest.list))
+                && node.includes(Change::Configuration(newest.configuration))
         };
-        self.nodes.len() - self.nodes.iter().filter(current).count()
+        self.nodes.len() - self.nodes.iter().filter(is_current).count()
     }
 
-    /// Nodes that were started and have no list yet.
-    pub fn starting(&self) -> usize {
+    /// Returns the number of started nodes that have no list yet.
+    pub fn starting_nodes(&self) -> usize {
         self.starting.len()
     }
 
-    /// Nodes that got their first list, each with its time since the start in microseconds; forgotten with this.
-    pub fn take_started(&mut self) -> Vec<(usize, u64)> {
+    /// Takes the nodes that applied their first list since the previous call, each with the
+    /// microseconds since its start.
+    pub fn take_start_times(&mut self) -> Vec<(usize, u64)> {
         std::mem::take(&mut self.started)
     }
 
-    /// Times of the planned changes of the list.
-    pub fn lists(&self) -> &Times {
-        &self.lists
+    /// Returns the propagation times of planned list changes.
+    pub fn list_times(&self) -> &PropagationTimes {
+        &self.list_times
     }
 
-    /// Times of the planned configurations.
-    pub fn configurations(&self) -> &Times {
-        &self.configurations
+    /// Returns the propagation times of planned configurations.
+    pub fn configuration_times(&self) -> &PropagationTimes {
+        &self.configuration_times
     }
 
-    /// Microseconds from the change at this point of a fault to the last node that had it.
+    /// Returns the microseconds from the change at the start or end of a fault until the last node
+    /// applied that change.
     pub fn fault_time(&self, cause: ChangeCause) -> Option<u64> {
         self.fault_times.get(&cause).copied()
     }
--- a/crates/lab/src/scale/directory.rs
+++ b/crates/lab/src/scale/directory.rs
@@ -1,21 +1,22 @@
-//! The list that discovery's stand-in holds: versions, entries, and answers to calls. No I/O.
+//! Versioned endpoint list of the discovery stand-in: entries, changes and answers to calls. No
+//! I/O.
 
 use crate::list_protocol::{Availability, EndpointListMessage, ListedEndpoint};
 use crate::scale::options::Options;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The list's version at the start.
+/// Version of the list at the start of a run.
 pub const FIRST_VERSION: u64 = 1;
 
-/// A change of one entry.
+/// Change of one entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointChange {
-    /// Which server, by place from 0.
+    /// Index of the cache server, from 0.
     pub server: usize,
-    /// Whether it takes requests from now on.
+    /// Availability after the change.
     pub availability: Availability,
-    /// When it was started anew, in Unix time milliseconds; as before where there is none.
+    /// New start time of the server, in Unix time milliseconds; `None` keeps the previous one.
     pub started_ms: Option<u64>,
 }
 
@@ -25,51 +26,51 @@
     zone: String,
     availability: Availability,
     started_ms: u64,
-    /// Version of its last change.
-    changed: u64,
+    /// List version of the last change of this entry.
+    last_change: u64,
 }
 
-/// A complete answer to a call.
+/// Answer to a call for the list.
 #[derive(Clone, Debug)]
 pub struct Answer {
-    /// The HTTP message.
+    /// Full HTTP message.
     pub message: Arc<[u8]>,
-    /// Entries in it.
+    /// Number of entries in the message.
     pub entries: usize,
-    /// Whether it is the whole list.
+    /// Whether the message carries the complete list rather than a delta.
     pub whole: bool,
 }
 
-/// An answer that may be given again.
+/// Cached answer, reusable for calls with the same list version and `after`.
 #[derive(Debug)]
 struct CachedAnswer {
-    /// The list's version then.
+    /// Version of the list when the answer was built.
     version: u64,
-    /// The version that the caller has; `None` for a call of the complete list.
+    /// Version that the caller has; `None` for a call for the complete list.
     after: Option<u64>,
     answer: Answer,
 }
 
-/// The endpoint list of discovery's stand-in.
+/// Endpoint list of the discovery stand-in.
 #[derive(Debug)]
 pub struct Directory {
     version: u64,
     entries: Vec<Entry>,
-    /// Where each server listens.
+    /// Address listed for every server.
     address: SocketAddr,
-    /// The latest answer, and to whom: many nodes ask alike.
+    /// Most recent answer. Many nodes send identical calls, so a cache of one entry suffices.
     latest: Option<CachedAnswer>,
 }
 
 impl Directory {
-    /// A list of ready servers, at the first version.
+    /// Returns a list of ready servers at [`FIRST_VERSION`].
     pub fn new(options: &Options, address: SocketAddr) -> Self {
         let entry = |server: usize| Entry {
             name: format!("server-{server:05}"),
             zone: Options::zone(server % options.zones),
             availability: Availability::Ready,
             started_ms: 0,
-            changed: FIRST_VERSION,
+            last_change: FIRST_VERSION,
         };
         let entries = (0..options.servers).map(entry).collect();
         Self {
@@ -80,31 +81,32 @@
         }
     }
 
-    /// The present version.
+    /// Returns the current version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Takes in changes, all at once; the version that has them.
-    pub fn change(&mut self, changes: &[EndpointChange]) -> u64 {
+    /// Applies all changes in one new version and returns that version.
+    pub fn apply(&mut self, changes: &[EndpointChange]) -> u64 {
         self.version += 1;
         for change in changes {
             if let Some(entry) = self.entries.get_mut(change.server) {
                 entry.availability = change.availability;
                 entry.started_ms = change.started_ms.unwrap_or(entry.started_ms);
-                entry.changed = self.version;
+                entry.last_change = self.version;
             }
         }
         self.version
     }
 
-    /// The answer for a node that has this version.
+    /// Returns the answer to a caller that has version `after`.
     pub fn answer(&mut self, after: Option<u64>) -> serde_json::Result<Answer> {
-        let fits = |cached: &&CachedAnswer| cached.version == self.version && cached.after == after;
-        if let Some(cached) = self.latest.as_ref().filter(fits) {
+        let matches_call =
+            |cached: &&CachedAnswer| cached.version == self.version && cached.after == after;
+        if let Some(cached) = self.latest.as_ref().filter(matches_call) {
             return Ok(cached.answer.clone());
         }
-        // A version that was never given out has no changes after it.
+        // A version above the current one was never published; the caller gets the complete list.
         let after = after.filter(|after| *after <= self.version);
         let changed: Vec<_> = self
             .entries
@@ -119,7 +121,7 @@
                 complete: after.is_none(),
                 endpoints: changed
                     .iter()
-                    .map(|entry| entry.listed(self.address))
+                    .map(|entry| entry.to_listed(self.address))
                     .collect(),
             }
             .message()?
@@ -137,12 +139,12 @@
 impl Entry {
     fn is_newer_than(&self, after: Option<u64>) -> bool {
         match after {
-            Some(after) => self.changed > after,
+            Some(after) => self.last_change > after,
             None => self.availability != Availability::Removed,
         }
     }
 
-    fn listed(&self, address: SocketAddr) -> ListedEndpoint<'_> {
+    fn to_listed(&self, address: SocketAddr) -> ListedEndpoint<'_> {
         ListedEndpoint {
             name: &self.name,
             address,
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -93,7 +93,7 @@
         let service =
             Service::start(options, traffic.servers, assignment.peers(), version_sender).await?;
         let (real_sender, real_events) = unbounded_channel();
-        let relay_upstream = assignment.of_relays(&service.addresses);
+        let relay_upstream = assignment.relay_addresses(&service.addresses);
         let relays = Relays::start(options, &programs.relay, relay_upstream).await?;
         let environment = NodeEnvironment {
             scenario: &scenario,
@@ -107,7 +107,7 @@
         };
         let addresses = &service.addresses;
         let start_real = |node| {
-            let discovery = assignment.of_real(node, addresses);
+            let discovery = assignment.real_node_addresses(node, addresses);
             RealNode::start(node, discovery, &environment, real_sender.clone())
         };
         let real = (0..options.real).map(start_real).collect();
@@ -188,7 +188,7 @@
             self.state.incarnations[node] += 1;
             self.state
                 .convergence
-                .starts(node, self.state.configuration, at_us);
+                .node_started(node, self.state.configuration, at_us);
         }
         for (place, worker) in self.workers.iter_mut().enumerate() {
             let own = self.assignment.nodes(place);
@@ -226,9 +226,11 @@
         let changed = self.service.change(changes).await?;
         self.version = changed.version;
         self.state.list_changes += 1;
-        self.state
-            .convergence
-            .changed(Change::List(changed.version), cause, changed.at_us);
+        self.state.convergence.change_published(
+            Change::List(changed.version),
+            cause,
+            changed.at_us,
+        );
         Ok(())
     }
 
@@ -237,7 +239,7 @@
         let at_us = monotonic_us();
         self.state.configuration += 1;
         let configuration = self.state.configuration;
-        self.state.convergence.changed(
+        self.state.convergence.change_published(
             Change::Configuration(configuration),
             ChangeCause::Planned,
             at_us,
@@ -259,7 +261,7 @@
     configuration: &Path,
 ) -> Setup {
     let node = |number| {
-        let own = assignment.of_simulated(worker, number, addresses);
+        let own = assignment.simulated_node_addresses(worker, number, addresses);
         // A new configuration has a node ask its relay anew.
         NodeSetup {
             number,
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -1,7 +1,7 @@
 //! Plays the time line on a fleet and measures it: the start, changes, configurations, a fault.
 
 use crate::scale::bounds::{Estimate, Limits};
-use crate::scale::convergence::{ChangeCause, TimeSummary, Times};
+use crate::scale::convergence::{ChangeCause, PropagationTimes, TimeSummary};
 use crate::scale::counts::ControlCounts;
 use crate::scale::error::ScaleError;
 use crate::scale::fleet::Fleet;
@@ -92,7 +92,7 @@
         let (state, nodes) = (&self.fleet.state, self.fleet.options.nodes());
         self.progress.say(format!(
             "{doing}: {} of {nodes} nodes up to date, {} list changes, {} configurations",
-            nodes - state.convergence.behind(),
+            nodes - state.convergence.outdated_nodes(),
             state.list_changes,
             state.configuration
         ));
@@ -119,7 +119,7 @@
         well &= self.until(FLEET_START_TIMEOUT, Fleet::is_settled).await?;
         if !well {
             let (behind, nodes) = (
-                self.fleet.state.convergence.behind(),
+                self.fleet.state.convergence.outdated_nodes(),
                 self.fleet.options.nodes(),
             );
             return Err(ScaleError::NoStart {
@@ -134,7 +134,7 @@
     /// Times of the nodes that were started since the last time.
     fn start_times(&mut self) -> Result<StartTimes, ScaleError> {
         let first_simulated = self.fleet.options.real;
-        let started = self.fleet.state.convergence.take_started();
+        let started = self.fleet.state.convergence.take_start_times();
         let (real, simulated): (Vec<_>, Vec<_>) = started
             .into_iter()
             .partition(|(node, _)| *node < first_simulated);
@@ -163,7 +163,7 @@
                 };
                 self.make(step).await?;
             }
-            let over = now >= length && schedule.is_over() && self.fleet.is_settled();
+            let over = now >= length && schedule.is_finished() && self.fleet.is_settled();
             if over || now >= length + SETTLE_TIMEOUT {
                 return Ok(());
             }
@@ -198,11 +198,11 @@
             FaultKind::DiscoveryDown => Ok(self.fleet.service.set_down(true)?),
             FaultKind::Partition => Ok(self.fleet.service.set_partitioned(true)?),
             FaultKind::RestartTenth => {
-                let nodes = self.generator.tenth();
+                let nodes = self.generator.nodes_to_restart();
                 self.fleet.restart(nodes).await
             }
             FaultKind::ZoneLost => {
-                let lost = self.generator.lose_zone();
+                let lost = self.generator.remove_zone();
                 self.fleet.change_list(lost, ChangeCause::FaultBegins).await
             }
         }
@@ -219,7 +219,7 @@
                 self.fleet.service.set_partitioned(false)?;
                 self.generator.list_change()
             }
-            FaultKind::ZoneLost => self.generator.return_zone(unix_ms()),
+            FaultKind::ZoneLost => self.generator.restore_zone(unix_ms()),
             // It is over when the nodes are back.
             FaultKind::RestartTenth => return Ok(()),
         };
@@ -259,7 +259,7 @@
             estimate,
             limits,
             measured_s: period.seconds(),
-            behind_at_end: state.convergence.behind(),
+            behind_at_end: state.convergence.outdated_nodes(),
             counts: period.counts(state.list_changes, state.configuration),
             discovery: period.discovery(),
             real_node: period.real_node(),
@@ -267,8 +267,8 @@
             relays: period.relays(),
             empty_worker_kib: period.empty_workers.resident_kib
                 / self.fleet.workers.len().max(1) as u64,
-            list_change: change_times(state.convergence.lists()),
-            configuration: change_times(state.convergence.configurations()),
+            list_change: change_times(state.convergence.list_times()),
+            configuration: change_times(state.convergence.configuration_times()),
             start,
             fault,
             clients: TrafficCounts::default(),
@@ -293,10 +293,10 @@
     }
 }
 
-fn change_times(times: &Times) -> ChangeTimes {
+fn change_times(times: &PropagationTimes) -> ChangeTimes {
     ChangeTimes {
-        to_last_node: TimeSummary::of(&times.to_last),
-        to_each_node: TimeSummary::of(&times.to_each),
+        to_last_node: TimeSummary::of(&times.to_last_node),
+        to_each_node: TimeSummary::of(&times.to_each_node),
     }
 }
 
--- a/crates/lab/src/scale/queue.rs
+++ b/crates/lab/src/scale/queue.rs
@@ -1,29 +1,30 @@
-//! Discovery's time: one service that handles calls in turn, each with a stated cost. No I/O and no clock.
+//! Queue model of discovery: a single server that handles calls one after another, each at a
+//! configured cost. No I/O and no clock.
 
 use std::time::Duration;
 
-/// A call that would have to wait longer than this for its turn is turned away.
+/// Longest queueing time of a call; a call that would have to wait longer is refused.
 const MAX_QUEUE_TIME: Duration = Duration::from_secs(2);
 
-/// What discovery's work costs.
+/// Processing costs of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Costs {
-    /// A call.
+    /// Cost of a call, without its entries.
     pub call: Duration,
-    /// An entry that is written.
+    /// Cost of one entry written in an answer.
     pub entry: Duration,
 }
 
-/// A place in the queue.
+/// Outcome of a call's arrival in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// The work is done then.
+    /// The call is served; its processing ends at this time.
     Served(Duration),
-    /// The call has waited for too long then, and is turned away.
+    /// The call is refused at this time, when its queueing time reaches the limit.
     Refused(Duration),
 }
 
-/// The queue; times are counted from any origin.
+/// Queue of calls. Times are offsets from an origin that the caller chooses.
 #[derive(Debug)]
 pub struct CallQueue {
     costs: Costs,
@@ -32,7 +33,7 @@
 }
 
 impl CallQueue {
-    /// An empty queue.
+    /// Returns an empty queue.
     pub fn new(costs: Costs) -> Self {
         Self {
             costs,
@@ -41,32 +42,32 @@
         }
     }
 
-    /// A call that comes now and that so many entries answer at once: its turn, or the end of its patience.
-    pub fn call(&mut self, now: Duration, entries: usize) -> Admission {
+    /// Enqueues a call that arrives at `now` and is answered at once with this number of entries.
+    pub fn enqueue_call(&mut self, now: Duration, entries: usize) -> Admission {
         if self.free_at.saturating_sub(now) > MAX_QUEUE_TIME {
             return Admission::Refused(now + MAX_QUEUE_TIME);
         }
-        Admission::Served(self.work(now, self.costs.call + self.entries(entries)))
+        Admission::Served(self.enqueue_work(now, self.costs.call + self.entries_cost(entries)))
     }
 
-    /// News of so many entries for a watch: when it is written. The watch has had its turn as a call, so it is not
-    /// turned away.
-    pub fn news(&mut self, now: Duration, entries: usize) -> Duration {
-        self.work(now, self.entries(entries))
+    /// Enqueues the delayed answer to a watch and returns the time at which it is written. The
+    /// watch was admitted when its call arrived, so its answer is never refused.
+    pub fn enqueue_watch_answer(&mut self, now: Duration, entries: usize) -> Duration {
+        self.enqueue_work(now, self.entries_cost(entries))
     }
 
-    /// All the time that was spent on work, or is to be.
+    /// Returns the total processing time of all work enqueued so far, including unfinished work.
     pub fn busy(&self) -> Duration {
         self.busy
     }
 
-    fn entries(&self, count: usize) -> Duration {
+    fn entries_cost(&self, count: usize) -> Duration {
         self.costs
             .entry
             .saturating_mul(u32::try_from(count).unwrap_or(u32::MAX))
     }
 
-    fn work(&mut self, now: Duration, cost: Duration) -> Duration {
+    fn enqueue_work(&mut self, now: Duration, cost: Duration) -> Duration {
         self.free_at = self.free_at.max(now) + cost;
         self.busy += cost;
         self.free_at
--- a/crates/lab/src/scale/schedule.rs
+++ b/crates/lab/src/scale/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens when in a run: planned changes, new configurations and a fault. No I/O and no clock.
+//! Timeline of a run: planned list changes, new configurations and a fault. No I/O and no clock.
 
 use crate::list_protocol::Availability;
 use crate::scale::directory::EndpointChange;
@@ -9,25 +9,25 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What is due.
+/// Planned step of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A change of the list.
+    /// Change of the endpoint list.
     ListChange,
-    /// A new configuration for the fleet.
+    /// New configuration for the whole fleet.
     Configuration,
 }
 
-/// A point of a fault.
+/// Start or end of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultStep {
-    /// It begins.
+    /// The fault begins.
     Begin(FaultKind),
-    /// It ends.
+    /// The fault ends.
     End(FaultKind),
 }
 
-/// The time line.
+/// Planned steps and fault steps, ordered by due time.
 #[derive(Debug)]
 pub struct Schedule {
     steps: VecDeque<(Duration, Step)>,
@@ -35,20 +35,20 @@
 }
 
 impl Schedule {
-    /// Of a run: changes of a kind are evenly apart.
+    /// Plans a run. Steps of the same kind are evenly spaced.
     pub fn new(options: &Options) -> Self {
-        let lists = evenly(
+        let lists = evenly_spaced(
             options.planned_list_changes(),
             options.list_changes,
             Step::ListChange,
         );
-        let configurations = evenly(
+        let configurations = evenly_spaced(
             options.planned_configurations(),
             options.configurations,
             Step::Configuration,
         );
         let mut steps: Vec<_> = lists.chain(configurations).collect();
-        // Stable: of two at the same time the list's comes first, each time.
+        // Stable sort: of two steps due at the same time, the list change always comes first.
         steps.sort_by_key(|(due, _)| *due);
         let fault = options.fault.map(|fault| {
             let begin = (
@@ -67,36 +67,37 @@
         }
     }
 
-    /// The next change that is due.
+    /// Removes and returns the next planned step that is due at `now`.
     pub fn next_step(&mut self, now: Duration) -> Option<Step> {
-        next(&mut self.steps, now)
+        pop_due(&mut self.steps, now)
     }
 
-    /// The next point of the fault that is due.
+    /// Removes and returns the next fault step that is due at `now`.
     pub fn next_fault(&mut self, now: Duration) -> Option<FaultStep> {
-        next(&mut self.fault, now)
+        pop_due(&mut self.fault, now)
     }
 
-    /// Whether nothing is left.
-    pub fn is_over(&self) -> bool {
+    /// Checks whether no step is left.
+    pub fn is_finished(&self) -> bool {
         self.steps.is_empty() && self.fault.is_empty()
     }
 }
 
-fn evenly(count: usize, rate: f64, step: Step) -> impl Iterator<Item = (Duration, Step)> {
-    // In the middle of its part of the time: the first one leaves the fleet a moment, the last one too.
+fn evenly_spaced(count: usize, rate: f64, step: Step) -> impl Iterator<Item = (Duration, Step)> {
+    // Each step is due in the middle of its interval, which leaves the fleet time before the first
+    // step and after the last one.
     (0..count).map(move |i| (Duration::from_secs_f64((i as f64 + 0.5) / rate), step))
 }
 
-fn next<T>(due: &mut VecDeque<(Duration, T)>, now: Duration) -> Option<T> {
-    if due.front().is_some_and(|(at, _)| *at <= now) {
-        due.pop_front().map(|(_, it)| it)
+fn pop_due<T>(timeline: &mut VecDeque<(Duration, T)>, now: Duration) -> Option<T> {
+    if timeline.front().is_some_and(|(at, _)| *at <= now) {
+        timeline.pop_front().map(|(_, step)| step)
     } else {
         None
     }
 }
 
-/// Draws what the steps do, from the run's seed.
+/// Draws the content of the steps from the run's seed.
 #[derive(Debug)]
 pub struct ChangeGenerator {
     random: StdRng,
@@ -105,11 +106,11 @@
     nodes: usize,
 }
 
-/// Of all nodes, this part is restarted.
-const RESTARTED_PART: usize = 10;
+/// A restart fault restarts one in this many nodes.
+const RESTART_DIVISOR: usize = 10;
 
 impl ChangeGenerator {
-    /// Of a run.
+    /// Returns the generator of a run.
     pub fn new(options: &Options) -> Self {
         Self {
             random: StdRng::seed_from_u64(options.seed),
@@ -119,8 +120,8 @@
         }
     }
 
-    /// A change of the list: one server begins to drain, or is ready again. The last one that is ready stays so, and is
-    /// only listed anew.
+    /// Draws a list change: one server starts to drain or becomes ready again. The last ready
+    /// server stays ready; its entry is only published again.
     pub fn list_change(&mut self) -> Vec<EndpointChange> {
         let listed: Vec<_> = (0..self.availability.len())
             .filter(|&i| self.availability[i] != Availability::Removed)
@@ -131,10 +132,10 @@
             .iter()
             .filter(|availability| **availability == Availability::Ready)
             .count();
-        let drains = self.availability[server] == Availability::Ready && ready > 1;
-        self.set(
+        let starts_draining = self.availability[server] == Availability::Ready && ready > 1;
+        self.set_availability(
             server,
-            if drains {
+            if starts_draining {
                 Availability::Draining
             } else {
                 Availability::Ready
@@ -143,34 +144,34 @@
         )
     }
 
-    /// The servers of the first zone are gone.
-    pub fn lose_zone(&mut self) -> Vec<EndpointChange> {
-        self.zone()
-            .flat_map(|server| self.set(server, Availability::Removed, None))
+    /// Removes the servers of the first zone from the list.
+    pub fn remove_zone(&mut self) -> Vec<EndpointChange> {
+        self.first_zone_servers()
+            .flat_map(|server| self.set_availability(server, Availability::Removed, None))
             .collect()
     }
 
-    /// The servers of the first zone are back, and start anew at this Unix time in milliseconds.
-    pub fn return_zone(&mut self, now_ms: u64) -> Vec<EndpointChange> {
-        self.zone()
-            .flat_map(|server| self.set(server, Availability::Ready, Some(now_ms)))
+    /// Restores the servers of the first zone, with this start time in Unix milliseconds.
+    pub fn restore_zone(&mut self, now_ms: u64) -> Vec<EndpointChange> {
+        self.first_zone_servers()
+            .flat_map(|server| self.set_availability(server, Availability::Ready, Some(now_ms)))
             .collect()
     }
 
-    /// A tenth of the nodes, one at least.
-    pub fn tenth(&mut self) -> Vec<usize> {
+    /// Draws a tenth of the nodes, rounded up to at least one, in ascending order.
+    pub fn nodes_to_restart(&mut self) -> Vec<usize> {
         let mut nodes: Vec<_> = (0..self.nodes).collect();
         nodes.shuffle(&mut self.random);
-        nodes.truncate(self.nodes.div_ceil(RESTARTED_PART));
+        nodes.truncate(self.nodes.div_ceil(RESTART_DIVISOR));
         nodes.sort_unstable();
         nodes
     }
 
-    fn zone(&self) -> impl Iterator<Item = usize> {
+    fn first_zone_servers(&self) -> impl Iterator<Item = usize> {
         (0..self.availability.len()).step_by(self.zones)
     }
 
-    fn set(
+    fn set_availability(
         &mut self,
         server: usize,
         availability: Availability,
--- a/crates/lab/src/scale/schedule/tests.rs
+++ b/crates/lab/src/scale/schedule/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::scale::options::Fault;
 
-// Guards against changes that are lost at the run's end, or that come before their time.
+// Guards against steps that are lost at the end of the run or become due too early.
 #[test]
-fn each_planned_step_is_due_once_in_order() {
+fn planned_steps_become_due_exactly_once_and_in_order() {
     let fault = Fault {
         kind: FaultKind::Partition,
         at_s: 1.0,
@@ -26,22 +26,23 @@
         Some(FaultStep::Begin(FaultKind::Partition))
     );
     assert_eq!(schedule.next_fault(ms(1000)), None);
-    let rest: Vec<_> = std::iter::from_fn(|| schedule.next_step(ms(3000))).collect();
+    let remaining: Vec<_> = std::iter::from_fn(|| schedule.next_step(ms(3000))).collect();
     assert_eq!(
-        rest,
+        remaining,
         [Step::Configuration, Step::ListChange, Step::ListChange]
     );
-    assert!(!schedule.is_over());
+    assert!(!schedule.is_finished());
     assert_eq!(
         schedule.next_fault(ms(1500)),
         Some(FaultStep::End(FaultKind::Partition))
     );
-    assert!(schedule.is_over());
+    assert!(schedule.is_finished());
 }
 
-// Guards against runs of one seed that differ, and against a lost zone that takes another one with it.
+// Guards against runs with the same seed that differ, and against a zone fault that removes servers
+// of another zone.
 #[test]
-fn draws_of_a_seed_are_the_same_and_a_zone_is_lost_whole() {
+fn equal_seeds_draw_equal_changes_and_a_zone_is_removed_completely() {
     let options = Options {
         servers: 7,
         zones: 3,
@@ -49,23 +50,23 @@
         real: 1,
         ..Options::default()
     };
-    let drawn = || {
+    let draw_all = || {
         let mut generator = ChangeGenerator::new(&options);
         (
             (0..9).map(|_| generator.list_change()).collect::<Vec<_>>(),
-            generator.tenth(),
-            generator.lose_zone(),
+            generator.nodes_to_restart(),
+            generator.remove_zone(),
         )
     };
-    let (_, tenth, lost) = drawn();
-    assert_eq!(drawn(), drawn());
-    assert_eq!(tenth.len(), 3);
-    let lost: Vec<_> = lost
+    let (_, restarted, removed) = draw_all();
+    assert_eq!(draw_all(), draw_all());
+    assert_eq!(restarted.len(), 3);
+    let removed: Vec<_> = removed
         .iter()
         .map(|change| (change.server, change.availability))
         .collect();
     assert_eq!(
-        lost,
+        removed,
         [0, 3, 6].map(|server| (server, Availability::Removed))
     );
 }
--- a/crates/lab/src/scale/service.rs
+++ b/crates/lab/src/scale/service.rs
@@ -263,7 +263,7 @@
         while let Some(order) = orders.recv().await {
             match order {
                 Order::Change(changes, made) => {
-                    let version = self.directory.borrow_mut().change(&changes);
+                    let version = self.directory.borrow_mut().apply(&changes);
                     let at_us = monotonic_us();
                     self.version.send_replace(version);
                     let _ = made.send(Changed { version, at_us });
@@ -379,7 +379,10 @@
             true => 0,
             false => self.directory.borrow_mut().answer(call.after)?.entries,
         };
-        let turn = self.queue.borrow_mut().call(self.origin.elapsed(), entries);
+        let turn = self
+            .queue
+            .borrow_mut()
+            .enqueue_call(self.origin.elapsed(), entries);
         let (Admission::Served(at) | Admission::Refused(at)) = turn;
         sleep_until(self.origin + at).await;
         Ok(matches!(turn, Admission::Served(_)))
@@ -395,7 +398,10 @@
         // Without news by then, the answer says so.
         let _ = timeout(wait, version.wait_for(|version| *version > after)).await;
         let entries = self.directory.borrow_mut().answer(call.after)?.entries;
-        let at = self.queue.borrow_mut().news(self.origin.elapsed(), entries);
+        let at = self
+            .queue
+            .borrow_mut()
+            .enqueue_watch_answer(self.origin.elapsed(), entries);
         sleep_until(self.origin + at).await;
         Ok(())
     }
--- a/crates/lab/src/scale/state.rs
+++ b/crates/lab/src/scale/state.rs
@@ -63,7 +63,7 @@
                     at_us,
                 },
             ) => {
-                self.convergence.starts(node, configuration, at_us);
+                self.convergence.node_started(node, configuration, at_us);
             }
             FleetEvent::Real(node, RealNodeEvent::Ready(pid)) => self.pids[node] = pid,
             FleetEvent::Real(node, RealNodeEvent::Failed(why)) => {
@@ -101,7 +101,8 @@
         } = in_force;
         // What an earlier incarnation had in force is gone.
         if self.incarnations.get(node) == Some(&incarnation) {
-            self.convergence.in_force(node, list, configuration, at_us);
+            self.convergence
+                .versions_applied(node, list, configuration, at_us);
         }
     }
 
@@ -115,7 +116,7 @@
         } else {
             newest.saturating_sub(1)
         };
-        self.convergence.in_force(
+        self.convergence.versions_applied(
             acknowledged.node,
             acknowledged.after,
             configuration,
@@ -125,11 +126,11 @@
 
     /// Whether all real nodes are ready and have a list.
     pub fn real_nodes_ready(&self) -> bool {
-        self.pids.iter().all(Option::is_some) && self.convergence.starting() == 0
+        self.pids.iter().all(Option::is_some) && self.convergence.starting_nodes() == 0
     }
 
     /// Whether all nodes are ready and up to date.
     pub fn is_up_to_date(&self) -> bool {
-        self.real_nodes_ready() && self.convergence.behind() == 0
+        self.real_nodes_ready() && self.convergence.outdated_nodes() == 0
     }
 }
