--- a/crates/cli/src/lab/scale.rs
+++ b/crates/cli/src/lab/scale.rs
@@ -194,7 +194,7 @@
 
 /// Runs simulated nodes for a run that has started this process.
 pub fn work() -> CommandResult {
-    scale::work()?;
+    scale::run_worker()?;
     Ok(ExitCode::SUCCESS)
 }
 
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -35,5 +35,5 @@
 pub use progress::Progress;
 pub use report::Report;
 pub use run::run;
-pub use worker::work;
+pub use worker::run_worker;
 pub use workers::WorkerProgram;
--- a/crates/lab/src/scale/convergence.rs
+++ b/crates/lab/src/scale/convergence.rs
@@ -57,9 +57,9 @@
 #[derive(Debug)]
 pub struct PropagationTimes {
     /// Time until the last node applied the change; one value per change.
-    pub to_last_node: Histogram<u64>,
+    pub until_last_node: Histogram<u64>,
     /// Time until a node applied the change; one value per change and node.
-    pub to_each_node: Histogram<u64>,
+    pub until_each_node: Histogram<u64>,
 }
 
 /// Significant digits of recorded times.
@@ -74,8 +74,8 @@
 impl PropagationTimes {
     fn new() -> Result<Self, hdrhistogram::CreationError> {
         Ok(Self {
-            to_last_node: histogram()?,
-            to_each_node: histogram()?,
+            until_last_node: histogram()?,
+            until_each_node: histogram()?,
         })
     }
 }
@@ -215,7 +215,7 @@
                 };
                 if pending.cause == ChangeCause::Planned {
                     times
-                        .to_each_node
+                        .until_each_node
                         .saturating_record(at_us.saturating_sub(pending.at_us));
                 }
             }
@@ -232,12 +232,13 @@
             };
             let duration_us = pending.last_us - pending.at_us;
             match (pending.cause, pending.change) {
-                (ChangeCause::Planned, Change::List(_)) => {
-                    self.list_times.to_last_node.saturating_record(duration_us)
-                }
+                (ChangeCause::Planned, Change::List(_)) => self
+                    .list_times
+                    .until_last_node
+                    .saturating_record(duration_us),
                 (ChangeCause::Planned, Change::Configuration(_)) => {
                     self.configuration_times
-                        .to_last_node
+                        .until_last_node
                         .saturating_record(duration_us);
                 }
                 (cause, _) => {
--- a/crates/lab/src/scale/convergence/tests.rs
+++ b/crates/lab/src/scale/convergence/tests.rs
@@ -20,13 +20,13 @@
     assert_eq!(
         (
             fleet.outdated_nodes(),
-            fleet.list_times().to_last_node.len()
+            fleet.list_times().until_last_node.len()
         ),
         (1, 0)
     );
     fleet.versions_applied(0, 2, 0, 120);
     assert_eq!(
-        fleet.list_times().to_last_node.max(),
+        fleet.list_times().until_last_node.max(),
         90,
         "the time ends at the last node, not at the last report"
     );
@@ -34,12 +34,12 @@
     assert_eq!(
         (
             fleet.outdated_nodes(),
-            fleet.list_times().to_last_node.len(),
-            fleet.list_times().to_each_node.len()
+            fleet.list_times().until_last_node.len(),
+            fleet.list_times().until_each_node.len()
         ),
         (0, 2, 4)
     );
-    assert_eq!(fleet.list_times().to_last_node.min(), 80);
+    assert_eq!(fleet.list_times().until_last_node.min(), 80);
 }
 
 // Guards against a restarted node that counts as up to date, or counts twice among the nodes that
@@ -72,12 +72,12 @@
     fleet.change_published(Change::Configuration(1), PLANNED, 70);
     fleet.node_started(1, 1, 75);
     fleet.versions_applied(1, 2, 0, 80);
-    assert_eq!(fleet.configuration_times().to_last_node.len(), 0);
+    assert_eq!(fleet.configuration_times().until_last_node.len(), 0);
     fleet.versions_applied(0, 2, 1, 90);
     assert_eq!(
         (
             fleet.outdated_nodes(),
-            fleet.configuration_times().to_last_node.max()
+            fleet.configuration_times().until_last_node.max()
         ),
         (0, 20)
     );
--- a/crates/lab/src/scale/counts.rs
+++ b/crates/lab/src/scale/counts.rs
@@ -1,65 +1,66 @@
-//! Messages and bytes of control, as discovery's stand-in counts them.
+//! Counters of control-plane messages and bytes, as recorded by the discovery stand-in.
 
 use serde::{Deserialize, Serialize};
 use slatelink_node::relay::DownstreamCounts;
 use std::ops::{Add, Sub};
 
-/// Control between discovery and a group of nodes. Bytes are those of whole HTTP messages, without TCP and IP.
+/// Control-plane traffic between discovery and a group of callers. Byte counts cover whole HTTP
+/// messages, without TCP and IP headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlCounts {
-    /// Calls for the whole list.
+    /// Calls for the complete list.
     pub whole_calls: u64,
-    /// Calls for what is newer than a version.
+    /// Calls for changes after a version.
     pub watch_calls: u64,
     /// Bytes of all calls.
     pub call_bytes: u64,
-    /// Answers with the whole list.
+    /// Answers with the complete list.
     pub whole_answers: u64,
     /// Answers with changes.
     pub change_answers: u64,
-    /// Answers without news.
+    /// Answers without entries.
     pub empty_answers: u64,
-    /// Calls that were turned away.
+    /// Refused calls.
     pub refused: u64,
     /// Bytes of all answers.
     pub answer_bytes: u64,
     /// Entries in all answers.
     pub entries: u64,
-    /// Connections that were made.
+    /// Accepted connections.
     pub connections: u64,
-    /// Connections that discovery reset.
+    /// Connections reset by discovery.
     pub resets: u64,
 }
 
 impl ControlCounts {
-    /// Messages from nodes to discovery.
+    /// Returns the number of messages from callers to discovery.
     pub fn calls(&self) -> u64 {
         self.whole_calls + self.watch_calls
     }
 
-    /// Messages from discovery to nodes.
+    /// Returns the number of messages from discovery to callers, including refusals.
     pub fn answers(&self) -> u64 {
         self.whole_answers + self.change_answers + self.empty_answers + self.refused
     }
 
-    fn combine(self, other: Self, with: fn(u64, u64) -> u64) -> Self {
+    fn combine(self, other: Self, operation: fn(u64, u64) -> u64) -> Self {
         Self {
-            whole_calls: with(self.whole_calls, other.whole_calls),
-            watch_calls: with(self.watch_calls, other.watch_calls),
-            call_bytes: with(self.call_bytes, other.call_bytes),
-            whole_answers: with(self.whole_answers, other.whole_answers),
-            change_answers: with(self.change_answers, other.change_answers),
-            empty_answers: with(self.empty_answers, other.empty_answers),
-            refused: with(self.refused, other.refused),
-            answer_bytes: with(self.answer_bytes, other.answer_bytes),
-            entries: with(self.entries, other.entries),
-            connections: with(self.connections, other.connections),
-            resets: with(self.resets, other.resets),
+            whole_calls: operation(self.whole_calls, other.whole_calls),
+            watch_calls: operation(self.watch_calls, other.watch_calls),
+            call_bytes: operation(self.call_bytes, other.call_bytes),
+            whole_answers: operation(self.whole_answers, other.whole_answers),
+            change_answers: operation(self.change_answers, other.change_answers),
+            empty_answers: operation(self.empty_answers, other.empty_answers),
+            refused: operation(self.refused, other.refused),
+            answer_bytes: operation(self.answer_bytes, other.answer_bytes),
+            entries: operation(self.entries, other.entries),
+            connections: operation(self.connections, other.connections),
+            resets: operation(self.resets, other.resets),
         }
     }
 }
 
-/// What a relay counted with its callers.
+/// Converts a relay's counters of its own callers.
 impl From<DownstreamCounts> for ControlCounts {
     fn from(counts: DownstreamCounts) -> Self {
         Self {
--- a/crates/lab/src/scale/directory.rs
+++ b/crates/lab/src/scale/directory.rs
@@ -53,7 +53,7 @@
 
 /// Endpoint list of the discovery stand-in.
 #[derive(Debug)]
-pub struct Directory {
+pub struct EndpointList {
     version: u64,
     entries: Vec<Entry>,
     /// Address listed for every server.
@@ -62,7 +62,7 @@
     latest: Option<CachedAnswer>,
 }
 
-impl Directory {
+impl EndpointList {
     /// Returns a list of ready servers at [`FIRST_VERSION`].
     pub fn new(options: &Options, address: SocketAddr) -> Self {
         let entry = |server: usize| Entry {
--- a/crates/lab/src/scale/error.rs
+++ b/crates/lab/src/scale/error.rs
@@ -1,67 +1,67 @@
-//! Why a scale run ends without a report.
+//! Errors that end a scale run without a report.
 
 use crate::nodes::NodeError;
 use crate::scale::bounds::BoundsError;
 use crate::scale::options::OptionsError;
 use crate::scale::real::RealNodeFailure;
 use crate::scale::relays::RelayProcessError;
-use crate::scale::service::ServiceEnded;
+use crate::scale::service::ServiceStopped;
 use crate::scale::workers::{WorkerEnd, WorkersError};
 use crate::scenario::ScenarioError;
 use std::io;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why there is no report.
+/// Error that ends a scale run without a report.
 #[derive(Debug, Error)]
 pub enum ScaleError {
-    /// The options make no sense.
+    /// The options are invalid.
     #[error(transparent)]
     Options(#[from] OptionsError),
-    /// It would take too much.
+    /// The run would exceed a resource bound.
     #[error(transparent)]
     Bounds(#[from] BoundsError),
-    /// Ctrl-C, or another word to stop.
+    /// The run was stopped, for example by Ctrl-C.
     #[error("stopped")]
     Stopped,
-    /// Files, sockets or threads of the run itself.
+    /// File, socket or thread of the run itself.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The real nodes' description.
+    /// Scenario of the real nodes.
     #[error("{0}")]
     Scenario(#[from] ScenarioError),
-    /// The real nodes' files.
+    /// Files of the real nodes.
     #[error("{0}")]
     Nodes(#[from] NodeError),
-    /// A worker.
+    /// A worker cannot be started or commanded.
     #[error(transparent)]
     Workers(#[from] WorkersError),
-    /// A worker that gave up.
+    /// A worker stopped.
     #[error("worker {0}: {1}")]
     Worker(usize, WorkerEnd),
-    /// A worker that says nothing.
+    /// A worker did not answer in time.
     #[error("a worker did not answer in time")]
-    Silent,
-    /// A real node that gave up.
+    WorkerTimeout,
+    /// A real node failed.
     #[error("real node {0}: {1}")]
     RealNode(usize, RealNodeFailure),
-    /// A relay.
+    /// A relay cannot be started or does not report its state.
     #[error(transparent)]
     Relay(#[from] RelayProcessError),
-    /// The stand-in for discovery.
+    /// The discovery stand-in stopped.
     #[error(transparent)]
-    Service(#[from] ServiceEnded),
-    /// The fleet.
+    Discovery(#[from] ServiceStopped),
+    /// Nodes had no list when the start timeout expired.
     #[error("{behind} of {nodes} nodes had no list {} s after the start", .waited.as_secs())]
-    NoStart {
-        /// Nodes without one.
+    StartTimeout {
+        /// Number of nodes without a list.
         behind: usize,
-        /// All nodes.
+        /// Number of all nodes.
         nodes: usize,
-        /// How long the run waited for them.
+        /// Duration of the wait.
         waited: Duration,
     },
-    /// The histograms of times.
+    /// A histogram of times cannot be created.
     #[error("{0}")]
-    Times(#[from] hdrhistogram::CreationError),
+    Histogram(#[from] hdrhistogram::CreationError),
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -9,10 +9,10 @@
 use crate::scale::error::ScaleError;
 use crate::scale::options::Options;
 use crate::scale::processes::monotonic_us;
-use crate::scale::protocol::{NodeSetup, Order, Setup};
+use crate::scale::protocol::{NodeSetup, Setup, WorkerCommand};
 use crate::scale::real::{self, RealNode, RealNodeEvent};
 use crate::scale::relays::Relays;
-use crate::scale::service::{Acknowledged, Service};
+use crate::scale::service::{Acknowledgement, DiscoveryService};
 use crate::scale::state::{FleetEvent, FleetState};
 use crate::scale::traffic::{Traffic, TrafficCounts};
 use crate::scale::workers::{Worker, WorkerEvent, WorkerProgram};
@@ -37,7 +37,7 @@
 
 /// Events of the members, as they come.
 pub struct Inbox {
-    acknowledged: UnboundedReceiver<Acknowledged>,
+    acknowledged: UnboundedReceiver<Acknowledgement>,
     real: UnboundedReceiver<(usize, RealNodeEvent)>,
     workers: UnboundedReceiver<(usize, WorkerEvent)>,
 }
@@ -62,7 +62,7 @@
     /// What was asked for.
     pub options: &'a Options,
     /// Discovery.
-    pub service: Service,
+    pub service: DiscoveryService,
     /// Relays between discovery and the nodes.
     pub relays: Relays,
     /// The newest version of the list.
@@ -91,7 +91,8 @@
             Traffic::start(table.clone(), options.real, options.requests, options.seed).await?;
         let (version_sender, acknowledged) = unbounded_channel();
         let service =
-            Service::start(options, traffic.servers, assignment.peers(), version_sender).await?;
+            DiscoveryService::start(options, traffic.servers, assignment.peers(), version_sender)
+                .await?;
         let (real_sender, real_events) = unbounded_channel();
         let relay_upstream = assignment.relay_addresses(&service.addresses);
         let relays = Relays::start(options, &programs.relay, relay_upstream).await?;
@@ -124,7 +125,7 @@
                 &relays,
                 &configuration,
             );
-            worker.order(&Order::SetUp(setup)).await?;
+            worker.send_command(&WorkerCommand::SetUp(setup)).await?;
             workers.push(worker);
         }
         Ok(Self {
@@ -155,7 +156,7 @@
             ending.spawn_local(node.end());
         }
         for worker in self.workers {
-            ending.spawn_local(worker.end());
+            ending.spawn_local(worker.shut_down());
         }
         while ending.join_next().await.is_some() {}
         self.relays.end().await;
@@ -171,7 +172,7 @@
             .copied()
             .unwrap_or(self.options.nodes());
         self.state.is_up_to_date()
-            && self.service.waiting() >= watching
+            && self.service.waiting_watches() >= watching
             && self.relays.are_settled(self.version, self.options)
     }
 
@@ -198,7 +199,7 @@
                 .filter(|node| own.contains(node))
                 .collect();
             if !own.is_empty() {
-                worker.order(&Order::Start(own)).await?;
+                worker.send_command(&WorkerCommand::Start(own)).await?;
             }
         }
         Ok(())
@@ -246,7 +247,9 @@
         );
         self.real.iter().for_each(RealNode::configure);
         for worker in &mut self.workers {
-            worker.order(&Order::Configure(configuration)).await?;
+            worker
+                .send_command(&WorkerCommand::Configure(configuration))
+                .await?;
         }
         Ok(())
     }
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -1,4 +1,4 @@
-//! Plays the time line on a fleet and measures it: the start, changes, configurations, a fault.
+//! Runs the schedule on a fleet and measures the start, list changes, configurations and a fault.
 
 use crate::scale::bounds::{Estimate, Limits};
 use crate::scale::convergence::{ChangeCause, PropagationTimes, TimeSummary};
@@ -8,7 +8,7 @@
 use crate::scale::options::FaultKind;
 use crate::scale::processes::Usage;
 use crate::scale::progress::Progress;
-use crate::scale::protocol::Order;
+use crate::scale::protocol::WorkerCommand;
 use crate::scale::report::{self, ChangeTimes, Report, StartTimes};
 use crate::scale::sample::{workers_usage, Period, Sample};
 use crate::scale::schedule::{ChangeGenerator, FaultStep, Schedule, Step};
@@ -16,26 +16,27 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{interval, Instant, Interval, MissedTickBehavior};
 
-/// Interval of the checks for what is due.
+/// Interval of the checks for due steps.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
-/// A fleet that is not up to date by then does not get there.
+/// Time for the real nodes to start, and then for the whole fleet to get up to date. A fleet that
+/// is not up to date by then never will be.
 const FLEET_START_TIMEOUT: Duration = Duration::from_secs(120);
-/// After the last change the fleet has this long to be up to date.
+/// Time for the fleet to get up to date after the end of the planned run.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// A worker answers within this.
+/// Time for all workers to be set up, or to answer a count command.
 const WORKER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Plays on a fleet.
+/// Runs the schedule on a fleet.
 pub struct Player<'a, 'b> {
     fleet: &'b mut Fleet<'a>,
     progress: &'b Progress,
     generator: ChangeGenerator,
-    /// The fault that has begun, and all messages before it.
+    /// Fault that has begun, with the traffic counts of discovery before it.
     fault: Option<(FaultKind, ControlCounts)>,
 }
 
 impl<'a, 'b> Player<'a, 'b> {
-    /// On a fleet whose processes are started.
+    /// Returns a player for a fleet whose processes are started.
     pub fn new(fleet: &'b mut Fleet<'a>, progress: &'b Progress) -> Self {
         let generator = ChangeGenerator::new(fleet.options);
         Self {
@@ -46,9 +47,10 @@
         }
     }
 
-    /// Starts all nodes, plays, and measures; the report lacks what is known only at the fleet's end.
+    /// Starts all nodes, runs the schedule and measures. The report lacks the client counts, which
+    /// are known only when the fleet has ended.
     pub async fn play(mut self, estimate: Estimate, limits: Limits) -> Result<Report, ScaleError> {
-        let empty_workers = self.set_up().await?;
+        let empty_workers = self.wait_for_workers().await?;
         let start = self.start_nodes().await?;
         let before = self.sample().await?;
         self.follow_schedule().await?;
@@ -62,67 +64,74 @@
         self.report(start, &period, estimate, limits)
     }
 
-    /// Takes events in until something holds, or for so long; whether it holds.
-    async fn until(
+    /// Handles events until `condition` holds or `limit` has elapsed; returns whether it holds.
+    async fn wait_until(
         &mut self,
-        most: Duration,
-        holds: impl Fn(&Fleet<'a>) -> bool,
+        limit: Duration,
+        condition: impl Fn(&Fleet<'a>) -> bool,
     ) -> Result<bool, ScaleError> {
-        let end = Instant::now() + most;
+        let end = Instant::now() + limit;
         let mut ticks = ticks();
-        while !holds(self.fleet) {
+        while !condition(self.fleet) {
             if Instant::now() > end {
                 return Ok(false);
             }
-            self.listen(&mut ticks, "waiting").await?;
+            self.handle_next(&mut ticks, "waiting").await?;
         }
         Ok(true)
     }
 
-    /// Takes one event in, or waits for a tick.
-    async fn listen(&mut self, ticks: &mut Interval, doing: &str) -> Result<(), ScaleError> {
+    /// Handles one event, or reports progress at a tick, whichever comes first.
+    async fn handle_next(
+        &mut self,
+        ticks: &mut Interval,
+        activity: &str,
+    ) -> Result<(), ScaleError> {
         tokio::select! {
-            event = self.fleet.inbox.next() => self.fleet.state.take(event)?,
-            _ = ticks.tick() => self.say(doing),
+            event = self.fleet.inbox.next() => self.fleet.state.handle(event)?,
+            _ = ticks.tick() => self.report_progress(activity),
         }
         Ok(())
     }
 
-    fn say(&self, doing: &str) {
+    fn report_progress(&self, activity: &str) {
         let (state, nodes) = (&self.fleet.state, self.fleet.options.nodes());
         self.progress.say(format!(
-            "{doing}: {} of {nodes} nodes up to date, {} list changes, {} configurations",
+            "{activity}: {} of {nodes} nodes up to date, {} list changes, {} configurations",
             nodes - state.convergence.outdated_nodes(),
             state.list_changes,
             state.configuration
         ));
     }
 
-    /// Waits for the workers; what they use without nodes.
-    async fn set_up(&mut self) -> Result<Usage, ScaleError> {
+    /// Waits until all workers are set up; returns their resource usage without nodes.
+    async fn wait_for_workers(&mut self) -> Result<Usage, ScaleError> {
         let workers = self.fleet.workers.len();
         if !self
-            .until(WORKER_TIMEOUT, |fleet| fleet.state.ready_workers == workers)
+            .wait_until(WORKER_TIMEOUT, |fleet| fleet.state.ready_workers == workers)
             .await?
         {
-            return Err(ScaleError::Silent);
+            return Err(ScaleError::WorkerTimeout);
         }
         Ok(workers_usage(&self.fleet.workers)?)
     }
 
-    /// Waits for the real nodes, and then starts the simulated ones: the real ones' start has no herd beside it.
+    /// Waits until the real nodes are ready and then starts the simulated ones, so that the mass
+    /// start of simulated nodes does not affect the start times of real ones.
     async fn start_nodes(&mut self) -> Result<StartTimes, ScaleError> {
-        let mut well = self
-            .until(FLEET_START_TIMEOUT, |fleet| fleet.state.real_nodes_ready())
+        let mut has_started = self
+            .wait_until(FLEET_START_TIMEOUT, |fleet| fleet.state.real_nodes_ready())
             .await?;
         self.fleet.start_all_simulated().await?;
-        well &= self.until(FLEET_START_TIMEOUT, Fleet::is_settled).await?;
-        if !well {
+        has_started &= self
+            .wait_until(FLEET_START_TIMEOUT, Fleet::is_settled)
+            .await?;
+        if !has_started {
             let (behind, nodes) = (
                 self.fleet.state.convergence.outdated_nodes(),
                 self.fleet.options.nodes(),
             );
-            return Err(ScaleError::NoStart {
+            return Err(ScaleError::StartTimeout {
                 behind,
                 nodes,
                 waited: FLEET_START_TIMEOUT,
@@ -131,48 +140,50 @@
         self.start_times()
     }
 
-    /// Times of the nodes that were started since the last time.
+    /// Returns the start times of the nodes that started since the previous call.
     fn start_times(&mut self) -> Result<StartTimes, ScaleError> {
         let first_simulated = self.fleet.options.real;
         let started = self.fleet.state.convergence.take_start_times();
         let (real, simulated): (Vec<_>, Vec<_>) = started
             .into_iter()
             .partition(|(node, _)| *node < first_simulated);
-        let spread = |started: Vec<(usize, u64)>| {
+        let summarize = |started: Vec<(usize, u64)>| {
             TimeSummary::of_each(started.into_iter().map(|(_, time)| time))
         };
         Ok(StartTimes {
-            real: spread(real)?,
-            simulated: spread(simulated)?,
+            real: summarize(real)?,
+            simulated: summarize(simulated)?,
         })
     }
 
-    /// Makes what is due, until all of it is made and the fleet is up to date, or has had the time for that.
+    /// Executes steps as they become due. Returns after the planned length as soon as all steps are
+    /// executed and the fleet is settled, or when [`SETTLE_TIMEOUT`] has expired.
     async fn follow_schedule(&mut self) -> Result<(), ScaleError> {
         let mut schedule = Schedule::new(self.fleet.options);
-        let (begun, length) = (Instant::now(), self.fleet.options.length());
+        let (run_start, length) = (Instant::now(), self.fleet.options.length());
         let mut ticks = ticks();
         loop {
-            let now = begun.elapsed();
+            let now = run_start.elapsed();
             while let Some(step) = schedule.next_fault(now) {
-                self.make_fault_step(step).await?;
+                self.execute_fault_step(step).await?;
             }
             while !self.fleet.options.step_wise || self.fleet.is_settled() {
                 let Some(step) = schedule.next_step(now) else {
                     break;
                 };
-                self.make(step).await?;
+                self.execute_step(step).await?;
             }
-            let over = now >= length && schedule.is_finished() && self.fleet.is_settled();
-            if over || now >= length + SETTLE_TIMEOUT {
+            let run_is_complete =
+                now >= length && schedule.is_finished() && self.fleet.is_settled();
+            if run_is_complete || now >= length + SETTLE_TIMEOUT {
                 return Ok(());
             }
-            let doing = format!("{:.0} of {:.0} s", now.as_secs_f64(), length.as_secs_f64());
-            self.listen(&mut ticks, &doing).await?;
+            let activity = format!("{:.0} of {:.0} s", now.as_secs_f64(), length.as_secs_f64());
+            self.handle_next(&mut ticks, &activity).await?;
         }
     }
 
-    async fn make(&mut self, step: Step) -> Result<(), ScaleError> {
+    async fn execute_step(&mut self, step: Step) -> Result<(), ScaleError> {
         match step {
             Step::ListChange => {
                 let changes = self.generator.list_change();
@@ -182,18 +193,18 @@
         }
     }
 
-    async fn make_fault_step(&mut self, step: FaultStep) -> Result<(), ScaleError> {
+    async fn execute_fault_step(&mut self, step: FaultStep) -> Result<(), ScaleError> {
         match step {
             FaultStep::Begin(kind) => {
-                let figures = self.fleet.service.figures().await?;
-                self.fault = Some((kind, figures.control()));
-                self.begin(kind).await
+                let stats = self.fleet.service.stats().await?;
+                self.fault = Some((kind, stats.control()));
+                self.begin_fault(kind).await
             }
-            FaultStep::End(kind) => self.end(kind).await,
+            FaultStep::End(kind) => self.end_fault(kind).await,
         }
     }
 
-    async fn begin(&mut self, kind: FaultKind) -> Result<(), ScaleError> {
+    async fn begin_fault(&mut self, kind: FaultKind) -> Result<(), ScaleError> {
         match kind {
             FaultKind::DiscoveryDown => Ok(self.fleet.service.set_down(true)?),
             FaultKind::Partition => Ok(self.fleet.service.set_partitioned(true)?),
@@ -202,14 +213,17 @@
                 self.fleet.restart(nodes).await
             }
             FaultKind::ZoneLost => {
-                let lost = self.generator.remove_zone();
-                self.fleet.change_list(lost, ChangeCause::FaultBegins).await
+                let removed = self.generator.remove_zone();
+                self.fleet
+                    .change_list(removed, ChangeCause::FaultBegins)
+                    .await
             }
         }
     }
 
-    /// Ends a fault with a change of the list: that shows when the fleet is up to date again.
-    async fn end(&mut self, kind: FaultKind) -> Result<(), ScaleError> {
+    /// Ends a fault with a list change, whose propagation time shows when the fleet is up to date
+    /// again.
+    async fn end_fault(&mut self, kind: FaultKind) -> Result<(), ScaleError> {
         let changes = match kind {
             FaultKind::DiscoveryDown => {
                 self.fleet.service.set_down(false)?;
@@ -220,7 +234,7 @@
                 self.generator.list_change()
             }
             FaultKind::ZoneLost => self.generator.restore_zone(unix_ms()),
-            // It is over when the nodes are back.
+            // A restart ends by itself when the nodes have started.
             FaultKind::RestartTenth => return Ok(()),
         };
         self.fleet
@@ -228,7 +242,7 @@
             .await
     }
 
-    /// What all members used so far.
+    /// Requests the counters of all workers and takes a sample of the whole fleet.
     async fn sample(&mut self) -> Result<Sample, ScaleError> {
         self.fleet
             .state
@@ -236,11 +250,11 @@
             .iter_mut()
             .for_each(|counted| *counted = None);
         for worker in &mut self.fleet.workers {
-            worker.order(&Order::Count).await?;
+            worker.send_command(&WorkerCommand::Count).await?;
         }
-        let counted = |fleet: &Fleet<'a>| fleet.state.counted.iter().all(Option::is_some);
-        if !self.until(WORKER_TIMEOUT, counted).await? {
-            return Err(ScaleError::Silent);
+        let have_all_answered = |fleet: &Fleet<'a>| fleet.state.counted.iter().all(Option::is_some);
+        if !self.wait_until(WORKER_TIMEOUT, have_all_answered).await? {
+            return Err(ScaleError::WorkerTimeout);
         }
         Sample::take(self.fleet).await
     }
@@ -295,8 +309,8 @@
 
 fn change_times(times: &PropagationTimes) -> ChangeTimes {
     ChangeTimes {
-        to_last_node: TimeSummary::of(&times.to_last_node),
-        to_each_node: TimeSummary::of(&times.to_each_node),
+        to_last_node: TimeSummary::of(&times.until_last_node),
+        to_each_node: TimeSummary::of(&times.until_each_node),
     }
 }
 
--- a/crates/lab/src/scale/protocol.rs
+++ b/crates/lab/src/scale/protocol.rs
@@ -1,83 +1,83 @@
-//! Messages between the run and its workers: JSON lines on a worker's standard input and output.
+//! Messages between the run and its workers, as JSON lines on a worker's standard input and output.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// One simulated node.
+/// Setup of one simulated node.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct NodeSetup {
-    /// Its number in the fleet.
+    /// Number of the node in the fleet.
     pub number: usize,
-    /// Where discovery answers it; a new configuration takes it from one address to the other.
+    /// The node's two addresses of discovery. Each new configuration switches to the other one.
     pub discovery: [SocketAddr; 2],
 }
 
-/// What a worker runs.
+/// Setup of a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Setup {
-    /// The platform's configuration that its nodes' settings are from.
+    /// Path of the platform's configuration, the source of the nodes' settings.
     pub configuration: PathBuf,
-    /// Its nodes.
+    /// Nodes run by the worker.
     pub nodes: Vec<NodeSetup>,
-    /// Of all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Requests a second of each node.
+    /// Requests per second of each node.
     pub request_rate: f64,
 }
 
-/// An order for a worker.
+/// WorkerCommand to a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Order {
-    /// The first of all: what to run.
+pub enum WorkerCommand {
+    /// Sets the worker up. Must be the first command.
     SetUp(Setup),
-    /// Start these nodes; those that run are ended before.
+    /// Starts these nodes; running ones are stopped first.
     Start(Vec<usize>),
-    /// A new configuration for all nodes, of this version.
+    /// Applies the configuration of this version to all nodes.
     Configure(u64),
-    /// Say what was counted so far.
+    /// Requests the counters.
     Count,
 }
 
-/// A message from a worker.
+/// Message from a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// It is set up.
+    /// The worker is set up.
     Ready,
-    /// Lists that came into force.
-    InForce(Vec<InForce>),
-    /// What was counted so far.
+    /// Lists applied by nodes.
+    InForce(Vec<AppliedList>),
+    /// Counters since the worker's start.
     Counted(WorkerCounts),
-    /// It cannot go on.
+    /// The worker failed with this error.
     Failed(String),
 }
 
-/// A node has a list in force.
+/// List applied by a node.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct InForce {
-    /// Which node.
+pub struct AppliedList {
+    /// Number of the node.
     pub node: usize,
-    /// Which of its starts, counted from 1.
+    /// Incarnation of the node, counted from 1.
     pub incarnation: u32,
-    /// The list's version.
+    /// Version of the list.
     pub list: u64,
-    /// The version of the configuration under which it was asked for.
+    /// Version of the configuration under which the list was requested.
     pub configuration: u64,
-    /// When, on the machine's monotonic clock.
+    /// Time of application, on the machine's monotonic clock.
     pub at_us: u64,
 }
 
-/// What a worker counts.
+/// Counters of a worker, summed over all of its nodes.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct WorkerCounts {
-    /// Requests that were drawn.
+    /// Generated requests.
     pub requests: u64,
-    /// Of those, the ones that the decision module chose a server for.
+    /// Requests for which the decision module chose a server.
     pub sent: u64,
-    /// Processor time of the decision module for them, in nanoseconds.
+    /// Processor time of the decision module for all generated requests, in nanoseconds.
     pub request_processor_ns: u64,
-    /// Calls to discovery that failed.
+    /// Failed calls to discovery.
     pub failed_calls: u64,
 }
--- a/crates/lab/src/scale/sample.rs
+++ b/crates/lab/src/scale/sample.rs
@@ -1,4 +1,5 @@
-//! What the members of a fleet used up to a moment, and what that comes to for each between two moments.
+//! Samples of the counters and resource usage of a fleet, and the averages per member between two
+//! samples.
 
 use crate::scale::counts::ControlCounts;
 use crate::scale::error::ScaleError;
@@ -7,14 +8,14 @@
 use crate::scale::processes::Usage;
 use crate::scale::relays::RelayProcess;
 use crate::scale::report::{Counts, Discovery, Node, RelayTier, Traffic};
-use crate::scale::service::ServiceFigures;
+use crate::scale::service::ServiceStats;
 use crate::scale::workers::Worker;
 use std::collections::BTreeMap;
 use std::io;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What the relays of a tier counted and used so far.
+/// Counters and resource usage of one tier of relays, summed over its relays.
 #[derive(Clone, Copy, Debug, Default)]
 struct TierSample {
     callers: ControlCounts,
@@ -30,7 +31,8 @@
             let status = relay.status().await?;
             sample.callers = sample.callers + status.downstream.into();
             sample.upstream_failed += status.upstream.failed_calls;
-            // The run's own are no callers: the one that follows its state, and the one that asked now.
+            // The run's own two connections are excluded: the one that polls the relay's state, and
+            // the one that has just requested it.
             sample.open += status.open_connections.saturating_sub(2);
             let usage = relay.pid().map(Usage::of).transpose()?;
             sample.usage = [sample.usage, usage.unwrap_or_default()].into_iter().sum();
@@ -39,27 +41,27 @@
     }
 }
 
-/// What all members used so far.
+/// Counters and resource usage of all members at one time.
 #[derive(Debug)]
 pub struct Sample {
     at: Instant,
-    /// What discovery counted and used.
-    pub service: ServiceFigures,
-    /// What relays counted and used, by tier.
+    /// Counters and resource usage of discovery.
+    pub service: ServiceStats,
+    /// Counters and resource usage of the relays, by tier.
     relays: Vec<TierSample>,
     run: Usage,
-    /// By process: a restarted node has another one.
+    /// Usage of the real nodes by process id; a restarted node has a new process.
     real: BTreeMap<i32, Usage>,
     workers: Usage,
     requests: u64,
     sent: u64,
     request_processor: Duration,
-    /// Calls of simulated nodes that failed.
+    /// Failed calls of simulated nodes to discovery or relays.
     pub failed_calls: u64,
 }
 
 impl Sample {
-    /// Of this moment; workers have answered what they counted.
+    /// Takes a sample. All workers must have answered the latest count command before.
     pub async fn take(fleet: &Fleet<'_>) -> Result<Self, ScaleError> {
         let state = &fleet.state;
         let real = state
@@ -67,59 +69,62 @@
             .iter()
             .flatten()
             .map(|&pid| Ok((pid, Usage::of(pid)?)));
-        let counted = || state.counted.iter().flatten();
-        let request_processor_ns = counted().map(|counts| counts.request_processor_ns).sum();
+        let worker_counts = || state.counted.iter().flatten();
+        let request_processor_ns = worker_counts()
+            .map(|counts| counts.request_processor_ns)
+            .sum();
         let mut relays = Vec::with_capacity(fleet.relays.tiers.len());
         for tier in &fleet.relays.tiers {
             relays.push(TierSample::take(tier).await?);
         }
         Ok(Self {
             at: Instant::now(),
-            service: fleet.service.figures().await?,
+            service: fleet.service.stats().await?,
             relays,
             run: Usage::of(nix::unistd::getpid().as_raw())?,
             real: real.collect::<io::Result<_>>()?,
             workers: workers_usage(&fleet.workers)?,
-            requests: counted().map(|counts| counts.requests).sum(),
-            sent: counted().map(|counts| counts.sent).sum(),
+            requests: worker_counts().map(|counts| counts.requests).sum(),
+            sent: worker_counts().map(|counts| counts.sent).sum(),
             request_processor: Duration::from_nanos(request_processor_ns),
-            failed_calls: counted().map(|counts| counts.failed_calls).sum(),
+            failed_calls: worker_counts().map(|counts| counts.failed_calls).sum(),
         })
     }
 
-    /// Control with simulated nodes: they call at the last relays, or at discovery.
+    /// Returns the control-plane traffic with simulated nodes, which call the last tier of relays,
+    /// or discovery if there are no relays.
     fn simulated(&self) -> ControlCounts {
         self.relays
             .last()
-            .map_or(self.service.simulated, |last| last.callers)
+            .map_or(self.service.simulated, |last_tier| last_tier.callers)
     }
 }
 
-/// What all workers use.
+/// Returns the summed resource usage of all workers.
 pub fn workers_usage(workers: &[Worker]) -> io::Result<Usage> {
     workers.iter().filter_map(Worker::pid).map(Usage::of).sum()
 }
 
-/// What was used between two moments.
+/// Measurement period between two samples.
 #[derive(Debug)]
 pub struct Period<'a> {
-    /// What was asked for.
+    /// Options of the run.
     pub options: &'a Options,
-    /// What the workers used before they had nodes.
+    /// Usage of the workers before they started any node.
     pub empty_workers: Usage,
-    /// The first moment.
+    /// Sample at the start of the period.
     pub before: Sample,
-    /// The second one.
+    /// Sample at the end of the period.
     pub after: Sample,
 }
 
 impl Period<'_> {
-    /// How long it was.
+    /// Returns the length of the period in seconds.
     pub fn seconds(&self) -> f64 {
         (self.after.at - self.before.at).as_secs_f64()
     }
 
-    /// Messages and bytes.
+    /// Returns the counts of messages and bytes, for the whole run and for the period.
     pub fn counts(&self, list_changes: u64, configurations: u64) -> Counts {
         let (before, after) = (&self.before, &self.after);
         Counts {
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Discovery.
+    /// Returns the load of discovery.
     pub fn discovery(&self) -> Discovery {
         let (before, after) = (&self.before.service, &self.after.service);
         let processor = after.processor.saturating_sub(before.processor);
@@ -149,7 +154,7 @@
         }
     }
 
-    /// The relays, by tier.
+    /// Returns the average load per relay, by tier.
     pub fn relays(&self) -> Vec<RelayTier> {
         let tiers = self
             .options
@@ -157,7 +162,7 @@
             .iter()
             .zip(self.before.relays.iter().zip(&self.after.relays));
         let tier = |(&relays, (before, after)): (&usize, (&TierSample, &TierSample))| {
-            let each = |whole: f64| whole / relays as f64;
+            let per_relay = |total: f64| total / relays as f64;
             let processor = after.usage.processor.saturating_sub(before.usage.processor);
             let measured = after.callers - before.callers;
             RelayTier {
@@ -166,37 +171,44 @@
                 callers: after.callers,
                 callers_measured: measured,
                 upstream_failed: after.upstream_failed,
-                processor_us_per_s: each(micros(processor) / self.seconds()),
-                resident_kib: each(after.usage.resident_kib as f64),
-                connections: each(after.open as f64),
+                processor_us_per_s: per_relay(micros(processor) / self.seconds()),
+                resident_kib: per_relay(after.usage.resident_kib as f64),
+                connections: per_relay(after.open as f64),
             }
         };
         tiers.map(tier).collect()
     }
 
-    /// A real node; `None` where there is none.
+    /// Returns the average load per real node, or `None` if the run has none.
     pub fn real_node(&self) -> Option<Node> {
         let counts = self.after.service.real - self.before.service.real;
-        let all = self.after.real.len() as f64;
-        let used: Usage = self.after.real.values().copied().sum();
-        let stayed = |(pid, after): (&i32, &Usage)| {
+        let processes = self.after.real.len() as f64;
+        let total: Usage = self.after.real.values().copied().sum();
+        // Only processes that ran at both samples count.
+        let processor_time_in_period = |(pid, after): (&i32, &Usage)| {
             Some(after.processor - self.before.real.get(pid)?.processor)
         };
-        let processors: Vec<_> = self.after.real.iter().filter_map(stayed).collect();
-        let processor =
-            micros(processors.iter().sum()) / self.seconds() / processors.len().max(1) as f64;
+        let processor_times: Vec<_> = self
+            .after
+            .real
+            .iter()
+            .filter_map(processor_time_in_period)
+            .collect();
+        let processor = micros(processor_times.iter().sum())
+            / self.seconds()
+            / processor_times.len().max(1) as f64;
         (self.options.real > 0).then(|| Node {
             traffic: Traffic::of(&counts, self.seconds(), self.options.real),
             processor_us_per_s: processor,
             control_processor_us_per_s: (self.options.requests == 0.0).then_some(processor),
-            resident_kib: used.resident_kib as f64 / all,
-            connections: used.sockets as f64 / all,
+            resident_kib: total.resident_kib as f64 / processes,
+            connections: total.sockets as f64 / processes,
             requests_per_s: None,
             sent_per_s: None,
         })
     }
 
-    /// A simulated node; `None` where there is none.
+    /// Returns the average load per simulated node, or `None` if the run has none.
     pub fn simulated_node(&self) -> Option<Node> {
         let (before, after) = (&self.before, &self.after);
         let nodes = self.options.simulated as f64;
@@ -208,15 +220,18 @@
         let requests = after
             .request_processor
             .saturating_sub(before.request_processor);
-        let each = |time: Duration| micros(time) / self.seconds() / nodes;
+        let per_node = |time: Duration| micros(time) / self.seconds() / nodes;
         let rate = |count: u64| count as f64 / self.seconds() / nodes;
-        let own = |after: u64, empty: u64| after.saturating_sub(empty) as f64 / nodes;
+        let growth_per_node = |after: u64, empty: u64| after.saturating_sub(empty) as f64 / nodes;
         (self.options.simulated > 0).then(|| Node {
             traffic: Traffic::of(&counts, self.seconds(), self.options.simulated),
-            processor_us_per_s: each(processor),
-            control_processor_us_per_s: Some(each(processor.saturating_sub(requests))),
-            resident_kib: own(after.workers.resident_kib, self.empty_workers.resident_kib),
-            connections: own(after.workers.sockets, self.empty_workers.sockets),
+            processor_us_per_s: per_node(processor),
+            control_processor_us_per_s: Some(per_node(processor.saturating_sub(requests))),
+            resident_kib: growth_per_node(
+                after.workers.resident_kib,
+                self.empty_workers.resident_kib,
+            ),
+            connections: growth_per_node(after.workers.sockets, self.empty_workers.sockets),
             requests_per_s: Some(rate(after.requests - before.requests)),
             sent_per_s: Some(rate(after.sent - before.sent)),
         })
--- a/crates/lab/src/scale/schedule.rs
+++ b/crates/lab/src/scale/schedule.rs
@@ -91,7 +91,7 @@
 
 fn pop_due<T>(timeline: &mut VecDeque<(Duration, T)>, now: Duration) -> Option<T> {
     if timeline.front().is_some_and(|(at, _)| *at <= now) {
-        timeline.pop_front().map(|(_, step)| step)
+        timeline.pop_front().map(|(_, item)| item)
     } else {
         None
     }
--- a/crates/lab/src/scale/service.rs
+++ b/crates/lab/src/scale/service.rs
@@ -1,12 +1,14 @@
-//! The stand-in for discovery: one service on a thread of its own that handles calls in turn, each at a stated cost.
+//! Discovery stand-in: a service on its own thread that processes calls one after another, each at
+//! a configured cost.
 //!
-//! A call has its turn when it comes, with the entries that answer it at once; a watch that waits holds up nobody, and has
-//! another turn for its news. A call that would wait for its turn for more than 2 s is answered 503.
+//! Every call is queued on arrival, with the cost of the entries that answer it at once. A watch
+//! that waits for a change does not block the queue; its answer is queued separately. A call that
+//! would be queued for more than 2 s is answered with 503.
 
 use crate::http::{listen, reset, Conn};
 use crate::list_protocol::{ListCall, NOT_FOUND, REFUSED};
 use crate::scale::counts::ControlCounts;
-use crate::scale::directory::{Answer, Directory, EndpointChange};
+use crate::scale::directory::{Answer, EndpointChange, EndpointList};
 use crate::scale::options::Options;
 use crate::scale::processes::{monotonic_us, thread_processor_time};
 use crate::scale::queue::{Admission, CallQueue, Costs};
@@ -23,185 +25,196 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// Who calls.
+/// Kind of a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Caller {
-    /// A real node, of this number.
+    /// Real node with this number.
     RealNode(usize),
-    /// Some of the simulated nodes.
+    /// Group of simulated nodes that share an address.
     SimulatedNodes,
-    /// A relay.
+    /// Relay.
     Relay,
 }
 
-/// Who calls at an address.
+/// Caller expected at one of the service's addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Who it is.
+    /// Kind of the caller.
     pub caller: Caller,
-    /// Which of a node's two addresses it is.
+    /// Index of the address among the node's two addresses.
     pub address: usize,
-    /// Whether a split cuts it off.
+    /// Whether a partition cuts the caller off.
     pub beyond_partition: bool,
 }
 
-/// A real node has asked for what is newer than a version: it has that one in force.
+/// Version applied by a real node, which its call for newer versions acknowledges.
 #[derive(Clone, Copy, Debug)]
-pub struct Acknowledged {
-    /// Which node.
+pub struct Acknowledgement {
+    /// Number of the node.
     pub node: usize,
-    /// At which of its addresses.
+    /// Index of the called address among the node's two addresses.
     pub address: usize,
-    /// The version it has.
+    /// Applied version.
     pub after: u64,
-    /// When the call came, on the machine's monotonic clock.
+    /// Arrival time of the call, on the machine's monotonic clock.
     pub at_us: u64,
 }
 
-/// The list has changed.
+/// Published change of the list.
 #[derive(Clone, Copy, Debug)]
-pub struct Changed {
-    /// The version that has the changes.
+pub struct PublishedChange {
+    /// Version that contains the change.
     pub version: u64,
-    /// When, on the machine's monotonic clock.
+    /// Time of publication, on the machine's monotonic clock.
     pub at_us: u64,
 }
 
-/// What the stand-in counted and used so far.
+/// Counters and resource usage of the service since its start.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ServiceFigures {
-    /// Control with real nodes.
+pub struct ServiceStats {
+    /// Traffic with real nodes.
     pub real: ControlCounts,
-    /// Control with simulated nodes.
+    /// Traffic with simulated nodes.
     pub simulated: ControlCounts,
-    /// Control with relays.
+    /// Traffic with relays.
     pub relays: ControlCounts,
-    /// Processor time of its thread.
+    /// Processor time of the service's thread.
     pub processor: Duration,
-    /// Time of its turns, by the stated costs.
+    /// Total processing time of calls, according to the configured costs.
     pub busy: Duration,
-    /// Connections that are open.
+    /// Number of open connections.
     pub open: usize,
-    /// The most that ever were.
+    /// Highest number of connections open at the same time.
     pub most_open: usize,
 }
 
-impl ServiceFigures {
-    /// Control with all callers.
+impl ServiceStats {
+    /// Returns the traffic with all callers.
     pub fn control(&self) -> ControlCounts {
         self.real + self.simulated + self.relays
     }
 }
 
-enum Order {
-    Change(Vec<EndpointChange>, oneshot::Sender<Changed>),
-    Down(bool),
-    Partition(bool),
-    Count(oneshot::Sender<ServiceFigures>),
+enum Command {
+    Change(Vec<EndpointChange>, oneshot::Sender<PublishedChange>),
+    SetDown(bool),
+    SetPartitioned(bool),
+    ReportStats(oneshot::Sender<ServiceStats>),
 }
 
-/// The thread has ended before the run.
+/// The service's thread has ended before the run.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("discovery's thread has ended")]
-pub struct ServiceEnded;
-
-/// The running stand-in. It ends when this is dropped.
-pub struct Service {
-    orders: UnboundedSender<Order>,
-    /// Watches that wait for news.
-    waiting: watch::Receiver<usize>,
-    /// Where it listens, for each peer in the order given.
+#[error("the discovery thread has ended before the run")]
+pub struct ServiceStopped;
+
+/// Handle of the running discovery stand-in, which stops when the handle is dropped.
+pub struct DiscoveryService {
+    commands: UnboundedSender<Command>,
+    /// Number of watches that wait for a change.
+    waiting_watches: watch::Receiver<usize>,
+    /// Listening address for each peer, in the order of the peers.
     pub addresses: Vec<SocketAddr>,
     _thread: JoinHandle<()>,
 }
 
-impl Service {
-    /// Starts it, with an address for each of these peers, and waits until it listens.
+impl DiscoveryService {
+    /// Starts the service with one address per peer, and waits until it listens.
     pub async fn start(
         options: &Options,
-        dial: SocketAddr,
+        server_address: SocketAddr,
         peers: Vec<Peer>,
-        acknowledged: UnboundedSender<Acknowledged>,
+        acknowledgements: UnboundedSender<Acknowledgement>,
     ) -> io::Result<Self> {
-        let one = runtime::Builder::new_current_thread()
+        let thread_runtime = runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        let (orders, inbox) = unbounded_channel();
-        let (listens, addresses) = oneshot::channel();
-        let (waits, waiting) = watch::channel(0);
+        let (command_sender, received_commands) = unbounded_channel();
+        let (address_sender, addresses) = oneshot::channel();
+        let (watch_counter, waiting_watches) = watch::channel(0);
         let costs = Costs {
             call: Duration::from_micros(options.call_cost_us),
             entry: Duration::from_micros(options.entry_cost_us),
         };
-        let directory = Directory::new(options, dial);
+        let endpoint_list = EndpointList::new(options, server_address);
         let thread = thread::Builder::new()
             .name("discovery".to_owned())
             .spawn(move || {
-                LocalSet::new().block_on(&one, async {
-                    let stand_in = Rc::new(StandIn::new(directory, costs, waits, acknowledged));
-                    let addresses = stand_in.clone().listen(&peers).await;
-                    // The other end goes only with the run.
-                    let _ = listens.send(addresses);
-                    stand_in.follow(inbox).await;
+                LocalSet::new().block_on(&thread_runtime, async {
+                    let state = Rc::new(ServiceState::new(
+                        endpoint_list,
+                        costs,
+                        watch_counter,
+                        acknowledgements,
+                    ));
+                    let addresses = state.clone().listen(&peers).await;
+                    // The receiver is dropped only when the run has ended.
+                    let _ = address_sender.send(addresses);
+                    state.run_commands(received_commands).await;
                 });
             })?;
         let addresses = addresses.await.map_err(io::Error::other)??;
         Ok(Self {
-            orders,
-            waiting,
+            commands: command_sender,
+            waiting_watches,
             addresses,
             _thread: thread,
         })
     }
 
-    /// Changes entries, all in one version.
-    pub async fn change(&self, changes: Vec<EndpointChange>) -> Result<Changed, ServiceEnded> {
-        let (made, changed) = oneshot::channel();
-        self.orders
-            .send(Order::Change(changes, made))
-            .map_err(|_| ServiceEnded)?;
-        changed.await.map_err(|_| ServiceEnded)
+    /// Applies all changes in one new version of the list.
+    pub async fn change(
+        &self,
+        changes: Vec<EndpointChange>,
+    ) -> Result<PublishedChange, ServiceStopped> {
+        let (published_sender, published) = oneshot::channel();
+        self.commands
+            .send(Command::Change(changes, published_sender))
+            .map_err(|_| ServiceStopped)?;
+        published.await.map_err(|_| ServiceStopped)
     }
 
-    /// Goes away, with connections reset, or comes back.
-    pub fn set_down(&self, down: bool) -> Result<(), ServiceEnded> {
-        self.orders
-            .send(Order::Down(down))
-            .map_err(|_| ServiceEnded)
+    /// Takes the service down, which resets all connections, or brings it back up.
+    pub fn set_down(&self, down: bool) -> Result<(), ServiceStopped> {
+        self.commands
+            .send(Command::SetDown(down))
+            .map_err(|_| ServiceStopped)
     }
 
-    /// Falls silent for far peers; when that ends, the connections of that time are reset.
-    pub fn set_partitioned(&self, partitioned: bool) -> Result<(), ServiceEnded> {
-        self.orders
-            .send(Order::Partition(partitioned))
-            .map_err(|_| ServiceEnded)
+    /// Starts or ends a partition. Callers beyond it get no answers while it lasts, and their
+    /// connections of that time are reset when it ends.
+    pub fn set_partitioned(&self, partitioned: bool) -> Result<(), ServiceStopped> {
+        self.commands
+            .send(Command::SetPartitioned(partitioned))
+            .map_err(|_| ServiceStopped)
     }
 
-    /// What it counted so far.
-    pub async fn figures(&self) -> Result<ServiceFigures, ServiceEnded> {
-        let (count, counted) = oneshot::channel();
-        self.orders
-            .send(Order::Count(count))
-            .map_err(|_| ServiceEnded)?;
-        counted.await.map_err(|_| ServiceEnded)
+    /// Returns the counters and resource usage since the start.
+    pub async fn stats(&self) -> Result<ServiceStats, ServiceStopped> {
+        let (stats_sender, received_stats) = oneshot::channel();
+        self.commands
+            .send(Command::ReportStats(stats_sender))
+            .map_err(|_| ServiceStopped)?;
+        received_stats.await.map_err(|_| ServiceStopped)
     }
 
-    /// Watches that wait for news.
-    pub fn waiting(&self) -> usize {
-        *self.waiting.borrow()
+    /// Returns the number of watches that wait for a change.
+    pub fn waiting_watches(&self) -> usize {
+        *self.waiting_watches.borrow()
     }
 }
 
-struct StandIn {
-    directory: RefCell<Directory>,
+/// State of the service's thread.
+struct ServiceState {
+    endpoint_list: RefCell<EndpointList>,
     queue: RefCell<CallQueue>,
+    /// Origin of the queue's times.
     origin: Instant,
-    /// The list's version.
+    /// Current version of the list.
     version: watch::Sender<u64>,
     down: watch::Sender<bool>,
     partitioned: watch::Sender<bool>,
-    waiting: watch::Sender<usize>,
-    acknowledged: UnboundedSender<Acknowledged>,
+    waiting_watches: watch::Sender<usize>,
+    acknowledgements: UnboundedSender<Acknowledgement>,
     real: Cell<ControlCounts>,
     simulated: Cell<ControlCounts>,
     relays: Cell<ControlCounts>,
@@ -209,38 +222,38 @@
     most_open: Cell<usize>,
 }
 
-/// Counts one more for as long as it lives.
-struct Waiting<'a>(&'a watch::Sender<usize>);
+/// Guard that counts one waiting watch until it is dropped.
+struct WaitingWatch<'a>(&'a watch::Sender<usize>);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingWatch<'a> {
     fn begin(count: &'a watch::Sender<usize>) -> Self {
         count.send_modify(|count| *count += 1);
         Self(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingWatch<'_> {
     fn drop(&mut self) {
         self.0.send_modify(|count| *count -= 1);
     }
 }
 
-impl StandIn {
+impl ServiceState {
     fn new(
-        directory: Directory,
+        endpoint_list: EndpointList,
         costs: Costs,
-        waiting: watch::Sender<usize>,
-        acknowledged: UnboundedSender<Acknowledged>,
+        waiting_watches: watch::Sender<usize>,
+        acknowledgements: UnboundedSender<Acknowledgement>,
     ) -> Self {
         Self {
-            version: watch::Sender::new(directory.version()),
-            directory: RefCell::new(directory),
+            version: watch::Sender::new(endpoint_list.version()),
+            endpoint_list: RefCell::new(endpoint_list),
             queue: RefCell::new(CallQueue::new(costs)),
             origin: Instant::now(),
             down: watch::Sender::new(false),
             partitioned: watch::Sender::new(false),
-            waiting,
-            acknowledged,
+            waiting_watches,
+            acknowledgements,
             real: Cell::default(),
             simulated: Cell::default(),
             relays: Cell::default(),
@@ -252,37 +265,37 @@
     async fn listen(self: Rc<Self>, peers: &[Peer]) -> io::Result<Vec<SocketAddr>> {
         let mut addresses = Vec::with_capacity(peers.len());
         for &peer in peers {
-            let stand_in = self.clone();
-            let address = listen(move |stream| stand_in.clone().accept(peer, stream)).await?;
+            let state = self.clone();
+            let address = listen(move |stream| state.clone().accept(peer, stream)).await?;
             addresses.push(address);
         }
         Ok(addresses)
     }
 
-    async fn follow(&self, mut orders: UnboundedReceiver<Order>) {
-        while let Some(order) = orders.recv().await {
-            match order {
-                Order::Change(changes, made) => {
-                    let version = self.directory.borrow_mut().apply(&changes);
+    async fn run_commands(&self, mut commands: UnboundedReceiver<Command>) {
+        while let Some(command) = commands.recv().await {
+            match command {
+                Command::Change(changes, published_sender) => {
+                    let version = self.endpoint_list.borrow_mut().apply(&changes);
                     let at_us = monotonic_us();
                     self.version.send_replace(version);
-                    let _ = made.send(Changed { version, at_us });
+                    let _ = published_sender.send(PublishedChange { version, at_us });
                 }
-                Order::Down(down) => {
+                Command::SetDown(down) => {
                     self.down.send_replace(down);
                 }
-                Order::Partition(partitioned) => {
+                Command::SetPartitioned(partitioned) => {
                     self.partitioned.send_replace(partitioned);
                 }
-                Order::Count(counted) => {
-                    let _ = counted.send(self.figures());
+                Command::ReportStats(stats_sender) => {
+                    let _ = stats_sender.send(self.stats());
                 }
             }
         }
     }
 
-    fn figures(&self) -> ServiceFigures {
-        ServiceFigures {
+    fn stats(&self) -> ServiceStats {
+        ServiceStats {
             real: self.real.get(),
             simulated: self.simulated.get(),
             relays: self.relays.get(),
@@ -293,29 +306,30 @@
         }
     }
 
-    fn count(&self, peer: Peer, with: impl FnOnce(&mut ControlCounts)) {
+    fn update_counts(&self, peer: Peer, update: impl FnOnce(&mut ControlCounts)) {
         let group = match peer.caller {
             Caller::RealNode(_) => &self.real,
             Caller::SimulatedNodes => &self.simulated,
             Caller::Relay => &self.relays,
         };
         let mut counts = group.get();
-        with(&mut counts);
+        update(&mut counts);
         group.set(counts);
     }
 
     fn accept(self: Rc<Self>, peer: Peer, stream: TcpStream) {
         if *self.down.borrow() {
-            self.count(peer, |counts| counts.resets += 1);
+            self.update_counts(peer, |counts| counts.resets += 1);
             reset(stream);
         } else if let Ok(conn) = Conn::new(stream) {
-            self.count(peer, |counts| counts.connections += 1);
-            spawn_local(self.connection(peer, conn));
+            self.update_counts(peer, |counts| counts.connections += 1);
+            spawn_local(self.serve_connection(peer, conn));
         }
     }
 
-    /// Serves a connection until its peer, a cut or the end of discovery ends it.
-    async fn connection(self: Rc<Self>, peer: Peer, mut conn: Conn) {
+    /// Serves a connection until the peer ends it, a partition cuts it off, or the service goes
+    /// down.
+    async fn serve_connection(self: Rc<Self>, peer: Peer, mut conn: Conn) {
         self.open.set(self.open.get() + 1);
         self.most_open
             .set(self.most_open.get().max(self.open.get()));
@@ -324,80 +338,82 @@
             biased;
             _ = down.wait_for(|down| *down) => false,
             _ = partitioned.wait_for(|partitioned| *partitioned && peer.beyond_partition) => true,
-            ended = self.calls(peer, &mut conn) => {
-                // How a connection ends is its peer's affair.
+            ended = self.serve_calls(peer, &mut conn) => {
+                // The peer may end the connection in any way, so errors are ignored.
                 let _ = ended;
                 self.open.set(self.open.get() - 1);
                 return;
             }
         };
         if is_partitioned {
-            // Nothing is said and nothing answered until it is over, or the peer has given it up.
+            // Received bytes are dropped without an answer until the partition ends or the peer
+            // closes the connection.
             tokio::select! {
                 _ = partitioned.wait_for(|partitioned| !*partitioned) => {}
                 () = conn.drain() => {}
             }
         }
         self.open.set(self.open.get() - 1);
-        self.count(peer, |counts| counts.resets += 1);
+        self.update_counts(peer, |counts| counts.resets += 1);
         conn.reset();
     }
 
-    async fn calls(&self, peer: Peer, conn: &mut Conn) -> io::Result<()> {
+    async fn serve_calls(&self, peer: Peer, conn: &mut Conn) -> io::Result<()> {
         loop {
-            let Ok(asked) = conn.request().await else {
+            let Ok(request) = conn.request().await else {
                 return Ok(());
             };
-            let Some(call) = ListCall::parse(&asked.path) else {
+            let Some(call) = ListCall::parse(&request.path) else {
                 conn.write(NOT_FOUND).await?;
                 continue;
             };
-            self.called(peer, call, asked.bytes);
-            if !self.turn(call).await? {
+            self.record_call(peer, call, request.bytes);
+            if !self.wait_in_queue(call).await? {
                 conn.write(REFUSED).await?;
-                self.refused(peer);
+                self.record_refusal(peer);
                 continue;
             }
-            if self.waits(call) {
-                self.wait_for_news(call).await?;
+            if self.must_wait(call) {
+                self.wait_for_change(call).await?;
             }
-            // What came meanwhile is in it.
-            let answer = self.directory.borrow_mut().answer(call.after)?;
+            // The answer includes changes that were made while the call waited.
+            let answer = self.endpoint_list.borrow_mut().answer(call.after)?;
             conn.write(&answer.message).await?;
-            self.answered(peer, &answer);
+            self.record_answer(peer, &answer);
         }
     }
 
-    /// Whether a call is a watch without news yet.
-    fn waits(&self, call: ListCall) -> bool {
+    /// Checks whether a call is a watch whose caller already has the current version.
+    fn must_wait(&self, call: ListCall) -> bool {
         call.wait.is_some() && call.after == Some(*self.version.borrow())
     }
 
-    /// A call's turn; whether it got one.
-    async fn turn(&self, call: ListCall) -> io::Result<bool> {
-        let entries = match self.waits(call) {
+    /// Queues a call and waits until it is served or refused; returns whether it was served.
+    async fn wait_in_queue(&self, call: ListCall) -> io::Result<bool> {
+        let entries = match self.must_wait(call) {
             true => 0,
-            false => self.directory.borrow_mut().answer(call.after)?.entries,
+            false => self.endpoint_list.borrow_mut().answer(call.after)?.entries,
         };
-        let turn = self
+        let admission = self
             .queue
             .borrow_mut()
             .enqueue_call(self.origin.elapsed(), entries);
-        let (Admission::Served(at) | Admission::Refused(at)) = turn;
+        let (Admission::Served(at) | Admission::Refused(at)) = admission;
         sleep_until(self.origin + at).await;
-        Ok(matches!(turn, Admission::Served(_)))
+        Ok(matches!(admission, Admission::Served(_)))
     }
 
-    /// Waits until there is news for a watch and it has its turn, or the watch's time is over.
-    async fn wait_for_news(&self, call: ListCall) -> io::Result<()> {
+    /// Waits until the list changes or the watch times out, and then until the answer has left the
+    /// queue.
+    async fn wait_for_change(&self, call: ListCall) -> io::Result<()> {
         let (Some(after), Some(wait)) = (call.after, call.wait) else {
             return Ok(());
         };
         let mut version = self.version.subscribe();
-        let _waiting = Waiting::begin(&self.waiting);
-        // Without news by then, the answer says so.
+        let _waiting_watch = WaitingWatch::begin(&self.waiting_watches);
+        // A watch that times out is answered without entries.
         let _ = timeout(wait, version.wait_for(|version| *version > after)).await;
-        let entries = self.directory.borrow_mut().answer(call.after)?.entries;
+        let entries = self.endpoint_list.borrow_mut().answer(call.after)?.entries;
         let at = self
             .queue
             .borrow_mut()
@@ -406,9 +422,9 @@
         Ok(())
     }
 
-    /// Counts a call that has come.
-    fn called(&self, peer: Peer, call: ListCall, bytes: usize) {
-        self.count(peer, |counts| {
+    /// Counts a received call, and reports the version that a real node's call acknowledges.
+    fn record_call(&self, peer: Peer, call: ListCall, bytes: usize) {
+        self.update_counts(peer, |counts| {
             match call.after {
                 Some(_) => counts.watch_calls += 1,
                 None => counts.whole_calls += 1,
@@ -416,28 +432,28 @@
             counts.call_bytes += bytes as u64;
         });
         if let (Caller::RealNode(node), Some(after)) = (peer.caller, call.after) {
-            let acknowledged = Acknowledged {
+            let acknowledgement = Acknowledgement {
                 node,
                 address: peer.address,
                 after,
                 at_us: monotonic_us(),
             };
-            // The run may be over.
-            let _ = self.acknowledged.send(acknowledged);
+            // Sending fails only if the run has ended.
+            let _ = self.acknowledgements.send(acknowledgement);
         }
     }
 
-    /// Counts a call that is turned away.
-    fn refused(&self, peer: Peer) {
-        self.count(peer, |counts| {
+    /// Counts a refused call.
+    fn record_refusal(&self, peer: Peer) {
+        self.update_counts(peer, |counts| {
             counts.refused += 1;
             counts.answer_bytes += REFUSED.len() as u64;
         });
     }
 
-    /// Counts an answer that is written.
-    fn answered(&self, peer: Peer, answer: &Answer) {
-        self.count(peer, |counts| {
+    /// Counts a written answer.
+    fn record_answer(&self, peer: Peer, answer: &Answer) {
+        self.update_counts(peer, |counts| {
             match (answer.whole, answer.entries) {
                 (true, _) => counts.whole_answers += 1,
                 (false, 0) => counts.empty_answers += 1,
--- a/crates/lab/src/scale/state.rs
+++ b/crates/lab/src/scale/state.rs
@@ -1,45 +1,45 @@
-//! What a run knows of its fleet, from the members' events. No I/O.
+//! State of the fleet, derived from the events of its members. No I/O.
 
 use crate::scale::convergence::Convergence;
 use crate::scale::error::ScaleError;
 use crate::scale::options::Options;
-use crate::scale::protocol::{InForce, Message, WorkerCounts};
+use crate::scale::protocol::{AppliedList, Message, WorkerCounts};
 use crate::scale::real::RealNodeEvent;
-use crate::scale::service::Acknowledged;
+use crate::scale::service::Acknowledgement;
 use crate::scale::workers::{WorkerEnd, WorkerEvent};
 
-/// Something that happened to a member of the fleet.
+/// Event of a member of the fleet.
 #[derive(Debug)]
 pub enum FleetEvent {
-    /// A call of a real node, as discovery heard it.
-    Acknowledged(Acknowledged),
-    /// A real node's task, with the node's number.
+    /// Version that a real node acknowledged by a call to discovery.
+    Acknowledged(Acknowledgement),
+    /// Event of a real node, with the node's number.
     Real(usize, RealNodeEvent),
-    /// A worker, by its place.
+    /// Event of a worker, with the worker's index.
     Worker(usize, WorkerEvent),
 }
 
-/// What is known of the fleet.
+/// State of the fleet.
 #[derive(Debug)]
 pub struct FleetState {
-    /// Which node has what in force.
+    /// Versions applied by each node.
     pub convergence: Convergence,
-    /// Each simulated node's incarnation, counted from 1.
+    /// Current incarnation of each simulated node, counted from 1 and indexed by node number.
     pub incarnations: Vec<u32>,
-    /// Processes of the real nodes that are ready.
+    /// Process id of each real node that is ready.
     pub pids: Vec<Option<i32>>,
-    /// The newest configuration.
+    /// Version of the newest configuration.
     pub configuration: u64,
-    /// Changes of the list that were made.
+    /// Number of list changes made so far.
     pub list_changes: u64,
-    /// Workers that are set up.
+    /// Number of workers that are set up.
     pub ready_workers: usize,
-    /// What workers answered when they were last asked to count.
+    /// Counters from each worker's answer to the latest count command.
     pub counted: Vec<Option<WorkerCounts>>,
 }
 
 impl FleetState {
-    /// Of a fleet that is about to be started.
+    /// Returns the state of a fleet that has not been started.
     pub fn new(options: &Options) -> Result<Self, ScaleError> {
         Ok(Self {
             convergence: Convergence::new(options.nodes())?,
@@ -52,10 +52,12 @@
         })
     }
 
-    /// Takes an event in; an error where a member cannot go on.
-    pub fn take(&mut self, event: FleetEvent) -> Result<(), ScaleError> {
+    /// Handles an event; returns an error if a member has failed or ended.
+    pub fn handle(&mut self, event: FleetEvent) -> Result<(), ScaleError> {
         match event {
-            FleetEvent::Acknowledged(acknowledged) => self.acknowledged(acknowledged),
+            FleetEvent::Acknowledged(acknowledgement) => {
+                self.handle_acknowledgement(acknowledgement)
+            }
             FleetEvent::Real(
                 node,
                 RealNodeEvent::Starts {
@@ -66,70 +68,73 @@
                 self.convergence.node_started(node, configuration, at_us);
             }
             FleetEvent::Real(node, RealNodeEvent::Ready(pid)) => self.pids[node] = pid,
-            FleetEvent::Real(node, RealNodeEvent::Failed(why)) => {
-                return Err(ScaleError::RealNode(node, why))
+            FleetEvent::Real(node, RealNodeEvent::Failed(failure)) => {
+                return Err(ScaleError::RealNode(node, failure))
             }
             FleetEvent::Worker(worker, WorkerEvent::Message(message)) => {
-                return self.worker(worker, message)
+                return self.handle_worker_message(worker, message)
             }
-            FleetEvent::Worker(worker, WorkerEvent::Ended(why)) => {
-                return Err(ScaleError::Worker(worker, why))
+            FleetEvent::Worker(worker, WorkerEvent::Ended(end)) => {
+                return Err(ScaleError::Worker(worker, end))
             }
         }
         Ok(())
     }
 
-    fn worker(&mut self, worker: usize, message: Message) -> Result<(), ScaleError> {
+    fn handle_worker_message(&mut self, worker: usize, message: Message) -> Result<(), ScaleError> {
         match message {
             Message::Ready => self.ready_workers += 1,
-            Message::InForce(all) => all.into_iter().for_each(|in_force| self.in_force(in_force)),
+            Message::InForce(applied_lists) => applied_lists
+                .into_iter()
+                .for_each(|applied_list| self.handle_applied_list(applied_list)),
             Message::Counted(counts) => self.counted[worker] = Some(counts),
-            Message::Failed(why) => {
-                return Err(ScaleError::Worker(worker, WorkerEnd::Reported(why)))
+            Message::Failed(error) => {
+                return Err(ScaleError::Worker(worker, WorkerEnd::Reported(error)))
             }
         }
         Ok(())
     }
 
-    fn in_force(&mut self, in_force: InForce) {
-        let InForce {
+    fn handle_applied_list(&mut self, applied_list: AppliedList) {
+        let AppliedList {
             node,
             incarnation,
             list,
             configuration,
             at_us,
-        } = in_force;
-        // What an earlier incarnation had in force is gone.
+        } = applied_list;
+        // Reports of earlier incarnations are outdated and ignored.
         if self.incarnations.get(node) == Some(&incarnation) {
             self.convergence
                 .versions_applied(node, list, configuration, at_us);
         }
     }
 
-    /// A real node's next call names the version that it has in force.
-    fn acknowledged(&mut self, acknowledged: Acknowledged) {
+    /// Records the versions applied by a real node, whose next call names the applied list version.
+    fn handle_acknowledgement(&mut self, acknowledgement: Acknowledgement) {
         let newest = self.configuration;
-        // Configurations alternate between a node's two addresses.
-        let current = newest % 2 == acknowledged.address as u64;
-        let configuration = if current {
+        // Configurations alternate between the node's two addresses, so the called address tells
+        // the newest configuration from the one before it.
+        let has_newest = newest % 2 == acknowledgement.address as u64;
+        let configuration = if has_newest {
             newest
         } else {
             newest.saturating_sub(1)
         };
         self.convergence.versions_applied(
-            acknowledged.node,
-            acknowledged.after,
+            acknowledgement.node,
+            acknowledgement.after,
             configuration,
-            acknowledged.at_us,
+            acknowledgement.at_us,
         );
     }
 
-    /// Whether all real nodes are ready and have a list.
+    /// Checks whether all real nodes are ready and no started node lacks a list.
     pub fn real_nodes_ready(&self) -> bool {
         self.pids.iter().all(Option::is_some) && self.convergence.starting_nodes() == 0
     }
 
-    /// Whether all nodes are ready and up to date.
+    /// Checks whether all real nodes are ready and all nodes are up to date.
     pub fn is_up_to_date(&self) -> bool {
         self.real_nodes_ready() && self.convergence.outdated_nodes() == 0
     }
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -1,7 +1,7 @@
-//! A worker: one process that runs many simulated nodes, on one thread.
+//! Worker process, which runs many simulated nodes on one thread.
 
 use crate::scale::processes::{monotonic_us, thread_processor_time};
-use crate::scale::protocol::{InForce, Message, NodeSetup, Order, Setup, WorkerCounts};
+use crate::scale::protocol::{AppliedList, Message, NodeSetup, Setup, WorkerCommand, WorkerCounts};
 use slatelink_config::operators;
 use slatelink_config::platform::{self, ConfigError};
 use slatelink_node::control::{self, ControlObserver, ControlOptions};
@@ -23,87 +23,88 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::{interval, sleep_until, Instant};
 
-/// Lists that came into force are reported this long after the first of them.
+/// Delay between the first unreported list that a node applies and the report, which batches all
+/// lists applied in the meantime.
 const REPORT_DELAY: Duration = Duration::from_millis(20);
-/// Interval at which the log reports the lines it dropped.
+/// Interval at which the log reports the number of suppressed lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a worker cannot go on.
+/// Error that ends a worker.
 #[derive(Debug, Error)]
 pub enum WorkerError {
-    /// Its standard input is not what a run gives it.
+    /// The standard input is not a pipe from a run.
     #[error("this is for lab scale itself, which starts it with pipes: {0}")]
     Pipes(io::Error),
-    /// An order that it does not know.
+    /// A command cannot be parsed.
     #[error("an order cannot be read: {0}")]
-    Order(#[from] serde_json::Error),
-    /// It got another order before it was set up.
+    Command(#[from] serde_json::Error),
+    /// The first command was not a setup, or a later one was.
     #[error("the first order was not to set up")]
     NotSetUp,
-    /// An order for a node of another worker.
+    /// A command names a node that is not assigned to this worker.
     #[error("node {0} is not one of this worker's")]
-    Unknown(usize),
-    /// The configuration of its nodes.
+    UnknownNode(usize),
+    /// The configuration of the nodes cannot be loaded.
     #[error("{0}")]
     Configuration(#[from] ConfigError),
-    /// The log.
+    /// The log cannot be started.
     #[error("{0}")]
     Telemetry(#[from] TelemetryError),
-    /// Its pipes or its runtime.
+    /// I/O error of the pipes or the runtime.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// Runs simulated nodes as standard input says, until that ends.
-pub fn work() -> Result<(), WorkerError> {
-    let one = runtime::Builder::new_current_thread()
+/// Runs simulated nodes according to the commands on standard input, until the input ends.
+pub fn run_worker() -> Result<(), WorkerError> {
+    let thread_runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let worked = LocalSet::new().block_on(&one, async {
+    let result = LocalSet::new().block_on(&thread_runtime, async {
         let input = io::stdin()
             .as_fd()
             .try_clone_to_owned()
             .map_err(WorkerError::Pipes)?;
         let input = Receiver::from_owned_fd(input).map_err(WorkerError::Pipes)?;
-        follow_orders(BufReader::new(input).lines()).await
+        run_commands(BufReader::new(input).lines()).await
     });
-    if let Err(error) = &worked {
+    if let Err(error) = &result {
         send(&Message::Failed(error.to_string()))?;
     }
-    worked
+    result
 }
 
-async fn follow_orders(mut orders: Lines<BufReader<Receiver>>) -> Result<(), WorkerError> {
-    let Some(first) = orders.next_line().await? else {
+async fn run_commands(mut commands: Lines<BufReader<Receiver>>) -> Result<(), WorkerError> {
+    let Some(first) = commands.next_line().await? else {
         return Ok(());
     };
-    let Order::SetUp(setup) = serde_json::from_str(&first)? else {
+    let WorkerCommand::SetUp(setup) = serde_json::from_str(&first)? else {
         return Err(WorkerError::NotSetUp);
     };
     let mut worker = Worker::new(setup)?;
     send(&Message::Ready)?;
-    let mut log_turns = interval(LOG_INTERVAL);
-    // When lists that came into force are to be reported.
+    let mut log_ticks = interval(LOG_INTERVAL);
+    // Time of the next report of applied lists, if any are unreported.
     let mut report_at = None;
     loop {
-        let tally = worker.tally.clone();
+        let observations = worker.observations.clone();
         tokio::select! {
-            order = orders.next_line() => match order? {
-                Some(order) => worker.follow(serde_json::from_str(&order)?)?,
+            command = commands.next_line() => match command? {
+                Some(command) => worker.execute(serde_json::from_str(&command)?)?,
                 None => return Ok(()),
             },
-            () = tally.news.notified(), if report_at.is_none() => report_at = Some(Instant::now() + REPORT_DELAY),
-            () = at(report_at) => {
+            () = observations.list_applied.notified(), if report_at.is_none() => report_at = Some(Instant::now() + REPORT_DELAY),
+            () = sleep_until_some(report_at) => {
                 report_at = None;
                 worker.report()?;
             }
-            _ = log_turns.tick() => worker.telemetry.log.report_suppressed(),
+            _ = log_ticks.tick() => worker.telemetry.log.report_suppressed(),
         }
     }
 }
 
-/// Waits until this time; for ever where there is none.
-async fn at(time: Option<Instant>) {
+/// Waits until this time, or forever if there is none.
+async fn sleep_until_some(time: Option<Instant>) {
     match time {
         Some(time) => sleep_until(time).await,
         None => pending().await,
@@ -116,13 +117,14 @@
     Ok(io::stdout().lock().write_all(&line)?)
 }
 
-/// What its nodes report to.
+/// Observations of all nodes of the worker.
 #[derive(Default)]
-struct Tally {
-    in_force: RefCell<Vec<InForce>>,
+struct Observations {
+    /// Applied lists that are not reported yet.
+    applied_lists: RefCell<Vec<AppliedList>>,
     counts: RefCell<WorkerCounts>,
-    /// Something came into force.
-    news: Notify,
+    /// Notified when a node has applied a list.
+    list_applied: Notify,
 }
 
 struct Worker {
@@ -130,8 +132,8 @@
     seed: u64,
     request_rate: f64,
     nodes: BTreeMap<usize, SimulatedNode>,
-    tally: Rc<Tally>,
-    /// Keeps the log's writer.
+    observations: Rc<Observations>,
+    /// Keeps the log's writer running.
     telemetry: Rc<Telemetry>,
 }
 
@@ -149,27 +151,27 @@
             seed: setup.seed,
             request_rate: setup.request_rate,
             nodes: nodes.collect(),
-            tally: Rc::default(),
+            observations: Rc::default(),
             telemetry: telemetry?,
         })
     }
 
-    fn follow(&mut self, order: Order) -> Result<(), WorkerError> {
-        match order {
-            Order::SetUp(_) => return Err(WorkerError::NotSetUp),
-            Order::Start(nodes) => {
+    fn execute(&mut self, command: WorkerCommand) -> Result<(), WorkerError> {
+        match command {
+            WorkerCommand::SetUp(_) => return Err(WorkerError::NotSetUp),
+            WorkerCommand::Start(nodes) => {
                 for number in nodes {
                     self.start(number)?;
                 }
             }
-            Order::Configure(version) => self
+            WorkerCommand::Configure(version) => self
                 .nodes
                 .values_mut()
                 .for_each(|node| node.configure(version)),
-            Order::Count => {
-                // Lists that came into force before are reported before.
+            WorkerCommand::Count => {
+                // Lists applied earlier must be reported before the counters.
                 self.report()?;
-                send(&Message::Counted(*self.tally.counts.borrow()))?;
+                send(&Message::Counted(*self.observations.counts.borrow()))?;
             }
         }
         Ok(())
@@ -179,29 +181,29 @@
         let node = self
             .nodes
             .get_mut(&number)
-            .ok_or(WorkerError::Unknown(number))?;
+            .ok_or(WorkerError::UnknownNode(number))?;
         let log = self.telemetry.log.clone();
         node.start(
             &self.settings,
             self.seed,
             self.request_rate,
             log,
-            self.tally.clone(),
+            self.observations.clone(),
         );
         Ok(())
     }
 
-    /// Reports lists that came into force since the last time.
+    /// Reports the lists applied since the previous report.
     fn report(&self) -> Result<(), WorkerError> {
-        let in_force = self.tally.in_force.take();
-        if !in_force.is_empty() {
-            send(&Message::InForce(in_force))?;
+        let applied_lists = self.observations.applied_lists.take();
+        if !applied_lists.is_empty() {
+            send(&Message::InForce(applied_lists))?;
         }
         Ok(())
     }
 }
 
-/// A simulated node, over all its incarnations.
+/// Simulated node across all of its incarnations.
 struct SimulatedNode {
     setup: NodeSetup,
     incarnation: u32,
@@ -228,7 +230,7 @@
         seed: u64,
         request_rate: f64,
         log: Log,
-        tally: Rc<Tally>,
+        observations: Rc<Observations>,
     ) {
         if let Some(running) = self.running.take() {
             running.abort();
@@ -248,56 +250,60 @@
         let observer = NodeObserver {
             node: self.setup.number,
             incarnation: self.incarnation,
-            ordered: self.configuration.clone(),
-            in_force: Cell::new(self.configuration.get()),
-            tally,
+            latest_configuration: self.configuration.clone(),
+            list_configuration: Cell::new(self.configuration.get()),
+            observations,
         };
         self.running = Some(spawn_local(control::run(options, Rc::new(observer))));
     }
 
     fn configure(&mut self, version: u64) {
         self.configuration.set(version);
-        // A node's discovery alternates between its two addresses.
+        // Successive configurations alternate between the node's two addresses of discovery.
         self.discovery
             .send_replace(self.setup.discovery[(version % 2) as usize]);
     }
 }
 
-/// Reports for one incarnation of a node.
+/// Records the events of one incarnation of a node.
 struct NodeObserver {
     node: usize,
     incarnation: u32,
-    /// The newest configuration that the node was given.
-    ordered: Rc<Cell<u64>>,
-    /// The one it has a list from.
-    in_force: Cell<u64>,
-    tally: Rc<Tally>,
+    /// Version of the latest configuration given to the node.
+    latest_configuration: Rc<Cell<u64>>,
+    /// Version of the configuration under which the node requested its current list.
+    list_configuration: Cell<u64>,
+    observations: Rc<Observations>,
 }
 
 impl ControlObserver for NodeObserver {
     fn endpoint_list_applied(&self, version: u64, complete: bool) {
-        // At a new address a node begins with the whole list.
+        // The first list from a new address is always complete, so a complete list belongs to the
+        // latest configuration.
         if complete {
-            self.in_force.set(self.ordered.get());
+            self.list_configuration.set(self.latest_configuration.get());
         }
-        self.tally.in_force.borrow_mut().push(InForce {
-            node: self.node,
-            incarnation: self.incarnation,
-            list: version,
-            configuration: self.in_force.get(),
-            at_us: monotonic_us(),
-        });
-        self.tally.news.notify_one();
+        self.observations
+            .applied_lists
+            .borrow_mut()
+            .push(AppliedList {
+                node: self.node,
+                incarnation: self.incarnation,
+                list: version,
+                configuration: self.list_configuration.get(),
+                at_us: monotonic_us(),
+            });
+        self.observations.list_applied.notify_one();
     }
 
     fn discovery_failed(&self) {
-        self.tally.counts.borrow_mut().failed_calls += 1;
+        self.observations.counts.borrow_mut().failed_calls += 1;
     }
 
-    fn request_handled(&self, sent: bool, processor: Duration) {
-        let mut counts = self.tally.counts.borrow_mut();
+    fn request_handled(&self, sent: bool, processor_time: Duration) {
+        let mut counts = self.observations.counts.borrow_mut();
         counts.requests += 1;
         counts.sent += u64::from(sent);
-        counts.request_processor_ns += processor.as_nanos() as u64;
+        counts.request_processor_ns += processor_time.as_nanos() as u64;
     }
 }
--- a/crates/lab/src/scale/workers.rs
+++ b/crates/lab/src/scale/workers.rs
@@ -1,6 +1,6 @@
-//! The run's side of its workers: processes of this program that run the simulated nodes.
+//! The run's handles of its worker processes, which run the simulated nodes.
 
-use crate::scale::protocol::{Message, Order};
+use crate::scale::protocol::{Message, WorkerCommand};
 use std::io;
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -12,66 +12,66 @@
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A worker whose standard input has ended ends within this, or is ended.
+/// Time for a worker to exit after its standard input is closed; it is killed afterwards.
 const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What makes a process a worker.
+/// Command line of a worker process.
 #[derive(Clone, Debug)]
 pub struct WorkerProgram {
-    /// The binary.
+    /// Path of the binary.
     pub path: PathBuf,
-    /// With these arguments.
+    /// Arguments of the binary.
     pub arguments: Vec<String>,
 }
 
-/// Why a worker is not there.
+/// Error of starting or commanding a worker.
 #[derive(Debug, Error)]
 pub enum WorkersError {
-    /// It cannot be started.
+    /// The process cannot be started.
     #[error("cannot start a worker: {0}")]
     Start(io::Error),
-    /// An order cannot be sent to it.
-    #[error("worker {0} takes no orders: {1}")]
-    Order(usize, io::Error),
+    /// A command cannot be sent to the worker.
+    #[error("cannot send a command to worker {0}: {1}")]
+    Command(usize, io::Error),
 }
 
-/// Something that happened to a worker.
+/// Event of a worker.
 #[derive(Debug)]
 pub enum WorkerEvent {
-    /// It says something.
+    /// The worker sent a message.
     Message(Message),
-    /// No more is heard from it.
+    /// The worker's output ended or became unreadable.
     Ended(WorkerEnd),
 }
 
-/// Why no more is heard from a worker.
+/// Reason for which a worker is considered ended.
 #[derive(Debug, Error)]
 pub enum WorkerEnd {
-    /// It wrote a line that is no message.
-    #[error("it said what cannot be read: {0}")]
-    Unreadable(serde_json::Error),
-    /// Its process closed its standard output.
-    #[error("its process has ended")]
+    /// The worker wrote a line that is not a valid message.
+    #[error("sent a line that is not a valid message: {0}")]
+    InvalidMessage(serde_json::Error),
+    /// The worker closed its standard output.
+    #[error("the process has ended")]
     Exited,
-    /// Its standard output cannot be read.
+    /// The worker's standard output cannot be read.
     #[error("{0}")]
     Output(io::Error),
-    /// It reported an error of its own.
+    /// The worker reported an error.
     #[error("{0}")]
     Reported(String),
 }
 
-/// A worker's process.
+/// Handle of a worker process.
 pub struct Worker {
-    place: usize,
+    index: usize,
     child: Child,
-    orders: Option<ChildStdin>,
+    stdin: Option<ChildStdin>,
 }
 
 impl Worker {
-    /// Starts one; its events go to `events`, with its place.
+    /// Starts a worker process. Its events are sent to `events` together with its index.
     pub fn start(
-        place: usize,
+        index: usize,
         program: &WorkerProgram,
         events: UnboundedSender<(usize, WorkerEvent)>,
     ) -> Result<Self, WorkersError> {
@@ -81,63 +81,68 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .kill_on_drop(true)
-            // Ctrl-C is for the run, which ends its workers itself.
+            // In its own process group the worker is not reached by Ctrl-C, which is for the run
+            // alone; the run stops its workers itself.
             .process_group(0)
             .spawn()
             .map_err(WorkersError::Start)?;
-        let orders = child.stdin.take();
+        let stdin = child.stdin.take();
         if let Some(output) = child.stdout.take() {
-            spawn_local(listen(place, output, events));
+            spawn_local(forward_events(index, output, events));
         }
         Ok(Self {
-            place,
+            index,
             child,
-            orders,
+            stdin,
         })
     }
 
-    /// Its process, while it runs.
+    /// Returns the id of the process while it runs.
     pub fn pid(&self) -> Option<i32> {
         self.child.id().and_then(|id| i32::try_from(id).ok())
     }
 
-    /// Sends it an order.
-    pub async fn order(&mut self, order: &Order) -> Result<(), WorkersError> {
-        let place = self.place;
-        let mut line =
-            serde_json::to_vec(order).map_err(|error| WorkersError::Order(place, error.into()))?;
+    /// Sends a command to the worker.
+    pub async fn send_command(&mut self, command: &WorkerCommand) -> Result<(), WorkersError> {
+        let index = self.index;
+        let mut line = serde_json::to_vec(command)
+            .map_err(|error| WorkersError::Command(index, error.into()))?;
         line.push(b'\n');
-        let ended = || io::Error::from(io::ErrorKind::BrokenPipe);
-        let written = match &mut self.orders {
-            Some(orders) => orders.write_all(&line).await,
-            None => Err(ended()),
+        let broken_pipe = || io::Error::from(io::ErrorKind::BrokenPipe);
+        let written = match &mut self.stdin {
+            Some(stdin) => stdin.write_all(&line).await,
+            None => Err(broken_pipe()),
         };
-        written.map_err(|error| WorkersError::Order(place, error))
+        written.map_err(|error| WorkersError::Command(index, error))
     }
 
-    /// Ends it.
-    pub async fn end(mut self) {
-        self.orders = None;
+    /// Stops the worker: closes its standard input, and kills the process after [`STOP_TIMEOUT`].
+    pub async fn shut_down(mut self) {
+        self.stdin = None;
         if timeout(STOP_TIMEOUT, self.child.wait()).await.is_err() {
-            // It may have ended this moment.
+            // Killing fails if the process has exited in the meantime.
             let _ = self.child.kill().await;
         }
     }
 }
 
-async fn listen(place: usize, output: ChildStdout, events: UnboundedSender<(usize, WorkerEvent)>) {
+async fn forward_events(
+    index: usize,
+    output: ChildStdout,
+    events: UnboundedSender<(usize, WorkerEvent)>,
+) {
     let mut lines = BufReader::new(output).lines();
     loop {
         let event = match lines.next_line().await {
             Ok(Some(line)) => match serde_json::from_str(&line) {
                 Ok(message) => WorkerEvent::Message(message),
-                Err(error) => WorkerEvent::Ended(WorkerEnd::Unreadable(error)),
+                Err(error) => WorkerEvent::Ended(WorkerEnd::InvalidMessage(error)),
             },
             Ok(None) => WorkerEvent::Ended(WorkerEnd::Exited),
             Err(error) => WorkerEvent::Ended(WorkerEnd::Output(error)),
         };
-        let over = matches!(event, WorkerEvent::Ended(_));
-        if events.send((place, event)).is_err() || over {
+        let has_ended = matches!(event, WorkerEvent::Ended(_));
+        if events.send((index, event)).is_err() || has_ended {
             return;
         }
     }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -3,7 +3,7 @@
 use slatelink_config::operators;
 use slatelink_lab::list_protocol::Availability;
 use slatelink_lab::scale::directory::EndpointChange;
-use slatelink_lab::scale::service::{Caller, Peer, Service};
+use slatelink_lab::scale::service::{Caller, DiscoveryService, Peer};
 use slatelink_lab::scale::Options;
 use slatelink_node::control::{run, ControlObserver, ControlOptions};
 use slatelink_policy::{Class, Settings};
@@ -114,7 +114,7 @@
             beyond_partition: false,
         }];
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-        let service = Service::start(&size, nowhere, peers, unbounded_channel().0)
+        let service = DiscoveryService::start(&size, nowhere, peers, unbounded_channel().0)
             .await
             .unwrap();
         let seen = Rc::new(Seen::default());
@@ -157,7 +157,7 @@
         .await;
 
         node.abort();
-        let figures = service.figures().await.unwrap();
+        let figures = service.stats().await.unwrap();
         assert!(
             figures.simulated.resets > 0 && figures.simulated.whole_answers == 1,
             "{figures:?}"
@@ -185,7 +185,7 @@
             })
             .to_vec();
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-        let service = Service::start(&size, nowhere, peers, unbounded_channel().0)
+        let service = DiscoveryService::start(&size, nowhere, peers, unbounded_channel().0)
             .await
             .unwrap();
         let (near, beyond_partition) = (Rc::new(Seen::default()), Rc::new(Seen::default()));
