--- a/crates/lab/src/scale/service.rs
+++ b/crates/lab/src/scale/service.rs
@@ -102,9 +102,9 @@
     ReportStats(oneshot::Sender<ServiceStats>),
 }
 
-/// The service's thread has ended before the run.
+/// The service's thread has ended while the run still needs it.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the discovery thread has ended before the run")]
+#[error("the discovery thread has ended")]
 pub struct ServiceStopped;
 
 /// Handle of the running discovery stand-in, which stops when the handle is dropped.
@@ -360,14 +360,14 @@
 
     async fn serve_calls(&self, peer: Peer, conn: &mut Conn) -> io::Result<()> {
         loop {
-            let Ok(request) = conn.request().await else {
+            let Ok(list_request) = conn.request().await else {
                 return Ok(());
             };
-            let Some(call) = ListCall::parse(&request.path) else {
+            let Some(call) = ListCall::parse(&list_request.path) else {
                 conn.write(NOT_FOUND).await?;
                 continue;
             };
-            self.record_call(peer, call, request.bytes);
+            self.record_call(peer, call, list_request.bytes);
             if !self.wait_in_queue(call).await? {
                 conn.write(REFUSED).await?;
                 self.record_refusal(peer);
--- a/crates/lab/src/scale/workers.rs
+++ b/crates/lab/src/scale/workers.rs
@@ -32,7 +32,7 @@
     Start(io::Error),
     /// A command cannot be sent to the worker.
     #[error("cannot send a command to worker {0}: {1}")]
-    Command(usize, io::Error),
+    SendCommand(usize, io::Error),
 }
 
 /// Event of a worker.
@@ -65,7 +65,7 @@
 pub struct Worker {
     index: usize,
     child: Child,
-    stdin: Option<ChildStdin>,
+    input: Option<ChildStdin>,
 }
 
 impl Worker {
@@ -86,14 +86,14 @@
             .process_group(0)
             .spawn()
             .map_err(WorkersError::Start)?;
-        let stdin = child.stdin.take();
+        let input = child.stdin.take();
         if let Some(output) = child.stdout.take() {
             spawn_local(forward_events(index, output, events));
         }
         Ok(Self {
             index,
             child,
-            stdin,
+            input,
         })
     }
 
@@ -106,19 +106,19 @@
     pub async fn send_command(&mut self, command: &WorkerCommand) -> Result<(), WorkersError> {
         let index = self.index;
         let mut line = serde_json::to_vec(command)
-            .map_err(|error| WorkersError::Command(index, error.into()))?;
+            .map_err(|error| WorkersError::SendCommand(index, error.into()))?;
         line.push(b'\n');
         let broken_pipe = || io::Error::from(io::ErrorKind::BrokenPipe);
-        let written = match &mut self.stdin {
-            Some(stdin) => stdin.write_all(&line).await,
+        let written = match &mut self.input {
+            Some(input) => input.write_all(&line).await,
             None => Err(broken_pipe()),
         };
-        written.map_err(|error| WorkersError::Command(index, error))
+        written.map_err(|error| WorkersError::SendCommand(index, error))
     }
 
-    /// Stops the worker: closes its standard input, and kills the process after [`STOP_TIMEOUT`].
+    /// Stops the worker: closes its standard input, and kills the process after `STOP_TIMEOUT`.
     pub async fn shut_down(mut self) {
-        self.stdin = None;
+        self.input = None;
         if timeout(STOP_TIMEOUT, self.child.wait()).await.is_err() {
             // Killing fails if the process has exited in the meantime.
             let _ = self.child.kill().await;
