--- a/crates/lab/src/scale/convergence.rs
+++ b/crates/lab/src/scale/convergence.rs
@@ -5,12 +5,12 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Change of the fleet's state, identified by its version.
+/// Change that every node has to apply, identified by its version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Version of the endpoint list.
+    /// Change of the endpoint list, in this version.
     List(u64),
-    /// Version of the fleet's configuration.
+    /// Change of the fleet's configuration, in this version.
     Configuration(u64),
 }
 
@@ -43,7 +43,7 @@
 
 /// Change that at least one node has not applied yet.
 #[derive(Debug)]
-struct Pending {
+struct PendingChange {
     change: Change,
     cause: ChangeCause,
     at_us: u64,
@@ -122,7 +122,7 @@
 pub struct Convergence {
     nodes: Vec<AppliedVersions>,
     newest: AppliedVersions,
-    pending: VecDeque<Pending>,
+    pending: VecDeque<PendingChange>,
     /// Start time of each node that has no list yet.
     starting: BTreeMap<usize, u64>,
     /// Nodes with their time from start to first list, not yet taken by
@@ -182,7 +182,7 @@
             .iter()
             .filter(|node| !node.includes(change))
             .count();
-        self.pending.push_back(Pending {
+        self.pending.push_back(PendingChange {
             change,
             cause,
             at_us,
@@ -225,7 +225,7 @@
 
     /// Removes pending changes that all nodes have applied, and records their times.
     fn record_completed_changes(&mut self) {
-        let is_complete = |pending: &Pending| pending.missing == 0;
+        let is_complete = |pending: &PendingChange| pending.missing == 0;
         while let Some(index) = self.pending.iter().position(is_complete) {
             let Some(pending) = self.pending.remove(index) else {
                 return;
--- a/crates/lab/src/scale/protocol.rs
+++ b/crates/lab/src/scale/protocol.rs
@@ -26,7 +26,7 @@
     pub request_rate: f64,
 }
 
-/// WorkerCommand to a worker.
+/// Command to a worker.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkerCommand {
--- a/crates/lab/src/scale/schedule.rs
+++ b/crates/lab/src/scale/schedule.rs
@@ -56,10 +56,10 @@
                 FaultStep::Begin(fault.kind),
             );
             let end = Duration::from_secs_f64(fault.at_s + fault.for_s);
-            let ends = fault.kind != FaultKind::RestartTenth;
+            let has_end = fault.kind != FaultKind::RestartTenth;
             [begin]
                 .into_iter()
-                .chain(ends.then_some((end, FaultStep::End(fault.kind))))
+                .chain(has_end.then_some((end, FaultStep::End(fault.kind))))
         });
         Self {
             steps: steps.into(),
@@ -123,16 +123,16 @@
     /// Draws a list change: one server starts to drain or becomes ready again. The last ready
     /// server stays ready; its entry is only published again.
     pub fn list_change(&mut self) -> Vec<EndpointChange> {
-        let listed: Vec<_> = (0..self.availability.len())
+        let listed_servers: Vec<_> = (0..self.availability.len())
             .filter(|&i| self.availability[i] != Availability::Removed)
             .collect();
-        let server = listed[self.random.random_range(0..listed.len())];
-        let ready = self
+        let server = listed_servers[self.random.random_range(0..listed_servers.len())];
+        let ready_servers = self
             .availability
             .iter()
             .filter(|availability| **availability == Availability::Ready)
             .count();
-        let starts_draining = self.availability[server] == Availability::Ready && ready > 1;
+        let starts_draining = self.availability[server] == Availability::Ready && ready_servers > 1;
         self.set_availability(
             server,
             if starts_draining {
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -69,7 +69,7 @@
         run_commands(BufReader::new(input).lines()).await
     });
     if let Err(error) = &result {
-        send(&Message::Failed(error.to_string()))?;
+        send_message(&Message::Failed(error.to_string()))?;
     }
     result
 }
@@ -82,7 +82,7 @@
         return Err(WorkerError::NotSetUp);
     };
     let mut worker = Worker::new(setup)?;
-    send(&Message::Ready)?;
+    send_message(&Message::Ready)?;
     let mut log_ticks = interval(LOG_INTERVAL);
     // Time of the next report of applied lists, if any are unreported.
     let mut report_at = None;
@@ -111,7 +111,7 @@
     }
 }
 
-fn send(message: &Message) -> Result<(), WorkerError> {
+fn send_message(message: &Message) -> Result<(), WorkerError> {
     let mut line = serde_json::to_vec(message)?;
     line.push(b'\n');
     Ok(io::stdout().lock().write_all(&line)?)
@@ -171,7 +171,7 @@
             WorkerCommand::Count => {
                 // Lists applied earlier must be reported before the counters.
                 self.report()?;
-                send(&Message::Counted(*self.observations.counts.borrow()))?;
+                send_message(&Message::Counted(*self.observations.counts.borrow()))?;
             }
         }
         Ok(())
@@ -197,7 +197,7 @@
     fn report(&self) -> Result<(), WorkerError> {
         let applied_lists = self.observations.applied_lists.take();
         if !applied_lists.is_empty() {
-            send(&Message::InForce(applied_lists))?;
+            send_message(&Message::InForce(applied_lists))?;
         }
         Ok(())
     }
--- a/crates/lab/src/scale/workers.rs
+++ b/crates/lab/src/scale/workers.rs
@@ -40,11 +40,11 @@
 pub enum WorkerEvent {
     /// The worker sent a message.
     Message(Message),
-    /// The worker's output ended or became unreadable.
+    /// No more messages come from the worker.
     Ended(WorkerEnd),
 }
 
-/// Reason for which a worker is considered ended.
+/// Reason why no more messages come from a worker.
 #[derive(Debug, Error)]
 pub enum WorkerEnd {
     /// The worker wrote a line that is not a valid message.
@@ -81,8 +81,8 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .kill_on_drop(true)
-            // In its own process group the worker is not reached by Ctrl-C, which is for the run
-            // alone; the run stops its workers itself.
+            // A separate process group keeps Ctrl-C from reaching the worker; the run stops its
+            // workers itself.
             .process_group(0)
             .spawn()
             .map_err(WorkersError::Start)?;
