--- a/crates/cli/src/lab/scale.rs
+++ b/crates/cli/src/lab/scale.rs
@@ -198,7 +198,7 @@
 
 /// Runs simulated nodes in this process, as a worker of `lab scale`.
 pub fn run_worker() -> CommandResult {
-    scale::work()?;
+    scale::run_worker()?;
     Ok(ExitCode::SUCCESS)
 }
 
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -9,10 +9,10 @@
 use crate::scale::error::ScaleError;
 use crate::scale::options::Options;
 use crate::scale::processes::monotonic_us;
-use crate::scale::protocol::{NodeSetup, Order, Setup};
+use crate::scale::protocol::{NodeSetup, Setup, WorkerCommand};
 use crate::scale::real::{self, RealNode, RealNodeEvent};
 use crate::scale::relays::Relays;
-use crate::scale::service::{Acknowledged, Service};
+use crate::scale::service::{Acknowledgement, DiscoveryService};
 use crate::scale::state::{FleetEvent, FleetState};
 use crate::scale::traffic::{Traffic, TrafficCounts};
 use crate::scale::workers::{Worker, WorkerEvent, WorkerProgram};
@@ -37,7 +37,7 @@
 
 /// Events of the members, as they come.
 pub struct Inbox {
-    acknowledged: UnboundedReceiver<Acknowledged>,
+    acknowledged: UnboundedReceiver<Acknowledgement>,
     real: UnboundedReceiver<(usize, RealNodeEvent)>,
     workers: UnboundedReceiver<(usize, WorkerEvent)>,
 }
@@ -62,7 +62,7 @@
     /// What was asked for.
     pub options: &'a Options,
     /// Discovery.
-    pub service: Service,
+    pub service: DiscoveryService,
     /// Relays between discovery and the nodes.
     pub relays: Relays,
     /// The newest version of the list.
@@ -91,9 +91,10 @@
             Traffic::start(table.clone(), options.real, options.requests, options.seed).await?;
         let (version_sender, acknowledged) = unbounded_channel();
         let service =
-            Service::start(options, traffic.servers, assignment.peers(), version_sender).await?;
+            DiscoveryService::start(options, traffic.servers, assignment.peers(), version_sender)
+                .await?;
         let (real_sender, real_events) = unbounded_channel();
-        let relay_upstream = assignment.of_relays(&service.addresses);
+        let relay_upstream = assignment.relay_addresses(&service.addresses);
         let relays = Relays::start(options, &programs.relay, relay_upstream).await?;
         let environment = NodeEnvironment {
             scenario: &scenario,
@@ -107,7 +108,7 @@
         };
         let addresses = &service.addresses;
         let start_real = |node| {
-            let discovery = assignment.of_real(node, addresses);
+            let discovery = assignment.real_node_addresses(node, addresses);
             RealNode::start(node, discovery, &environment, real_sender.clone())
         };
         let real = (0..options.real).map(start_real).collect();
@@ -124,7 +125,7 @@
                 &relays,
                 &configuration,
             );
-            worker.order(&Order::SetUp(setup)).await?;
+            worker.send_command(&WorkerCommand::SetUp(setup)).await?;
             workers.push(worker);
         }
         Ok(Self {
@@ -155,7 +156,7 @@
             ending.spawn_local(node.end());
         }
         for worker in self.workers {
-            ending.spawn_local(worker.end());
+            ending.spawn_local(worker.shut_down());
         }
         while ending.join_next().await.is_some() {}
         self.relays.end().await;
@@ -171,7 +172,7 @@
             .copied()
             .unwrap_or(self.options.nodes());
         self.state.is_up_to_date()
-            && self.service.waiting() >= watching
+            && self.service.waiting_watches() >= watching
             && self.relays.are_settled(self.version, self.options)
     }
 
@@ -188,7 +189,7 @@
             self.state.incarnations[node] += 1;
             self.state
                 .convergence
-                .starts(node, self.state.configuration, at_us);
+                .node_started(node, self.state.configuration, at_us);
         }
         for (place, worker) in self.workers.iter_mut().enumerate() {
             let own = self.assignment.nodes(place);
@@ -198,7 +199,7 @@
                 .filter(|node| own.contains(node))
                 .collect();
             if !own.is_empty() {
-                worker.order(&Order::Start(own)).await?;
+                worker.send_command(&WorkerCommand::Start(own)).await?;
             }
         }
         Ok(())
@@ -226,9 +227,11 @@
         let changed = self.service.change(changes).await?;
         self.version = changed.version;
         self.state.list_changes += 1;
-        self.state
-            .convergence
-            .changed(Change::List(changed.version), cause, changed.at_us);
+        self.state.convergence.change_published(
+            Change::List(changed.version),
+            cause,
+            changed.at_us,
+        );
         Ok(())
     }
 
@@ -237,14 +240,16 @@
         let at_us = monotonic_us();
         self.state.configuration += 1;
         let configuration = self.state.configuration;
-        self.state.convergence.changed(
+        self.state.convergence.change_published(
             Change::Configuration(configuration),
             ChangeCause::Planned,
             at_us,
         );
         self.real.iter().for_each(RealNode::configure);
         for worker in &mut self.workers {
-            worker.order(&Order::Configure(configuration)).await?;
+            worker
+                .send_command(&WorkerCommand::Configure(configuration))
+                .await?;
         }
         Ok(())
     }
@@ -259,7 +264,7 @@
     configuration: &Path,
 ) -> Setup {
     let node = |number| {
-        let own = assignment.of_simulated(worker, number, addresses);
+        let own = assignment.simulated_node_addresses(worker, number, addresses);
         // A new configuration has a node ask its relay anew.
         NodeSetup {
             number,
