--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -1,8 +1,10 @@
-//! The scale run: a stand-in for discovery, a few real node processes and many simulated nodes, measured together.
+//! The scale run: measures the control plane with a simulated discovery service, a few real node
+//! processes and many simulated nodes.
 //!
-//! A simulated node is the client of discovery and the decision module of a real one, without listener, connections to
-//! cache servers and clients; many of them share a process. What is counted (messages, bytes) is counted by the stand-in
-//! and is the same for a seed where changes go step by step; times and memory are measured and depend on the machine.
+//! A simulated node consists of the discovery client and the decision module of a real node,
+//! without a listener, connections to cache servers, or clients. Many simulated nodes share a
+//! process. Messages and bytes are counted by the simulated discovery; in a step-wise run the counts
+//! are the same for the same seed. Times and memory are measured and depend on the machine.
 
 pub mod assignment;
 pub mod bounds;
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -1,4 +1,4 @@
-//! What a run will take, estimated before it starts, and refused where that is too much.
+//! Estimates the resources of a run before it starts, and rejects a run that needs too much.
 
 use crate::scale::options::Options;
 use crate::scale::processes::{descriptor_limit, machine_memory_kib};
@@ -7,94 +7,96 @@
 use std::io;
 use thiserror::Error;
 
-/// A run takes no more processes than this.
+/// Maximum number of processes of a run.
 const MAX_PROCESSES: u64 = 300;
 
-/// The run's own process, with discovery, servers and clients, in KiB.
+/// Memory of the run's own process, with discovery, servers and clients, in KiB.
 const RUN_KIB: u64 = 24 << 10;
-/// Of it, for each node: two connections and their tasks.
+/// Memory of the run's own process per node, in KiB: two connections and their tasks.
 const RUN_NODE_KIB: u64 = 48;
-/// A real node's process without servers, in KiB.
+/// Memory of a real node's process without servers, in KiB.
 const REAL_NODE_KIB: u64 = 16 << 10;
-/// A worker without nodes, in KiB.
+/// Memory of a worker without nodes, in KiB.
 const WORKER_KIB: u64 = 16 << 10;
-/// A simulated node without servers, in KiB.
+/// Memory of a simulated node without servers, in KiB.
 const SIMULATED_NODE_KIB: u64 = 96;
-/// A relay's process without servers and callers, in KiB.
+/// Memory of a relay's process without servers and callers, in KiB.
 const RELAY_KIB: u64 = 16 << 10;
-/// Of it, for each caller: two connections and their tasks.
+/// Memory of a relay's process per caller, in KiB: two connections and their tasks.
 const RELAY_CALLER_KIB: u64 = 48;
-/// An entry at a node, with the message it came in, in bytes.
+/// Memory of a server list entry on a node, with the message that carried it, in bytes.
 const ENTRY_BYTES: u64 = 1 << 10;
 
-/// A node's connections to discovery at once: the watch, the one that takes its place, and one that goes.
+/// Maximum number of simultaneous connections of a node to discovery: the watch, its replacement,
+/// and a connection that is being closed.
 const NODE_CONNECTIONS: u64 = 3;
-/// Addresses of discovery for one group of nodes.
+/// Discovery addresses per group of nodes.
 const GROUP_LISTENERS: u64 = 2;
-/// Groups of nodes of one worker: one on each side of a cut.
+/// Groups of nodes per worker: one on each side of a partition.
 const WORKER_GROUPS: u64 = 2;
-/// At the run for each relay: its pipe, its address of discovery, its calls there, and the question for its status.
+/// Descriptors of the run's own process per relay: the relay's pipe, its discovery address, its
+/// calls to that address, and the connection for its status.
 const RELAY_DESCRIPTORS: u64 = 1 + 1 + NODE_CONNECTIONS + 1;
-/// Pipes to a process.
+/// Pipes per child process.
 const PROCESS_PIPES: u64 = 3;
-/// Descriptors of a process besides.
+/// Descriptors of a process for all other purposes.
 const SPARE_DESCRIPTORS: u64 = 64;
-/// Descriptors of a real node: the limit in its configuration.
+/// Maximum number of descriptors of a real node: the limit in its configuration.
 pub const REAL_NODE_SOCKETS: usize = 1024;
-/// Connections of clients to a real node.
+/// Client connections per real node.
 pub const CLIENT_CONNECTIONS: usize = 4;
 
-/// What a run will take at the most.
+/// Maximum resources that a run is expected to need.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Estimate {
-    /// Processes, the run's own with them.
+    /// Number of processes, including the run's own.
     pub processes: u64,
-    /// Memory of all of them, in KiB.
+    /// Memory of all processes, in KiB.
     pub memory_kib: u64,
-    /// Descriptors of the process that holds most.
+    /// Descriptors of the process that needs the most.
     pub descriptors: u64,
 }
 
-/// What this machine allows.
+/// Limits of this machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Limits {
-    /// Half of its memory, in KiB.
+    /// Half of the machine's memory, in KiB.
     pub memory_kib: u64,
-    /// Descriptors of a process.
+    /// Descriptors that one process may hold.
     pub descriptors: u64,
 }
 
-/// Why a run is refused.
+/// Reason for which a run is rejected.
 #[derive(Debug, Error)]
 pub enum BoundsError {
-    /// Too much memory.
-    #[error("the run would take {needed} MiB of memory: half of this machine's is {allowed} MiB")]
+    /// The run would need too much memory.
+    #[error("the run would need {needed} MiB of memory, but half of this machine's memory is {allowed} MiB")]
     Memory {
-        /// MiB it would take.
+        /// Estimated memory, in MiB.
         needed: u64,
-        /// MiB it may take.
+        /// Half of the machine's memory, in MiB.
         allowed: u64,
     },
-    /// Too many processes.
-    #[error("the run would take {0} processes: {MAX_PROCESSES} are the most")]
+    /// The run would need too many processes.
+    #[error("the run would need {0} processes, but the limit is {MAX_PROCESSES}")]
     Processes(u64),
-    /// Too many descriptors.
+    /// A process of the run would need too many descriptors.
     #[error(
-        "a process of the run would take {needed} descriptors: its limit is {allowed} (ulimit -n)"
+        "a process of the run would need {needed} descriptors, but its limit is {allowed} (ulimit -n)"
     )]
     Descriptors {
-        /// So many.
+        /// Estimated number of descriptors.
         needed: u64,
-        /// So many it may have.
+        /// Descriptors that one process may hold.
         allowed: u64,
     },
-    /// The machine does not say what it has.
+    /// The limits of the machine cannot be read.
     #[error("cannot read this machine's limits: {0}")]
     Unknown(#[from] io::Error),
 }
 
 impl Estimate {
-    /// Of a run.
+    /// Estimates the resources of a run.
     pub fn of(options: &Options) -> Self {
         let (real, simulated) = (options.real as u64, options.simulated as u64);
         let (workers, nodes) = (options.used_workers() as u64, options.nodes() as u64);
@@ -126,7 +128,7 @@
             0
         };
         let relay = if relays > 0 {
-            most_of_relay(options)
+            max_relay_descriptors(options)
         } else {
             0
         };
@@ -138,7 +140,7 @@
         }
     }
 
-    /// Refuses a run that takes more than there is.
+    /// Checks that the estimate is within the limits.
     pub fn check(&self, limits: &Limits) -> Result<(), BoundsError> {
         if self.processes > MAX_PROCESSES {
             return Err(BoundsError::Processes(self.processes));
@@ -155,29 +157,29 @@
     }
 }
 
-/// Relays, and callers of all of them.
+/// Returns the number of relays and the number of callers of all relays.
 fn relays(options: &Options) -> (u64, u64) {
     let tiers = 0..options.relays.len();
     let callers: usize = tiers.map(|tier| options.callers_of_tier(tier)).sum();
     (options.relays.iter().sum::<usize>() as u64, callers as u64)
 }
 
-/// Descriptors of the relay that has most callers.
-fn most_of_relay(options: &Options) -> u64 {
-    let callers =
+/// Returns the descriptors of the relay with the most callers.
+fn max_relay_descriptors(options: &Options) -> u64 {
+    let callers_per_relay =
         |(tier, relays): (usize, &usize)| options.callers_of_tier(tier).div_ceil((*relays).max(1));
-    let most = options
+    let max_callers = options
         .relays
         .iter()
         .enumerate()
-        .map(callers)
+        .map(callers_per_relay)
         .max()
         .unwrap_or(0);
-    SPARE_DESCRIPTORS + most as u64 * NODE_CONNECTIONS
+    SPARE_DESCRIPTORS + max_callers as u64 * NODE_CONNECTIONS
 }
 
 impl Limits {
-    /// Of this machine and this process.
+    /// Reads the limits of this machine and this process.
     pub fn read() -> Result<Self, BoundsError> {
         let descriptors = descriptor_limit().map_err(io::Error::from)?;
         Ok(Self {
@@ -196,7 +198,7 @@
         } = self;
         write!(
             f,
-            "{processes} processes, {} MiB of memory and {descriptors} descriptors in one process at the most",
+            "{processes} processes, {} MiB of memory and at most {descriptors} descriptors in one process",
             memory_kib >> 10
         )
     }
--- a/crates/lab/src/scale/options.rs
+++ b/crates/lab/src/scale/options.rs
@@ -1,70 +1,73 @@
-//! What a scale run is asked for, and whether that makes sense.
+//! Options of a scale run, and their validation.
 
 use serde::Serialize;
 use slatelink_config::relay::DEFAULT_LEASE_MS;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Kinds of faults that a scale run plays.
+/// Kind of fault that a scale run can inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// Discovery is away and comes back.
+    /// Discovery is unavailable for the duration of the fault.
     DiscoveryDown,
-    /// A tenth of the nodes is restarted at once.
+    /// A tenth of the nodes restart at once.
     RestartTenth,
-    /// The servers of one zone are gone and come back.
+    /// The servers of one zone are absent from the server list for the duration of the fault.
     ZoneLost,
-    /// Half of the fleet is cut off from discovery for a while.
+    /// Half of the nodes cannot reach discovery for the duration of the fault.
     #[serde(rename = "split")]
     Partition,
 }
 
-/// One fault on the time line.
+/// A fault with its start and duration.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fault {
-    /// What.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// When, in seconds after the fleet was up to date first.
+    /// Start of the fault, in seconds after the whole fleet was first up to date.
     pub at_s: f64,
-    /// For how many seconds; a restart takes none.
+    /// Duration in seconds; 0 for a restart.
     pub for_s: f64,
 }
 
-/// What a scale run is asked for.
+/// Options of a scale run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Options {
-    /// Nodes that are processes of their own.
+    /// Number of real nodes, each in its own process.
     pub real: usize,
-    /// Nodes that share processes.
+    /// Number of simulated nodes, which share the worker processes.
     pub simulated: usize,
-    /// Processes that simulated nodes share.
+    /// Maximum number of worker processes for the simulated nodes.
     pub workers: usize,
-    /// Cache servers in the list.
+    /// Cache servers in the server list.
     pub servers: usize,
-    /// Zones that they are dealt out over.
+    /// Zones over which the cache servers are distributed.
     pub zones: usize,
-    /// Requests a second of each node.
+    /// Requests per second of each node.
     pub requests: f64,
-    /// Changes of the list a second.
+    /// Changes of the server list per second.
     pub list_changes: f64,
-    /// New configurations a second, each of the whole fleet.
+    /// New configurations per second, each for the whole fleet.
     pub configurations: f64,
-    /// How long changes are made, in seconds.
+    /// Duration of the phase in which changes are made, in seconds.
     pub length_s: f64,
-    /// Of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Whether a change waits until the one before it is in force everywhere.
+    /// Whether a change waits until the previous change is in force on all nodes and all nodes
+    /// watch again.
     pub step_wise: bool,
-    /// Discovery's time for a call, in microseconds.
+    /// Time that discovery takes per call, in microseconds.
     pub call_cost_us: u64,
-    /// Discovery's time for an entry that it writes, in microseconds.
+    /// Time that discovery takes per entry written, in microseconds.
     pub entry_cost_us: u64,
-    /// Relays between discovery and the nodes, by tier; the first tier has discovery upstream.
+    /// Number of relays in each tier between discovery and the nodes. Discovery is upstream of the
+    /// first tier.
     pub relays: Vec<usize>,
-    /// How long relays answer after upstream's last word, in milliseconds.
+    /// Lease of the relays in milliseconds: how long a relay serves calls after the last response
+    /// from upstream.
     pub relay_lease_ms: u64,
-    /// What goes wrong.
+    /// Fault to inject.
     #[serde(rename = "trouble")]
     pub fault: Option<Fault>,
 }
@@ -92,128 +95,134 @@
     }
 }
 
-/// Why options make no sense.
+/// Reason for which options are rejected.
 #[derive(Clone, Debug, PartialEq, Error)]
 pub enum OptionsError {
-    /// A figure is out of its range.
-    #[error("{name} is {value}: a number from {least} to {most} is wanted")]
+    /// An option is out of its range.
+    #[error("{name} is {value}: expected a number from {minimum} to {maximum}")]
     Range {
-        /// Which.
+        /// Name of the option.
         name: &'static str,
-        /// What was read.
+        /// Value of the option.
         value: f64,
-        /// The least it may be.
-        least: f64,
-        /// The most it may be.
-        most: f64,
+        /// Smallest permitted value.
+        minimum: f64,
+        /// Largest permitted value.
+        maximum: f64,
     },
-    /// No nodes.
-    #[error("there are no nodes: --real or --simulated has to be at least 1")]
+    /// The fleet has no nodes.
+    #[error("no nodes: --real or --simulated must be at least 1")]
     NoNodes,
-    /// More zones than servers.
-    #[error("{servers} servers cannot be dealt out over {zones} zones: each zone needs one")]
+    /// There are more zones than servers.
+    #[error(
+        "{servers} servers cannot be distributed over {zones} zones: each zone needs a server"
+    )]
     EmptyZone {
-        /// Servers there are.
+        /// Number of servers.
         servers: usize,
-        /// Zones there are.
+        /// Number of zones.
         zones: usize,
     },
-    /// A zone is to be lost and there is no other.
-    #[error("a zone is to be lost: that takes at least 2 zones")]
+    /// The only zone would be lost.
+    #[error("--trouble=zone-lost needs at least 2 zones, but --zones is 1")]
     OnlyZone,
-    /// Fault that begins or ends after the run.
-    #[error("trouble from second {at_s} for {for_s} s does not end within the run's {length_s} s")]
-    TroubleTooLate {
-        /// When it begins.
+    /// The fault does not end within the run.
+    #[error("a fault at {at_s} s for {for_s} s does not end within the run's {length_s} s")]
+    FaultTooLate {
+        /// Start of the fault, in seconds.
         at_s: f64,
-        /// How long it lasts.
+        /// Duration of the fault, in seconds.
         for_s: f64,
-        /// How long the run is.
+        /// Duration of the change phase, in seconds.
         length_s: f64,
     },
-    /// Real nodes behind relays: what they have in force shows only to whom they call.
+    /// Real nodes are combined with relays. The version that a real node has in force is visible
+    /// only to the source that the node calls, so behind a relay the run cannot observe it.
     #[error(
-        "{0} real nodes are asked for with relays: they cannot be followed there, so --real has to be 0"
+        "{0} real nodes requested with relays: behind relays their state is not visible, so --real must be 0"
     )]
     RealBehindRelays(usize),
-    /// More tiers than there are.
+    /// There are more tiers of relays than supported.
     #[error(
-        "{0} tiers of relays are asked for: at most {MOST_TIERS} can stand between discovery and the nodes"
+        "{0} tiers of relays requested: at most {MAX_TIERS} are supported between discovery and the nodes"
     )]
     TooManyTiers(usize),
-    /// A cut is between discovery and nodes, where relays stand.
+    /// A partition is combined with relays: it separates nodes from discovery, but with relays no
+    /// node calls discovery.
     #[error(
-        "a split cuts nodes off from discovery: with relays between them there is none to play"
+        "--trouble=split cannot be combined with --relays: nodes behind relays do not call discovery"
     )]
-    SplitWithRelays,
-    /// More changes than can be followed.
-    #[error("{changes} changes are planned: at most {MOST_CHANGES} can be followed in a run")]
+    PartitionWithRelays,
+    /// There are more planned changes than a run can track.
+    #[error("{changes} changes are planned: at most {MAX_CHANGES} can be tracked in a run")]
     TooManyChanges {
-        /// So many.
+        /// Number of planned changes.
         changes: usize,
     },
 }
 
-/// The most nodes of a kind, and servers: what the bounds on memory and processes allow is far less.
-const MOST: f64 = 100_000.0;
-/// Changes that are followed in a run.
-pub const MOST_CHANGES: usize = 100_000;
-const MOST_SECONDS: f64 = 86_400.0;
-const MOST_RATE: f64 = 10_000.0;
-const MOST_COST_US: f64 = 1_000_000.0;
-const MOST_TIERS: usize = 2;
-/// What a relay takes for its lease.
-const LEASE_MS: [f64; 2] = [300.0, 3_600_000.0];
+/// Maximum of each number of nodes, workers, servers, zones and relays. The bounds on memory and
+/// processes allow far fewer.
+const MAX_COUNT: f64 = 100_000.0;
+/// Maximum number of changes that a run can track.
+pub const MAX_CHANGES: usize = 100_000;
+const MAX_SECONDS: f64 = 86_400.0;
+const MAX_RATE: f64 = 10_000.0;
+const MAX_COST_US: f64 = 1_000_000.0;
+const MAX_TIERS: usize = 2;
+/// Smallest and largest lease that a relay accepts, in milliseconds.
+const LEASE_MS_RANGE: [f64; 2] = [300.0, 3_600_000.0];
 
 impl Options {
-    /// Nodes of both kinds.
+    /// Returns the number of nodes of both kinds.
     pub fn nodes(&self) -> usize {
         self.real + self.simulated
     }
 
-    /// Processes that simulated nodes share: none of them is empty.
+    /// Returns the number of worker processes to start: no worker is without nodes.
     pub fn used_workers(&self) -> usize {
         self.workers.min(self.simulated)
     }
 
-    /// Callers of a tier's relays: those of the next tier, or the simulated nodes.
+    /// Returns the number of callers of the relays in a tier: the relays of the next tier, or the
+    /// simulated nodes.
     pub fn callers_of_tier(&self, tier: usize) -> usize {
         self.relays.get(tier + 1).copied().unwrap_or(self.simulated)
     }
 
-    /// How long changes are made.
+    /// Returns the duration of the phase in which changes are made.
     pub fn length(&self) -> Duration {
         Duration::from_secs_f64(self.length_s)
     }
 
-    /// Changes of the list that are planned, without those of a fault.
+    /// Returns the number of planned changes of the server list, without the changes of a fault.
     pub fn planned_list_changes(&self) -> usize {
-        planned(self.list_changes, self.length_s)
+        planned_count(self.list_changes, self.length_s)
     }
 
-    /// New configurations that are planned.
+    /// Returns the number of planned configurations.
     pub fn planned_configurations(&self) -> usize {
-        planned(self.configurations, self.length_s)
+        planned_count(self.configurations, self.length_s)
     }
 
-    /// The name of a zone.
-    pub fn zone(place: usize) -> String {
-        format!("zone-{place}")
+    /// Returns the name of the zone with this index.
+    pub fn zone(index: usize) -> String {
+        format!("zone-{index}")
     }
 
-    /// Refuses what makes no sense.
+    /// Checks that all options are in range and can be combined.
     pub fn check(&self) -> Result<(), OptionsError> {
-        range("--real", self.real as f64, 0.0, MOST)?;
-        range("--simulated", self.simulated as f64, 0.0, MOST)?;
-        range("--workers", self.workers as f64, 1.0, MOST)?;
-        range("--servers", self.servers as f64, 1.0, MOST)?;
-        range("--zones", self.zones as f64, 1.0, MOST)?;
-        range("--requests", self.requests, 0.0, MOST_RATE)?;
-        range("--list-changes", self.list_changes, 0.0, MOST_RATE)?;
-        range("--configurations", self.configurations, 0.0, MOST_RATE)?;
-        range("--length", self.length_s, 1.0, MOST_SECONDS)?;
-        range("--call-cost", self.call_cost_us as f64, 0.0, MOST_COST_US)?;
-        range("--entry-cost", self.entry_cost_us as f64, 0.0, MOST_COST_US)?;
+        check_range("--real", self.real as f64, 0.0, MAX_COUNT)?;
+        check_range("--simulated", self.simulated as f64, 0.0, MAX_COUNT)?;
+        check_range("--workers", self.workers as f64, 1.0, MAX_COUNT)?;
+        check_range("--servers", self.servers as f64, 1.0, MAX_COUNT)?;
+        check_range("--zones", self.zones as f64, 1.0, MAX_COUNT)?;
+        check_range("--requests", self.requests, 0.0, MAX_RATE)?;
+        check_range("--list-changes", self.list_changes, 0.0, MAX_RATE)?;
+        check_range("--configurations", self.configurations, 0.0, MAX_RATE)?;
+        check_range("--length", self.length_s, 1.0, MAX_SECONDS)?;
+        check_range("--call-cost", self.call_cost_us as f64, 0.0, MAX_COST_US)?;
+        check_range("--entry-cost", self.entry_cost_us as f64, 0.0, MAX_COST_US)?;
         if self.nodes() == 0 {
             return Err(OptionsError::NoNodes);
         }
@@ -224,7 +233,7 @@
             });
         }
         let changes = self.planned_list_changes() + self.planned_configurations();
-        if changes > MOST_CHANGES {
+        if changes > MAX_CHANGES {
             return Err(OptionsError::TooManyChanges { changes });
         }
         self.check_relays()?;
@@ -233,15 +242,15 @@
 
     fn check_relays(&self) -> Result<(), OptionsError> {
         for relays in &self.relays {
-            range("--relays", *relays as f64, 1.0, MOST)?;
+            check_range("--relays", *relays as f64, 1.0, MAX_COUNT)?;
         }
-        range(
+        check_range(
             "--relay-lease-ms",
             self.relay_lease_ms as f64,
-            LEASE_MS[0],
-            LEASE_MS[1],
+            LEASE_MS_RANGE[0],
+            LEASE_MS_RANGE[1],
         )?;
-        if self.relays.len() > MOST_TIERS {
+        if self.relays.len() > MAX_TIERS {
             return Err(OptionsError::TooManyTiers(self.relays.len()));
         }
         if !self.relays.is_empty() && self.real > 0 {
@@ -252,16 +261,16 @@
 
     fn check_fault(&self, fault: Fault) -> Result<(), OptionsError> {
         let Fault { kind, at_s, for_s } = fault;
-        range("--trouble-at", at_s, 0.0, MOST_SECONDS)?;
-        range("--trouble-for", for_s, 0.0, MOST_SECONDS)?;
+        check_range("--trouble-at", at_s, 0.0, MAX_SECONDS)?;
+        check_range("--trouble-for", for_s, 0.0, MAX_SECONDS)?;
         if kind == FaultKind::Partition && !self.relays.is_empty() {
-            return Err(OptionsError::SplitWithRelays);
+            return Err(OptionsError::PartitionWithRelays);
         }
         if kind == FaultKind::ZoneLost && self.zones < 2 {
             return Err(OptionsError::OnlyZone);
         }
         if at_s + for_s > self.length_s {
-            return Err(OptionsError::TroubleTooLate {
+            return Err(OptionsError::FaultTooLate {
                 at_s,
                 for_s,
                 length_s: self.length_s,
@@ -271,20 +280,25 @@
     }
 }
 
-fn planned(rate: f64, seconds: f64) -> usize {
+fn planned_count(rate: f64, seconds: f64) -> usize {
     (rate * seconds).floor() as usize
 }
 
-fn range(name: &'static str, value: f64, least: f64, most: f64) -> Result<(), OptionsError> {
-    // Not a number is in no range.
-    if value >= least && value <= most {
+fn check_range(
+    name: &'static str,
+    value: f64,
+    minimum: f64,
+    maximum: f64,
+) -> Result<(), OptionsError> {
+    // Comparisons with NaN are false, so NaN is rejected.
+    if value >= minimum && value <= maximum {
         Ok(())
     } else {
         Err(OptionsError::Range {
             name,
             value,
-            least,
-            most,
+            minimum,
+            maximum,
         })
     }
 }
