--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! All that a run starts: discovery, traffic, real nodes and workers, from their start to their end.
+//! Starts, changes and ends all parts of a run: discovery, traffic, relays, real nodes and workers.
 
 use crate::client::Table;
 use crate::nodes::{NodeEnvironment, NodeEvents, Program};
@@ -24,18 +24,18 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver};
 use tokio::task::JoinSet;
 
-/// The programs that a run starts.
+/// Programs that a run starts.
 #[derive(Clone)]
 pub struct Programs {
-    /// The real nodes'.
+    /// Program of the real nodes.
     pub node: Program,
-    /// The workers'.
+    /// Program of the workers.
     pub worker: WorkerProgram,
-    /// The relays' binary.
+    /// Binary of the relays.
     pub relay: PathBuf,
 }
 
-/// Events of the members, as they come.
+/// Receivers of the events of all members.
 pub struct Inbox {
     acknowledged: UnboundedReceiver<Acknowledged>,
     real: UnboundedReceiver<(usize, RealNodeEvent)>,
@@ -43,45 +43,46 @@
 }
 
 impl Inbox {
-    /// What comes next.
+    /// Waits for the next event.
     pub async fn next(&mut self) -> FleetEvent {
         tokio::select! {
-            // That a node starts comes before what it then asks.
+            // The start event of a node must be handled before the calls of that node.
             biased;
             Some((node, event)) = self.real.recv() => FleetEvent::Real(node, event),
             Some(acknowledged) = self.acknowledged.recv() => FleetEvent::Acknowledged(acknowledged),
             Some((worker, event)) = self.workers.recv() => FleetEvent::Worker(worker, event),
-            // A run without members of a kind hears nothing of them.
+            // The channel of a kind without members is closed, which disables its branch. With
+            // all channels closed no event can arrive.
             else => pending().await,
         }
     }
 }
 
-/// All that a run started.
+/// All parts of a run that has been started.
 pub struct Fleet<'a> {
-    /// What was asked for.
+    /// Options of the run.
     pub options: &'a Options,
-    /// Discovery.
+    /// Simulated discovery.
     pub service: Service,
     /// Relays between discovery and the nodes.
     pub relays: Relays,
-    /// The newest version of the list.
+    /// Newest version of the server list.
     version: u64,
-    /// The processes that simulated nodes share.
+    /// Processes in which the simulated nodes run.
     pub workers: Vec<Worker>,
-    /// What is known of the members.
+    /// State of the members, derived from their events.
     pub state: FleetState,
-    /// Their events.
+    /// Events of the members.
     pub inbox: Inbox,
     traffic: Traffic,
     real: Vec<RealNode>,
     assignment: Assignment,
-    /// Its files go with it.
+    /// Folder of the run's files, which is removed on drop.
     _folder: Folder,
 }
 
 impl<'a> Fleet<'a> {
-    /// Starts all processes; simulated nodes wait for their own start.
+    /// Starts all processes. Simulated nodes start later, in `start_all_simulated`.
     pub async fn start(options: &'a Options, programs: &Programs) -> Result<Self, ScaleError> {
         let folder = Folder::new()?;
         let scenario = real::scenario(options)?;
@@ -114,12 +115,12 @@
         let (worker_sender, worker_events) = unbounded_channel();
         let configuration = real::write_configuration(&scenario, options.seed, &folder.0)?;
         let mut workers = Vec::with_capacity(assignment.workers());
-        for place in 0..assignment.workers() {
-            let mut worker = Worker::start(place, &programs.worker, worker_sender.clone())?;
-            let setup = setup(
+        for index in 0..assignment.workers() {
+            let mut worker = Worker::start(index, &programs.worker, worker_sender.clone())?;
+            let setup = worker_setup(
                 options,
                 &assignment,
-                place,
+                index,
                 addresses,
                 &relays,
                 &configuration,
@@ -146,10 +147,10 @@
         })
     }
 
-    /// Ends all that was started; what clients saw.
+    /// Ends all parts of the run, and returns the counts of the clients.
     pub async fn end(self) -> TrafficCounts {
         let clients = self.traffic.stop().await;
-        // All at once: each may take a while.
+        // Concurrently, because each process may take some time to exit.
         let mut ending = JoinSet::new();
         for node in self.real {
             ending.spawn_local(node.end());
@@ -162,16 +163,16 @@
         clients
     }
 
-    /// Whether all nodes are up to date, and watch.
+    /// Checks whether all nodes and relays are up to date and have open watches.
     pub fn is_settled(&self) -> bool {
-        let watching = self
+        let expected_watches = self
             .options
             .relays
             .first()
             .copied()
             .unwrap_or(self.options.nodes());
         self.state.is_up_to_date()
-            && self.service.waiting() >= watching
+            && self.service.waiting() >= expected_watches
             && self.relays.are_settled(self.version, self.options)
     }
 
@@ -181,7 +182,7 @@
             .await
     }
 
-    /// Starts simulated nodes, in a new incarnation if they run already.
+    /// Starts simulated nodes. Each start begins a new incarnation of the node.
     async fn start_simulated(&mut self, nodes: Vec<usize>) -> Result<(), ScaleError> {
         let at_us = monotonic_us();
         for &node in &nodes {
@@ -190,15 +191,15 @@
                 .convergence
                 .starts(node, self.state.configuration, at_us);
         }
-        for (place, worker) in self.workers.iter_mut().enumerate() {
-            let own = self.assignment.nodes(place);
-            let own: Vec<_> = nodes
+        for (index, worker) in self.workers.iter_mut().enumerate() {
+            let worker_nodes = self.assignment.nodes(index);
+            let worker_nodes: Vec<_> = nodes
                 .iter()
                 .copied()
-                .filter(|node| own.contains(node))
+                .filter(|node| worker_nodes.contains(node))
                 .collect();
-            if !own.is_empty() {
-                worker.order(&Order::Start(own)).await?;
+            if !worker_nodes.is_empty() {
+                worker.order(&Order::Start(worker_nodes)).await?;
             }
         }
         Ok(())
@@ -210,14 +211,14 @@
         let (real, simulated): (Vec<_>, Vec<_>) =
             nodes.into_iter().partition(|node| *node < first_simulated);
         for node in real {
-            // Until its new process is ready.
+            // The process id is unknown until the new process is ready.
             self.state.pids[node] = None;
             self.real[node].restart();
         }
         self.start_simulated(simulated).await
     }
 
-    /// Changes entries of the list, all at once.
+    /// Changes entries of the server list, all in one version.
     pub async fn change_list(
         &mut self,
         changes: Vec<EndpointChange>,
@@ -250,7 +251,7 @@
     }
 }
 
-fn setup(
+fn worker_setup(
     options: &Options,
     assignment: &Assignment,
     worker: usize,
@@ -259,11 +260,13 @@
     configuration: &Path,
 ) -> Setup {
     let node = |number| {
-        let own = assignment.of_simulated(worker, number, addresses);
-        // A new configuration has a node ask its relay anew.
+        let discovery = assignment.of_simulated(worker, number, addresses);
+        // Both addresses are the same relay: a new configuration makes the node call it anew.
         NodeSetup {
             number,
-            discovery: relays.address_for(number).map_or(own, |relay| [relay; 2]),
+            discovery: relays
+                .address_for(number)
+                .map_or(discovery, |relay| [relay; 2]),
         }
     };
     Setup {
--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -90,7 +90,7 @@
 
     fn say(&self, doing: &str) {
         let (state, nodes) = (&self.fleet.state, self.fleet.options.nodes());
-        self.progress.say(format!(
+        self.progress.set_line(format!(
             "{doing}: {} of {nodes} nodes up to date, {} list changes, {} configurations",
             nodes - state.convergence.behind(),
             state.list_changes,
--- a/crates/lab/src/scale/progress.rs
+++ b/crates/lab/src/scale/progress.rs
@@ -1,21 +1,21 @@
-//! The present state of a scale run as one line, shared between the run and the terminal.
+//! Progress line of a scale run, shared between the run and the terminal.
 
 use std::sync::Mutex;
 
-/// How far a run is, for whoever watches.
+/// Progress of a run, as one line of text.
 #[derive(Debug, Default)]
 pub struct Progress(Mutex<String>);
 
 impl Progress {
-    /// One line.
+    /// Returns the present line.
     pub fn line(&self) -> String {
         self.0.lock().map(|line| line.clone()).unwrap_or_default()
     }
 
-    /// Puts another one in its place.
-    pub fn say(&self, line: String) {
-        if let Ok(mut said) = self.0.lock() {
-            *said = line;
+    /// Replaces the line.
+    pub fn set_line(&self, line: String) {
+        if let Ok(mut current) = self.0.lock() {
+            *current = line;
         }
     }
 }
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -1,4 +1,4 @@
-//! Real nodes of a scale run: processes of the node's binary, each driven by a task.
+//! Real nodes of a scale run: processes of the node's binary, each managed by a task.
 
 use crate::nodes::{Node, NodeEnvironment, NodeError};
 use crate::scale::bounds::REAL_NODE_SOCKETS;
@@ -13,40 +13,40 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::interval;
 
-/// Something that happened to a real node.
+/// Event of a real node.
 #[derive(Debug)]
 pub enum RealNodeEvent {
-    /// Its process is about to be started.
+    /// The process is about to be started.
     Starts {
-        /// The version of the configuration that it reads.
+        /// Version of the configuration that the process reads.
         configuration: u64,
-        /// When, on the machine's monotonic clock.
+        /// Time of the event on the machine's monotonic clock.
         at_us: u64,
     },
-    /// Its process is ready, and this is its id.
+    /// The process with this id is ready.
     Ready(Option<i32>),
-    /// It did not come up, or ended by itself.
+    /// The process did not become ready, could not be configured, or exited by itself.
     Failed(RealNodeFailure),
 }
 
-/// Why a real node does not run.
+/// Failure of a real node.
 #[derive(Debug, Error)]
 pub enum RealNodeFailure {
-    /// It cannot be started or configured.
+    /// The process cannot be started or configured.
     #[error("{0}")]
     Node(#[from] NodeError),
-    /// Its process exited without being told to.
-    #[error("it ended by itself")]
+    /// The process exited without a signal from the run.
+    #[error("the process exited by itself")]
     Exited,
 }
 
-enum Order {
+enum Command {
     Restart,
     Configure,
     End,
 }
 
-/// The description of the fleet that all nodes' configurations are from.
+/// Returns the scenario from which the configurations of all nodes are derived.
 pub fn scenario(options: &Options) -> Result<Scenario, ScenarioError> {
     let text = "about = \"scale\"\nseconds = 3600\n[load]\nrate = 1\n";
     let mut scenario = Scenario::parse(text, Path::new("scale"))?;
@@ -57,108 +57,110 @@
     Ok(scenario)
 }
 
-/// Writes the configuration that workers take their nodes' settings from.
+/// Writes the configuration from which the workers take the settings of their nodes.
 pub fn write_configuration(
     scenario: &Scenario,
     seed: u64,
     folder: &Path,
 ) -> Result<PathBuf, NodeError> {
     let path = folder.join("simulated.json");
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let configuration = crate::nodes::config(0, scenario, seed, nowhere);
-    let written = std::fs::write(&path, configuration.to_string());
-    written.map_err(|error| NodeError::Files {
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
+    let configuration = crate::nodes::config(0, scenario, seed, unused_address);
+    let result = std::fs::write(&path, configuration.to_string());
+    result.map_err(|error| NodeError::Files {
         path: path.clone(),
         error,
     })?;
     Ok(path)
 }
 
-/// A real node, over all starts of its process.
+/// A real node, which has one process at a time over all its restarts.
 pub struct RealNode {
-    orders: UnboundedSender<Order>,
+    commands: UnboundedSender<Command>,
     task: JoinHandle<()>,
 }
 
 impl RealNode {
-    /// Starts one that discovery answers at these addresses. Its events go to `events`, with its number.
+    /// Starts a real node that calls discovery at these addresses. Its events are sent to `events`
+    /// with the node's number.
     pub fn start(
         number: usize,
         discovery: [SocketAddr; 2],
         environment: &NodeEnvironment,
         events: UnboundedSender<(usize, RealNodeEvent)>,
     ) -> Self {
-        let (orders, inbox) = unbounded_channel();
+        let (commands, command_receiver) = unbounded_channel();
         let node = Node::new(number, discovery, environment);
-        let task = spawn_local(drive(number, node, inbox, events));
-        Self { orders, task }
+        let task = spawn_local(drive(number, node, command_receiver, events));
+        Self { commands, task }
     }
 
-    /// Ends its process as the platform does, and starts it anew.
+    /// Stops the process with SIGTERM, as a platform does, and starts a new one.
     pub fn restart(&self) {
-        self.order(Order::Restart);
+        self.send_command(Command::Restart);
     }
 
-    /// Gives it a new configuration, with the other address of discovery.
+    /// Applies a new configuration, which has the node's other discovery address.
     pub fn configure(&self) {
-        self.order(Order::Configure);
+        self.send_command(Command::Configure);
     }
 
-    /// Ends it.
+    /// Ends the process.
     pub async fn end(self) {
-        self.order(Order::End);
-        // A task that panicked has dropped its process, which ends with that.
+        self.send_command(Command::End);
+        // A task that panicked has dropped its process handle, which ends the process.
         let _ = self.task.await;
     }
 
-    fn order(&self, order: Order) {
-        // A task that has ended has reported why.
-        let _ = self.orders.send(order);
+    fn send_command(&self, command: Command) {
+        // The channel is closed only after the task has reported a failure.
+        let _ = self.commands.send(command);
     }
 }
 
-/// Interval of the checks whether a process has exited by itself.
+/// Interval of the checks for a process that has exited by itself.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
+/// Manages a node until a command ends it or it fails, and then stops its process.
 async fn drive(
     number: usize,
     mut node: Node,
-    mut orders: UnboundedReceiver<Order>,
+    mut commands: UnboundedReceiver<Command>,
     events: UnboundedSender<(usize, RealNodeEvent)>,
 ) {
-    let report = |event| {
-        // The run may be over.
+    let emit = |event| {
+        // The receiver is closed when the run has ended.
         let _ = events.send((number, event));
     };
-    if let Err(error) = follow(&mut node, &mut orders, &report).await {
-        report(RealNodeEvent::Failed(error.into()));
+    if let Err(error) = run_commands(&mut node, &mut commands, &emit).await {
+        emit(RealNodeEvent::Failed(error.into()));
     }
     node.stop().await;
 }
 
-async fn follow(
+async fn run_commands(
     node: &mut Node,
-    orders: &mut UnboundedReceiver<Order>,
-    report: &impl Fn(RealNodeEvent),
+    commands: &mut UnboundedReceiver<Command>,
+    emit: &impl Fn(RealNodeEvent),
 ) -> Result<(), NodeError> {
     let mut configuration = 0;
-    start(node, configuration, report).await?;
-    let mut looks = interval(EXIT_POLL_INTERVAL);
+    start(node, configuration, emit).await?;
+    let mut ticks = interval(EXIT_POLL_INTERVAL);
     loop {
         tokio::select! {
-            order = orders.recv() => match order {
-                Some(Order::Restart) => {
+            command = commands.recv() => match command {
+                Some(Command::Restart) => {
                     node.stop().await;
-                    start(node, configuration, report).await?;
+                    start(node, configuration, emit).await?;
                 }
-                Some(Order::Configure) => {
+                Some(Command::Configure) => {
                     configuration += 1;
                     node.move_discovery()?;
                 }
-                Some(Order::End) | None => return Ok(()),
+                Some(Command::End) | None => return Ok(()),
             },
-            _ = looks.tick() => if node.has_died() {
-                report(RealNodeEvent::Failed(RealNodeFailure::Exited));
+            _ = ticks.tick() => if node.has_died() {
+                emit(RealNodeEvent::Failed(RealNodeFailure::Exited));
                 return Ok(());
             },
         }
@@ -168,13 +170,13 @@
 async fn start(
     node: &mut Node,
     configuration: u64,
-    report: &impl Fn(RealNodeEvent),
+    emit: &impl Fn(RealNodeEvent),
 ) -> Result<(), NodeError> {
-    report(RealNodeEvent::Starts {
+    emit(RealNodeEvent::Starts {
         configuration,
         at_us: monotonic_us(),
     });
     node.start().await?;
-    report(RealNodeEvent::Ready(node.pid()));
+    emit(RealNodeEvent::Ready(node.pid()));
     Ok(())
 }
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -1,4 +1,5 @@
-//! Relays of a scale run: processes of this program between discovery and the nodes, in tiers.
+//! Relay processes of a scale run, in tiers between discovery and the nodes. They run this
+//! program's binary.
 
 use crate::http::{Conn, ReadError};
 use crate::scale::options::Options;
@@ -18,52 +19,52 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{sleep, timeout};
 
-/// A relay listens, and has a list, within this.
+/// Limit on the time until a started relay listens, and on the time until it holds a list.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between two looks at whether a relay that starts has a list.
+/// Pause between two status requests to a starting relay that does not hold a list yet.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Pause between two calls for a relay's state while the run goes on.
+/// Pause between two status requests to a relay during the run.
 const STATUS_INTERVAL: Duration = Duration::from_millis(100);
-/// A call for its state is given up after this.
+/// Time after which a status request is abandoned.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(10);
-/// A relay that is told to stop ends within this, or is ended.
+/// Time after which a relay that has not exited on SIGTERM is killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a relay is not there.
+/// Failure to start a relay or to read its status.
 #[derive(Debug, Error)]
 pub enum RelayProcessError {
-    /// It cannot be started.
+    /// The process cannot be started.
     #[error("cannot start a relay: {0}")]
     Start(io::Error),
-    /// It ended or said something else.
-    #[error("a relay did not say where it listens, but {0:?}")]
+    /// The relay exited without a log line, or its first log line has no address.
+    #[error("the first log line of a relay does not end with an address: {0:?}")]
     NoAddress(String),
-    /// It has no list.
-    #[error("relay {0} had no list {seconds} s after its start", seconds = START_TIMEOUT.as_secs())]
+    /// The relay does not hold a list in time.
+    #[error("relay {0} had no list {seconds} s after it began to listen", seconds = START_TIMEOUT.as_secs())]
     NoList(SocketAddr),
-    /// It does not tell its state.
-    #[error("relay {0} does not tell its state: {1}")]
+    /// The status request failed.
+    #[error("status request to relay {0} failed: {1}")]
     NoStatus(SocketAddr, StatusError),
 }
 
-/// Why a relay's state is not known.
+/// Failure of a status request.
 #[derive(Debug, Error)]
 pub enum StatusError {
-    /// It cannot be called.
+    /// The relay cannot be reached.
     #[error("{0}")]
     Call(#[from] io::Error),
-    /// Its answer cannot be read.
+    /// The response cannot be read.
     #[error("{0}")]
     Answer(#[from] ReadError),
-    /// Its answer is no state.
+    /// The body of the response is not a relay status.
     #[error("{0}")]
     Body(#[from] serde_json::Error),
-    /// It did not answer within `STATUS_TIMEOUT`.
-    #[error("no answer in time")]
+    /// The relay did not respond within `STATUS_TIMEOUT`.
+    #[error("no response within the time limit")]
     Timeout(#[from] Elapsed),
 }
 
-/// The connection for a relay's state.
+/// Client for the status resource of a relay, with a connection that is reused.
 struct StatusClient {
     address: SocketAddr,
     conn: Option<Conn>,
@@ -77,42 +78,43 @@
         }
     }
 
-    async fn ask(&mut self) -> Result<RelayStatus, RelayProcessError> {
-        let exchanged = timeout(STATUS_TIMEOUT, exchange(self.address, &mut self.conn)).await;
-        exchanged
+    async fn fetch(&mut self) -> Result<RelayStatus, RelayProcessError> {
+        let result = timeout(STATUS_TIMEOUT, request_status(self.address, &mut self.conn)).await;
+        result
             .unwrap_or_else(|elapsed| Err(elapsed.into()))
             .map_err(|error| RelayProcessError::NoStatus(self.address, error))
     }
 }
 
-/// One call for a relay's state, on the connection of the last one where that is left.
-async fn exchange(
+/// Requests the status of a relay, on the idle connection of the previous request if there is one.
+/// The connection is kept only after a successful request.
+async fn request_status(
     address: SocketAddr,
-    kept: &mut Option<Conn>,
+    idle_conn: &mut Option<Conn>,
 ) -> Result<RelayStatus, StatusError> {
-    let mut conn = match kept.take() {
+    let mut conn = match idle_conn.take() {
         Some(conn) => conn,
         None => Conn::new(TcpStream::connect(address).await?)?,
     };
     conn.write(format!("GET {STATUS_PATH} HTTP/1.1\r\nHost: {address}\r\n\r\n").as_bytes())
         .await?;
     let status = serde_json::from_slice(&conn.answer().await?.body)?;
-    *kept = Some(conn);
+    *idle_conn = Some(conn);
     Ok(status)
 }
 
-/// A relay's process.
+/// A relay process.
 pub struct RelayProcess {
-    /// Where it listens.
+    /// Address on which the relay listens.
     pub address: SocketAddr,
     child: Child,
     latest: Rc<RefCell<RelayStatus>>,
-    /// Its log is read, and its state asked for, as long as it lives.
+    /// Tasks that read the relay's log and request its status; dropping the set aborts them.
     _tasks: JoinSet<()>,
 }
 
 impl RelayProcess {
-    /// Starts one and waits until it has a list.
+    /// Starts a relay and waits until it holds a list.
     async fn start(
         program: &Path,
         upstream: &[SocketAddr],
@@ -132,17 +134,17 @@
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .kill_on_drop(true)
-            // Ctrl-C is for the run, which ends its relays itself.
+            // Ctrl-C must reach only the run, which ends the relays itself.
             .process_group(0)
             .spawn()
             .map_err(RelayProcessError::Start)?;
-        let missing = || RelayProcessError::NoAddress(String::new());
-        let mut log = BufReader::new(child.stderr.take().ok_or_else(missing)?).lines();
-        let address = address(&mut log).await?;
-        let latest = Rc::new(RefCell::new(first_list(address).await?));
+        let no_address = || RelayProcessError::NoAddress(String::new());
+        let mut log = BufReader::new(child.stderr.take().ok_or_else(no_address)?).lines();
+        let address = read_address(&mut log).await?;
+        let latest = Rc::new(RefCell::new(wait_for_list(address).await?));
         let mut tasks = JoinSet::new();
-        tasks.spawn_local(read_out(log));
-        tasks.spawn_local(follow(address, latest.clone()));
+        tasks.spawn_local(discard_log(log));
+        tasks.spawn_local(poll_status(address, latest.clone()));
         Ok(Self {
             address,
             child,
@@ -151,19 +153,19 @@
         })
     }
 
-    /// Its process, while it runs.
+    /// Returns the process id, unless the process is known to have exited.
     pub fn pid(&self) -> Option<i32> {
         self.child.id().and_then(|id| i32::try_from(id).ok())
     }
 
-    /// Its state now.
+    /// Requests the present status of the relay.
     pub async fn status(&self) -> Result<RelayStatus, RelayProcessError> {
-        StatusClient::new(self.address).ask().await
+        StatusClient::new(self.address).fetch().await
     }
 
     async fn end(mut self) {
         if let Some(pid) = self.pid() {
-            // It may have ended this moment.
+            // The process may have exited in the meantime.
             let _ =
                 nix::sys::signal::kill(nix::unistd::Pid::from_raw(pid), nix::sys::signal::SIGTERM);
         }
@@ -173,59 +175,64 @@
     }
 }
 
-/// The address in the first line of a relay's log.
-async fn address(log: &mut Lines<BufReader<ChildStderr>>) -> Result<SocketAddr, RelayProcessError> {
+/// Returns the address at the end of the first line of a relay's log.
+async fn read_address(
+    log: &mut Lines<BufReader<ChildStderr>>,
+) -> Result<SocketAddr, RelayProcessError> {
     let line = timeout(START_TIMEOUT, log.next_line())
         .await
         .ok()
         .and_then(Result::ok)
         .flatten()
         .unwrap_or_default();
-    let address = line.rsplit(' ').next().and_then(|word| word.parse().ok());
+    let address = line.rsplit(' ').next().and_then(|field| field.parse().ok());
     address.ok_or(RelayProcessError::NoAddress(line))
 }
 
-/// A relay that is called before it has a list would refuse those calls, which are counted.
-async fn first_list(address: SocketAddr) -> Result<RelayStatus, RelayProcessError> {
+/// Waits until a relay holds a list, and returns its status. A relay without a list rejects calls,
+/// and such calls would appear in the counts.
+async fn wait_for_list(address: SocketAddr) -> Result<RelayStatus, RelayProcessError> {
     let mut client = StatusClient::new(address);
-    let asked = async {
+    let polling = async {
         loop {
-            let status = client.ask().await?;
+            let status = client.fetch().await?;
             if status.version.is_some() {
                 return Ok(status);
             }
             sleep(START_POLL_INTERVAL).await;
         }
     };
-    timeout(START_TIMEOUT, asked)
+    timeout(START_TIMEOUT, polling)
         .await
         .map_err(|_| RelayProcessError::NoList(address))?
 }
 
-async fn read_out(mut log: Lines<BufReader<ChildStderr>>) {
+/// Reads the log to its end, so that the relay never blocks on a full pipe.
+async fn discard_log(mut log: Lines<BufReader<ChildStderr>>) {
     while let Ok(Some(_)) = log.next_line().await {}
 }
 
-/// Keeps the state up to date. A relay that does not answer keeps the one that it had.
-async fn follow(address: SocketAddr, latest: Rc<RefCell<RelayStatus>>) {
+/// Updates the status at an interval. If a relay does not respond, its last status stays.
+async fn poll_status(address: SocketAddr, latest: Rc<RefCell<RelayStatus>>) {
     let mut client = StatusClient::new(address);
     loop {
-        if let Ok(status) = client.ask().await {
+        if let Ok(status) = client.fetch().await {
             *latest.borrow_mut() = status;
         }
         sleep(STATUS_INTERVAL).await;
     }
 }
 
-/// All relays.
+/// All relays of a run.
 #[derive(Default)]
 pub struct Relays {
-    /// By tier, from discovery on.
+    /// Relays by tier, the tier next to discovery first.
     pub tiers: Vec<Vec<RelayProcess>>,
 }
 
 impl Relays {
-    /// Starts all tiers, one after the other; the first one's relays call at these addresses of discovery.
+    /// Starts all tiers one after the other. Each relay of the first tier calls the discovery
+    /// address with its index.
     pub async fn start(
         options: &Options,
         program: &Path,
@@ -234,8 +241,8 @@
         let mut relays = Self::default();
         for (tier, count) in options.relays.iter().enumerate() {
             let mut started = Vec::with_capacity(*count);
-            for place in 0..*count {
-                let upstream = relays.upstream(tier, place, discovery);
+            for index in 0..*count {
+                let upstream = relays.upstream(tier, index, discovery);
                 started
                     .push(RelayProcess::start(program, &upstream, options.relay_lease_ms).await?);
             }
@@ -244,29 +251,30 @@
         Ok(relays)
     }
 
-    /// The sources of a relay: its own of the tier above, and the next one of that.
-    fn upstream(&self, tier: usize, place: usize, discovery: &[SocketAddr]) -> Vec<SocketAddr> {
+    /// Returns the upstream addresses of a relay: two adjacent relays of the tier above, chosen by
+    /// the relay's index, or the relay's discovery address in the first tier.
+    fn upstream(&self, tier: usize, index: usize, discovery: &[SocketAddr]) -> Vec<SocketAddr> {
         let Some(above) = tier.checked_sub(1).map(|above| &self.tiers[above]) else {
-            return vec![discovery[place]];
+            return vec![discovery[index]];
         };
-        let first = place % above.len();
+        let first = index % above.len();
         let second = (first + 1) % above.len();
-        let mut places = vec![first, second];
-        places.dedup();
-        places
+        let mut indexes = vec![first, second];
+        indexes.dedup();
+        indexes
             .into_iter()
-            .map(|place| above[place].address)
+            .map(|index| above[index].address)
             .collect()
     }
 
-    /// Where a node calls; `None` where there are no relays.
+    /// Returns the relay address for a node, or `None` without relays.
     pub fn address_for(&self, node: usize) -> Option<SocketAddr> {
         self.tiers
             .last()
             .map(|last| last[node % last.len()].address)
     }
 
-    /// Whether all relays hold this version, and all their callers have it and watch.
+    /// Checks whether all relays hold this version and all their callers have open watches.
     pub fn are_settled(&self, version: u64, options: &Options) -> bool {
         self.tiers.iter().enumerate().all(|(tier, relays)| {
             let latest = || relays.iter().map(|relay| relay.latest.borrow());
@@ -276,14 +284,14 @@
         })
     }
 
-    /// Ends all of them, those that nodes call first.
+    /// Ends all relays, the tier next to the nodes first.
     pub async fn end(self) {
         for tier in self.tiers.into_iter().rev() {
-            let mut ending = JoinSet::new();
+            let mut tasks = JoinSet::new();
             for relay in tier {
-                ending.spawn_local(relay.end());
+                tasks.spawn_local(relay.end());
             }
-            while ending.join_next().await.is_some() {}
+            while tasks.join_next().await.is_some() {}
         }
     }
 }
--- a/crates/lab/src/scale/run.rs
+++ b/crates/lab/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! A scale run from its first process to its report.
+//! A complete scale run, from the start of its first process to its report.
 
 use crate::scale::bounds::{Estimate, Limits};
 use crate::scale::error::ScaleError;
@@ -14,10 +14,11 @@
 use tokio::task::LocalSet;
 use tokio::time::interval;
 
-/// Interval of the checks whether the run is to stop.
+/// Interval at which the stop flag is checked.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs it, until it is over or `stop` is raised. Nothing that it started is left then.
+/// Runs the measurement until it is complete or `stop` is set. All processes of
+/// the run have ended when this function returns.
 pub fn run(
     options: &Options,
     programs: &Programs,
@@ -27,25 +28,25 @@
     options.check()?;
     let (estimate, limits) = (Estimate::of(options), Limits::read()?);
     estimate.check(&limits)?;
-    let one = runtime::Builder::new_current_thread()
+    let local_runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    LocalSet::new().block_on(&one, async {
-        progress.say("starting".to_owned());
+    LocalSet::new().block_on(&local_runtime, async {
+        progress.set_line("starting".to_owned());
         let mut fleet = Fleet::start(options, programs).await?;
-        let played = tokio::select! {
+        let result = tokio::select! {
             played = Player::new(&mut fleet, progress).play(estimate, limits) => played,
-            () = stopped(stop) => Err(ScaleError::Stopped),
+            () = wait_for_stop(stop) => Err(ScaleError::Stopped),
         };
-        progress.say("ending".to_owned());
+        progress.set_line("ending".to_owned());
         let clients = fleet.end().await;
-        Ok(Report { clients, ..played? })
+        Ok(Report { clients, ..result? })
     })
 }
 
-async fn stopped(stop: &AtomicBool) {
-    let mut looks = interval(STOP_POLL_INTERVAL);
+async fn wait_for_stop(stop: &AtomicBool) {
+    let mut ticks = interval(STOP_POLL_INTERVAL);
     while !stop.load(Ordering::Relaxed) {
-        looks.tick().await;
+        ticks.tick().await;
     }
 }
--- a/crates/lab/src/scale/traffic.rs
+++ b/crates/lab/src/scale/traffic.rs
@@ -1,4 +1,5 @@
-//! Cache servers that answer at once, and clients that ask real nodes at a rate; on a thread of their own.
+//! Simulated cache servers that respond at once, and clients that send requests to real nodes at a
+//! given rate, on a thread of their own.
 
 use crate::client::Table;
 use crate::http::{listen, Conn};
@@ -18,56 +19,65 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// How long a client waits for an answer; the node knows it from the request.
+/// Time that a client waits for a response. The request states it as its deadline.
 const REQUEST_DEADLINE: Duration = Duration::from_millis(500);
-/// A client without a node or a connection tries again after this.
+/// Delay before a client without a node's address or a connection tries again.
 const CONNECT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Keys that are asked for.
-const KEYS: u64 = 20_000;
+/// Number of distinct keys that clients request.
+const KEY_COUNT: u64 = 20_000;
 const SERVED: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// What clients of real nodes saw.
+/// Requests of the clients of real nodes, by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct TrafficCounts {
-    /// Requests that were sent.
+    /// Requests sent.
     pub asked: u64,
-    /// Answers 200.
+    /// Responses with status 200.
     pub served: u64,
-    /// Other answers.
+    /// Responses with another status.
     pub refused: u64,
-    /// Requests whose connection ended, or that had no answer in time.
+    /// Requests without a response within the deadline, or whose connection failed.
     pub unanswered: u64,
 }
 
-/// The running stand-ins; they end when this is dropped.
+/// The running servers and clients. They end when this is dropped.
 pub struct Traffic {
-    /// Where all cache servers listen.
+    /// Address of all cache servers.
     pub servers: SocketAddr,
     stop: oneshot::Sender<oneshot::Sender<TrafficCounts>>,
     _thread: JoinHandle<()>,
 }
 
 impl Traffic {
-    /// Starts servers, and for each of so many nodes in the table clients that ask at this rate.
+    /// Starts the servers and the clients. The first `nodes` nodes of the table each get
+    /// [`CLIENT_CONNECTIONS`] clients, which together send `rate` requests per second.
     pub async fn start(table: Table, nodes: usize, rate: f64, seed: u64) -> io::Result<Self> {
-        let one = runtime::Builder::new_current_thread()
+        let local_runtime = runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
-        let (listens, address) = oneshot::channel();
-        let (stop, stopped) = oneshot::channel::<oneshot::Sender<TrafficCounts>>();
+        let (address_sender, address) = oneshot::channel();
+        let (stop, stop_receiver) = oneshot::channel::<oneshot::Sender<TrafficCounts>>();
         let thread = thread::Builder::new()
             .name("traffic".to_owned())
             .spawn(move || {
-                LocalSet::new().block_on(&one, async {
-                    let _ = listens.send(listen(|stream| drop(spawn_local(serve(stream)))).await);
+                LocalSet::new().block_on(&local_runtime, async {
+                    let _ = address_sender
+                        .send(listen(|stream| drop(spawn_local(serve(stream)))).await);
                     let counts = Rc::new(Cell::new(TrafficCounts::default()));
-                    let each = rate / CLIENT_CONNECTIONS as f64;
+                    let client_rate = rate / CLIENT_CONNECTIONS as f64;
                     for client in (0..nodes * CLIENT_CONNECTIONS).filter(|_| rate > 0.0) {
                         let random = StdRng::seed_from_u64(crate::plan::mix(seed ^ client as u64));
                         let (table, counts) = (table.clone(), counts.clone());
-                        spawn_local(ask(client, client % nodes, each, random, table, counts));
+                        spawn_local(run_client(
+                            client,
+                            client % nodes,
+                            client_rate,
+                            random,
+                            table,
+                            counts,
+                        ));
                     }
-                    if let Ok(reply) = stopped.await {
+                    if let Ok(reply) = stop_receiver.await {
                         let _ = reply.send(counts.get());
                     }
                 });
@@ -80,16 +90,16 @@
         })
     }
 
-    /// Ends clients and servers; what clients saw.
+    /// Ends the clients and servers, and returns the counts of the clients.
     pub async fn stop(self) -> TrafficCounts {
         let (reply, counts) = oneshot::channel();
-        // A thread that has ended has counted nothing.
+        // A thread that has ended cannot report its counts: they are zero then.
         let _ = self.stop.send(reply);
         counts.await.unwrap_or_default()
     }
 }
 
-/// A cache server's connection: each request is answered at once.
+/// Serves a connection to a cache server; each request gets its response at once.
 async fn serve(stream: TcpStream) {
     let Ok(mut conn) = Conn::new(stream) else {
         return;
@@ -97,8 +107,9 @@
     while conn.request().await.is_ok() && conn.write(SERVED).await.is_ok() {}
 }
 
-/// A client of one node: one request at a time on one connection, due with exponential gaps.
-async fn ask(
+/// Runs a client of one node. It sends one request at a time on one connection, with exponentially
+/// distributed gaps between the due times.
+async fn run_client(
     client: usize,
     node: usize,
     rate: f64,
@@ -111,25 +122,25 @@
     for number in 0_u64.. {
         due += Duration::from_secs_f64(-(1.0 - random.random::<f64>()).ln() / rate);
         sleep_until(due).await;
-        let mut open = match conn.take() {
-            Some(open) => open,
+        let mut current = match conn.take() {
+            Some(current) => current,
             None => connect(node, &table).await,
         };
-        let key = random.random_range(0..KEYS);
-        let answered = timeout(REQUEST_DEADLINE, request(&mut open, client, number, key)).await;
-        let mut now = counts.get();
-        now.asked += 1;
-        match answered {
-            Ok(Ok((200, _))) => now.served += 1,
-            Ok(Ok(_)) => now.refused += 1,
-            Ok(Err(_)) | Err(_) => now.unanswered += 1,
+        let key = random.random_range(0..KEY_COUNT);
+        let result = timeout(REQUEST_DEADLINE, request(&mut current, client, number, key)).await;
+        let mut updated = counts.get();
+        updated.asked += 1;
+        match result {
+            Ok(Ok((200, _))) => updated.served += 1,
+            Ok(Ok(_)) => updated.refused += 1,
+            Ok(Err(_)) | Err(_) => updated.unanswered += 1,
         }
-        counts.set(now);
-        conn = matches!(answered, Ok(Ok((_, false)))).then_some(open);
+        counts.set(updated);
+        conn = matches!(result, Ok(Ok((_, false)))).then_some(current);
     }
 }
 
-/// A connection to a node, once there is one.
+/// Waits for a connection to the node and returns it.
 async fn connect(node: usize, table: &Table) -> Conn {
     loop {
         let address = table
@@ -145,14 +156,15 @@
     }
 }
 
-/// The answer's status, and whether the connection ends with it.
+/// Sends a request, and returns the status of the response and whether the connection closes
+/// after it.
 async fn request(conn: &mut Conn, client: usize, number: u64, key: u64) -> io::Result<(u16, bool)> {
-    let text = format!(
+    let message = format!(
         "GET /api/{key:016x} HTTP/1.1\r\nHost: lab\r\nReq-Id: scale-{client}-{number}\r\nReq-Kind: lookup\r\n\
          Req-Deadline-Ms: {}\r\n\r\n",
         REQUEST_DEADLINE.as_millis()
     );
-    conn.write(text.as_bytes()).await?;
-    let answer = conn.answer().await.map_err(io::Error::other)?;
-    Ok((answer.status, answer.close))
+    conn.write(message.as_bytes()).await?;
+    let response = conn.answer().await.map_err(io::Error::other)?;
+    Ok((response.status, response.close))
 }
