--- a/crates/cli/tests/scale/control_counts.rs
+++ b/crates/cli/tests/scale/control_counts.rs
@@ -1,4 +1,5 @@
-//! Counts of control traffic: as a report has them, and as they follow from the calls and answers of one caller.
+//! Counts of control traffic, either read from a report or computed from the expected calls of one
+//! caller.
 
 use serde_json::Value;
 use std::array;
@@ -20,25 +21,25 @@
 pub struct ControlCounts([u64; 8]);
 
 impl ControlCounts {
-    /// Reads them from an object of a report.
+    /// Reads the counts from an object of a report.
     pub fn read(counts: &Value) -> Self {
         Self(NAMES.map(|name| counts[name].as_u64().unwrap()))
     }
 
-    /// Reads those of a group of nodes, or of discovery, from a report.
+    /// Reads the counts of a group of nodes, or of discovery, from a report.
     pub fn of_group(report: &Value, group: &str) -> Self {
         Self::read(&report["counts"][group])
     }
 
-    /// Those of a caller that has called for snapshots, each followed by as many deltas of one entry and by a watch that waits at
-    /// the end.
+    /// Computes the counts of a caller that fetches this number of snapshots. Each snapshot is
+    /// followed by `deltas_after_each` deltas of one entry, and by a watch that is still waiting.
     pub fn of_caller(snapshots: u64, deltas_after_each: u64, servers: u64) -> Self {
         let watches = deltas_after_each + 1;
         let call_bytes =
             call_bytes("/v1/servers") + watches * call_bytes("/v1/servers?after=1&wait_ms=60000");
         let answer_bytes = answer_bytes(true, servers, "ready")
             + deltas_after_each * answer_bytes(false, 1, "draining");
-        let each = [
+        let counts_per_snapshot = [
             1,
             watches,
             call_bytes,
@@ -48,21 +49,21 @@
             servers + deltas_after_each,
             1,
         ];
-        Self(each.map(|count| snapshots * count))
+        Self(counts_per_snapshot.map(|count| snapshots * count))
     }
 
-    /// Those of so many callers that are alike.
+    /// Returns the counts of this number of identical callers.
     pub fn times(self, callers: u64) -> Self {
         Self(array::from_fn(|index| callers * self.0[index]))
     }
 }
 
-/// Length of a call, to an address with a port of five digits.
+/// Returns the length of a call to an address with a port of five digits.
 fn call_bytes(target: &str) -> u64 {
     format!("GET {target} HTTP/1.1\r\nhost: 127.0.0.1:40000\r\n\r\n").len() as u64
 }
 
-/// Length of an answer with so many entries, all of this health.
+/// Returns the length of an answer with this number of entries, all with the same health.
 fn answer_bytes(whole: bool, entries: u64, health: &str) -> u64 {
     let entry = format!(
         "{{\"host\":\"server-00000\",\"dial\":\"127.0.0.1:40000\",\"site\":\"zone-0\",\"class\":\"lab\",\"block\":0,\
--- a/crates/cli/tests/scale/exact_counts.rs
+++ b/crates/cli/tests/scale/exact_counts.rs
@@ -1,12 +1,12 @@
-//! Counts of step-wise runs, which are exact.
+//! Exact counts of step-wise runs.
 
 use crate::control_counts::ControlCounts;
 use crate::scale_run::{command, text, BackgroundRun, EndedRun, ReportFile};
 
-// Guards against nodes that call more often or for more than they need, against counts that vary from run to run, and against
-// processes that outlive the run.
+// Guards against nodes that make unnecessary calls or fetch unnecessary entries, against counts
+// that vary from run to run, and against processes that outlive the run.
 #[test]
-fn a_step_wise_run_has_exact_counts_and_ends_its_processes() {
+fn step_wise_run_has_exact_counts_and_ends_its_processes() {
     let file = ReportFile::new("exact");
     let arguments = [
         "--real=1",
@@ -25,7 +25,7 @@
         processes_left,
     } = BackgroundRun::start(&arguments, 3).wait();
     assert!(output.status.success(), "{}", text(&output.stderr));
-    assert_eq!(processes_left, 0, "its processes have ended");
+    assert_eq!(processes_left, 0, "processes of the run are still running");
     let report = file.read();
     assert_eq!(report["behind_at_end"], 0);
     assert_eq!(report["counts"]["list_changes"], 3);
@@ -40,12 +40,12 @@
     let stderr = text(&output.stderr);
     assert!(
         stderr.starts_with("estimated: 4 processes, "),
-        "the bounds are stated first: {stderr}"
+        "the estimate is not printed first: {stderr}"
     );
 }
 
-// Guards against relays that forward calls, call for more than one caller would, or change an answer; and against counts of one
-// tier that are added to another's.
+// Guards against relays that forward calls, fetch more than one caller would, or alter an answer,
+// and against counts of one tier that are added to another tier.
 #[test]
 fn each_relay_counts_as_one_caller_and_answers_as_discovery_does() {
     let file = ReportFile::new("relays");
@@ -57,7 +57,7 @@
         "--length=3",
         "--list-changes=1",
         "--relays=2,3",
-        // Its watches wait 60 s, so that none ends within the run.
+        // With this lease watches wait 60 s, so that no watch ends within the run.
         "--relay-lease-ms=180000",
         "--step-wise",
         "--seed=7",
@@ -69,7 +69,7 @@
         processes_left,
     } = BackgroundRun::start(&arguments, 7).wait();
     assert!(output.status.success(), "{}", text(&output.stderr));
-    assert_eq!(processes_left, 0, "its processes have ended");
+    assert_eq!(processes_left, 0, "processes of the run are still running");
     let report = file.read();
     assert_eq!(report["behind_at_end"], 0);
     let caller = ControlCounts::of_caller(1, 3, 20);
@@ -91,9 +91,9 @@
     );
 }
 
-// Guards against a new configuration that makes a node call for more than one snapshot.
+// Guards against a new configuration that makes a node fetch more than one snapshot.
 #[test]
-fn a_new_configuration_costs_each_node_one_snapshot() {
+fn new_configuration_makes_each_node_fetch_one_snapshot() {
     let file = ReportFile::new("configuration");
     let arguments = [
         "--real=1",
--- a/crates/cli/tests/scale/faults.rs
+++ b/crates/cli/tests/scale/faults.rs
@@ -1,9 +1,9 @@
-//! Faults during a run, and that all nodes recover from them.
+//! Faults during a run, and the recovery of all nodes.
 
 use crate::scale_run::{command, text, ReportFile};
 use serde_json::Value;
 
-/// The report of a short run with a fault of this kind, which lasts so many seconds.
+/// Returns the report of a short run with a fault of this kind and duration.
 fn report_with_fault(kind: &str, duration_s: &str) -> Value {
     let file = ReportFile::new(kind);
     let arguments = [
@@ -29,7 +29,7 @@
     report
 }
 
-/// Whether all nodes got the change that ends the fault.
+/// Checks whether all nodes received the list change at the end of the fault.
 fn has_recovered(report: &Value) -> bool {
     report["trouble"]["recovered_ms"]
         .as_f64()
@@ -51,7 +51,7 @@
         "--trouble-at=0.5",
         "--trouble-for=2.5",
         "--relays=2,3",
-        // Shorter than discovery is down.
+        // Shorter than the time for which discovery is down, so that leases expire.
         "--relay-lease-ms=600",
         "--json",
         file.path(),
@@ -65,7 +65,7 @@
     );
     assert!(
         report["relays"][1]["callers"]["refused"].as_u64() > Some(0),
-        "leases expired: {report}"
+        "no lease expired: {report}"
     );
 }
 
@@ -74,7 +74,7 @@
 fn all_nodes_are_up_to_date_after_discovery_was_down() {
     let report = report_with_fault("discovery-down", "1.5");
     assert!(has_recovered(&report), "{report}");
-    // Each node's watch at least.
+    // At least the watch of each of the 11 nodes.
     assert!(
         report["trouble"]["counts"]["resets"].as_u64() >= Some(11),
         "{report}"
@@ -85,21 +85,21 @@
     );
 }
 
-// Guards against nodes that keep the endpoint list of before the partition.
+// Guards against nodes that keep an outdated endpoint list after a partition.
 #[test]
 fn all_nodes_are_up_to_date_after_a_network_partition() {
     let report = report_with_fault("split", "1.5");
     assert!(has_recovered(&report), "{report}");
-    // The watches of nodes 1, 3, 5, 7 and 9, which are reset.
+    // At least the watches of the partitioned nodes 1, 3, 5, 7 and 9.
     assert!(
         report["trouble"]["counts"]["resets"].as_u64() >= Some(5),
         "{report}"
     );
 }
 
-// Guards against a lost zone that only some nodes are notified of, and against one whose return is missed.
+// Guards against nodes that are not notified of the loss or of the return of a zone.
 #[test]
-fn all_nodes_are_notified_that_a_zone_is_lost_and_back() {
+fn all_nodes_are_notified_of_the_loss_and_return_of_a_zone() {
     let report = report_with_fault("zone-lost", "1");
     assert!(has_recovered(&report), "{report}");
     assert!(
@@ -110,17 +110,17 @@
     );
     assert_eq!(
         report["counts"]["list_changes"], 5,
-        "three planned, lost, back"
+        "three planned changes, the loss and the return of the zone"
     );
 }
 
-// Guards against restarted nodes that come back without an endpoint list.
+// Guards against nodes that have no endpoint list after a restart.
 #[test]
-fn a_restarted_tenth_of_the_nodes_gets_a_snapshot_again() {
+fn restarted_tenth_of_the_nodes_fetches_a_snapshot_again() {
     let report = report_with_fault("restart-tenth", "0");
     let restarted = &report["trouble"]["restarted"];
     let count = |kind: &str| restarted[kind]["count"].as_u64().unwrap();
-    // Of 11 nodes a tenth, rounded up.
+    // A tenth of 11 nodes, rounded up.
     assert_eq!(count("real") + count("simulated"), 2, "{report}");
     assert_eq!(report["trouble"]["counts"]["whole_answers"], 2, "{report}");
 }
--- a/crates/cli/tests/scale/main.rs
+++ b/crates/cli/tests/scale/main.rs
@@ -1,5 +1,5 @@
-//! The scale run through its command, `slatelink lab scale`: exact counts of small runs, faults, rejected arguments, and that no
-//! process outlives a run.
+//! Tests of the command `slatelink lab scale`: exact counts of small runs, faults, rejected
+//! arguments, and the end of all processes of a run.
 
 mod arguments;
 mod control_counts;
--- a/crates/cli/tests/scale/processes.rs
+++ b/crates/cli/tests/scale/processes.rs
@@ -1,14 +1,14 @@
-//! That no process of a run outlives it when it is interrupted or killed.
+//! End of all processes of a run that is interrupted or killed.
 
 use crate::scale_run::{text, wait_for, BackgroundRun, EndedRun};
 use rustix::process::Signal;
 
-/// Exit code of a run that did not come to its end.
+/// Exit code of an interrupted run.
 const EXIT_INTERRUPTED: Option<i32> = Some(1);
 
 // Guards against processes that outlive an interrupted run.
 #[test]
-fn an_interrupted_run_ends_all_processes_that_it_started() {
+fn interrupted_run_ends_all_processes_that_it_started() {
     let with_nodes = ["--real=2", "--simulated=6", "--workers=2", "--length=600"];
     let with_relays = [
         "--real=0",
@@ -35,11 +35,11 @@
             "{}",
             text(&output.stderr)
         );
-        assert_eq!(processes_left, 0, "its processes have ended");
+        assert_eq!(processes_left, 0, "processes of the run are still running");
     }
 }
 
-// Guards against workers that outlive a run that is killed, which can end nothing itself.
+// Guards against workers that outlive a killed run, which cannot end its processes itself.
 #[test]
 fn workers_end_when_the_run_is_killed() {
     let mut run = BackgroundRun::start(
--- a/crates/cli/tests/scale/requests.rs
+++ b/crates/cli/tests/scale/requests.rs
@@ -1,9 +1,9 @@
-//! Clients' requests during a run.
+//! Requests of clients during a run.
 
 use crate::scale_run::{command, text, ReportFile};
 use serde_json::Value;
 
-// Guards against simulated nodes that only open sockets: their policies decide on the requests that are drawn.
+// Guards against simulated nodes that only open sockets: their policies must decide on requests.
 #[test]
 fn requests_reach_the_policies_of_simulated_nodes_and_the_real_nodes() {
     let file = ReportFile::new("requests");
@@ -26,12 +26,12 @@
     assert_eq!(
         rate("sent_per_s"),
         rate("requests_per_s"),
-        "all servers are ready: none is shed"
+        "a request was shed, although all servers are ready"
     );
     assert!(report["clients"]["served"].as_u64() > Some(0), "{report}");
     assert_eq!(
         report["real_node"]["control_processor_us_per_s"],
         Value::Null,
-        "control and requests cannot be told apart"
+        "the processor time of control cannot be separated from the time for requests"
     );
 }
--- a/crates/cli/tests/scale/scale_run.rs
+++ b/crates/cli/tests/scale/scale_run.rs
@@ -1,4 +1,4 @@
-//! The scale run's command, its report and the processes that it starts.
+//! Helpers for the scale command, the report of a run and the processes that a run starts.
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
@@ -9,47 +9,50 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Far longer than anything that is waited for here takes.
+/// Time limit of each wait, far longer than any wait normally takes.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The command of a scale run with these arguments.
+/// Returns the command of a scale run with these arguments.
 pub fn command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_slatelink"));
     command.args(["lab", "scale"]).args(arguments);
     command
 }
 
-/// What a process wrote, as text.
+/// Converts the output of a process to text.
 pub fn text(bytes: &[u8]) -> String {
     String::from_utf8(bytes.to_vec()).unwrap()
 }
 
-/// Waits until a condition holds.
-pub fn wait_for(what: &str, holds: impl Fn() -> bool) {
+/// Waits until a condition holds, and panics after [`WAIT_TIMEOUT`].
+pub fn wait_for(description: &str, condition: impl Fn() -> bool) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < deadline, "{what} does not come");
+    while !condition() {
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting for {description}"
+        );
         sleep(POLL_INTERVAL);
     }
 }
 
-/// The file of a run's report; it is removed when dropped.
+/// File for the report of a run, which is removed on drop.
 pub struct ReportFile(PathBuf);
 
 impl ReportFile {
-    /// A path of its own for a test; the run makes the file.
+    /// Chooses a path unique to the test. The run creates the file.
     pub fn new(name: &str) -> Self {
         let name = format!("slatelink-test-{}-{name}.json", std::process::id());
         Self(std::env::temp_dir().join(name))
     }
 
-    /// Its path, as an argument.
+    /// Returns the path as a command argument.
     pub fn path(&self) -> &str {
         self.0.to_str().unwrap()
     }
 
-    /// The report that a run has written.
+    /// Reads the report that a run has written.
     pub fn read(&self) -> Value {
         serde_json::from_slice(&fs::read(&self.0).unwrap()).unwrap()
     }
@@ -61,22 +64,22 @@
     }
 }
 
-/// What is known once a run has ended.
+/// Result of a run that has ended.
 pub struct EndedRun {
-    /// Its exit status and what it printed.
+    /// Exit status and output of the run.
     pub output: Output,
-    /// How many of the processes that it started were still running.
+    /// Number of processes started by the run that were still running.
     pub processes_left: usize,
 }
 
-/// A run in the background, and the processes that it has started.
+/// A run in the background, with the processes that it has started.
 pub struct BackgroundRun {
     pub child: Child,
     started: BTreeSet<u32>,
 }
 
 impl BackgroundRun {
-    /// Starts a run and waits until this number of processes is up.
+    /// Starts a run and waits until it has started this number of processes.
     pub fn start(arguments: &[&str], processes: usize) -> Self {
         let child = command(arguments)
             .stdout(Stdio::piped())
@@ -90,28 +93,28 @@
         Self { child, started }
     }
 
-    /// Sends the run itself a signal.
+    /// Sends a signal to the run's own process.
     pub fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Waits for its end and looks at once whether the processes that it started run on.
+    /// Waits until the run exits, and immediately counts its processes that are still running.
     pub fn wait(self) -> EndedRun {
         let output = self.child.wait_with_output().unwrap();
-        let left = self.started.into_iter().filter(|pid| is_running(*pid));
+        let running = self.started.into_iter().filter(|pid| is_running(*pid));
         EndedRun {
             output,
-            processes_left: left.count(),
+            processes_left: running.count(),
         }
     }
 
-    /// Whether any of the processes that it started is running.
+    /// Checks whether any process that the run started is still running.
     pub fn has_running_processes(&self) -> bool {
         self.started.iter().any(|pid| is_running(*pid))
     }
 }
 
-/// Processes that this one has started, and that run or wait for their parent to reap them.
+/// Returns the child processes of a process, including children not reaped yet.
 fn children(parent: u32) -> BTreeSet<u32> {
     let processes = fs::read_dir("/proc").unwrap();
     let pids = processes.filter_map(|entry| entry.ok()?.file_name().to_str()?.parse().ok());
@@ -120,11 +123,12 @@
 
 fn parent_of(pid: u32) -> Option<u32> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-    // After the name, which may hold anything: state, parent.
+    // The process name may contain any character. The state and the parent follow after it.
     stat.rsplit_once(") ")?.1.split(' ').nth(1)?.parse().ok()
 }
 
-/// Whether a process runs this command's binary: a process id may be used again by another program.
+/// Checks whether a process runs the tested binary. The binary is compared because another program
+/// may have reused the process id.
 fn is_running(pid: u32) -> bool {
     let binary = fs::read_link(format!("/proc/{pid}/exe"));
     binary.is_ok_and(|binary| binary == Path::new(env!("CARGO_BIN_EXE_slatelink")))
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -3,8 +3,8 @@
 //!
 //! A simulated node consists of the discovery client and the decision module of a real node,
 //! without a listener, connections to cache servers, or clients. Many simulated nodes share a
-//! process. Messages and bytes are counted by the simulated discovery; in a step-wise run the counts
-//! are the same for the same seed. Times and memory are measured and depend on the machine.
+//! process. Messages and bytes are counted by the simulated discovery; in a step-wise run the same
+//! seed gives the same counts. Times and memory are measured and depend on the machine.
 
 pub mod assignment;
 pub mod bounds;
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -151,14 +151,14 @@
     pub async fn end(self) -> TrafficCounts {
         let clients = self.traffic.stop().await;
         // Concurrently, because each process may take some time to exit.
-        let mut ending = JoinSet::new();
+        let mut end_tasks = JoinSet::new();
         for node in self.real {
-            ending.spawn_local(node.end());
+            end_tasks.spawn_local(node.end());
         }
         for worker in self.workers {
-            ending.spawn_local(worker.end());
+            end_tasks.spawn_local(worker.end());
         }
-        while ending.join_next().await.is_some() {}
+        while end_tasks.join_next().await.is_some() {}
         self.relays.end().await;
         clients
     }
@@ -260,13 +260,13 @@
     configuration: &Path,
 ) -> Setup {
     let node = |number| {
-        let discovery = assignment.of_simulated(worker, number, addresses);
+        let discovery_pair = assignment.of_simulated(worker, number, addresses);
         // Both addresses are the same relay: a new configuration makes the node call it anew.
         NodeSetup {
             number,
             discovery: relays
                 .address_for(number)
-                .map_or(discovery, |relay| [relay; 2]),
+                .map_or(discovery_pair, |relay| [relay; 2]),
         }
     };
     Setup {
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -287,11 +287,11 @@
     /// Ends all relays, the tier next to the nodes first.
     pub async fn end(self) {
         for tier in self.tiers.into_iter().rev() {
-            let mut tasks = JoinSet::new();
+            let mut end_tasks = JoinSet::new();
             for relay in tier {
-                tasks.spawn_local(relay.end());
+                end_tasks.spawn_local(relay.end());
             }
-            while tasks.join_next().await.is_some() {}
+            while end_tasks.join_next().await.is_some() {}
         }
     }
 }
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a scale run measured. It is written as JSON by its derived `Serialize`, and as a table by its `Display`.
+//! Report of a scale run: the derived `Serialize` writes it as JSON, and `Display` as a table.
 
 mod text;
 
@@ -9,179 +9,191 @@
 use crate::scale::traffic::TrafficCounts;
 use serde::Serialize;
 
-/// A whole run.
+/// Results of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// What was asked for.
+    /// Options of the run.
     pub options: Options,
-    /// What it was estimated to take.
+    /// Resources that the run was estimated to need.
     pub estimate: Estimate,
-    /// What this machine allows.
+    /// Limits of the machine.
     pub limits: Limits,
-    /// Seconds that were measured: from the fleet's first being up to date to the end.
+    /// Duration of the measurement in seconds, from the time at which the whole fleet was first up
+    /// to date.
     pub measured_s: f64,
-    /// Nodes that did not have the newest list and configuration at the end.
+    /// Nodes without the newest server list and configuration in force at the end.
     pub behind_at_end: usize,
-    /// Messages and bytes; the same for a seed in a step-wise run in which no watch is renewed.
+    /// Counts of messages and bytes. In a step-wise run without watch renewals, the same seed gives
+    /// the same counts.
     pub counts: Counts,
-    /// Discovery's stand-in, and what nodes need of it.
+    /// Simulated discovery, and the load that nodes put on it.
     pub discovery: Discovery,
-    /// A real node, on average.
+    /// Averages over the real nodes.
     pub real_node: Option<Node>,
-    /// A simulated node, on average.
+    /// Averages over the simulated nodes.
     pub simulated_node: Option<Node>,
-    /// The relays between, by tier from discovery on.
+    /// Relays by tier, the tier next to discovery first.
     pub relays: Vec<RelayTier>,
-    /// Resident memory of a worker without nodes, in KiB.
+    /// Resident memory of a worker before it has nodes, in KiB, averaged over the workers.
     pub empty_worker_kib: u64,
-    /// From a planned change of the list until nodes have it in force.
+    /// Times from a planned change of the server list until nodes have the change in force.
     pub list_change: ChangeTimes,
-    /// From a planned configuration until nodes have a list by it in force.
+    /// Times from a planned configuration until nodes have a server list under that configuration
+    /// in force.
     pub configuration: ChangeTimes,
-    /// From the start of the whole fleet to a node's first list in force.
+    /// Times from the start of the whole fleet until nodes have their first server list in force.
     pub start: StartTimes,
-    /// The fault, if one was played.
+    /// Effects of the fault, if one was injected.
     #[serde(rename = "trouble")]
     pub fault: Option<Fault>,
-    /// What clients of real nodes saw.
+    /// Requests of the clients of real nodes, by result.
     pub clients: TrafficCounts,
 }
 
-/// Messages and bytes.
+/// Counts of messages and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Changes of the list that were made, those of a fault with them.
+    /// Changes of the server list, including the changes of a fault.
     pub list_changes: u64,
-    /// Configurations that were given out.
+    /// New configurations applied to the fleet.
     pub configurations: u64,
-    /// With real nodes, from the first start on.
+    /// Control traffic with real nodes, from the first start to the end.
     pub real: ControlCounts,
-    /// With simulated nodes, from the first start on; with relays it is these that they call.
+    /// Control traffic with simulated nodes, from the first start to the end: at the relays of the
+    /// last tier, or at discovery in a run without relays.
     pub simulated: ControlCounts,
-    /// At discovery, with all that call there, from the first start on.
+    /// Control traffic of discovery with all its callers, from the first start to the end.
     pub discovery: ControlCounts,
-    /// With real nodes, while it was measured.
+    /// Control traffic with real nodes during the measurement.
     pub real_measured: ControlCounts,
-    /// With simulated nodes, while it was measured.
+    /// Control traffic with simulated nodes during the measurement.
     pub simulated_measured: ControlCounts,
-    /// At discovery, while it was measured.
+    /// Control traffic of discovery during the measurement.
     pub discovery_measured: ControlCounts,
 }
 
-/// The relays of one tier. Figures of one relay are means.
+/// Relays of one tier. Values for one relay are averages over the tier.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct RelayTier {
-    /// So many.
+    /// Number of relays in the tier.
     pub relays: usize,
-    /// Control of one relay with its callers.
+    /// Control traffic of one relay with its callers.
     pub traffic: Traffic,
-    /// With callers of all of them, from the first start on.
+    /// Control traffic of all relays of the tier with their callers, from the first start to the
+    /// end.
     pub callers: ControlCounts,
-    /// The same, while it was measured.
+    /// Control traffic of all relays of the tier with their callers, during the measurement.
     pub callers_measured: ControlCounts,
-    /// Calls of all of them that upstream did not answer with a list, from the first start on.
+    /// Calls of all relays of the tier to which upstream did not respond with a server list, from
+    /// the first start to the end.
     pub upstream_failed: u64,
-    /// Processor time of one, in microseconds for each second; ten questions for its state a second are in it.
+    /// Processor time of one relay, in microseconds per second, including the processing of the
+    /// run's ten status requests per second.
     pub processor_us_per_s: f64,
-    /// Resident memory of one at the end, in KiB.
+    /// Resident memory of one relay at the end, in KiB.
     pub resident_kib: f64,
-    /// Connections of callers with one at the end.
+    /// Connections of callers to one relay at the end.
     pub connections: f64,
 }
 
-/// Discovery.
+/// Load and resource usage of the simulated discovery.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Discovery {
-    /// Control with all nodes.
+    /// Control traffic with all callers.
     pub traffic: Traffic,
-    /// Processor time of its thread, in microseconds for each second.
+    /// Processor time of the discovery thread, in microseconds per second.
     pub processor_us_per_s: f64,
-    /// Share of the time that its turns took, by the stated costs.
+    /// Share of the time in which discovery was busy with calls, at the configured costs.
     pub busy_share: f64,
-    /// Resident memory of the run's own process, which holds it, in KiB.
+    /// Resident memory of the run's own process, which contains discovery, in KiB.
     pub resident_kib: u64,
-    /// Connections that were open at the end.
+    /// Open connections at the end.
     pub connections: usize,
-    /// The most that ever were.
+    /// Largest number of simultaneously open connections.
     pub most_connections: usize,
 }
 
-/// Control a second.
+/// Control traffic per second.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Traffic {
-    /// Messages to discovery.
+    /// Calls per second.
     pub calls_per_s: f64,
-    /// Their bytes.
+    /// Bytes of the calls per second.
     pub call_bytes_per_s: f64,
-    /// Messages from discovery.
+    /// Responses per second.
     pub answers_per_s: f64,
-    /// Their bytes.
+    /// Bytes of the responses per second.
     pub answer_bytes_per_s: f64,
 }
 
 impl Traffic {
-    /// Of each of so many nodes.
+    /// Returns the mean control traffic of one node, from the counts of `nodes` nodes over
+    /// `seconds` seconds.
     pub fn of(counts: &ControlCounts, seconds: f64, nodes: usize) -> Self {
-        let each = |count: u64| count as f64 / seconds / nodes.max(1) as f64;
+        let per_node_and_second = |count: u64| count as f64 / seconds / nodes.max(1) as f64;
         Self {
-            calls_per_s: each(counts.calls()),
-            call_bytes_per_s: each(counts.call_bytes),
-            answers_per_s: each(counts.answers()),
-            answer_bytes_per_s: each(counts.answer_bytes),
+            calls_per_s: per_node_and_second(counts.calls()),
+            call_bytes_per_s: per_node_and_second(counts.call_bytes),
+            answers_per_s: per_node_and_second(counts.answers()),
+            answer_bytes_per_s: per_node_and_second(counts.answer_bytes),
         }
     }
 }
 
-/// A node, on average over its kind.
+/// Averages over the nodes of one kind.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Node {
-    /// Control with discovery.
+    /// Control traffic of the node.
     pub traffic: Traffic,
-    /// Processor time, in microseconds for each second.
+    /// Processor time, in microseconds per second.
     pub processor_us_per_s: f64,
-    /// Of that, what is not for requests; unknown for a real node that has requests.
+    /// Processor time without the time for requests, in microseconds per second. It is unknown for
+    /// a real node that has requests.
     pub control_processor_us_per_s: Option<f64>,
-    /// Resident memory at the end, in KiB: of a simulated node its part of what its worker grew by with its nodes.
+    /// Resident memory at the end, in KiB. For a simulated node, its share of the growth of the
+    /// workers' memory since the workers had no nodes.
     pub resident_kib: f64,
-    /// Open sockets at the end, of a real node with its listener.
+    /// Open sockets at the end, including the listener of a real node.
     pub connections: f64,
-    /// Requests that its decision module handled, a second; a simulated node's.
+    /// Requests per second that the decision module handled. Measured for simulated nodes only.
     pub requests_per_s: Option<f64>,
-    /// Of those, the ones that it chose a server for; the others it refused.
+    /// Handled requests per second for which the module selected a server. It rejected the others.
     pub sent_per_s: Option<f64>,
 }
 
-/// Times of changes.
+/// Times until changes are in force.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ChangeTimes {
-    /// To the last node.
+    /// Times until the last node has a change in force.
     pub to_last_node: TimeSummary,
-    /// To each node.
+    /// Times until each node has a change in force.
     pub to_each_node: TimeSummary,
 }
 
-/// Times of starts; the worst is the whole group's.
+/// Times of node starts. The worst time is the time of the whole group.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct StartTimes {
-    /// Real nodes, from the start of their process.
+    /// Times of the real nodes, from the start of their process.
     pub real: TimeSummary,
-    /// Simulated nodes.
+    /// Times of the simulated nodes.
     pub simulated: TimeSummary,
 }
 
-/// How a fault went.
+/// Effects of a fault.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Fault {
-    /// What was played.
+    /// Kind of fault.
     pub kind: FaultKind,
-    /// From its begin until the last node had the change that it is; only a lost zone is one.
+    /// Time from the start of the fault until the last node had the resulting list change in force.
+    /// Only the loss of a zone starts with a list change.
     pub to_last_node_ms: Option<f64>,
-    /// From its end until the last node had the list as it was then.
+    /// Time from the end of the fault until the last node had the list change made at that time in
+    /// force.
     pub recovered_ms: Option<f64>,
-    /// Starts of the restarted nodes.
+    /// Start times of the restarted nodes.
     pub restarted: Option<StartTimes>,
-    /// Messages of the whole fleet's control from its begin on.
+    /// Control traffic of discovery from the start of the fault to the end of the run.
     pub counts: ControlCounts,
-    /// Calls of simulated nodes that failed, in the whole run.
+    /// Failed calls of simulated nodes during the measurement.
     pub failed_calls: u64,
 }
--- a/crates/lab/src/scale/report/text.rs
+++ b/crates/lab/src/scale/report/text.rs
@@ -1,4 +1,4 @@
-//! A scale run's report as tables for a terminal.
+//! Formats the report of a scale run as tables for a terminal.
 
 use super::{Node, RelayTier, Report, Traffic};
 use crate::scale::convergence::TimeSummary;
@@ -29,14 +29,14 @@
                 tiers.join(", ")
             )?;
         }
-        self.per_member(f)?;
+        self.members(f)?;
         self.times(f)?;
         self.totals(f)
     }
 }
 
 impl Report {
-    fn per_member(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn members(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             f,
             "\n{:<16} {:>9} {:>11} {:>9} {:>11} {:>12} {:>13} {:>12} {:>8}",
@@ -63,8 +63,8 @@
         let discovery = &self.discovery;
         writeln!(
             f,
-            "discovery's turns took {:.2} % of the time by the stated costs; {} connections at the most; \
-             a worker without nodes takes {} KiB",
+            "discovery was busy for {:.2} % of the time at the configured costs; at most {} connections; \
+             a worker without nodes uses {} KiB",
             discovery.busy_share * 100.0,
             discovery.most_connections,
             self.empty_worker_kib
@@ -97,8 +97,8 @@
             "configuration, to each node",
             &self.configuration.to_each_node,
         )?;
-        time_line(f, "fleet's start, simulated nodes", &self.start.simulated)?;
-        time_line(f, "fleet's start, real nodes", &self.start.real)?;
+        time_line(f, "fleet start, simulated nodes", &self.start.simulated)?;
+        time_line(f, "fleet start, real nodes", &self.start.real)?;
         let Some(fault) = &self.fault else {
             return Ok(());
         };
@@ -106,12 +106,8 @@
             time_line(f, "restart, simulated nodes", &restarted.simulated)?;
             time_line(f, "restart, real nodes", &restarted.real)?;
         }
-        single_time_line(
-            f,
-            "trouble's begin, to the last node",
-            fault.to_last_node_ms,
-        )?;
-        single_time_line(f, "trouble's end, to the last node", fault.recovered_ms)
+        single_time_line(f, "fault start, to the last node", fault.to_last_node_ms)?;
+        single_time_line(f, "fault end, to the last node", fault.recovered_ms)
     }
 
     fn discovery_line(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -151,7 +147,7 @@
         Ok(())
     }
 
-    /// Requests, where there were any.
+    /// Writes the request counts, if there were requests.
     fn requests(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if let Some(Node {
             requests_per_s: Some(handled),
@@ -162,7 +158,7 @@
             if handled > 0.0 {
                 writeln!(
                     f,
-                    "a simulated node handled {handled:.1} requests/s, and chose a server for {sent:.1}"
+                    "a simulated node handled {handled:.1} requests/s and selected a server for {sent:.1}"
                 )?;
             }
         }
@@ -175,14 +171,14 @@
             } = self.clients;
             writeln!(
                 f,
-                "clients of real nodes asked {asked}: {served} served, {refused} refused, {unanswered} unanswered"
+                "clients of real nodes sent {asked} requests: {served} served, {refused} refused, {unanswered} unanswered"
             )?;
         }
         Ok(())
     }
 }
 
-/// A node's line of the table of members.
+/// Writes the line of a node kind in the table of members.
 fn node_line(f: &mut fmt::Formatter<'_>, name: &str, node: &Node) -> fmt::Result {
     traffic_columns(f, name, &node.traffic)?;
     let control = node.control_processor_us_per_s;
@@ -195,7 +191,7 @@
     )
 }
 
-/// The line of the relays of a tier, counted from 0.
+/// Writes the line of a tier of relays in the table of members. `tier` counts from 0.
 fn relay_line(f: &mut fmt::Formatter<'_>, tier: usize, relay: &RelayTier) -> fmt::Result {
     traffic_columns(f, &format!("a relay, tier {}", tier + 1), &relay.traffic)?;
     let (processor, memory) = (relay.processor_us_per_s, relay.resident_kib);
@@ -206,12 +202,12 @@
     )
 }
 
-/// A line of messages and bytes.
+/// Writes a line of message and byte counts.
 fn counts_line(f: &mut fmt::Formatter<'_>, name: &str, counts: &ControlCounts) -> fmt::Result {
     writeln!(
         f,
-        "{name:<10} {} calls ({} for whole lists), {} bytes; {} answers ({} whole, {} of changes, {} empty, \
-         {} refused), {} bytes, {} entries; {} connections, {} reset",
+        "{name:<10} {} calls ({} for snapshots), {} bytes; {} responses ({} snapshots, {} deltas, {} empty, \
+         {} rejected), {} bytes, {} entries; {} connections, {} reset",
         counts.calls(),
         counts.whole_calls,
         counts.call_bytes,
@@ -227,7 +223,7 @@
     )
 }
 
-/// The line of a time that was measured once, where it was.
+/// Writes the line of a single time, if it was measured.
 fn single_time_line(f: &mut fmt::Formatter<'_>, name: &str, time: Option<f64>) -> fmt::Result {
     match time {
         Some(time) => writeln!(f, "{name:<44} {:>7} {:>10} {:>10} {time:>10.1}", 1, "", ""),
@@ -235,7 +231,7 @@
     }
 }
 
-/// The columns of a line that all members have.
+/// Writes the columns that all members have in common.
 fn traffic_columns(f: &mut fmt::Formatter<'_>, name: &str, traffic: &Traffic) -> fmt::Result {
     let Traffic {
         calls_per_s,
@@ -249,7 +245,7 @@
     )
 }
 
-/// A line of times; none where nothing was measured.
+/// Writes a line of times, if any were measured.
 fn time_line(f: &mut fmt::Formatter<'_>, name: &str, times: &TimeSummary) -> fmt::Result {
     let TimeSummary {
         count,
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,4 +1,5 @@
-//! A simulated node against the scale run's stand-in for discovery: it is the real client and the real decision module.
+//! Tests of a simulated node, with the real discovery client and decision module, against the
+//! simulated discovery of the scale run.
 
 use slatelink_config::operators;
 use slatelink_lab::list_protocol::Availability;
@@ -18,19 +19,19 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout};
 
-const PATIENCE: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(5);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a control plane told.
+/// Records the events of a simulated node.
 #[derive(Default)]
-struct Seen {
+struct SeenEvents {
     lists: RefCell<Vec<(u64, bool)>>,
     failed: Cell<usize>,
     handled: Cell<usize>,
     sent: Cell<usize>,
 }
 
-impl ControlObserver for Seen {
+impl ControlObserver for SeenEvents {
     fn endpoint_list_applied(&self, version: u64, complete: bool) {
         self.lists.borrow_mut().push((version, complete));
     }
@@ -45,16 +46,16 @@
     }
 }
 
-impl Seen {
-    async fn until(&self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let waits = async {
-            while !holds(self) {
-                sleep(POLL).await;
+impl SeenEvents {
+    async fn wait_until(&self, description: &str, condition: impl Fn(&Self) -> bool) {
+        let polling = async {
+            while !condition(self) {
+                sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(PATIENCE, waits)
+        timeout(WAIT_TIMEOUT, polling)
             .await
-            .unwrap_or_else(|_| panic!("{what} does not come"));
+            .unwrap_or_else(|_| panic!("timed out waiting for {description}"));
     }
 }
 
@@ -62,7 +63,7 @@
     discovery: SocketAddr,
     telemetry: &Telemetry,
 ) -> (ControlOptions, watch::Sender<SocketAddr>) {
-    let (moves, address) = watch::channel(discovery);
+    let (address_sender, address) = watch::channel(discovery);
     let settings = Settings {
         polls_discovery: true,
         classes: vec![Class::default()],
@@ -76,10 +77,10 @@
         processor_clock: Duration::default,
         log: telemetry.log.clone(),
     };
-    (options, moves)
+    (options, address_sender)
 }
 
-fn change(availability: Availability) -> Vec<EndpointChange> {
+fn availability_change(availability: Availability) -> Vec<EndpointChange> {
     vec![EndpointChange {
         server: 0,
         availability,
@@ -87,23 +88,23 @@
     }]
 }
 
-/// Runs on one thread, as a node does.
-fn on_one_thread(test: impl std::future::Future<Output = ()>) {
-    let one = runtime::Builder::new_current_thread()
+/// Runs a test on one thread, as a node runs.
+fn run_on_one_thread(test: impl std::future::Future<Output = ()>) {
+    let local_runtime = runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .unwrap();
-    LocalSet::new().block_on(&one, test);
+    LocalSet::new().block_on(&local_runtime, test);
 }
 
-// Guards against a simulated node that only asks for lists: what its module does with requests follows the list, also over
-// a time without discovery.
+// Guards against a simulated node that only fetches the server list: its decision module must
+// handle requests according to the list in force, also after discovery was down.
 #[test]
-fn a_simulated_node_decides_by_the_list_that_it_has_in_force() {
-    on_one_thread(async {
+fn simulated_node_decides_by_the_server_list_in_force() {
+    run_on_one_thread(async {
         let telemetry =
             Telemetry::start(&operators::Settings::default(), &[], LogFormat::Text).unwrap();
-        let size = Options {
+        let scale_options = Options {
             servers: 1,
             zones: 1,
             ..Options::default()
@@ -113,48 +114,51 @@
             address: 0,
             beyond_partition: false,
         }];
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-        let service = Service::start(&size, nowhere, peers, unbounded_channel().0)
+        let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
+        let service = Service::start(&scale_options, unused_address, peers, unbounded_channel().0)
             .await
             .unwrap();
-        let seen = Rc::new(Seen::default());
-        let (options, _moves) = options(service.addresses[0], &telemetry);
+        let seen = Rc::new(SeenEvents::default());
+        let (options, _address_sender) = options(service.addresses[0], &telemetry);
         let node = spawn_local(run(options, seen.clone()));
 
-        seen.until("a request that is sent", |seen| seen.sent.get() > 0)
+        seen.wait_until("a sent request", |seen| seen.sent.get() > 0)
             .await;
         assert_eq!(
             *seen.lists.borrow(),
             [(1, true)],
-            "a new node asks for the whole list, once"
+            "a new node requests one snapshot"
         );
 
         service
-            .change(change(Availability::Draining))
+            .change(availability_change(Availability::Draining))
             .await
             .unwrap();
-        seen.until("the change", |seen| {
+        seen.wait_until("the list change", |seen| {
             seen.lists.borrow().last() == Some(&(2, false))
         })
         .await;
         let (sent, handled) = (seen.sent.get(), seen.handled.get());
-        seen.until("more requests", |seen| seen.handled.get() > handled + 20)
-            .await;
-        assert_eq!(seen.sent.get(), sent, "no server takes work");
+        seen.wait_until("more handled requests", |seen| {
+            seen.handled.get() > handled + 20
+        })
+        .await;
+        assert_eq!(seen.sent.get(), sent, "a request was sent");
 
         service.set_down(true).unwrap();
-        seen.until("a call that fails", |seen| seen.failed.get() > 1)
+        seen.wait_until("a failed call", |seen| seen.failed.get() > 1)
             .await;
-        service.change(change(Availability::Ready)).await.unwrap();
+        service
+            .change(availability_change(Availability::Ready))
+            .await
+            .unwrap();
         service.set_down(false).unwrap();
-        seen.until("the change of that time", |seen| {
+        seen.wait_until("the change made while discovery was down", |seen| {
             seen.lists.borrow().last() == Some(&(3, false))
         })
         .await;
-        seen.until("a request that is sent again", |seen| {
-            seen.sent.get() > sent
-        })
-        .await;
+        seen.wait_until("another sent request", |seen| seen.sent.get() > sent)
+            .await;
 
         node.abort();
         let figures = service.figures().await.unwrap();
@@ -162,17 +166,18 @@
             figures.simulated.resets > 0 && figures.simulated.whole_answers == 1,
             "{figures:?}"
         );
-        assert_eq!(figures.real, Default::default(), "no real node has called");
+        assert_eq!(figures.real, Default::default(), "a real node called");
     });
 }
 
-// Guards against a node that is cut off for good, and against one that hears something while it is.
+// Guards against a partitioned node that never recovers, and against one that receives list changes
+// during the partition.
 #[test]
-fn a_split_holds_back_the_far_side_until_it_is_over() {
-    on_one_thread(async {
+fn partitioned_node_gets_list_changes_only_after_the_partition() {
+    run_on_one_thread(async {
         let telemetry =
             Telemetry::start(&operators::Settings::default(), &[], LogFormat::Text).unwrap();
-        let size = Options {
+        let scale_options = Options {
             servers: 1,
             zones: 1,
             ..Options::default()
@@ -184,35 +189,42 @@
                 beyond_partition,
             })
             .to_vec();
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-        let service = Service::start(&size, nowhere, peers, unbounded_channel().0)
+        let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
+        let service = Service::start(&scale_options, unused_address, peers, unbounded_channel().0)
             .await
             .unwrap();
-        let (near, beyond_partition) = (Rc::new(Seen::default()), Rc::new(Seen::default()));
-        let mut moves = Vec::new();
-        for (place, seen) in [&near, &beyond_partition].into_iter().enumerate() {
-            let (options, moved) = options(service.addresses[place], &telemetry);
-            moves.push(moved);
+        let (connected, cut_off) = (
+            Rc::new(SeenEvents::default()),
+            Rc::new(SeenEvents::default()),
+        );
+        let mut address_senders = Vec::new();
+        for (index, seen) in [&connected, &cut_off].into_iter().enumerate() {
+            let (options, node_address_sender) = options(service.addresses[index], &telemetry);
+            address_senders.push(node_address_sender);
             spawn_local(run(options, seen.clone()));
-            seen.until("the first list", |seen| !seen.lists.borrow().is_empty())
+            seen.wait_until("the first list", |seen| !seen.lists.borrow().is_empty())
                 .await;
         }
         service.set_partitioned(true).unwrap();
         service
-            .change(change(Availability::Draining))
+            .change(availability_change(Availability::Draining))
             .await
             .unwrap();
-        near.until("the change", |seen| {
-            seen.lists.borrow().last() == Some(&(2, false))
-        })
-        .await;
-        assert_eq!(*beyond_partition.lists.borrow(), [(1, true)]);
+        connected
+            .wait_until("the list change", |seen| {
+                seen.lists.borrow().last() == Some(&(2, false))
+            })
+            .await;
+        assert_eq!(*cut_off.lists.borrow(), [(1, true)]);
         service.set_partitioned(false).unwrap();
-        beyond_partition
-            .until("the change", |seen| {
+        cut_off
+            .wait_until("the list change", |seen| {
                 seen.lists.borrow().last() == Some(&(2, false))
             })
             .await;
-        assert!(beyond_partition.failed.get() > 0, "its watch was reset");
+        assert!(
+            cut_off.failed.get() > 0,
+            "the watch of the partitioned node was reset"
+        );
     });
 }
