--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -261,7 +261,8 @@
 ) -> Setup {
     let node = |number| {
         let discovery_pair = assignment.of_simulated(worker, number, addresses);
-        // Both addresses are the same relay: a new configuration makes the node call it anew.
+        // With relays, both addresses name the same relay. A new configuration then makes the node
+        // call that relay anew.
         NodeSetup {
             number,
             discovery: relays
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -108,7 +108,7 @@
     /// Address on which the relay listens.
     pub address: SocketAddr,
     child: Child,
-    latest: Rc<RefCell<RelayStatus>>,
+    latest_status: Rc<RefCell<RelayStatus>>,
     /// Tasks that read the relay's log and request its status; dropping the set aborts them.
     _tasks: JoinSet<()>,
 }
@@ -141,14 +141,14 @@
         let no_address = || RelayProcessError::NoAddress(String::new());
         let mut log = BufReader::new(child.stderr.take().ok_or_else(no_address)?).lines();
         let address = read_address(&mut log).await?;
-        let latest = Rc::new(RefCell::new(wait_for_list(address).await?));
+        let latest_status = Rc::new(RefCell::new(wait_for_list(address).await?));
         let mut tasks = JoinSet::new();
         tasks.spawn_local(discard_log(log));
-        tasks.spawn_local(poll_status(address, latest.clone()));
+        tasks.spawn_local(poll_status(address, latest_status.clone()));
         Ok(Self {
             address,
             child,
-            latest,
+            latest_status,
             _tasks: tasks,
         })
     }
@@ -213,11 +213,11 @@
 }
 
 /// Updates the status at an interval. If a relay does not respond, its last status stays.
-async fn poll_status(address: SocketAddr, latest: Rc<RefCell<RelayStatus>>) {
+async fn poll_status(address: SocketAddr, latest_status: Rc<RefCell<RelayStatus>>) {
     let mut client = StatusClient::new(address);
     loop {
         if let Ok(status) = client.fetch().await {
-            *latest.borrow_mut() = status;
+            *latest_status.borrow_mut() = status;
         }
         sleep(STATUS_INTERVAL).await;
     }
@@ -277,9 +277,9 @@
     /// Checks whether all relays hold this version and all their callers have open watches.
     pub fn are_settled(&self, version: u64, options: &Options) -> bool {
         self.tiers.iter().enumerate().all(|(tier, relays)| {
-            let latest = || relays.iter().map(|relay| relay.latest.borrow());
-            let waiting: usize = latest().map(|status| status.waiting_watches).sum();
-            latest().all(|status| status.version == Some(version))
+            let latest_statuses = || relays.iter().map(|relay| relay.latest_status.borrow());
+            let waiting: usize = latest_statuses().map(|status| status.waiting_watches).sum();
+            latest_statuses().all(|status| status.version == Some(version))
                 && waiting >= options.callers_of_tier(tier)
         })
     }
--- a/crates/lab/src/scale/report/text.rs
+++ b/crates/lab/src/scale/report/text.rs
@@ -46,7 +46,7 @@
             "answers/s",
             "bytes/s",
             "CPU us/s",
-            "of control",
+            "control us/s",
             "memory KiB",
             "sockets"
         )?;
@@ -206,8 +206,8 @@
 fn counts_line(f: &mut fmt::Formatter<'_>, name: &str, counts: &ControlCounts) -> fmt::Result {
     writeln!(
         f,
-        "{name:<10} {} calls ({} for snapshots), {} bytes; {} responses ({} snapshots, {} deltas, {} empty, \
-         {} rejected), {} bytes, {} entries; {} connections, {} reset",
+        "{name:<10} {} calls ({} for snapshots), {} bytes; {} answers ({} snapshots, {} deltas, {} empty, \
+         {} refused), {} bytes, {} entries; {} connections, {} reset",
         counts.calls(),
         counts.whole_calls,
         counts.call_bytes,
