--- a/crates/lab/src/scale/play.rs
+++ b/crates/lab/src/scale/play.rs
@@ -96,7 +96,7 @@
 
     fn report_progress(&self, activity: &str) {
         let (state, nodes) = (&self.fleet.state, self.fleet.options.nodes());
-        self.progress.say(format!(
+        self.progress.set_line(format!(
             "{activity}: {} of {nodes} nodes up to date, {} list changes, {} configurations",
             nodes - state.convergence.outdated_nodes(),
             state.list_changes,
