--- a/crates/cli/tests/node_common/http.rs
+++ b/crates/cli/tests/node_common/http.rs
@@ -67,7 +67,7 @@
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    pub fn on(stream: TcpStream) -> Self {
+    pub fn from_stream(stream: TcpStream) -> Self {
         Self(BufReader::new(stream))
     }
 
--- a/crates/cli/tests/node_common/node.rs
+++ b/crates/cli/tests/node_common/node.rs
@@ -143,7 +143,7 @@
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-        Client::on(stream)
+        Client::from_stream(stream)
     }
 
     pub fn get(&self, path: &str) -> Message {
--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -221,7 +221,7 @@
     let stream = TcpStream::from(socket);
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let arrived = stream.try_clone().unwrap();
-    let mut client = Client::on(stream);
+    let mut client = Client::from_stream(stream);
     client.send(&read("read", 1, 60_000));
     wait_for("the attempt", || server.count() == 1);
     node.terminate();
--- a/crates/cli/tests/node_features/metrics_targets.rs
+++ b/crates/cli/tests/node_features/metrics_targets.rs
@@ -127,7 +127,7 @@
     let address: SocketAddr = line.trim_end().rsplit(' ').next().unwrap().parse().unwrap();
     let stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-    let mut client = Client::on(stream);
+    let mut client = Client::from_stream(stream);
     wait_for("readiness", || {
         client
             .request("GET /healthz HTTP/1.1\r\nHost: s\r\n\r\n")
--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -42,7 +42,7 @@
                 let connect = || {
                     let stream = TcpStream::connect(address).unwrap();
                     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-                    Client::on(stream)
+                    Client::from_stream(stream)
                 };
                 let mut clients: Vec<_> = (0..connections).map(|_| connect()).collect();
                 let (mut served, mut others, mut turn) = (0, 0, 0);
--- a/crates/cli/tests/node_lists.rs
+++ b/crates/cli/tests/node_lists.rs
@@ -100,7 +100,7 @@
             thread::spawn(move || {
                 let stream = std::net::TcpStream::connect(address).unwrap();
                 stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-                let (mut connection, mut answers) = (Client::on(stream), 0);
+                let (mut connection, mut answers) = (Client::from_stream(stream), 0);
                 while stop.load(Ordering::SeqCst) == 0 {
                     let key = client << 32 | answers;
                     let Some(answer) = connection.try_request(&read("once", key, 20_000)) else {
@@ -111,7 +111,7 @@
                     answers += 1;
                     if answer.header("connection") == Some("close") {
                         let stream = std::net::TcpStream::connect(address).unwrap();
-                        connection = Client::on(stream);
+                        connection = Client::from_stream(stream);
                     }
                 }
                 answers
--- a/crates/cli/tests/node_multiget/multi_get.rs
+++ b/crates/cli/tests/node_multiget/multi_get.rs
@@ -33,7 +33,7 @@
 pub fn connect(address: SocketAddr) -> Client {
     let stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-    Client::on(stream)
+    Client::from_stream(stream)
 }
 
 /// The text of a call with this body.
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -207,7 +207,7 @@
             .replace(&format!("Req-Id: {key:x}"), &format!("Req-Id: {id}"));
         let at = Instant::now();
         let thread = thread::spawn(move || {
-            let answer = Client::on(stream).try_request(&text);
+            let answer = Client::from_stream(stream).try_request(&text);
             (answer, at.elapsed())
         });
         self.clients.push(PendingClient {
--- a/crates/cli/tests/relay/relay_process.rs
+++ b/crates/cli/tests/relay/relay_process.rs
@@ -58,7 +58,7 @@
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-        Client::on(stream)
+        Client::from_stream(stream)
     }
 
     /// Sends one GET on a connection of its own.
