--- a/crates/cli/tests/node_common/cache_server.rs
+++ b/crates/cli/tests/node_common/cache_server.rs
@@ -1,4 +1,4 @@
-//! Cache servers that answer as a test says.
+//! Cache servers whose responses the test defines.
 
 use super::http::{answer, Message};
 use super::waiting::Gate;
@@ -10,22 +10,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a cache server does with a request.
+/// Reaction of a cache server to a request.
 pub enum Reply {
-    /// Writes this and goes on.
+    /// Writes this text and keeps the connection open.
     Answer(String),
-    /// Writes this and closes the connection.
+    /// Writes this text and closes the connection.
     AnswerAndClose(String),
-    /// Says nothing, until the node closes.
+    /// Writes nothing and keeps the connection open until the node closes it.
     NoAnswer,
 }
 
-/// A cache server. It keeps what it was asked, in order.
+/// A cache server that records the requests it receives, in order.
 pub struct CacheServer {
     pub address: SocketAddr,
     pub received: Arc<Mutex<Vec<Message>>>,
     pub connections: Arc<AtomicU32>,
-    /// Connections that the node has closed.
+    /// Number of connections closed by the node.
     pub closed: Arc<AtomicU32>,
 }
 
@@ -34,24 +34,25 @@
         Self::start_with(move |message, _| reply(message), None)
     }
 
-    /// The same, with the address of who asks.
+    /// Starts a server whose reply also depends on the address of the peer.
     pub fn start_with_peers(
         reply: impl Fn(&Message, SocketAddr) -> Reply + Send + Sync + 'static,
     ) -> Self {
         Self::start_with(reply, None)
     }
 
-    /// One that serves, but for requests on connections that have stood idle for longer: those it drops.
-    pub fn closing_idle(after: Duration) -> Self {
+    /// Starts a server that closes a connection, without a response, when a request arrives after
+    /// an idle time longer than `idle_limit`.
+    pub fn closing_idle(idle_limit: Duration) -> Self {
         Self::start_with(
             |_, _| Reply::Answer(answer("200 OK", "", "value")),
-            Some(after),
+            Some(idle_limit),
         )
     }
 
     fn start_with(
         reply: impl Fn(&Message, SocketAddr) -> Reply + Send + Sync + 'static,
-        drops_after: Option<Duration>,
+        idle_limit: Option<Duration>,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let server = Self {
@@ -60,7 +61,7 @@
             connections: Arc::default(),
             closed: Arc::default(),
         };
-        let (asked, connections, closed) = (
+        let (requests, connections, closed) = (
             server.received.clone(),
             server.connections.clone(),
             server.closed.clone(),
@@ -69,21 +70,21 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 connections.fetch_add(1, Ordering::SeqCst);
-                let (asked, closed, reply) = (asked.clone(), closed.clone(), reply.clone());
+                let (requests, closed, reply) = (requests.clone(), closed.clone(), reply.clone());
                 thread::spawn(move || {
                     let Ok(peer) = stream.peer_addr() else { return };
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     let mut stream = stream;
-                    let mut answered: Option<Instant> = None;
+                    let mut last_request_at: Option<Instant> = None;
                     while let Ok(Some(message)) = Message::read(&mut reader) {
-                        if answered
-                            .zip(drops_after)
-                            .is_some_and(|(at, after)| at.elapsed() > after)
+                        if last_request_at
+                            .zip(idle_limit)
+                            .is_some_and(|(at, limit)| at.elapsed() > limit)
                         {
                             return;
                         }
-                        answered = Some(Instant::now());
-                        asked.lock().unwrap().push(message.clone());
+                        last_request_at = Some(Instant::now());
+                        requests.lock().unwrap().push(message.clone());
                         match reply(&message, peer) {
                             Reply::Answer(text) => drop(stream.write_all(text.as_bytes())),
                             Reply::AnswerAndClose(text) => {
@@ -99,20 +100,24 @@
         server
     }
 
-    /// One that serves everything with the same body.
+    /// Starts a server that answers every request with this body.
     pub fn serving(body: &'static str) -> Self {
         Self::start(move |_| Reply::Answer(answer("200 OK", "", body)))
     }
 
-    /// One that serves, but keeps the request with the id 1 until the gate opens and then does this.
-    pub fn delaying_first(gate: &Gate, then: impl Fn() -> Reply + Send + Sync + 'static) -> Self {
-        let held = gate.clone();
-        Self::start(move |asked| {
-            if asked.header("req-id") != Some("1") {
+    /// Starts a server that holds the request with id 1 until the gate opens and then reacts with
+    /// `delayed_reply`. It answers all other requests at once.
+    pub fn delaying_first(
+        gate: &Gate,
+        delayed_reply: impl Fn() -> Reply + Send + Sync + 'static,
+    ) -> Self {
+        let gate_for_reply = gate.clone();
+        Self::start(move |request| {
+            if request.header("req-id") != Some("1") {
                 return Reply::Answer(answer("200 OK", "", "value"));
             }
-            held.wait_until_open();
-            then()
+            gate_for_reply.wait_until_open();
+            delayed_reply()
         })
     }
 
--- a/crates/cli/tests/node_common/discovery.rs
+++ b/crates/cli/tests/node_common/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that answers every call with the list that a test has set.
+//! Discovery that answers every call with the list that the test has published.
 
 use super::http::{answer, Message};
 use super::waiting::{wait_for, WAIT_TIMEOUT};
@@ -9,35 +9,35 @@
 use std::thread;
 use std::time::Duration;
 
-struct Lists {
+struct PublishedList {
     seq: u64,
     body: String,
 }
 
-/// Discovery. It keeps the paths that it was asked for, in order.
+/// Discovery that records the requested paths, in order.
 pub struct Discovery {
     pub address: SocketAddr,
     pub received: Arc<Mutex<Vec<String>>>,
-    lists: Arc<(Mutex<Lists>, Condvar)>,
+    current_list: Arc<(Mutex<PublishedList>, Condvar)>,
 }
 
 impl Discovery {
-    /// Its whole list has version 1.
+    /// Starts discovery on a free port with a complete list of version 1.
     pub fn start(hosts: &[Value]) -> Self {
         Self::start_at(SocketAddr::from(([127, 0, 0, 1], 0)), hosts)
     }
 
-    /// The same, at an address of the test's choice.
+    /// Starts discovery at this address with a complete list of version 1.
     pub fn start_at(address: SocketAddr, hosts: &[Value]) -> Self {
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
         let body = json!({"seq": 1, "whole": true, "hosts": hosts}).to_string();
-        let lists = Arc::new((Mutex::new(Lists { seq: 1, body }), Condvar::new()));
+        let current_list = Arc::new((Mutex::new(PublishedList { seq: 1, body }), Condvar::new()));
         let received: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (all, log) = (lists.clone(), received.clone());
+        let (shared_list, shared_received) = (current_list.clone(), received.clone());
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let (lists, received) = (all.clone(), log.clone());
+                let (current_list, received) = (shared_list.clone(), shared_received.clone());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     let mut stream = stream;
@@ -45,11 +45,11 @@
                         let path = message.start.split(' ').nth(1).unwrap().to_owned();
                         let after = path
                             .split_once("after=")
-                            .map(|(_, rest)| rest.split('&').next().unwrap());
+                            .map(|(_, value)| value.split('&').next().unwrap());
                         let after = after.map_or(0, |after| after.parse().unwrap());
                         received.lock().unwrap().push(path);
-                        let (list, news) = &*lists;
-                        let list = news
+                        let (list, changed) = &*current_list;
+                        let list = changed
                             .wait_timeout_while(list.lock().unwrap(), WAIT_TIMEOUT, |list| {
                                 list.seq <= after
                             })
@@ -68,34 +68,34 @@
         Self {
             address,
             received,
-            lists,
+            current_list,
         }
     }
 
-    /// Tells of a whole list, or of changes, with the next version.
+    /// Publishes a complete list (`whole`) or a delta, with the next version.
     pub fn publish(&self, whole: bool, hosts: &[Value]) {
-        let seq = self.lists.0.lock().unwrap().seq + 1;
+        let seq = self.current_list.0.lock().unwrap().seq + 1;
         self.publish_text(json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string());
     }
 
-    /// Answers what is out, and what comes until the next word, with this text.
+    /// Answers pending calls, and later ones until the next publication, with this text.
     pub fn publish_text(&self, body: String) {
-        let mut lists = self.lists.0.lock().unwrap();
-        *lists = Lists {
-            seq: lists.seq + 1,
+        let mut current_list = self.current_list.0.lock().unwrap();
+        *current_list = PublishedList {
+            seq: current_list.seq + 1,
             body,
         };
-        self.lists.1.notify_all();
+        self.current_list.1.notify_all();
     }
 
     pub fn calls(&self) -> usize {
         self.received.lock().unwrap().len()
     }
 
-    /// Waits until the node has taken in the list of this version: it then watches for what comes after.
+    /// Waits until the node has applied the list of this version: it then watches for a later one.
     pub fn wait_until_applied(&self, seq: u64) {
         let next = format!("after={seq}&");
-        wait_for("the next watch", || {
+        wait_for("the watch that follows the applied list", || {
             self.received
                 .lock()
                 .unwrap()
--- a/crates/cli/tests/node_common/http.rs
+++ b/crates/cli/tests/node_common/http.rs
@@ -4,7 +4,7 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
-/// An HTTP message as it came: its first line, its headers by lower-case name, its body.
+/// A received HTTP message: its first line, its headers by lower-case name, and its body.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Message {
     pub start: String,
@@ -13,7 +13,7 @@
 }
 
 impl Message {
-    /// Reads one message; `None` where the connection ends first. A body that breaks off is an error.
+    /// Reads one message. `None` if the connection ends first; a truncated body is an error.
     pub fn read(stream: &mut BufReader<TcpStream>) -> std::io::Result<Option<Self>> {
         let mut message = Self::default();
         loop {
@@ -49,6 +49,7 @@
     }
 }
 
+/// Formats a response; each extra header in `headers` ends with CRLF.
 pub fn answer(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -56,6 +57,7 @@
     )
 }
 
+/// Formats a read of this class; `key` is both the key and the request's id.
 pub fn read(class: &str, key: u64, deadline_ms: u64) -> String {
     format!(
         "GET /api/{key:016x} HTTP/1.1\r\nHost: s\r\nReq-Id: {key:x}\r\nReq-Kind: {class}\r\n\
@@ -63,7 +65,7 @@
     )
 }
 
-/// A client's connection.
+/// Connection of a client.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
@@ -75,12 +77,12 @@
         self.0.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// Sends what the node takes before it closes.
+    /// Sends the text; ignores the error if the node has closed the connection.
     pub fn try_send(&mut self, text: &str) {
         let _ = self.0.get_mut().write_all(text.as_bytes());
     }
 
-    /// Sends no more: the node sees that the client has gone.
+    /// Closes the sending half, which the node sees as a disconnect of the client.
     pub fn shutdown_write(&self) {
         self.0
             .get_ref()
@@ -88,23 +90,23 @@
             .unwrap();
     }
 
-    /// The next answer; `None` where the node closes the connection first.
+    /// Reads the next response. `None` if the node closes the connection first.
     pub fn answer(&mut self) -> Option<Message> {
         match Message::read(&mut self.0) {
             Ok(message) => message,
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => None,
-            Err(error) => panic!("no answer: {error}"),
+            Err(error) => panic!("reading the response failed: {error}"),
         }
     }
 
-    /// All that comes until the node closes, as it comes.
+    /// Reads the raw text until the node closes the connection.
     pub fn read_to_end(&mut self) -> String {
         let mut text = String::new();
         self.0.read_to_string(&mut text).unwrap();
         text
     }
 
-    /// `None` where the node has closed the connection.
+    /// Sends a request and reads its response. `None` if the node has closed the connection.
     pub fn try_request(&mut self, text: &str) -> Option<Message> {
         self.0.get_mut().write_all(text.as_bytes()).ok()?;
         self.answer()
@@ -112,11 +114,12 @@
 
     pub fn request(&mut self, text: &str) -> Message {
         self.send(text);
-        self.answer().expect("an answer")
+        self.answer()
+            .expect("the node closed the connection without a response")
     }
 }
 
-/// The answer to a request that the node shed: 503, with when to send it again.
+/// Asserts that the request was shed: status 503 with a positive Retry-After.
 pub fn assert_shed(answer: &Message) {
     assert_eq!(answer.status(), 503, "{answer:?}");
     assert!(
--- a/crates/cli/tests/node_common/manual_discovery.rs
+++ b/crates/cli/tests/node_common/manual_discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery whose calls a test answers one by one.
+//! Discovery whose calls the test answers one by one.
 
 use super::{answer, Message, WAIT_TIMEOUT};
 use serde_json::{json, Value};
@@ -7,13 +7,13 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 
-/// A discovery whose calls the test answers itself, one by one.
+/// Discovery that hands each call to the test, which answers it.
 pub struct ManualDiscovery {
     pub address: SocketAddr,
     calls: Receiver<Call>,
 }
 
-/// A call that waits for its answer.
+/// A call of the node that has not been answered yet.
 pub struct Call {
     pub path: String,
     stream: TcpStream,
@@ -41,15 +41,15 @@
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (came, calls) = channel();
+        let (call_sender, calls) = channel();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                let came = came.clone();
+                let call_sender = call_sender.clone();
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().unwrap());
                     while let Ok(Some(message)) = Message::read(&mut reader) {
                         let path = message.start.split(' ').nth(1).unwrap().to_owned();
-                        if came
+                        if call_sender
                             .send(Call {
                                 path,
                                 stream: stream.try_clone().unwrap(),
@@ -68,7 +68,7 @@
     pub fn next_call(&self) -> Call {
         self.calls
             .recv_timeout(WAIT_TIMEOUT)
-            .expect("a call of the node's")
+            .expect("the node made no further call to discovery")
     }
 }
 
--- a/crates/cli/tests/node_common/mod.rs
+++ b/crates/cli/tests/node_common/mod.rs
@@ -1,5 +1,6 @@
-//! What a test needs around a node, on loopback: cache servers and discovery that answer as the test says, and clients.
-// Each test binary has its own part of it.
+//! Fixtures around a node on loopback sockets: cache servers and discovery whose responses the test
+//! defines, and clients.
+// Each test binary uses only part of these fixtures.
 #![allow(dead_code, unused_imports)]
 
 mod cache_server;
--- a/crates/cli/tests/node_common/node.rs
+++ b/crates/cli/tests/node_common/node.rs
@@ -1,4 +1,4 @@
-//! The node under test: a process of this package's binary, its configuration and its signals.
+//! The node under test: a process of this package's binary, with its configuration and signals.
 
 use super::http::{read, Client, Message};
 use super::waiting::{wait_for, WAIT_TIMEOUT};
@@ -10,17 +10,17 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A running node; it is killed with the test.
+/// A running node; killed when dropped.
 pub struct Node {
     pub address: SocketAddr,
     pub child: Child,
-    /// Its log, but for the first line.
+    /// Log lines after the first.
     pub log: Arc<Mutex<Vec<String>>>,
     config: std::path::PathBuf,
     features: Option<std::path::PathBuf>,
 }
 
-/// The configuration of a node that knows nothing but discovery.
+/// Configuration with an empty initial list: the node receives its endpoints from discovery.
 pub fn config(discovery: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "dedup_scope": "all", "promise_us": 5_000_000,
@@ -40,23 +40,24 @@
     })
 }
 
-/// Configurations that this test binary has written: each has a file of its own.
-static CONFIGS: AtomicU32 = AtomicU32::new(0);
+/// Number of files written by this test binary; makes their names unique.
+static FILES_WRITTEN: AtomicU32 = AtomicU32::new(0);
 
-/// Writes a configuration or features to a file of its own.
+/// Writes a configuration or features to a new temporary file and returns its path.
 pub fn write_config(text: &str) -> std::path::PathBuf {
-    let number = CONFIGS.fetch_add(1, Ordering::SeqCst);
+    let number = FILES_WRITTEN.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("slatelink-{}-{number}.json", std::process::id()));
     std::fs::write(&path, text).unwrap();
     path
 }
 
-/// A path of this test's own in the temporary folder.
+/// Returns a path in the temporary folder that is unique to this test process.
 pub fn temporary_path(name: &str) -> std::path::PathBuf {
     std::env::temp_dir().join(format!("slatelink-{}-{name}", std::process::id()))
 }
 
-/// The node's command, without the platform's variables that the test may have inherited.
+/// Command of the node, without the platform's environment variables that the test process may
+/// have inherited.
 pub fn command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_slatelink"));
     for variable in ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
@@ -71,14 +72,14 @@
         Self::start_with(config, None)
     }
 
-    /// Starts a node with this text as its features' settings and waits until it is ready for clients.
+    /// Starts a node with this text as its features file and waits until it is ready for clients.
     pub fn with_features(config: &Value, features: &str) -> Self {
-        Self::start_with(config, Some(features)).once_ready()
+        Self::start_with(config, Some(features)).wait_until_ready()
     }
 
     fn start_with(config: &Value, features: Option<&str>) -> Self {
         let path = write_config(&config.to_string());
-        // The platform sets this one beside the configuration.
+        // The platform sets LB_DISCOVERY in addition to the configuration.
         let discovery = config["discovery"].as_str().unwrap();
         let mut command = command();
         command
@@ -92,13 +93,13 @@
         let mut log = BufReader::new(child.stderr.take().unwrap());
         let mut line = String::new();
         log.read_line(&mut line).unwrap();
-        // The rest of its log must not fill the pipe.
+        // Drained continuously, so that the log does not fill the pipe.
         let lines: Arc<Mutex<Vec<String>>> = Arc::default();
-        let kept = lines.clone();
+        let shared_lines = lines.clone();
         thread::spawn(move || {
             log.lines()
                 .map_while(Result::ok)
-                .for_each(|l| kept.lock().unwrap().push(l))
+                .for_each(|log_line| shared_lines.lock().unwrap().push(log_line))
         });
         Self {
             address: listening_address(&line),
@@ -111,11 +112,12 @@
 
     /// Starts a node and waits until it is ready for clients.
     pub fn ready(config: &Value) -> Self {
-        Self::start(config).once_ready()
+        Self::start(config).wait_until_ready()
     }
 
-    /// Starts a node whose standard error goes there, where its first line is then read, and waits until it is ready.
-    pub fn with_stderr(config: &Value, stderr: Stdio, first: impl FnOnce() -> String) -> Self {
+    /// Starts a node with this standard error, of which `first_line` reads the first line, and
+    /// waits until the node is ready for clients.
+    pub fn with_stderr(config: &Value, stderr: Stdio, first_line: impl FnOnce() -> String) -> Self {
         let path = write_config(&config.to_string());
         let child = command()
             .env("LB_CONFIG", &path)
@@ -123,17 +125,17 @@
             .spawn()
             .unwrap();
         let node = Self {
-            address: listening_address(&first()),
+            address: listening_address(&first_line()),
             child,
             log: Arc::default(),
             config: path,
             features: None,
         };
-        node.once_ready()
+        node.wait_until_ready()
     }
 
-    /// Waits until it is ready for clients.
-    fn once_ready(self) -> Self {
+    /// Waits until the node is ready for clients.
+    fn wait_until_ready(self) -> Self {
         wait_for("the node's readiness", || {
             self.get("/healthz").status() == 200
         });
@@ -151,7 +153,7 @@
             .request(&format!("GET {path} HTTP/1.1\r\nHost: s\r\n\r\n"))
     }
 
-    /// One read on a connection of its own.
+    /// Sends one read on a new connection.
     pub fn read(&self, class: &str, key: u64) -> Message {
         self.client().request(&read(class, key, 20_000))
     }
@@ -165,17 +167,17 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill")
+        let kill_status = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status()
             .unwrap();
-        assert!(sent.success());
+        assert!(kill_status.success());
     }
 
-    /// Puts this text in place of the configuration and tells the node.
+    /// Replaces the configuration file with this text and sends SIGHUP to the node.
     pub fn reload(&self, text: &str) {
-        let new = write_config(text);
-        std::fs::rename(new, &self.config).unwrap();
+        let new_file = write_config(text);
+        std::fs::rename(new_file, &self.config).unwrap();
         self.signal("-HUP");
     }
 
@@ -189,15 +191,15 @@
     }
 }
 
-/// The address at the end of a node's first line.
+/// Parses the address at the end of the node's first log line.
 fn listening_address(line: &str) -> SocketAddr {
     let address = line.trim_end().rsplit(' ').next().unwrap().parse();
-    address.unwrap_or_else(|_| panic!("the node's first line: {line}"))
+    address.unwrap_or_else(|_| panic!("the node's first log line has no address: {line}"))
 }
 
 impl Drop for Node {
     fn drop(&mut self) {
-        // It may have exited by itself.
+        // Fails if the node has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.config);
--- a/crates/cli/tests/node_common/slow_server.rs
+++ b/crates/cli/tests/node_common/slow_server.rs
@@ -1,4 +1,4 @@
-//! A cache server to which connections take their time to come up.
+//! A cache server that delays the establishment of connections.
 
 use super::http::answer;
 use socket2::{Domain, Socket, Type};
@@ -8,17 +8,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// A cache server to which no connection comes up until it is told to accept; from then on it serves.
+/// A cache server to which no connection is established until the test calls [`SlowServer::accept`]
+/// or [`SlowServer::accept_one`].
 pub struct SlowServer {
     pub address: SocketAddr,
     listener: TcpListener,
-    filling: Mutex<Vec<TcpStream>>,
+    queue_fillers: Mutex<Vec<TcpStream>>,
     received: Arc<Mutex<Vec<String>>>,
 }
 
 impl SlowServer {
     pub fn start() -> Self {
-        // With its queue full a listener lets no connection come up; with room, the next try does, some time later.
+        // No connection is established while the listener's accept queue is full. Once there is
+        // space, the next attempt of the kernel succeeds, some time later.
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
@@ -26,19 +28,19 @@
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().unwrap();
-        let mut filling = Vec::new();
+        let mut queue_fillers = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-            filling.push(stream);
+            queue_fillers.push(stream);
         }
         Self {
             address,
             listener,
-            filling: Mutex::new(filling),
+            queue_fillers: Mutex::new(queue_fillers),
             received: Arc::default(),
         }
     }
 
-    /// Connections that are on their way to it.
+    /// Number of connections to the server that are being established.
     pub fn pending_connections(&self) -> usize {
         let address = format!(
             "{:08X}:{:04X}",
@@ -49,47 +51,47 @@
         let fields = sockets
             .lines()
             .map(|line| line.split_whitespace().collect::<Vec<_>>());
-        // Of state 2, which has sent its first packet.
+        // State 02 is SYN_SENT: the first packet is sent, the connection not yet established.
         fields
             .filter(|fields| fields[2] == address && fields[3] == "02")
             .count()
     }
 
-    /// What was asked of it, one text a connection: head and body as they came.
+    /// Received requests, one text per connection: head and body as received.
     pub fn received(&self) -> Vec<String> {
         self.received.lock().unwrap().clone()
     }
 
-    /// Lets connections come up, and gives the first that the node makes.
+    /// Allows connections to be established and returns the first one from the node.
     pub fn accept_one(&self) -> TcpStream {
-        let filling = std::mem::take(&mut *self.filling.lock().unwrap());
-        let own: Vec<_> = filling
+        let queue_fillers = std::mem::take(&mut *self.queue_fillers.lock().unwrap());
+        let filler_addresses: Vec<_> = queue_fillers
             .iter()
             .map(|stream| stream.local_addr().unwrap())
             .collect();
         loop {
             let (stream, from) = self.listener.accept().unwrap();
-            if !own.contains(&from) {
+            if !filler_addresses.contains(&from) {
                 return stream;
             }
         }
     }
 
-    /// Lets connections come up, and answers one request on each.
+    /// Allows connections to be established and answers one request on each.
     pub fn accept(&self) {
-        self.filling.lock().unwrap().clear();
-        let (listener, asked) = (self.listener.try_clone().unwrap(), self.received.clone());
+        self.queue_fillers.lock().unwrap().clear();
+        let (listener, requests) = (self.listener.try_clone().unwrap(), self.received.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().map_while(Result::ok) {
-                let asked = asked.clone();
+                let requests = requests.clone();
                 thread::spawn(move || {
                     let mut buffer = [0; 4096];
-                    let read = stream.read(&mut buffer).unwrap_or(0);
-                    if read > 0 {
-                        asked
+                    let bytes_read = stream.read(&mut buffer).unwrap_or(0);
+                    if bytes_read > 0 {
+                        requests
                             .lock()
                             .unwrap()
-                            .push(String::from_utf8_lossy(&buffer[..read]).into_owned());
+                            .push(String::from_utf8_lossy(&buffer[..bytes_read]).into_owned());
                         drop(stream.write_all(answer("200 OK", "", "value").as_bytes()));
                     }
                 });
--- a/crates/cli/tests/node_common/waiting.rs
+++ b/crates/cli/tests/node_common/waiting.rs
@@ -1,22 +1,25 @@
-//! Waiting for what another thread or process does.
+//! Waiting for the effects of other threads and processes.
 
 use std::sync::{Arc, Condvar, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far longer than anything here takes: a wait that reaches it has failed.
+/// Upper bound of a wait, far above the duration of any step: reaching it is a failure.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until `done` holds.
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "waited in vain for: {what}");
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "no result within {WAIT_TIMEOUT:?} while waiting for: {what}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// What stays shut until a test opens it.
+/// A gate that stays closed until the test opens it.
 #[derive(Clone, Default)]
 pub struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -26,7 +29,7 @@
         self.0 .1.notify_all();
     }
 
-    /// Waits until it is open.
+    /// Waits until the gate is open, at most [`WAIT_TIMEOUT`].
     pub fn wait_until_open(&self) {
         let open = self.0 .0.lock().unwrap();
         drop(
