--- a/crates/cli/tests/node_clients.rs
+++ b/crates/cli/tests/node_clients.rs
@@ -135,8 +135,8 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-// Guards against a shed request that waits for its response, and against a response that does not
-// state when to retry.
+// Guards against a delayed response to a shed request, and against a response that does not state
+// when to retry.
 #[test]
 fn a_shed_request_is_answered_at_once_with_retry_after() {
     let server = CacheServer::serving("value");
@@ -164,7 +164,7 @@
 // second response.
 #[test]
 fn an_endpoint_that_never_answers_fails_the_request_once_before_its_deadline() {
-    let server = CacheServer::start(|request| match request.header("req-id") {
+    let server = CacheServer::start(|incoming| match incoming.header("req-id") {
         Some("1") => Reply::NoAnswer,
         _ => Reply::Answer(answer("200 OK", "", "value")),
     });
--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -1,4 +1,4 @@
-//! Two events that cross, in an order that the test forces, over loopback sockets.
+//! Races of two events, in an order that the test forces, over loopback sockets.
 
 mod node_common;
 
@@ -12,34 +12,35 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a client sends that has gone before the node reads it.
-fn read_and_leave(node: &Node, key: u64) {
+/// Sends a read from a client that disconnects at once.
+fn send_read_and_disconnect(node: &Node, key: u64) {
     let mut client = node.client();
     client.send(&read("read", key, 20_000));
     client.shutdown_write();
 }
 
-// Guards against work for nobody: a request that lies in the socket, or waits unaccepted, with its client's end behind it.
+// Guards against work for a disconnected client: the request is still in the socket, or in an
+// unaccepted connection, when the client has closed its sending half.
 #[test]
 fn a_request_read_after_its_client_disconnected_reaches_no_endpoint() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    let mut open = node.client();
-    assert_eq!(open.request(&read("read", 1, 20_000)).status(), 200);
-    // A node that does not run: what comes meanwhile waits for it.
+    let mut connected = node.client();
+    assert_eq!(connected.request(&read("read", 1, 20_000)).status(), 200);
+    // While the node is stopped, requests and disconnects queue up in the kernel.
     node.signal("-STOP");
-    open.send(&read("read", 2, 20_000));
-    open.shutdown_write();
-    (3..20).for_each(|key| read_and_leave(&node, key));
+    connected.send(&read("read", 2, 20_000));
+    connected.shutdown_write();
+    (3..20).for_each(|key| send_read_and_disconnect(&node, key));
     node.signal("-CONT");
-    assert_eq!(open.answer(), None);
-    // It has accepted this one behind all of them.
+    assert_eq!(connected.answer(), None);
+    // This client connected last, so the node has accepted all earlier connections.
     assert_eq!(node.read("read", 20).status(), 200);
     assert_eq!(server.count(), 2, "{:?}", server.received.lock().unwrap());
 }
 
-// Guards against an attempt that was begun for a client, whose connection comes up once that has gone.
+// Guards against a request that is sent on a connection established after its client disconnected.
 #[test]
 fn a_connection_established_after_its_client_disconnected_carries_no_request() {
     let slow = SlowServer::start();
@@ -51,67 +52,83 @@
     other.send(&read("once", 2, 20_000));
     wait_for("the attempts", || slow.pending_connections() >= 2);
     client.shutdown_write();
-    assert_eq!(client.answer(), None, "the node has seen it leave");
+    assert_eq!(
+        client.answer(),
+        None,
+        "the node did not notice the disconnect"
+    );
     slow.accept();
     assert_eq!(other.answer().unwrap().status(), 200);
-    let asked = slow.received();
-    assert_eq!(asked.len(), 1, "{asked:?}");
-    assert!(asked[0].contains("req-id: 2\r\n"), "{asked:?}");
+    let sent_requests = slow.received();
+    assert_eq!(sent_requests.len(), 1, "{sent_requests:?}");
+    assert!(
+        sent_requests[0].contains("req-id: 2\r\n"),
+        "{sent_requests:?}"
+    );
 }
 
-// Guards against a client's end that stands behind bytes which nobody has asked for yet, few or many, and is not seen.
+// Guards against a disconnect that goes unnoticed because the client sent further bytes, few or
+// many, before it.
 #[test]
-fn a_client_that_disconnects_behind_further_bytes_gets_no_second_attempt() {
+fn no_second_attempt_is_made_for_a_client_that_sends_more_bytes_and_disconnects() {
     for further in [read("read", 2, 20_000), "\r\n".into(), "x".repeat(300_000)] {
         let gate = Gate::default();
         let server = || CacheServer::delaying_first(&gate, || Reply::AnswerAndClose(String::new()));
-        let (one, two) = (server(), server());
-        let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
+        let (server_a, server_b) = (server(), server());
+        let discovery = Discovery::start(&[
+            server_a.entry("s-1", "ready"),
+            server_b.entry("s-2", "ready"),
+        ]);
         let node = Node::ready(&config(discovery.address));
         let mut client = node.client();
         client.send(&read("read", 1, 60_000));
-        wait_for("the attempt", || one.count() + two.count() == 1);
+        wait_for("the attempt", || server_a.count() + server_b.count() == 1);
         client.send(&further);
         client.shutdown_write();
-        assert_eq!(client.answer(), None, "the node has seen it leave");
+        assert_eq!(
+            client.answer(),
+            None,
+            "the node did not notice the disconnect"
+        );
         gate.open();
         assert!((10..20).all(|key| node.read("read", key).status() == 200));
         assert_eq!(
-            one.count() + two.count(),
+            server_a.count() + server_b.count(),
             11,
-            "{} bytes behind",
+            "{} further bytes",
             further.len()
         );
     }
 }
 
-/// The ids of the requests that a server has received.
+/// Returns the ids of the requests that a server has received.
 fn received_ids(server: &CacheServer) -> Vec<String> {
     let received = server.received.lock().unwrap();
     let id = |request: &Message| request.header("req-id").unwrap().to_owned();
     received.iter().map(id).collect()
 }
 
-/// None of these requests, as they were received, has one of these ids.
+/// Asserts that none of these raw requests has one of these ids.
 fn assert_none_contains(requests: &[String], ids: &[String]) {
     for id in ids {
         let header = format!("req-id: {id}\r\n");
         assert!(
             !requests.iter().any(|request| request.contains(&header)),
-            "{id}: {requests:?}"
+            "request {id} was received: {requests:?}"
         );
     }
 }
 
-// Guards against a repeat that was decided within its window and begins after it: servers know it for one no more.
+// Guards against a retry that is started within its repeat window and sent after it: servers no
+// longer recognize it as a duplicate.
 #[test]
 fn a_retry_whose_connection_is_established_after_its_repeat_window_is_not_sent() {
     const REQUESTS: u64 = 11;
     let slow = SlowServer::start();
     let gate = Gate::default();
-    let held = gate.clone();
+    let server_gate = gate.clone();
     let broken = CacheServer::start(move |_| {
-        held.wait_until_open();
+        server_gate.wait_until_open();
         Reply::AnswerAndClose(String::new())
     });
     let discovery = Discovery::start(&[
@@ -120,52 +137,52 @@
     ]);
     let mut config = config(discovery.address);
     config["settings"]["lanes"][2]["repeat_window_us"] = json!(2_000_000);
-    // The first attempts at the slow one outlast the window.
+    // First attempts at the slow server outlast the repeat window.
     config["settings"]["limits"]["connect_timeout_us"] = json!(20_000_000);
     let node = Node::ready(&config);
-    // Each is asked of one of the two first; those of the slow one wait there.
+    // The first attempt of each request is at either server; those at the slow one stay pending.
     let mut clients: Vec<_> = (1..=REQUESTS).map(|key| (key, node.client())).collect();
     clients
         .iter_mut()
         .for_each(|(key, client)| client.send(&read("keyed", *key, 20_000)));
-    // None can be repeated before the gate opens: each stands for one first attempt.
+    // No request can be retried before the gate opens, so each has one first attempt.
     wait_for("all first attempts", || {
         slow.pending_connections() + broken.count() >= clients.len()
     });
     let first_at_slow = slow.pending_connections();
-    let repeated = received_ids(&broken);
+    let retried = received_ids(&broken);
     assert!(
-        !repeated.is_empty() && first_at_slow > 0,
-        "{repeated:?} at the broken one, {first_at_slow} at the slow one"
+        !retried.is_empty() && first_at_slow > 0,
+        "{retried:?} at the broken server, {first_at_slow} at the slow server"
     );
     assert_eq!(
-        repeated.len() + first_at_slow,
+        retried.len() + first_at_slow,
         clients.len(),
-        "{repeated:?}, {first_at_slow} at the slow one"
+        "{retried:?} at the broken server, {first_at_slow} at the slow server"
     );
     gate.open();
-    wait_for("a repeat on its way", || {
+    wait_for("a pending retry", || {
         slow.pending_connections() > first_at_slow
     });
-    // Answered once the window is over: no server may be asked any more.
+    // Answered after the window, when no server may receive the request any more.
     for (key, client) in &mut clients {
-        if repeated.contains(&format!("{key:x}")) {
+        if retried.contains(&format!("{key:x}")) {
             assert!(client.answer().unwrap().status() >= 500, "{key}");
         }
     }
     slow.accept();
     for (key, client) in &mut clients {
-        if !repeated.contains(&format!("{key:x}")) {
+        if !retried.contains(&format!("{key:x}")) {
             assert_eq!(client.answer().unwrap().status(), 200, "{key}");
         }
     }
-    let asked = slow.received();
-    assert_eq!(asked.len(), first_at_slow, "{asked:?}");
-    assert_none_contains(&asked, &repeated);
+    let sent_requests = slow.received();
+    assert_eq!(sent_requests.len(), first_at_slow, "{sent_requests:?}");
+    assert_none_contains(&sent_requests, &retried);
     assert_eq!(
         broken.count(),
-        repeated.len(),
-        "none was asked of the broken one again"
+        retried.len(),
+        "requests were sent to the broken server again"
     );
     assert_eq!(
         broken.connections.load(Ordering::SeqCst) as usize,
@@ -173,7 +190,8 @@
     );
 }
 
-// Guards against half a request that is dropped as if nothing had come, when the node closes at that moment.
+// Guards against a partly received request that is dropped, as on an idle connection, when the node
+// shuts down.
 #[test]
 fn a_partly_read_request_is_completed_and_answered_during_shutdown() {
     let server = CacheServer::serving("value");
@@ -182,18 +200,18 @@
     let (mut used, mut fresh, mut idle) = (node.client(), node.client(), node.client());
     assert_eq!(used.request(&read("read", 1, 20_000)).status(), 200);
     assert_eq!(idle.request(&read("read", 2, 20_000)).status(), 200);
-    let (one, two) = (read("read", 3, 20_000), read("read", 4, 20_000));
-    used.send(&one[..40]);
-    fresh.send(&two[..40]);
+    let (first_text, second_text) = (read("read", 3, 20_000), read("read", 4, 20_000));
+    used.send(&first_text[..40]);
+    fresh.send(&second_text[..40]);
     node.terminate();
-    // The node closes what is idle, and so is at it.
+    // The end of the idle connection shows that the shutdown has begun.
     assert_eq!(idle.answer(), None);
-    used.send(&one[40..]);
-    fresh.send(&two[40..]);
+    used.send(&first_text[40..]);
+    fresh.send(&second_text[40..]);
     for client in [&mut used, &mut fresh] {
         let served = client
             .answer()
-            .expect("an answer to what the node has read half of");
+            .expect("no response to a partly read request");
         assert_eq!(
             (served.status(), served.header("connection")),
             (200, Some("close"))
@@ -202,19 +220,20 @@
     assert!(node.exit().success());
 }
 
-// Guards against an answer that is reset on its way, since its connection was closed over bytes that nobody read.
+// Guards against a response that is lost to a reset: closing a socket with unread received bytes
+// resets the connection.
 #[test]
 fn a_response_that_closes_its_connection_is_complete_though_the_client_sent_more() {
     let gate = Gate::default();
-    let held = gate.clone();
+    let server_gate = gate.clone();
     let body: &'static str = Box::leak("v".repeat(60_000).into_boxed_str());
     let server = CacheServer::start(move |_| {
-        held.wait_until_open();
+        server_gate.wait_until_open();
         Reply::Answer(answer("200 OK", "", body))
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    // Most of the answer stays with the node until its client reads.
+    // With a small receive buffer, most of the response stays in the node until the client reads.
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4_096).unwrap();
     socket.connect(&node.address.into()).unwrap();
@@ -227,9 +246,11 @@
     node.terminate();
     gate.open();
     assert!(arrived.peek(&mut [0]).unwrap() > 0);
-    // Its answer closes the connection, over these.
+    // The response closes the connection while these bytes are unread.
     client.send(&"x".repeat(20_000));
-    let served = client.answer().expect("the whole answer");
+    let served = client
+        .answer()
+        .expect("the connection was closed without a response");
     assert_eq!((served.status(), served.body.len()), (200, body.len()));
     assert_eq!(server.count(), 1);
     drop(client);
@@ -237,20 +258,20 @@
     assert!(node.exit().success());
 }
 
-// Guards against a second copy of an answer that comes some milliseconds late and meets the next request on its way: that
-// would be served with another one's answer.
+// Guards against a duplicate of a response that arrives some milliseconds late, together with the
+// next request, and would be taken for its response.
 #[test]
 fn a_late_duplicate_response_is_never_given_to_the_next_request() {
-    let answered: Arc<Mutex<HashMap<SocketAddr, (Instant, String)>>> = Arc::default();
-    let server = CacheServer::start_with_peers(move |asked, peer| {
-        let own = answer("200 OK", "", asked.header("req-id").unwrap());
-        // On its way when the next request came: the client reads it first.
-        let before = answered
+    let last_responses: Arc<Mutex<HashMap<SocketAddr, (Instant, String)>>> = Arc::default();
+    let server = CacheServer::start_with_peers(move |message, peer| {
+        let response = answer("200 OK", "", message.header("req-id").unwrap());
+        // A duplicate in transit when the next request arrives is read first.
+        let previous = last_responses
             .lock()
             .unwrap()
-            .insert(peer, (Instant::now(), own.clone()));
-        let late = before.filter(|(at, _)| at.elapsed() < Duration::from_millis(10));
-        Reply::Answer(late.map_or(String::new(), |(_, copy)| copy) + &own)
+            .insert(peer, (Instant::now(), response.clone()));
+        let late = previous.filter(|(at, _)| at.elapsed() < Duration::from_millis(10));
+        Reply::Answer(late.map_or(String::new(), |(_, duplicate)| duplicate) + &response)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -263,104 +284,109 @@
         );
     }
     assert_eq!(server.count(), 59);
-    // Rested, connections are used again.
+    // After a pause, connections are reused.
     std::thread::sleep(Duration::from_millis(40));
     let connections = server.connections.load(Ordering::SeqCst);
     assert_eq!(client.request(&read("once", 60, 20_000)).status(), 200);
     assert_eq!(server.connections.load(Ordering::SeqCst), connections);
 }
 
-/// How an answer goes on after its first part, and ends.
+/// Continuation of a response after its first part.
 #[derive(Clone, Copy, Debug)]
-enum Ends {
-    /// The connection is closed in order.
+enum Continuation {
+    /// The connection is closed normally.
     Closed,
-    /// It is reset.
+    /// The connection is reset.
     Reset,
-    /// Never: a byte comes every few milliseconds.
-    Never,
+    /// The response never ends: one byte follows every few milliseconds.
+    Endless,
 }
 
-// Guards against an answer that broke off and is passed on as whole, or run again where that is not allowed; a reset is no
-// end. And against one that never ends and keeps its client past its time.
+// Guards against a truncated response that is forwarded as complete or retried where that is not
+// allowed (a reset is not an end of the body), and against an endless response that holds its
+// client past the deadline.
 #[test]
 fn a_response_that_is_truncated_or_never_ends_is_one_failure_and_one_attempt() {
     let cases = [
         (
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nvalue",
-            Ends::Closed,
+            Continuation::Closed,
             200,
         ),
         (
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nval",
-            Ends::Reset,
+            Continuation::Reset,
             502,
         ),
         (
             "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nval",
-            Ends::Never,
+            Continuation::Endless,
             502,
         ),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nval",
-            Ends::Closed,
+            Continuation::Closed,
             502,
         ),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nval",
-            Ends::Reset,
+            Continuation::Reset,
             502,
         ),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nval",
-            Ends::Never,
+            Continuation::Endless,
             502,
         ),
         (
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nval",
-            Ends::Closed,
+            Continuation::Closed,
             502,
         ),
         (
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nvalue\r\n",
-            Ends::Reset,
+            Continuation::Reset,
             502,
         ),
         (
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nf000\r\nval",
-            Ends::Never,
+            Continuation::Endless,
             502,
         ),
-        ("HTTP/1.1 200 OK\r\nX-Long: val", Ends::Never, 502),
-        ("HTTP/1.1 200 OK\r\nX-Long: val", Ends::Reset, 502),
-        ("HTT", Ends::Closed, 502),
-        ("", Ends::Reset, 502),
+        ("HTTP/1.1 200 OK\r\nX-Long: val", Continuation::Endless, 502),
+        ("HTTP/1.1 200 OK\r\nX-Long: val", Continuation::Reset, 502),
+        ("HTT", Continuation::Closed, 502),
+        ("", Continuation::Reset, 502),
     ];
-    for (text, ends, status) in cases {
-        assert_one_attempt(text, ends, status);
+    for (text, continuation, status) in cases {
+        assert_one_attempt(text, continuation, status);
     }
 }
 
-/// An endpoint that writes this text and then ends its connection so; where it listens, and the requests it has read.
-fn ending_endpoint(text: &'static str, ends: Ends) -> (SocketAddr, Arc<AtomicU32>) {
+/// Starts an endpoint that answers each request with this text and continuation. Returns its
+/// address and the number of requests it has read.
+fn start_truncating_endpoint(
+    text: &'static str,
+    continuation: Continuation,
+) -> (SocketAddr, Arc<AtomicU32>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, runs) = (listener.local_addr().unwrap(), Arc::new(AtomicU32::new(0)));
-    let counted = runs.clone();
+    let (address, requests_read) = (listener.local_addr().unwrap(), Arc::new(AtomicU32::new(0)));
+    let read_counter = requests_read.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let mut reader = BufReader::new(stream.try_clone().unwrap());
             if !matches!(Message::read(&mut reader), Ok(Some(_))) {
                 continue;
             }
-            counted.fetch_add(1, Ordering::SeqCst);
+            read_counter.fetch_add(1, Ordering::SeqCst);
             stream.write_all(text.as_bytes()).unwrap();
-            match ends {
-                Ends::Closed => {}
-                Ends::Reset => SockRef::from(&stream)
+            match continuation {
+                Continuation::Closed => {}
+                Continuation::Reset => SockRef::from(&stream)
                     .set_linger(Some(Duration::ZERO))
                     .unwrap(),
-                // Until the node gives it up.
-                Ends::Never => {
+                // Until the node abandons the attempt.
+                Continuation::Endless => {
                     while stream.write_all(b"v").is_ok() {
                         std::thread::sleep(Duration::from_millis(5));
                     }
@@ -368,12 +394,13 @@
             }
         }
     });
-    (address, runs)
+    (address, requests_read)
 }
 
-/// A request to an endpoint whose response ends so has this status, in time and after one attempt.
-fn assert_one_attempt(text: &'static str, ends: Ends, status: u16) {
-    let (address, runs) = ending_endpoint(text, ends);
+/// Asserts that a request to an endpoint with this response gets this status after one attempt,
+/// within five times its deadline.
+fn assert_one_attempt(text: &'static str, continuation: Continuation, status: u16) {
+    let (address, requests_read) = start_truncating_endpoint(text, continuation);
     let discovery = Discovery::start(&[endpoint_entry("s-1", address, "ready")]);
     let node = Node::ready(&config(discovery.address));
     let deadline = Duration::from_millis(600);
@@ -381,21 +408,25 @@
     let served = node
         .client()
         .request(&read("once", 1, deadline.as_millis() as u64));
-    assert_eq!(served.status(), status, "{text:?} {ends:?}");
+    assert_eq!(served.status(), status, "{text:?} {continuation:?}");
     if status == 200 {
         assert_eq!(served.body, b"value", "{text:?}");
     }
-    // The node answers by itself; the rest is for a machine that does other things too.
+    // The node itself responds by the deadline; the factor allows for other load on the machine.
     assert!(
         sent.elapsed() < deadline * 5,
-        "{text:?} {ends:?}: {:?}",
+        "{text:?} {continuation:?}: {:?}",
         sent.elapsed()
     );
-    assert_eq!(runs.load(Ordering::SeqCst), 1, "{text:?} {ends:?}");
+    assert_eq!(
+        requests_read.load(Ordering::SeqCst),
+        1,
+        "{text:?} {continuation:?}"
+    );
 }
 
-// Guards against what a server wrote on a connection that has carried nothing yet, and was kept since its client had left:
-// it is no answer to the request that is sent there next.
+// Guards against unsolicited bytes from a server that are taken for the response to the next
+// request, on a connection that has carried no request and was kept after its client disconnected.
 #[test]
 fn bytes_received_on_an_idle_connection_are_never_a_response() {
     let slow = SlowServer::start();
@@ -405,12 +436,17 @@
     client.send(&read("once", 1, 20_000));
     wait_for("the attempt", || slow.pending_connections() == 1);
     client.shutdown_write();
-    assert_eq!(client.answer(), None, "the node has seen it leave");
-    let mut kept = slow.accept_one();
-    // Both are there when the node runs again: a whole answer that nobody asked for, and the next request.
+    assert_eq!(
+        client.answer(),
+        None,
+        "the node did not notice the disconnect"
+    );
+    let mut unused_connection = slow.accept_one();
+    // When the node continues, it finds a complete unsolicited response and the next request.
     std::thread::sleep(Duration::from_millis(50));
     node.signal("-STOP");
-    kept.write_all(answer("200 OK", "", "stray").as_bytes())
+    unused_connection
+        .write_all(answer("200 OK", "", "stray").as_bytes())
         .unwrap();
     let mut next = node.client();
     next.send(&read("once", 2, 20_000));
@@ -418,9 +454,9 @@
     node.signal("-CONT");
     assert_eq!(next.answer().unwrap().body, b"value");
     assert_eq!(
-        kept.read(&mut [0]).unwrap_or(0),
+        unused_connection.read(&mut [0]).unwrap_or(0),
         0,
-        "nothing was sent there"
+        "a request was sent on the connection with unsolicited bytes"
     );
     assert_eq!(slow.received().len(), 1);
 }
