--- a/crates/cli/tests/node_lists.rs
+++ b/crates/cli/tests/node_lists.rs
@@ -1,4 +1,4 @@
-//! The list of cache servers changes while requests are on their way, over loopback sockets.
+//! Changes of the list of cache servers during requests, over loopback sockets.
 
 mod node_common;
 
@@ -13,11 +13,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A server that holds requests with odd ids until the gate is open; its answers bear its name.
-fn gated(name: &'static str, gate: &Gate) -> CacheServer {
+/// Starts a server that answers with its name. Requests whose id ends in 1, 3, 5 or 7 wait until
+/// the gate is open.
+fn gated_server(name: &'static str, gate: &Gate) -> CacheServer {
     let gate = gate.clone();
-    CacheServer::start(move |asked| {
-        if asked
+    CacheServer::start(move |message| {
+        if message
             .header("req-id")
             .is_some_and(|id| id.ends_with(['1', '3', '5', '7']))
         {
@@ -27,11 +28,11 @@
     })
 }
 
-// Guards against a connection of before a move that is kept, and takes later requests to where the server was.
+// Guards against a connection to the old address of an endpoint that is reused for later requests.
 #[test]
 fn a_response_from_an_endpoints_old_address_is_delivered_and_no_request_goes_there() {
     let gate = Gate::default();
-    let (old, new) = (gated("old", &gate), gated("new", &gate));
+    let (old, new) = (gated_server("old", &gate), gated_server("new", &gate));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut waiting = node.client();
@@ -43,7 +44,7 @@
     assert_eq!(
         waiting.answer().unwrap().body,
         b"old",
-        "an attempt under way is finished"
+        "the attempt in progress was not completed at the old address"
     );
     for key in [2, 4, 6] {
         assert_eq!(node.read("read", key).body, b"new", "{key}");
@@ -51,11 +52,12 @@
     assert_eq!(old.count(), 1);
 }
 
-// Guards against connections to a process that is no more: a machine that vanished says nothing on them.
+// Guards against reuse of connections to an ended process: a machine that fails sends nothing on
+// them.
 #[test]
 fn a_new_incarnation_at_the_same_name_and_address_gets_new_connections() {
     let gate = Gate::default();
-    let server = gated("value", &gate);
+    let server = gated_server("value", &gate);
     let discovery = Discovery::start(&[started_at(server.entry("s-1", "ready"), 1)]);
     let node = Node::ready(&config(discovery.address));
     let mut waiting = node.client();
@@ -65,24 +67,25 @@
     assert_eq!(server.connections.load(Ordering::SeqCst), 2);
     discovery.publish(false, &[started_at(server.entry("s-1", "ready"), 2)]);
     discovery.wait_until_applied(2);
-    wait_for("the idle connection's end", || {
+    wait_for("the end of the idle connection", || {
         server.closed.load(Ordering::SeqCst) == 1
     });
     gate.open();
     assert_eq!(waiting.answer().unwrap().status(), 200);
-    wait_for("the other one's end", || {
+    wait_for("the end of the other connection", || {
         server.closed.load(Ordering::SeqCst) == 2
     });
     assert_eq!(node.read("read", 4).status(), 200);
     assert_eq!(server.connections.load(Ordering::SeqCst), 3);
 }
 
-// Guards against an attempt that reaches a server after its drain was told, whenever that comes, and against one that is
-// taken from a request that had it: between pick and dial, dial and first byte, and after the last byte.
+// Guards against an attempt that reaches a server after its drain was notified, and against a drain
+// that cancels an attempt. The drain may come between selection and connect, between connect and
+// first byte, or after the last byte.
 #[test]
 fn a_drain_or_removal_at_any_moment_stops_new_requests_and_loses_none() {
     let gate = Gate::default();
-    let servers = ["s-0", "s-1", "s-2"].map(|name| gated(name, &gate));
+    let servers = ["s-0", "s-1", "s-2"].map(|name| gated_server(name, &gate));
     gate.open();
     let names = ["s-0", "s-1", "s-2"];
     let entries = |state: &[&str; 3]| -> Vec<Value> {
@@ -106,7 +109,7 @@
                     let Some(answer) = connection.try_request(&read("once", key, 20_000)) else {
                         break;
                     };
-                    // Some server is ready all the time.
+                    // At least one server is ready at any time.
                     assert_eq!(answer.status(), 200, "{key:x}");
                     answers += 1;
                     if answer.header("connection") == Some("close") {
@@ -118,32 +121,37 @@
             })
         })
         .collect();
-    for turn in 0..12 {
+    for round in 0..12 {
         let mut state = ["ready"; 3];
-        let gone = turn % 3;
-        state[gone] = ["draining", "absent"][turn / 3 % 2];
+        let changed = round % 3;
+        state[changed] = ["draining", "absent"][round / 3 % 2];
         discovery.publish(true, &entries(&state));
-        discovery.wait_until_applied(turn as u64 + 2);
-        // Told: what was under way may still come to its last byte, and after the rule's time nothing.
+        discovery.wait_until_applied(round as u64 + 2);
+        // Attempts in progress at the notification may still reach the server, but none after the
+        // time that the rules allow.
         thread::sleep(Duration::from_millis(300));
-        let count = servers[gone].count();
+        let count = servers[changed].count();
         thread::sleep(Duration::from_millis(100));
-        assert_eq!(servers[gone].count(), count, "turn {turn}");
+        assert_eq!(
+            servers[changed].count(),
+            count,
+            "round {round}: a request reached the drained or removed server"
+        );
     }
     stop.store(1, Ordering::SeqCst);
     let answers: u64 = clients
         .into_iter()
         .map(|client| client.join().unwrap())
         .sum();
-    let asked: usize = servers.iter().map(CacheServer::count).sum();
+    let total_received: usize = servers.iter().map(CacheServer::count).sum();
     assert_eq!(
-        answers as usize, asked,
-        "each ran once and was answered once"
+        answers as usize, total_received,
+        "the responses do not match the requests that reached the servers"
     );
-    assert!(asked > 100, "{asked}");
+    assert!(total_received > 100, "{total_received}");
 }
 
-// Guards against a request that goes out on a connection which came up only after the drain was told.
+// Guards against a request sent on a connection that is established after the drain was notified.
 #[test]
 fn a_drain_notified_while_a_connection_is_established_keeps_the_request_from_it() {
     let slow = SlowServer::start();
@@ -160,26 +168,32 @@
     clients
         .iter_mut()
         .for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
-    // Each stands for one attempt: those of the other server are answered, those of the slow one wait for it.
-    wait_for("an attempt of each", || {
+    // Each client has one attempt: the other server answers its attempts, and those at the slow
+    // server stay pending.
+    wait_for("one attempt per client", || {
         slow.pending_connections() + other.count() >= clients.len()
     });
-    let on_their_way = slow.pending_connections();
+    let pending = slow.pending_connections();
     assert!(
-        on_their_way > 0 && other.count() > 0,
-        "{on_their_way} on their way to the slow one"
+        pending > 0 && other.count() > 0,
+        "{pending} pending at the slow server"
     );
-    assert_eq!(on_their_way + other.count(), clients.len());
+    assert_eq!(pending + other.count(), clients.len());
     discovery.publish(true, &entries("draining"));
     discovery.wait_until_applied(2);
     slow.accept();
     for (key, client) in &mut clients {
         assert_eq!(client.answer().unwrap().status(), 200, "{key}");
     }
-    assert_eq!(slow.received().concat(), "", "after the drain was told");
+    assert_eq!(
+        slow.received().concat(),
+        "",
+        "sent after the drain was notified"
+    );
 }
 
-// Guards against an empty list that leaves requests waiting, and one that cannot be undone.
+// Guards against requests that wait during an empty list, and against a node that does not use a
+// later list.
 #[test]
 fn with_an_empty_list_requests_are_shed_at_once_and_a_renamed_endpoint_serves() {
     let server = CacheServer::serving("value");
@@ -187,27 +201,21 @@
     let node = Node::ready(&config(discovery.address));
     discovery.publish(true, &[]);
     discovery.wait_until_applied(2);
-    let refused = node.read("once", 1);
-    assert_eq!(refused.status(), 503);
-    assert!(
-        refused
-            .header("retry-after")
-            .unwrap()
-            .parse::<f64>()
-            .unwrap()
-            > 0.0
-    );
+    let shed = node.read("once", 1);
+    assert_eq!(shed.status(), 503);
+    assert!(shed.header("retry-after").unwrap().parse::<f64>().unwrap() > 0.0);
     discovery.publish(true, &[server.entry("s-2", "ready")]);
     discovery.wait_until_applied(3);
     assert_eq!(node.read("once", 1).status(), 200);
 }
 
-/// Discovery that answers each call with the next of these texts, the last one for good; it counts the calls.
-fn scripted(lists: Vec<String>) -> (std::net::SocketAddr, Arc<Mutex<Vec<String>>>) {
+/// Starts discovery that answers each call with the next of these texts and repeats the last one.
+/// Returns its address and the requested paths.
+fn scripted_discovery(lists: Vec<String>) -> (std::net::SocketAddr, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-    let log = asked.clone();
+    let paths: Arc<Mutex<Vec<String>>> = Arc::default();
+    let log = paths.clone();
     thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             let (log, lists) = (log.clone(), lists.clone());
@@ -228,25 +236,25 @@
             });
         }
     });
-    (address, asked)
+    (address, paths)
 }
 
-// Guards against a list of before that brings back what is gone.
+// Guards against an outdated list that adds a removed endpoint again.
 #[test]
 fn a_list_older_than_the_current_one_is_ignored_and_the_complete_list_is_requested() {
     let server = CacheServer::serving("value");
-    let gone = CacheServer::serving("gone");
-    let (address, asked) = scripted(vec![
+    let removed = CacheServer::serving("gone");
+    let (address, paths) = scripted_discovery(vec![
         list(5, true, &[server.entry("s-1", "ready")]),
-        list(3, true, &[gone.entry("s-0", "ready")]),
+        list(3, true, &[removed.entry("s-0", "ready")]),
         list(6, true, &[server.entry("s-1", "ready")]),
     ]);
     let node = Node::ready(&config(address));
-    wait_for("the third call", || asked.lock().unwrap().len() > 3);
-    assert_eq!(asked.lock().unwrap()[2], "/v1/servers");
+    wait_for("the third call", || paths.lock().unwrap().len() > 3);
+    assert_eq!(paths.lock().unwrap()[2], "/v1/servers");
     assert!((1..20).all(|key| node.read("read", key).body == b"value"));
-    assert_eq!(gone.count(), 0);
-    wait_for("a line", || {
+    assert_eq!(removed.count(), 0);
+    wait_for("the log line of the outdated list", || {
         node.log
             .lock()
             .unwrap()
@@ -255,25 +263,26 @@
     });
 }
 
-// Guards against a node that asks as fast as it can where a watch never waits, as the load of all other nodes' discovery.
+// Guards against a busy loop of watches that discovery answers at once: the loop would overload the
+// discovery that all nodes use.
 #[test]
 fn a_watch_answered_at_once_without_a_change_is_not_repeated_in_a_busy_loop() {
     let server = CacheServer::serving("value");
-    let (address, asked) = scripted(vec![
+    let (address, paths) = scripted_discovery(vec![
         list(5, true, &[server.entry("s-1", "ready")]),
         list(5, false, &[]),
     ]);
     let node = Node::ready(&config(address));
-    let (before, start) = (asked.lock().unwrap().len(), Instant::now());
+    let (before, start) = (paths.lock().unwrap().len(), Instant::now());
     thread::sleep(Duration::from_secs(1));
-    let calls = (asked.lock().unwrap().len() - before) as f64 / start.elapsed().as_secs_f64();
-    // Within 200 ms of each other, or the watch would not last.
+    let calls = (paths.lock().unwrap().len() - before) as f64 / start.elapsed().as_secs_f64();
+    // A gap between calls of more than 200 ms would interrupt the watch.
     assert!((4.0..=25.0).contains(&calls), "{calls} calls a second");
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-// Guards against a bound anywhere between list, decision and sends that a fleet of this size meets: a list that is cut,
-// servers that are never picked, drains that are heeded in part.
+// Guards against a size limit between list, selection and request that a fleet of this size exceeds:
+// a truncated list, servers that are never selected, drains that are applied in part.
 #[test]
 fn a_node_with_a_thousand_endpoints_among_a_thousand_nodes_uses_and_drops_them() {
     const SERVERS: usize = 1024;
@@ -286,7 +295,7 @@
     config["settings"]["balancers"] = json!(SERVERS);
     config["limits"]["sockets"] = json!(4096);
     let node = Node::start(&config);
-    // Some tell their lists in many lines.
+    // Discovery may format a list over many lines.
     let all: Vec<_> = (0..SERVERS).map(|i| entry(i, "ready")).collect();
     let whole = json!({"seq": 2, "whole": true, "hosts": all});
     discovery.publish_text(serde_json::to_string_pretty(&whole).unwrap());
@@ -294,7 +303,7 @@
         node.get("/healthz").status() == 200
     });
     let mut keys = 1..;
-    let mut ask = |requests: usize| {
+    let mut send_requests = |requests: usize| {
         let before: Vec<_> = servers.iter().map(CacheServer::count).collect();
         let mut client = node.client();
         for key in keys.by_ref().take(requests) {
@@ -310,31 +319,34 @@
             .map(|(server, before)| server.count() - before)
             .collect::<Vec<_>>()
     };
-    // Of so many draws with replacement 982 are expected to be met.
-    let met = ask(3 * SERVERS + 100)
+    // 982 servers are expected to be reached by this number of draws with replacement.
+    let servers_reached = send_requests(3 * SERVERS + 100)
         .iter()
-        .filter(|asked| **asked > 0)
+        .filter(|count| **count > 0)
         .count();
-    assert!(met > SERVERS * 9 / 10, "{met} of {SERVERS} were asked");
+    assert!(
+        servers_reached > SERVERS * 9 / 10,
+        "only {servers_reached} of {SERVERS} servers received a request"
+    );
     let leaving: Vec<_> = (0..SERVERS)
         .step_by(2)
         .map(|i| entry(i, "draining"))
         .collect();
     discovery.publish(false, &leaving);
     discovery.wait_until_applied(3);
-    let asked = ask(SERVERS);
+    let counts = send_requests(SERVERS);
     assert!(
-        asked.iter().step_by(2).all(|asked| *asked == 0),
-        "to servers that drain"
+        counts.iter().step_by(2).all(|count| *count == 0),
+        "draining servers received requests"
     );
-    // Every fourth is left; what a whole list lacks is gone.
-    let left: Vec<_> = (1..SERVERS).step_by(4).map(|i| entry(i, "ready")).collect();
-    discovery.publish(true, &left);
+    // Every fourth server stays; servers missing from a complete list are removed.
+    let remaining: Vec<_> = (1..SERVERS).step_by(4).map(|i| entry(i, "ready")).collect();
+    discovery.publish(true, &remaining);
     discovery.wait_until_applied(4);
-    let asked = ask(SERVERS);
+    let counts = send_requests(SERVERS);
     assert_eq!(
-        asked.iter().skip(1).step_by(4).sum::<usize>(),
+        counts.iter().skip(1).step_by(4).sum::<usize>(),
         SERVERS,
-        "none but those left"
+        "removed servers received requests"
     );
 }
