--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -365,7 +365,7 @@
 
 /// Starts an endpoint that answers each request with this text and continuation. Returns its
 /// address and the number of requests it has read.
-fn start_truncating_endpoint(
+fn start_raw_endpoint(
     text: &'static str,
     continuation: Continuation,
 ) -> (SocketAddr, Arc<AtomicU32>) {
@@ -400,7 +400,7 @@
 /// Asserts that a request to an endpoint with this response gets this status after one attempt,
 /// within five times its deadline.
 fn assert_one_attempt(text: &'static str, continuation: Continuation, status: u16) {
-    let (address, requests_read) = start_truncating_endpoint(text, continuation);
+    let (address, requests_read) = start_raw_endpoint(text, continuation);
     let discovery = Discovery::start(&[endpoint_entry("s-1", address, "ready")]);
     let node = Node::ready(&config(discovery.address));
     let deadline = Duration::from_millis(600);
--- a/crates/cli/tests/node_exhaustion.rs
+++ b/crates/cli/tests/node_exhaustion.rs
@@ -69,8 +69,8 @@
     discovery.wait_until_applied(1);
     set_limit(&node, Resource::Nofile, NO_FREE_DESCRIPTORS);
     let (cpu_time, start) = (cpu_seconds(&node), Instant::now());
-    // The connection to the endpoint needs a descriptor. The shortage is no failure of the endpoint,
-    // and the request is shed at once.
+    // The connection to the endpoint needs a descriptor. The shortage is no failure of the
+    // endpoint, and the request is shed at once.
     assert_shed(&accepted_client.request(&read("once", 1, 20_000)));
     // Without a descriptor to accept them, these connections wait in the kernel's accept queue.
     let mut waiting_clients: Vec<_> = (2..40).map(|key| (key, node.client())).collect();
@@ -92,8 +92,8 @@
     set_limit(&node, Resource::Nofile, None);
     let mut served = 0;
     for (_, client) in &mut waiting_clients {
-        // All requests arrive at once, and a server without previous requests receives only a few at
-        // first.
+        // All requests arrive at once, and a server without previous requests receives only a few
+        // at first.
         let answer = client.answer().expect("no response to a waiting client");
         match answer.status() {
             200 => served += 1,
--- a/crates/cli/tests/node_lists.rs
+++ b/crates/cli/tests/node_lists.rs
@@ -17,8 +17,8 @@
 /// the gate is open.
 fn gated_server(name: &'static str, gate: &Gate) -> CacheServer {
     let gate = gate.clone();
-    CacheServer::start(move |message| {
-        if message
+    CacheServer::start(move |incoming| {
+        if incoming
             .header("req-id")
             .is_some_and(|id| id.ends_with(['1', '3', '5', '7']))
         {
@@ -281,8 +281,8 @@
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-// Guards against a size limit between list, selection and request that a fleet of this size exceeds:
-// a truncated list, servers that are never selected, drains that are applied in part.
+// Guards against a size limit between list, selection and request that a fleet of this size
+// exceeds: a truncated list, servers that are never selected, drains that are applied in part.
 #[test]
 fn a_node_with_a_thousand_endpoints_among_a_thousand_nodes_uses_and_drops_them() {
     const SERVERS: usize = 1024;
@@ -322,7 +322,7 @@
     // 982 servers are expected to be reached by this number of draws with replacement.
     let servers_reached = send_requests(3 * SERVERS + 100)
         .iter()
-        .filter(|count| **count > 0)
+        .filter(|request_count| **request_count > 0)
         .count();
     assert!(
         servers_reached > SERVERS * 9 / 10,
@@ -336,7 +336,10 @@
     discovery.wait_until_applied(3);
     let counts = send_requests(SERVERS);
     assert!(
-        counts.iter().step_by(2).all(|count| *count == 0),
+        counts
+            .iter()
+            .step_by(2)
+            .all(|request_count| *request_count == 0),
         "draining servers received requests"
     );
     // Every fourth server stays; servers missing from a complete list are removed.
