--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -239,13 +239,13 @@
     socket.connect(&node.address.into()).unwrap();
     let stream = TcpStream::from(socket);
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-    let arrived = stream.try_clone().unwrap();
+    let peek_stream = stream.try_clone().unwrap();
     let mut client = Client::from_stream(stream);
     client.send(&read("read", 1, 60_000));
     wait_for("the attempt", || server.count() == 1);
     node.terminate();
     gate.open();
-    assert!(arrived.peek(&mut [0]).unwrap() > 0);
+    assert!(peek_stream.peek(&mut [0]).unwrap() > 0);
     // The response closes the connection while these bytes are unread.
     client.send(&"x".repeat(20_000));
     let served = client
@@ -254,12 +254,12 @@
     assert_eq!((served.status(), served.body.len()), (200, body.len()));
     assert_eq!(server.count(), 1);
     drop(client);
-    drop(arrived);
+    drop(peek_stream);
     assert!(node.exit().success());
 }
 
-// Guards against a duplicate of a response that arrives some milliseconds late, together with the
-// next request, and would be taken for its response.
+// Guards against a late duplicate that is taken for the response to the next request: it arrives
+// some milliseconds after the original, when the next request is already in transit.
 #[test]
 fn a_late_duplicate_response_is_never_given_to_the_next_request() {
     let last_responses: Arc<Mutex<HashMap<SocketAddr, (Instant, String)>>> = Arc::default();
@@ -404,7 +404,7 @@
     let discovery = Discovery::start(&[endpoint_entry("s-1", address, "ready")]);
     let node = Node::ready(&config(discovery.address));
     let deadline = Duration::from_millis(600);
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let served = node
         .client()
         .request(&read("once", 1, deadline.as_millis() as u64));
@@ -414,9 +414,9 @@
     }
     // The node itself responds by the deadline; the factor allows for other load on the machine.
     assert!(
-        sent.elapsed() < deadline * 5,
+        sent_at.elapsed() < deadline * 5,
         "{text:?} {continuation:?}: {:?}",
-        sent.elapsed()
+        sent_at.elapsed()
     );
     assert_eq!(
         requests_read.load(Ordering::SeqCst),
--- a/crates/cli/tests/node_lists.rs
+++ b/crates/cli/tests/node_lists.rs
@@ -17,8 +17,8 @@
 /// the gate is open.
 fn gated_server(name: &'static str, gate: &Gate) -> CacheServer {
     let gate = gate.clone();
-    CacheServer::start(move |incoming| {
-        if incoming
+    CacheServer::start(move |received_message| {
+        if received_message
             .header("req-id")
             .is_some_and(|id| id.ends_with(['1', '3', '5', '7']))
         {
@@ -35,14 +35,14 @@
     let (old, new) = (gated_server("old", &gate), gated_server("new", &gate));
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    let mut waiting = node.client();
-    waiting.send(&read("once", 1, 20_000));
+    let mut waiting_client = node.client();
+    waiting_client.send(&read("once", 1, 20_000));
     wait_for("the attempt", || old.count() == 1);
     discovery.publish(false, &[new.entry("s-1", "ready")]);
     discovery.wait_until_applied(2);
     gate.open();
     assert_eq!(
-        waiting.answer().unwrap().body,
+        waiting_client.answer().unwrap().body,
         b"old",
         "the attempt in progress was not completed at the old address"
     );
@@ -60,8 +60,8 @@
     let server = gated_server("value", &gate);
     let discovery = Discovery::start(&[started_at(server.entry("s-1", "ready"), 1)]);
     let node = Node::ready(&config(discovery.address));
-    let mut waiting = node.client();
-    waiting.send(&read("once", 1, 20_000));
+    let mut waiting_client = node.client();
+    waiting_client.send(&read("once", 1, 20_000));
     wait_for("the attempt", || server.count() == 1);
     assert_eq!(node.read("read", 2).status(), 200);
     assert_eq!(server.connections.load(Ordering::SeqCst), 2);
@@ -71,7 +71,7 @@
         server.closed.load(Ordering::SeqCst) == 1
     });
     gate.open();
-    assert_eq!(waiting.answer().unwrap().status(), 200);
+    assert_eq!(waiting_client.answer().unwrap().status(), 200);
     wait_for("the end of the other connection", || {
         server.closed.load(Ordering::SeqCst) == 2
     });
@@ -296,9 +296,9 @@
     config["limits"]["sockets"] = json!(4096);
     let node = Node::start(&config);
     // Discovery may format a list over many lines.
-    let all: Vec<_> = (0..SERVERS).map(|i| entry(i, "ready")).collect();
-    let whole = json!({"seq": 2, "whole": true, "hosts": all});
-    discovery.publish_text(serde_json::to_string_pretty(&whole).unwrap());
+    let all_entries: Vec<_> = (0..SERVERS).map(|i| entry(i, "ready")).collect();
+    let complete_list = json!({"seq": 2, "whole": true, "hosts": all_entries});
+    discovery.publish_text(serde_json::to_string_pretty(&complete_list).unwrap());
     wait_for("the node's readiness", || {
         node.get("/healthz").status() == 200
     });
@@ -319,7 +319,7 @@
             .map(|(server, before)| server.count() - before)
             .collect::<Vec<_>>()
     };
-    // 982 servers are expected to be reached by this number of draws with replacement.
+    // With this number of draws with replacement, 982 servers are expected to be reached.
     let servers_reached = send_requests(3 * SERVERS + 100)
         .iter()
         .filter(|request_count| **request_count > 0)
