--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -1,4 +1,5 @@
-//! A drain or an end that crosses another event: once its time is over, nothing new reaches the server that leaves.
+//! A drain or removal that coincides with another event: once the drain grace has passed, no new
+//! request reaches the leaving server.
 
 mod node_common;
 
@@ -13,30 +14,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What the rule leaves between the word of a drain and the last first byte: the settings' time and the 50 ms of sockets.
-const GRACE: Duration = Duration::from_millis(300);
+/// Longest time from the publication of a drain to the first byte of the last request: the default
+/// drain grace of 250 ms, and 50 ms for the sockets.
+const DRAIN_LIMIT: Duration = Duration::from_millis(300);
 
-/// A server that serves, and the times at which it was asked.
-fn timed() -> (CacheServer, Arc<Mutex<Vec<Instant>>>) {
-    let times: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let kept = times.clone();
+/// Starts a server that serves every request and records when it received each.
+fn start_recording_server() -> (CacheServer, Arc<Mutex<Vec<Instant>>>) {
+    let receive_times: Arc<Mutex<Vec<Instant>>> = Arc::default();
+    let recorded_times = receive_times.clone();
     let server = CacheServer::start(move |_| {
-        kept.lock().unwrap().push(Instant::now());
+        recorded_times.lock().unwrap().push(Instant::now());
         Reply::Answer(answer("200 OK", "", "value"))
     });
-    (server, times)
+    (server, receive_times)
 }
 
-/// Clients that keep many requests open all the time, until they are stopped.
-struct Crowd {
+/// Clients that keep many requests in flight until they are stopped.
+struct BusyClients {
     stop: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<(u64, u64)>>,
 }
 
-impl Crowd {
+impl BusyClients {
     fn start(node: &Node, threads: u64, connections: u64) -> Self {
         let (stop, address) = (Arc::new(AtomicBool::new(false)), node.address);
-        let crowd = |thread: u64| {
+        let spawn_thread = |thread: u64| {
             let stop = stop.clone();
             thread::spawn(move || {
                 let connect = || {
@@ -45,13 +47,13 @@
                     Client::on(stream)
                 };
                 let mut clients: Vec<_> = (0..connections).map(|_| connect()).collect();
-                let (mut served, mut others, mut turn) = (0, 0, 0);
+                let (mut served, mut not_served, mut round) = (0, 0, 0);
                 while !stop.load(Ordering::SeqCst) {
-                    turn += 1;
+                    round += 1;
                     for (i, client) in clients.iter_mut().enumerate() {
                         client.try_send(&read(
                             "read",
-                            thread << 48 | turn << 16 | i as u64,
+                            thread << 48 | round << 16 | i as u64,
                             20_000,
                         ));
                     }
@@ -59,7 +61,7 @@
                         let answer = client.answer();
                         match answer.as_ref().map(Message::status) {
                             Some(200) => served += 1,
-                            _ => others += 1,
+                            _ => not_served += 1,
                         }
                         if answer.is_none_or(|answer| answer.header("connection") == Some("close"))
                         {
@@ -67,107 +69,120 @@
                         }
                     }
                 }
-                (served, others)
+                (served, not_served)
             })
         };
-        let threads = (0..threads).map(crowd).collect();
+        let threads = (0..threads).map(spawn_thread).collect();
         Self { stop, threads }
     }
 
-    /// Requests that were served, and those that were not.
+    /// Stops the clients and returns the numbers of requests that were served and not served.
     fn stop(self) -> (u64, u64) {
         self.stop.store(true, Ordering::SeqCst);
-        let ends = self
+        let counts = self
             .threads
             .into_iter()
             .map(|thread| thread.join().unwrap());
-        ends.fold((0, 0), |all, end| (all.0 + end.0, all.1 + end.1))
+        counts.fold((0, 0), |sum, count| (sum.0 + count.0, sum.1 + count.1))
     }
 }
 
-/// Cache servers of which every second one is told to leave, and when each was asked.
+/// Cache servers, some of which leave, with the receive times of their requests.
 struct Fleet(Vec<(CacheServer, Arc<Mutex<Vec<Instant>>>)>);
 
 impl Fleet {
     fn start(servers: usize) -> Self {
-        Self((0..servers).map(|_| timed()).collect())
+        Self((0..servers).map(|_| start_recording_server()).collect())
     }
 
-    fn entries(&self, leaves: impl Fn(usize) -> bool) -> Vec<Value> {
-        let health = |i| if leaves(i) { "draining" } else { "ready" };
-        let all = self.0.iter().enumerate();
-        all.map(|(i, (server, _))| server.entry(&format!("s-{i}"), health(i)))
+    /// Returns the entries of all servers; those for which `is_leaving` holds are draining.
+    fn entries(&self, is_leaving: impl Fn(usize) -> bool) -> Vec<Value> {
+        let health = |i| if is_leaving(i) { "draining" } else { "ready" };
+        let numbered_servers = self.0.iter().enumerate();
+        numbered_servers
+            .map(|(i, (server, _))| server.entry(&format!("s-{i}"), health(i)))
             .collect()
     }
 
-    /// When those that leave were asked.
-    fn received(&self, leaves: impl Fn(usize) -> bool) -> Vec<Instant> {
-        let leaving = self.0.iter().enumerate().filter(|(i, _)| leaves(*i));
+    /// Returns the receive times of all requests to the leaving servers.
+    fn received(&self, is_leaving: impl Fn(usize) -> bool) -> Vec<Instant> {
+        let leaving = self.0.iter().enumerate().filter(|(i, _)| is_leaving(*i));
         leaving
-            .flat_map(|(_, (_, times))| times.lock().unwrap().clone())
+            .flat_map(|(_, (_, receive_times))| receive_times.lock().unwrap().clone())
             .collect()
     }
 }
 
-/// A node with places for this many clients, which has taken in the first list.
-fn roomy_node(discovery: &ManualDiscovery, first: &str) -> Node {
+/// Starts a node whose socket limit suffices for many clients, and waits until it is ready with the
+/// first list.
+fn start_node_for_many_clients(discovery: &ManualDiscovery, first_list: &str) -> Node {
     let mut config = config(discovery.address);
     config["limits"]["sockets"] = json!(8192);
     let node = Node::start(&config);
-    discovery.next_call().answer(first);
+    discovery.next_call().answer(first_list);
     wait_for("the node's readiness", || {
         node.get("/healthz").status() == 200
     });
     node
 }
 
-// Guards against a list that is read late because very many clients are busy at once.
+// Guards against a list that is applied late because very many clients are busy at once.
 #[test]
 fn a_drain_notified_while_many_clients_are_busy_takes_effect_in_time() {
     let fleet = Fleet::start(20);
     let discovery = ManualDiscovery::start();
-    let node = roomy_node(&discovery, &list(1, true, &fleet.entries(|_| false)));
-    let crowd = Crowd::start(&node, 4, 25);
-    wait_for("a crowd at work", || fleet.received(|_| true).len() > 2_000);
-    let (mut worst, mut heeded) = (Duration::ZERO, 0);
-    for turn in 0..6 {
-        // Half of them drain, and the other half after them.
-        let leaves = |i: usize| i % 2 == turn % 2;
+    let node = start_node_for_many_clients(&discovery, &list(1, true, &fleet.entries(|_| false)));
+    let busy_clients = BusyClients::start(&node, 4, 25);
+    wait_for("2000 requests from the busy clients", || {
+        fleet.received(|_| true).len() > 2_000
+    });
+    let (mut max_delay, mut drains) = (Duration::ZERO, 0);
+    for round in 0..6 {
+        // The two halves of the fleet drain in turn.
+        let is_leaving = |i: usize| i % 2 == round % 2;
         let mut watch = discovery.next_call();
-        watch.answer(&list(turn as u64 + 2, true, &fleet.entries(leaves)));
-        let told = Instant::now();
-        let before = fleet.received(|i| !leaves(i)).len();
-        wait_for("the others' work", || {
-            told.elapsed() > 2 * GRACE && fleet.received(|i| !leaves(i)).len() > before + 200
+        watch.answer(&list(round as u64 + 2, true, &fleet.entries(is_leaving)));
+        let published_at = Instant::now();
+        let before = fleet.received(|i| !is_leaving(i)).len();
+        wait_for("requests to the other servers", || {
+            published_at.elapsed() > 2 * DRAIN_LIMIT
+                && fleet.received(|i| !is_leaving(i)).len() > before + 200
         });
-        let asked = fleet.received(leaves);
-        worst = asked
+        let received_at = fleet.received(is_leaving);
+        max_delay = received_at
             .iter()
-            .map(|at| at.saturating_duration_since(told))
-            .fold(worst, Duration::max);
-        heeded += 1;
+            .map(|at| at.saturating_duration_since(published_at))
+            .fold(max_delay, Duration::max);
+        drains += 1;
     }
-    let (served, _) = crowd.stop();
-    println!("served {served}, the last send {worst:?} after the word, {heeded} times");
-    assert!(worst < GRACE, "{worst:?}");
+    let (served, _) = busy_clients.stop();
+    println!(
+        "{served} requests served, {drains} drains, \
+         last request to a draining server after {max_delay:?}"
+    );
+    assert!(
+        max_delay < DRAIN_LIMIT,
+        "a draining server received a request after {max_delay:?}"
+    );
 }
 
-/// Has a node that stands still meet this list and then a burst of requests; how many of these reach those that leave.
-fn burst(
+/// Stops the node's process, calls `publish_list`, sends a request from each client and continues
+/// the process. Returns the number of these requests that reach leaving servers.
+fn send_burst(
     node: &Node,
     clients: &mut [Client],
     fleet: &Fleet,
-    leaves: impl Fn(usize) -> bool + Copy,
-    word: impl FnOnce(),
+    is_leaving: impl Fn(usize) -> bool + Copy,
+    publish_list: impl FnOnce(),
     first_key: u64,
 ) -> usize {
-    let before = fleet.received(leaves).len();
+    let before = fleet.received(is_leaving).len();
     node.signal("-STOP");
-    word();
+    publish_list();
     for (key, client) in (first_key..).zip(clients.iter_mut()) {
         client.send(&read("read", key, 20_000));
     }
-    let told = Instant::now();
+    let continued_at = Instant::now();
     node.signal("-CONT");
     let mut served = 0;
     for client in clients.iter_mut() {
@@ -178,61 +193,66 @@
             _ => *client = node.client(),
         }
     }
-    let asked = fleet.received(leaves);
-    let worst = asked
+    let received_at = fleet.received(is_leaving);
+    let max_delay = received_at
         .iter()
-        .map(|at| at.saturating_duration_since(told))
+        .map(|at| at.saturating_duration_since(continued_at))
         .max();
     println!(
-        "{served} served, {} to the leaving, the last {worst:?} after",
-        asked.len() - before
+        "{served} requests served, {} at leaving servers, \
+         the last one {max_delay:?} after the node continued",
+        received_at.len() - before
     );
-    asked.len() - before
+    received_at.len() - before
 }
 
-// Guards against a list that tells of a drain and waits in the driver's queue behind a burst of requests that came after it.
+// Guards against a list with a drain that waits in the driver's queue behind a burst of requests
+// that arrived after the list.
 #[test]
 fn a_drain_notified_before_a_burst_of_requests_takes_effect_before_them() {
     let fleet = Fleet::start(20);
     let discovery = ManualDiscovery::start();
-    let node = roomy_node(&discovery, &list(1, true, &fleet.entries(|_| false)));
+    let node = start_node_for_many_clients(&discovery, &list(1, true, &fleet.entries(|_| false)));
     let mut clients: Vec<_> = (0..600).map(|_| node.client()).collect();
     for (key, client) in (0..).zip(clients.iter_mut().take(200)) {
-        // One that has stood idle for long the node may have closed.
+        // The node may have closed a connection that was idle for long.
         if client.try_request(&read("read", key, 20_000)).is_none() {
             *client = node.client();
         }
     }
     let mut watch = discovery.next_call();
-    let leaves = |i: usize| i.is_multiple_of(2);
-    // How many of a burst the node has room for goes with the machine: one that shows the fault has to come first.
-    let mut usual = 0;
-    wait_for("a burst of which over 100 reach these servers", || {
-        usual = burst(&node, &mut clients, &fleet, leaves, || (), 1_000);
-        usual > 100
+    let is_leaving = |i: usize| i.is_multiple_of(2);
+    // The number of requests that the node admits depends on the machine. Without a drain, enough
+    // requests must reach these servers for the fault to show.
+    let mut baseline = 0;
+    wait_for("a burst with over 100 requests to these servers", || {
+        baseline = send_burst(&node, &mut clients, &fleet, is_leaving, || (), 1_000);
+        baseline > 100
     });
-    let drain = list(2, true, &fleet.entries(leaves));
-    let leaked = burst(
+    let drain = list(2, true, &fleet.entries(is_leaving));
+    let leaked = send_burst(
         &node,
         &mut clients,
         &fleet,
-        leaves,
+        is_leaving,
         || watch.answer(&drain),
         2_000,
     );
-    // Those that the node has begun to read by then may go out.
+    // Requests that the node had begun to read before the drain may still be sent.
     assert!(
-        leaked * 4 <= usual,
-        "{leaked} of a burst of 600 after the drain was told, {usual} without one"
+        leaked * 4 <= baseline,
+        "{leaked} of 600 requests reached draining servers; {baseline} reached them without a drain"
     );
 }
 
-// Guards against a request that goes out on a connection which was begun before its server was told to leave, was forgotten
-// and listed again, or moved: what comes up then leads to one that wants nothing new, or is no more.
+// Guards against a request sent on a connection that was begun before its server was drained, was
+// removed and listed again, or was moved: the connection then leads to a server that accepts no new
+// request or no longer exists.
 #[test]
 fn a_connection_established_after_a_drain_removal_or_move_carries_no_request() {
-    // What is told of the slow server while connections to it are being made: its health, where it is, its start.
-    let days: [&[(&str, bool, u64)]; 7] = [
+    // Entries published for the slow server while connections to it are pending: its health,
+    // whether its address is new, and its start time.
+    let cases: [&[(&str, bool, u64)]; 7] = [
         &[("ready", true, 0)],
         &[("gone", false, 0)],
         &[("gone", false, 0), ("draining", false, 0)],
@@ -245,7 +265,7 @@
         ],
         &[("gone", false, 0), ("ready", true, 9)],
     ];
-    for day in days {
+    for changes in cases {
         let slow = SlowServer::start();
         let (other, moved) = (CacheServer::serving("value"), CacheServer::serving("moved"));
         let discovery = Discovery::start(&[
@@ -257,12 +277,13 @@
         clients
             .iter_mut()
             .for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
-        wait_for("those of the other server", || other.count() > 0);
-        wait_for("those of the slow one", || {
-            slow.pending_connections() + other.count() >= clients.len()
-        });
+        wait_for("requests at the other server", || other.count() > 0);
+        wait_for(
+            "all other requests on connections to the slow server",
+            || slow.pending_connections() + other.count() >= clients.len(),
+        );
         assert!(slow.pending_connections() > 0);
-        for (i, (health, at_new_address, start)) in day.iter().enumerate() {
+        for (i, (health, at_new_address, start)) in changes.iter().enumerate() {
             let dial = if *at_new_address {
                 moved.address
             } else {
@@ -276,17 +297,17 @@
         }
         slow.accept();
         for (key, client) in &mut clients {
-            assert_eq!(client.answer().unwrap().status(), 200, "{day:?}: {key}");
+            assert_eq!(client.answer().unwrap().status(), 200, "{changes:?}: {key}");
         }
-        assert_eq!(slow.received().concat(), "", "{day:?}");
-        if day.last().is_some_and(|last| last.0 != "ready") {
-            assert_eq!(moved.count(), 0, "{day:?}");
+        assert_eq!(slow.received().concat(), "", "{changes:?}");
+        if changes.last().is_some_and(|last| last.0 != "ready") {
+            assert_eq!(moved.count(), 0, "{changes:?}");
         }
     }
 }
 
-/// How soon after a call that was reset the next one comes, for some of them, where lists are pushed and the settings
-/// leave this much time after a drain.
+/// Returns, in ascending order, 16 pauses between the reset of a call and the next call of a node
+/// with pushed lists and this drain grace.
 fn pauses_after_resets(grace: Duration) -> Vec<Duration> {
     let pair = EndpointPair::start();
     let discovery = ManualDiscovery::start();
@@ -296,39 +317,42 @@
     let _node = Node::start(&config);
     let mut first = discovery.next_call();
     first.answer(&list(1, true, &pair.entries("ready")));
-    // The first pause after an answer is none.
+    // The first pause after an answer is zero and is not measured.
     discovery.next_call().reset();
     discovery.next_call().reset();
     let mut pauses = Vec::new();
     for _ in 0..16 {
-        let reset = Instant::now();
+        let reset_at = Instant::now();
         let call = discovery.next_call();
-        pauses.push(reset.elapsed());
+        pauses.push(reset_at.elapsed());
         call.reset();
     }
     pauses.sort_unstable();
     pauses
 }
 
-// Guards against settings that do not reach the client of discovery: where lists are pushed, what the agent has counts as told
-// at once, and a drain's time may be as short as this. That no pause is longer is tested in virtual time, beside the
-// client: here all but the shortest may be the machine's.
+// Guards against settings that do not reach the discovery client: with pushed lists, a node counts
+// as informed of all that its agent knows, and the drain grace may be this short. The tests of the
+// client check the longest pause in virtual time; here, the machine may delay all but the shortest.
 #[test]
 fn with_pushed_lists_a_failing_agent_is_polled_again_within_the_configured_time() {
     for grace in [60, 250, 1_000].map(Duration::from_millis) {
         let pauses = pauses_after_resets(grace);
         println!("{grace:?}: {pauses:?}");
-        let (shortest, quarter) = (pauses[0], pauses[pauses.len() / 4]);
-        assert!(quarter <= grace, "{quarter:?} of {grace:?}");
+        let (shortest, first_quartile) = (pauses[0], pauses[pauses.len() / 4]);
+        assert!(
+            first_quartile <= grace,
+            "the first quartile of the pauses is {first_quartile:?}, above the grace of {grace:?}"
+        );
         assert!(
             shortest >= grace / 10,
-            "asked without end: {shortest:?} of {grace:?}"
+            "the shortest pause is {shortest:?}, below a tenth of the drain grace of {grace:?}"
         );
     }
 }
 
-// Guards against a drain that is heeded by a clock of the node's own, whatever time the settings leave: where that is as
-// short as this, there is none to lose.
+// Guards against a drain that takes effect after a fixed delay of the node, whatever the configured
+// drain grace: a grace as short as these leaves no time for such a delay.
 #[test]
 fn a_drain_takes_effect_before_the_next_request_however_short_the_configured_time() {
     for grace_us in [0, 60_000, 1_000_000] {
@@ -339,41 +363,44 @@
         let node = Node::ready(&config);
         pair.wait_for_both(&node);
         discovery.publish(false, &pair.entries("draining")[..1]);
-        // The node has taken the list in when it asks for the next one.
+        // The node has applied the list when it calls for the next one.
         discovery.wait_until_applied(2);
         pair.assert_unused(&node);
     }
 }
 
-/// Bytes that were written to a connection of this server and that nobody has read: here, and at whoever wrote them.
-fn unread(server: SocketAddr) -> usize {
+/// Returns the number of bytes written to connections of this server that the server has not read:
+/// in its receive queues and in the send queues of its peers.
+fn unread_bytes(server: SocketAddr) -> usize {
     let port = format!("0100007F:{:04X}", server.port());
     let sockets = std::fs::read_to_string("/proc/net/tcp").unwrap();
     let fields = sockets
         .lines()
         .map(|line| line.split_whitespace().collect::<Vec<_>>());
-    // Of state 1, which stands; the queues are of bytes to be sent and to be read, in hexadecimal.
-    let standing = fields.filter(|fields| fields[3] == "01");
-    let queues = standing.filter_map(|fields| {
-        let (sent, read) = fields[4].split_once(':')?;
+    // State 1 is an established connection. The queues are the hexadecimal numbers of bytes to send
+    // and to read.
+    let established = fields.filter(|fields| fields[3] == "01");
+    let queues = established.filter_map(|fields| {
+        let (send_queue, receive_queue) = fields[4].split_once(':')?;
         let bytes = |text| usize::from_str_radix(text, 16).unwrap();
         match (fields[1] == port, fields[2] == port) {
-            (true, _) => Some(bytes(read)),
-            (_, true) => Some(bytes(sent)),
+            (true, _) => Some(bytes(receive_queue)),
+            (_, true) => Some(bytes(send_queue)),
             _ => None,
         }
     });
     queues.sum()
 }
 
-// Guards against a request whose first byte goes out long after it was given to its connection: the server answers early,
-// without reading, and what it has not read of the request before stands in the way.
+// Guards against a request whose first byte is sent long after the request was assigned to its
+// connection: the server responds early, without reading, and the unread bytes of earlier requests
+// block the connection.
 #[test]
 fn a_request_behind_unread_bytes_is_sent_before_a_drain_or_not_at_all() {
     const BODY: usize = 60_000;
-    // Of the heads that a node writes, the shortest.
+    // Size of the shortest request head that a node writes.
     const HEAD: usize = 110;
-    // What has not left the node after this does not until its server reads.
+    // Bytes that have not left the node after this time stay there until the server reads.
     const BLOCKED: Duration = Duration::from_secs(3);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -397,15 +424,15 @@
     client.send(&put(1));
     let (mut server, _) = listener.accept().unwrap();
     let mut id = 1;
-    // Each is answered once it has left the node, until one no longer does as a whole.
+    // Each request is answered once it has left the node, until a request cannot leave in full.
     loop {
-        let stands = Instant::now();
-        let whole = loop {
+        let wait_start = Instant::now();
+        let fully_sent = loop {
             thread::sleep(Duration::from_millis(20));
-            if unread(address) >= id * (BODY + HEAD) {
+            if unread_bytes(address) >= id * (BODY + HEAD) {
                 break true;
             }
-            if stands.elapsed() > BLOCKED {
+            if wait_start.elapsed() > BLOCKED {
                 break false;
             }
         };
@@ -413,35 +440,35 @@
             .write_all(answer("200 OK", "", "early").as_bytes())
             .unwrap();
         assert_eq!(client.answer().unwrap().body, b"early", "request {id}");
-        // Connections rest between two requests.
+        // A connection is not reused immediately after a response.
         thread::sleep(Duration::from_millis(40));
         id += 1;
-        if !whole {
+        if !fully_sent {
             break;
         }
         client.send(&put(id));
-        assert!(id < 1_000, "a socket without end");
+        assert!(id < 1_000, "the connection accepted 1000 unread requests");
     }
-    // This one is given to that connection, or to a new one if the node knows better.
+    // The node assigns this request to the blocked connection, or to a new one if it detects that.
     client.send(&put(id));
     thread::sleep(Duration::from_millis(300));
     discovery.publish(true, &entries("draining"));
     discovery.wait_until_applied(2);
-    thread::sleep(GRACE);
-    let mut seen = String::new();
+    thread::sleep(DRAIN_LIMIT);
+    let mut last_request_id = String::new();
     let mut reader = BufReader::new(server);
     reader
         .get_mut()
         .set_read_timeout(Some(Duration::from_millis(1_500)))
         .unwrap();
     while let Ok(Some(message)) = Message::read(&mut reader) {
-        seen = message.header("req-id").unwrap().to_owned();
+        last_request_id = message.header("req-id").unwrap().to_owned();
     }
     assert_ne!(
-        seen,
+        last_request_id,
         format!("{id:x}"),
-        "its first byte went out after the drain's time"
+        "the first byte of the last request was sent after the drain grace"
     );
-    // It was not on its way to the one that leaves, by another connection.
+    // The request was not sent to the leaving server on another connection either.
     assert_eq!(client.answer().unwrap().body, b"staying");
 }
--- a/crates/cli/tests/node_lifecycle.rs
+++ b/crates/cli/tests/node_lifecycle.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-// Guards against a planned restart that loses what was taken.
+// Guards against a planned restart that loses accepted requests.
 #[test]
 fn a_terminated_node_finishes_accepted_requests_and_exits_successfully() {
     let gate = Gate::default();
@@ -20,16 +20,19 @@
     let served = idle.request(&read("read", 2, 20_000));
     assert_eq!((served.status(), served.header("connection")), (200, None));
     node.terminate();
-    // An idle connection ends when the node has stopped accepting; what it took before is still out.
+    // The idle connection is closed once the node accepts no more clients. The accepted request is
+    // still in flight.
     assert_eq!(idle.answer(), None);
     gate.open();
-    let served = waiting.answer().expect("the answer to what was taken");
+    let served = waiting
+        .answer()
+        .expect("the response to the accepted request");
     assert_eq!((served.status(), &served.body[..]), (200, &b"value"[..]));
     assert_eq!(served.header("connection"), Some("close"));
     assert!(node.exit().success());
 }
 
-// Guards against clients that sit idle and keep a node from its end.
+// Guards against idle clients that keep a node from exiting.
 #[test]
 fn a_terminated_node_does_not_wait_for_idle_connections() {
     let server = CacheServer::serving("value");
@@ -43,7 +46,7 @@
     assert!(node.exit().success());
 }
 
-// Guards against a node that starts on half a configuration, or that dies with a panic's many lines.
+// Guards against a node that starts on a partial configuration, or ends with a multi-line panic.
 #[test]
 fn a_missing_or_malformed_configuration_is_one_log_line_and_a_failed_start() {
     let good = config("127.0.0.1:1".parse().unwrap());
@@ -52,7 +55,7 @@
         *broken.pointer_mut(path).unwrap() = value;
         broken.to_string()
     };
-    let texts = [
+    let contents = [
         None,
         Some(String::new()),
         Some("{\"name\":".to_owned()),
@@ -62,9 +65,9 @@
         Some(changed("/settings/lanes/0/promise_us", "soon".into())),
         Some(changed("/known/hosts", "none".into())),
     ];
-    let mut paths: Vec<_> = texts
+    let mut paths: Vec<_> = contents
         .iter()
-        .map(|text| text.as_ref().map(|text| write_config(text)))
+        .map(|content| content.as_ref().map(|content| write_config(content)))
         .collect();
     paths.push(Some("no/such/file.json".into()));
     for path in paths {
@@ -80,8 +83,8 @@
     }
 }
 
-// Guards against a node that SIGHUP ends, that stays with its old discovery, and that asks the new one for what
-// came after a version of the old one's.
+// Guards against a node that SIGHUP terminates, that stays at its old discovery, or that requests
+// from the new discovery the changes since a version of the old one.
 #[test]
 fn a_reload_moves_the_watch_to_the_new_discovery_and_its_complete_list() {
     let servers = [
@@ -94,7 +97,7 @@
         .map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
     let node = Node::ready(&config(lists[0].address));
     lists[0].wait_until_applied(1);
-    // Under way, it stays on its server and is finished.
+    // The connection of this client stays open across the reloads.
     let mut client = node.client();
     for (i, list) in lists.iter().enumerate().skip(1) {
         assert_eq!(
@@ -109,7 +112,7 @@
             i.to_string().as_bytes()
         );
     }
-    // What the old ones say means nothing any more.
+    // Lists from the old discoveries have no effect.
     lists[0].publish(true, &[servers[0].entry("s-1", "ready")]);
     lists[2].publish(false, &[]);
     lists[2].wait_until_applied(2);
@@ -117,8 +120,8 @@
     assert_eq!(lists.each_ref().map(|list| list.calls()), [2, 2, 3]);
 }
 
-// Guards against a reload that takes the node down or leaves it without a list: it serves from the old one for
-// as long as the new discovery says nothing.
+// Guards against a reload that terminates the node or leaves it without a list: the node serves
+// from the old list until the new discovery answers.
 #[test]
 fn a_malformed_reload_is_one_log_line_and_an_unresponsive_discovery_keeps_the_old_list() {
     let server = CacheServer::serving("value");
@@ -136,33 +139,37 @@
     .enumerate()
     {
         node.reload(text);
-        let said = || {
+        let malformed_reloads = || {
             let log = node.log.lock().unwrap();
             log.iter()
                 .filter(|line| line.starts_with("configuration not taken: "))
                 .count()
         };
-        wait_for("a line in the log", || said() == i + 1);
+        wait_for("one log line per malformed configuration", || {
+            malformed_reloads() == i + 1
+        });
         assert_eq!(node.read("read", 1).status(), 200);
     }
-    // The old watch goes on.
+    // The old watch continues.
     discovery.publish(false, &[]);
     discovery.wait_until_applied(2);
-    let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    node.reload(&config(silent.local_addr().unwrap()).to_string());
-    let _call = silent.accept().unwrap();
+    let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    node.reload(&config(unresponsive.local_addr().unwrap()).to_string());
+    let _call = unresponsive.accept().unwrap();
     assert_eq!(node.read("read", 1).status(), 200);
-    // From one that never answers the way back is open.
+    // A node can move back from a discovery that never answers.
     let calls = discovery.calls();
     node.reload(&good.to_string());
-    wait_for("a call", || discovery.calls() > calls);
+    wait_for("a call to the previous discovery", || {
+        discovery.calls() > calls
+    });
     assert_eq!(discovery.received.lock().unwrap()[calls], "/v1/servers");
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
-// Guards against a log that a collector cannot read.
+// Guards against a JSON log that a log collector cannot parse.
 #[test]
-fn the_log_is_json_where_that_is_asked_for() {
+fn the_log_is_json_if_requested() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let path = write_config(&config(discovery.address).to_string());
@@ -192,7 +199,8 @@
     assert_eq!(line["level"], "INFO");
 }
 
-// Guards against a second SIGTERM, or a SIGHUP, that cuts short what the first one lets the node finish.
+// Guards against a second SIGTERM, or a SIGHUP, that aborts the requests which the node finishes
+// after the first SIGTERM.
 #[test]
 fn further_signals_during_shutdown_change_nothing() {
     let gate = Gate::default();
@@ -205,8 +213,8 @@
     wait_for("the attempt", || server.count() == 1);
     assert_eq!(idle.request(&read("read", 2, 20_000)).status(), 200);
     node.terminate();
-    // While it still accepts, and once it does no more.
-    let told = || {
+    // Signals are sent while the node still accepts clients, and again when it no longer does.
+    let reloads = || {
         node.log
             .lock()
             .unwrap()
@@ -216,16 +224,20 @@
     };
     node.terminate();
     node.signal("-HUP");
-    wait_for("the reload", || told() == 1);
-    assert_eq!(idle.answer(), None, "it accepts no more");
+    wait_for("the first reload", || reloads() == 1);
+    assert_eq!(
+        idle.answer(),
+        None,
+        "the node must close idle connections once it accepts no more clients"
+    );
     node.terminate();
     node.signal("-HUP");
-    wait_for("the reload", || told() == 2);
+    wait_for("the second reload", || reloads() == 2);
     gate.open();
     assert_eq!(
         waiting
             .answer()
-            .expect("the answer to what was taken")
+            .expect("the response to the accepted request")
             .status(),
         200
     );
@@ -233,15 +245,15 @@
     assert!(node.exit().success());
 }
 
-// Guards against a fleet that starts together and stays away from its clients: discovery is slow and refuses most calls.
-// And against one that takes requests before it can place them.
+// Guards against nodes that start together and stay unready because discovery is slow and refuses
+// most calls, and against nodes that accept requests before they know a server to send them to.
 #[test]
 fn thirty_nodes_started_together_are_ready_within_their_deadline() {
     const NODES: usize = 30;
     let server = CacheServer::serving("value");
     let (address, refused) =
         busy_discovery(Duration::from_millis(100), &server.entry("s-1", "ready"));
-    // They know servers that are no more, or none at all.
+    // The only server that the nodes know has been removed.
     let mut config = config(address);
     config["known"]["hosts"] = serde_json::json!([server.entry("s-0", "gone")]);
     let start = Instant::now();
@@ -254,24 +266,24 @@
     assert_eq!(
         nodes[NODES - 1].get("/healthz").status(),
         503,
-        "it knows no server yet"
+        "a node without a known server must not be ready"
     );
     let mut ready = Vec::new();
-    let mut left: Vec<_> = nodes.iter().collect();
-    while !left.is_empty() {
+    let mut unready: Vec<_> = nodes.iter().collect();
+    while !unready.is_empty() {
         assert!(
             start.elapsed() < WAIT_TIMEOUT,
-            "{} of them are not ready",
-            left.len()
+            "{} nodes are not ready",
+            unready.len()
         );
-        left.retain(|node| {
+        unready.retain(|node| {
             let is_ready = node.get("/healthz").status() == 200;
             if is_ready {
                 ready.push(start.elapsed());
                 assert_eq!(
                     node.read("once", 1).status(),
                     200,
-                    "what it takes it can place"
+                    "a ready node must serve the request"
                 );
             }
             !is_ready
@@ -284,52 +296,54 @@
     );
     assert!(
         *refused.lock().unwrap() > 0,
-        "it had more calls than it takes"
+        "discovery must have refused calls for the test to be valid"
     );
 }
 
-/// Discovery that takes so long for each call, one after the other, and refuses those that would wait for over half a second.
+/// Starts a discovery that answers at most one call per `call_duration` and refuses calls that it
+/// cannot answer within half a second. Returns its address and the number of refused calls.
 fn busy_discovery(
-    turn: Duration,
+    call_duration: Duration,
     entry: &serde_json::Value,
 ) -> (std::net::SocketAddr, Arc<Mutex<u32>>) {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let list = serde_json::json!({"seq": 1, "whole": true, "hosts": [entry]}).to_string();
-    let (free, refused) = (
+    let (next_free, refused) = (
         Arc::new(Mutex::new(Instant::now())),
         Arc::new(Mutex::new(0)),
     );
     let count = refused.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
-            let (free, refused, list) = (free.clone(), count.clone(), list.clone());
+            let (next_free, refused, list) = (next_free.clone(), count.clone(), list.clone());
             std::thread::spawn(move || {
                 let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
-                while let Ok(Some(asked)) = Message::read(&mut reader) {
-                    let at = {
-                        let mut free = free.lock().unwrap();
-                        let at = (*free).max(Instant::now()) + turn;
-                        (at < Instant::now() + Duration::from_millis(500))
-                            .then(|| std::mem::replace(&mut *free, at))
+                while let Ok(Some(call)) = Message::read(&mut reader) {
+                    let admitted = {
+                        let mut next_free = next_free.lock().unwrap();
+                        let finish = (*next_free).max(Instant::now()) + call_duration;
+                        (finish < Instant::now() + Duration::from_millis(500))
+                            .then(|| std::mem::replace(&mut *next_free, finish))
                     };
-                    let text = match at {
+                    let response = match admitted {
                         None => {
                             *refused.lock().unwrap() += 1;
                             answer("503 Service Unavailable", "", "")
                         }
-                        Some(before) => {
+                        Some(previous_free) => {
                             std::thread::sleep(
-                                (before + turn).saturating_duration_since(Instant::now()),
+                                (previous_free + call_duration)
+                                    .saturating_duration_since(Instant::now()),
                             );
-                            // A watch for what comes after it waits for good.
-                            if asked.start.contains("after=1&wait_ms=60000") {
+                            // A watch for versions after the list is never answered.
+                            if call.start.contains("after=1&wait_ms=60000") {
                                 continue;
                             }
                             answer("200 OK", "", &list)
                         }
                     };
-                    if std::io::Write::write_all(&mut stream, text.as_bytes()).is_err() {
+                    if std::io::Write::write_all(&mut stream, response.as_bytes()).is_err() {
                         return;
                     }
                 }
