--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -83,7 +83,9 @@
             .threads
             .into_iter()
             .map(|thread| thread.join().unwrap());
-        counts.fold((0, 0), |sum, count| (sum.0 + count.0, sum.1 + count.1))
+        counts.fold((0, 0), |total, of_thread| {
+            (total.0 + of_thread.0, total.1 + of_thread.1)
+        })
     }
 }
 
--- a/crates/cli/tests/node_pushed_lists.rs
+++ b/crates/cli/tests/node_pushed_lists.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists that are pushed to a node, and lists older than the one it has, over loopback sockets.
+//! Endpoint lists that are pushed to a node, and lists older than the node's own, over loopback
+//! sockets.
 
 mod node_common;
 
@@ -10,31 +11,31 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// Waits until requests have reached both of two servers.
+/// Sends requests until both servers have received some.
 fn wait_for_both(node: &Node, leaving: &CacheServer, staying: &CacheServer) {
-    wait_for("both", || {
+    wait_for("requests at both servers", || {
         (1..20).for_each(|key| drop(node.read("read", key)));
         leaving.count() > 0 && staying.count() > 0
     });
 }
 
-/// All requests go to the server that answers "staying", and none to this one.
+/// Asserts that all requests are served by the server that responds with "staying".
 fn assert_unused(node: &Node, leaving: &CacheServer) {
     let before = leaving.count();
     assert!((20..40).all(|key| node.read("read", key).body == b"staying"));
     assert_eq!(leaving.count(), before);
 }
 
-/// The configuration of a node whose lists are pushed, which knows this one.
-fn pushed(discovery: std::net::SocketAddr, known: &[Value]) -> Value {
+/// Returns the configuration of a node with pushed lists that starts with the endpoints `known`.
+fn pushed_config(discovery: std::net::SocketAddr, known: &[Value]) -> Value {
     let mut config = config(discovery);
     config["settings"]["membership_mode"] = json!("automatic");
     config["known"] = json!({"seq": 1, "whole": true, "hosts": known});
     config
 }
 
-// Guards against a node that has no watch where lists are pushed: nothing asks it to, and what the agent has counts as
-// told.
+// Guards against a node that opens no watch where lists are pushed: nothing requests one there,
+// although the node counts as informed of all that its agent knows.
 #[test]
 fn pushed_lists_are_watched_and_a_drain_takes_effect() {
     let (leaving, staying) = (
@@ -43,15 +44,16 @@
     );
     let entries = |health: &str| [leaving.entry("s-1", health), staying.entry("s-2", "ready")];
     let discovery = Discovery::start(&entries("ready"));
-    let node = Node::ready(&pushed(discovery.address, &entries("ready")));
+    let node = Node::ready(&pushed_config(discovery.address, &entries("ready")));
     wait_for_both(&node, &leaving, &staying);
     discovery.publish(false, &entries("draining")[..1]);
     discovery.wait_until_applied(2);
     assert_unused(&node, &leaving);
 }
 
-// Guards against a new process that serves from an old list where lists are pushed: what the agent has counts as told
-// from its first moment. An agent that has nothing to say keeps it from service for a moment only.
+// Guards against a new process that serves from an old list where lists are pushed: from its start,
+// the node counts as informed of all that its agent knows. An agent that refuses connections delays
+// the node's readiness only briefly.
 #[test]
 fn a_node_with_pushed_lists_is_ready_once_it_has_its_first_list() {
     let (gone, staying) = (
@@ -60,21 +62,17 @@
     );
     let known = [gone.entry("s-1", "ready"), staying.entry("s-2", "ready")];
     let agent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let node = Node::start(&pushed(agent.local_addr().unwrap(), &known));
+    let node = Node::start(&pushed_config(agent.local_addr().unwrap(), &known));
     assert_eq!(
         node.get("/healthz").status(),
         503,
-        "it knows old servers only"
+        "a node that has only its old list must not be ready"
     );
     let (mut stream, _) = agent.accept().unwrap();
-    let asked = Message::read(&mut BufReader::new(stream.try_clone().unwrap()))
+    let call = Message::read(&mut BufReader::new(stream.try_clone().unwrap()))
         .unwrap()
         .unwrap();
-    assert!(
-        asked.start.starts_with("GET /v1/servers "),
-        "{}",
-        asked.start
-    );
+    assert!(call.start.starts_with("GET /v1/servers "), "{}", call.start);
     let list = list(7, true, &[staying.entry("s-2", "ready")]);
     stream
         .write_all(answer("200 OK", "", &list).as_bytes())
@@ -89,12 +87,12 @@
         .unwrap()
         .local_addr()
         .unwrap();
-    let alone = Node::ready(&pushed(refusing, &known));
+    let alone = Node::ready(&pushed_config(refusing, &known));
     assert_eq!(alone.read("read", 1).status(), 200);
 }
 
-// Guards against a server that drains in a list that is not taken for its age, and that gets requests until the whole
-// list has come: what was written was told.
+// Guards against a server that drains in a list rejected as outdated and still receives requests
+// until the complete list arrives: the node counts as informed of every list sent to it.
 #[test]
 fn an_outdated_list_takes_effect_for_the_endpoints_it_drains_or_removes() {
     let (leaving, staying) = (
@@ -102,27 +100,31 @@
         CacheServer::serving("staying"),
     );
     let entries = |health: &str| [leaving.entry("s-1", health), staying.entry("s-2", "ready")];
-    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = silent.local_addr().unwrap();
-    let (say, heard) = std::sync::mpsc::channel::<String>();
-    let asked: Arc<Mutex<Vec<String>>> = Arc::default();
-    let calls = asked.clone();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let (list_sender, lists) = std::sync::mpsc::channel::<String>();
+    let call_lines: Arc<Mutex<Vec<String>>> = Arc::default();
+    let recorded_lines = call_lines.clone();
     thread::spawn(move || {
-        let (mut stream, _) = silent.accept().unwrap();
+        let (mut stream, _) = listener.accept().unwrap();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
         while let Ok(Some(message)) = Message::read(&mut reader) {
-            calls.lock().unwrap().push(message.start);
-            let Ok(text) = heard.recv() else { return };
+            recorded_lines.lock().unwrap().push(message.start);
+            let Ok(text) = lists.recv() else { return };
             stream
                 .write_all(answer("200 OK", "", &text).as_bytes())
                 .unwrap();
         }
     });
-    say.send(list(5, true, &entries("ready"))).unwrap();
+    list_sender.send(list(5, true, &entries("ready"))).unwrap();
     let node = Node::ready(&config(address));
     wait_for_both(&node, &leaving, &staying);
-    say.send(list(3, true, &entries("draining"))).unwrap();
-    // The whole list is asked for, and does not come.
-    wait_for("the third call", || asked.lock().unwrap().len() == 3);
+    list_sender
+        .send(list(3, true, &entries("draining")))
+        .unwrap();
+    // The node requests the complete list, which does not arrive.
+    wait_for("the node's third call", || {
+        call_lines.lock().unwrap().len() == 3
+    });
     assert_unused(&node, &leaving);
 }
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -1,4 +1,5 @@
-//! The rules as properties of a whole node on loopback sockets, over sequences of events from fixed seeds.
+//! Rules of request handling as properties of a whole node on loopback sockets, checked over event
+//! sequences from fixed seeds.
 
 #[path = "../../policy/tests/common/events.rs"]
 mod events;
@@ -12,12 +13,13 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The platform's limit on sends after a drain, and as much again for a busy machine.
+/// Longest accepted time from a drain to the last request that the server receives: twice the
+/// platform's limit, because the machine may be busy.
 const DRAIN_LIMIT: Duration = Duration::from_millis(500);
-/// An answer may come this much after its client's deadline, on a busy machine.
+/// Longest accepted delay of a response beyond its client's deadline, on a busy machine.
 const ANSWER_GRACE: Duration = Duration::from_secs(2);
 const CLASSES: [&str; 3] = ["read", "keyed", "once"];
-/// The longest that a step lets time pass, in milliseconds.
+/// Longest pause of a step, in milliseconds.
 const MAX_PAUSE_MS: u64 = 30;
 
 /// A request as a server received it.
@@ -28,7 +30,7 @@
     at: Instant,
 }
 
-/// A time in which a server was not to get any new request.
+/// A period in which a server must not receive new requests.
 struct ExclusionPeriod {
     server: usize,
     from: Instant,
@@ -39,7 +41,7 @@
 struct ClientOutcome {
     class: &'static str,
     answer: Option<Message>,
-    took: Duration,
+    latency: Duration,
     deadline: Duration,
     disconnected: bool,
 }
@@ -49,7 +51,7 @@
     id: String,
     class: &'static str,
     deadline: Duration,
-    /// A handle to the connection, to disconnect it with.
+    /// Handle with which the connection is closed.
     stream: std::net::TcpStream,
     disconnected: bool,
     thread: JoinHandle<(Option<Message>, Duration)>,
@@ -64,12 +66,12 @@
     }
 
     fn outcome(self) -> (String, ClientOutcome) {
-        // The thread of one that disconnected may have panicked.
-        let (answer, took) = self.thread.join().unwrap_or_default();
+        // The thread of a disconnected client may have panicked.
+        let (answer, latency) = self.thread.join().unwrap_or_default();
         let outcome = ClientOutcome {
             class: self.class,
             answer,
-            took,
+            latency,
             deadline: self.deadline,
             disconnected: self.disconnected,
         };
@@ -90,7 +92,7 @@
 type Script = Arc<Mutex<VecDeque<Status>>>;
 type Received = Arc<Mutex<Vec<ReceivedRequest>>>;
 
-/// A server that answers by the script, which all servers share.
+/// Starts a server that responds according to the script, which all servers share.
 fn scripted_server(server: usize, script: &Script, received: &Received) -> CacheServer {
     let (script, received) = (script.clone(), received.clone());
     CacheServer::start(move |message| {
@@ -110,7 +112,7 @@
     format!("s-{server}")
 }
 
-/// What a sequence of steps came to.
+/// Result of a played sequence of steps.
 struct Played {
     /// By request id.
     outcomes: BTreeMap<String, ClientOutcome>,
@@ -118,7 +120,7 @@
     exclusions: Vec<ExclusionPeriod>,
 }
 
-/// A node with its servers, discovery and clients, while steps are played against it.
+/// A node with its servers, discovery and clients, against which steps are played.
 struct Playback {
     script: Script,
     received: Received,
@@ -126,22 +128,22 @@
     discovery: Discovery,
     node: Node,
     clients: Vec<PendingClient>,
-    /// What discovery says of each server; `None` where it lists none.
+    /// Health of each server as listed by discovery; `None` for a server that is not listed.
     states: [Option<&'static str>; SERVERS],
     /// Version of the newest list.
     version: u64,
-    /// Since when each server is not to get any new request.
+    /// Start of the current exclusion period of each server.
     excluded_since: [Option<Instant>; SERVERS],
     exclusions: Vec<ExclusionPeriod>,
 }
 
 impl Playback {
     fn start(steps: &[Step]) -> Self {
-        let ends = steps.iter().filter_map(|step| match step {
+        let statuses = steps.iter().filter_map(|step| match step {
             Step::EndAttempt { status, .. } => Some(*status),
             _ => None,
         });
-        let script = Arc::new(Mutex::new(ends.collect()));
+        let script = Arc::new(Mutex::new(statuses.collect()));
         let received = Received::default();
         let servers: Vec<_> = (0..SERVERS)
             .map(|server| scripted_server(server, &script, &received))
@@ -170,10 +172,10 @@
                 key,
                 timeout_ms,
                 ..
-            } => self.request(CLASSES[class % 3], *key, *timeout_ms),
+            } => self.send_request(CLASSES[class % 3], *key, *timeout_ms),
             Step::Disconnect { index } if !self.clients.is_empty() => {
-                let place = index % self.clients.len();
-                self.clients[place].disconnect();
+                let selected = index % self.clients.len();
+                self.clients[selected].disconnect();
             }
             Step::ChangeServer { server, change } => {
                 self.states[*server] = match change {
@@ -196,10 +198,10 @@
         }
     }
 
-    /// Sends a request on a connection of its own.
-    fn request(&mut self, class: &'static str, key: u64, patience_ms: u64) {
+    /// Sends a request on a new connection.
+    fn send_request(&mut self, class: &'static str, key: u64, extra_timeout_ms: u64) {
         let id = format!("{:x}", self.clients.len() + 1);
-        let deadline = Duration::from_millis(2_000 + patience_ms);
+        let deadline = Duration::from_millis(2_000 + extra_timeout_ms);
         let stream = std::net::TcpStream::connect(self.node.address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let handle = stream.try_clone().unwrap();
@@ -220,12 +222,13 @@
         });
     }
 
-    /// Publishes the servers' states as a complete list, and notes which servers are excluded by it.
+    /// Publishes the servers' states as a complete list and records the exclusions that result.
     fn publish_states(&mut self) {
         let listed =
             (0..SERVERS).filter_map(|i| Some(self.servers[i].entry(&name(i), self.states[i]?)));
         let listed: Vec<_> = listed.collect();
-        // From before the notice a server may be used again; from after it, one must not be.
+        // A server that is ready again may be used from before the publication. An excluded server
+        // must not be used once the list is applied.
         let before = Instant::now();
         self.discovery.publish(true, &listed);
         self.version += 1;
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Waits for the clients, and checks that the node serves afterwards.
+    /// Waits for the clients and checks that the node serves requests afterwards.
     fn finish(mut self) -> Played {
         let clients = std::mem::take(&mut self.clients);
         let outcomes = clients.into_iter().map(PendingClient::outcome).collect();
@@ -254,7 +257,9 @@
         self.discovery.publish(true, &all_ready(&self.servers));
         self.discovery.wait_until_applied(self.version + 1);
         self.script.lock().unwrap().clear();
-        wait_for("service", || self.node.read("read", 0xfff).status() == 200);
+        wait_for("a served request", || {
+            self.node.read("read", 0xfff).status() == 200
+        });
         let still_excluded = self.excluded_since.iter().enumerate();
         self.exclusions
             .extend(still_excluded.filter_map(|(server, from)| {
@@ -294,23 +299,24 @@
     *status == Status::Rejected
 }
 
-/// A client that stayed has one final answer before its deadline, after attempts that its class allows.
+/// Asserts that a client that stayed connected has received one final response by its deadline,
+/// after attempts that its class allows.
 fn assert_answered(id: &str, outcome: &ClientOutcome, attempts: &[Status]) {
-    // A second answer would be the next one on its connection.
+    // A second response would be taken for the response to the next request on the connection.
     let answer = outcome
         .answer
         .as_ref()
-        .unwrap_or_else(|| panic!("no answer to {id}"));
+        .unwrap_or_else(|| panic!("no response to request {id}"));
     assert!(
-        outcome.took <= outcome.deadline + ANSWER_GRACE,
-        "{id} is answered after {:?}",
-        outcome.took
+        outcome.latency <= outcome.deadline + ANSWER_GRACE,
+        "the response to request {id} took {:?}",
+        outcome.latency
     );
-    // Retries only as the class allows.
-    let retried = attempts.len().max(1) - 1;
+    // A request of class `once` is retried only after rejected attempts.
+    let retry_count = attempts.len().max(1) - 1;
     assert!(
-        outcome.class != "once" || attempts.iter().take(retried).all(is_rejected),
-        "{id}: {attempts:?}"
+        outcome.class != "once" || attempts.iter().take(retry_count).all(is_rejected),
+        "request {id} was retried after attempts {attempts:?}"
     );
     match answer.status() {
         200 => assert_eq!(
@@ -321,26 +327,27 @@
         503 => assert_safely_shed(id, outcome.class, answer, attempts),
         status => assert_eq!(status, 502, "{id}"),
     }
-    // A request that is given up is answered at once: where no server was silent, none waits for its deadline.
-    let silent = attempts.contains(&Status::TimedOut);
+    // An abandoned request is answered at once: unless an attempt timed out, no request waits for
+    // its deadline.
+    let timed_out = attempts.contains(&Status::TimedOut);
     assert!(
-        silent || outcome.took < outcome.deadline + Duration::from_millis(200),
-        "{id} waited {:?}",
-        outcome.took
+        timed_out || outcome.latency < outcome.deadline + Duration::from_millis(200),
+        "request {id} waited {:?}",
+        outcome.latency
     );
 }
 
-/// A request that is shed is safe to send again, and its answer says when.
+/// Asserts that a shed request is safe to retry and that its response has a retry time.
 fn assert_safely_shed(id: &str, class: &str, answer: &Message, attempts: &[Status]) {
     assert!(
         class != "once" || attempts.iter().all(is_rejected),
-        "{id} refused after {attempts:?}"
+        "request {id} was shed after attempts {attempts:?}"
     );
     let retry_after = answer.header("retry-after").unwrap();
     assert!(retry_after.parse::<f64>().unwrap() > 0.0, "{answer:?}");
 }
 
-/// No request reached a server while its drain or removal was in effect.
+/// Asserts that no request reached a server while its drain or removal was in effect.
 fn assert_excluded(period: &ExclusionPeriod, received: &[ReceivedRequest]) {
     let ExclusionPeriod { server, from, to } = *period;
     let late = received.iter().filter(|request| {
@@ -351,7 +358,7 @@
         .collect();
     assert!(
         late.is_empty(),
-        "{late:?} reached s-{server} long after its end was told"
+        "requests {late:?} reached s-{server} long after its drain or removal"
     );
 }
 
--- a/crates/cli/tests/node_servers.rs
+++ b/crates/cli/tests/node_servers.rs
@@ -1,4 +1,4 @@
-//! The node's side towards cache servers and discovery, on loopback sockets.
+//! Requests of the node to cache servers and discovery, on loopback sockets.
 
 mod node_common;
 
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex};
 
-// Guards against new work to a server that the node was told to leave alone, also on kept connections.
+// Guards against new requests to a draining server, also on idle connections.
 #[test]
 fn a_draining_endpoint_gets_no_new_request_and_its_idle_connections_are_closed() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
@@ -18,7 +18,7 @@
         &[old.entry("s-1", "draining"), new.entry("s-2", "ready")],
     );
     discovery.wait_until_applied(2);
-    wait_for("the idle connection's end", || {
+    wait_for("the close of the idle connection", || {
         old.closed.load(Ordering::SeqCst) == 1
     });
     for key in 0..20 {
@@ -27,7 +27,7 @@
     assert_eq!((old.count(), new.count()), (1, 20));
 }
 
-// Guards against work for a server that a whole list lacks: what is not in it is gone.
+// Guards against requests to a server that a complete list omits: such a server has been removed.
 #[test]
 fn an_endpoint_missing_from_a_complete_list_gets_no_request() {
     let (old, new) = (CacheServer::serving("old"), CacheServer::serving("new"));
@@ -36,21 +36,21 @@
     assert_eq!(node.read("read", 1).body, b"old");
     discovery.publish(true, &[new.entry("s-2", "ready")]);
     discovery.wait_until_applied(2);
-    wait_for("the idle connection's end", || {
+    wait_for("the close of the idle connection", || {
         old.closed.load(Ordering::SeqCst) == 1
     });
     assert_eq!(node.read("read", 1).body, b"new");
     assert_eq!(old.count(), 1);
 }
 
-// Guards against a request written to a kept connection that its server has closed meanwhile.
+// Guards against a request written to an idle connection that its server has closed.
 #[test]
 fn a_connection_that_its_server_closed_is_not_used_again() {
     let server = CacheServer::start(|_| Reply::AnswerAndClose(answer("200 OK", "", "value")));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     for key in 0..10 {
-        // A reset would end an unsafe request as a failure: it may not be sent twice.
+        // A reset would make an unsafe request fail, because it must not be sent twice.
         assert_eq!(node.read("once", key).status(), 200);
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
@@ -60,8 +60,8 @@
     );
 }
 
-// Guards against requests lost on idle connections that a server drops long before the time it states: one of an
-// unsafe class may not be sent again.
+// Guards against requests lost on idle connections that a server drops long before the configured
+// keep-alive time: a request of an unsafe class must not be sent again.
 #[test]
 fn idle_connections_are_kept_no_longer_than_their_endpoint_keeps_them() {
     let idle = std::time::Duration::from_millis(400);
@@ -69,19 +69,23 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut key, mut served) = (0, 0);
-    // Each round shows what a connection in use is good for, then lets the next one stand.
+    // Each round sends reads without a pause, then an unsafe request after an idle period.
     wait_for(
-        "unsafe requests served after a pause, one after another",
+        "five consecutive unsafe requests served after idle periods",
         || {
-            let mut ask = |class| {
+            let mut request_status = |class| {
                 key += 1;
                 node.read(class, key).status()
             };
             for _ in 0..4 {
-                ask("read");
+                request_status("read");
             }
             std::thread::sleep(idle);
-            served = if ask("once") == 200 { served + 1 } else { 0 };
+            served = if request_status("once") == 200 {
+                served + 1
+            } else {
+                0
+            };
             served == 5
         },
     );
@@ -94,7 +98,7 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     for key in 0..10 {
-        // It rests a little after each answer.
+        // A connection is not reused immediately after a response.
         std::thread::sleep(std::time::Duration::from_millis(30));
         assert_eq!(node.read("read", key).status(), 200);
     }
@@ -102,35 +106,37 @@
         (server.count(), server.connections.load(Ordering::SeqCst)),
         (10, 1)
     );
-    // Requests without a pause use as many as rest meanwhile, over and over: those of any 20 ms, and of a turn.
-    let (mut client, mut asked) = (node.client(), Vec::new());
+    // A connection is reused after its request (10 ms allowed) and the reuse delay of 20 ms.
+    // Without pauses, the node needs as many connections as there are requests within that time.
+    let (mut client, mut sent_at) = (node.client(), Vec::new());
     for key in 10..1_010 {
-        asked.push(std::time::Instant::now());
+        sent_at.push(std::time::Instant::now());
         assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
     }
-    let rest = std::time::Duration::from_millis(20 + 10);
-    let most = asked.iter().map(|from| {
-        asked
+    let time_until_reuse = std::time::Duration::from_millis(20 + 10);
+    let request_counts = sent_at.iter().map(|from| {
+        sent_at
             .iter()
-            .filter(|at| **at >= *from && **at - *from < rest)
+            .filter(|at| **at >= *from && **at - *from < time_until_reuse)
             .count()
     });
-    let (made, most) = (
+    let (connections_made, max_requests) = (
         server.connections.load(Ordering::SeqCst) as usize,
-        most.max().unwrap(),
+        request_counts.max().unwrap(),
     );
     assert!(
-        made <= 1 + most,
-        "{made} connections, {most} requests in a rest"
+        connections_made <= 1 + max_requests,
+        "{connections_made} connections made for at most {max_requests} requests before reuse"
     );
 }
 
-/// Two servers, of which the first to be asked does as told and the other one serves.
-fn after_one(reply: fn() -> Reply, class: &str) -> (u16, usize) {
-    let asked = Arc::new(AtomicU32::new(0));
+/// Sends one request to a node with two servers: the first attempt gets `reply`, later attempts are
+/// served. Returns the status of the response and the number of attempts.
+fn send_with_first_reply(reply: fn() -> Reply, class: &str) -> (u16, usize) {
+    let attempts = Arc::new(AtomicU32::new(0));
     let server = || {
-        let asked = asked.clone();
-        CacheServer::start(move |_| match asked.fetch_add(1, Ordering::SeqCst) {
+        let attempts = attempts.clone();
+        CacheServer::start(move |_| match attempts.fetch_add(1, Ordering::SeqCst) {
             0 => reply(),
             _ => Reply::Answer(answer("200 OK", "", "value")),
         })
@@ -142,38 +148,39 @@
     (status, one.count() + two.count())
 }
 
-// Guards against an outcome that is read wrong: what may have run must not run twice, what never ran may.
+// Guards against a misjudged outcome: a request that may have run must not be sent again, a request
+// that never ran may be.
 #[test]
 fn a_non_idempotent_request_is_retried_only_where_it_provably_never_ran() {
     let declined = || Reply::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
-    assert_eq!(after_one(declined, "once"), (200, 2));
-    let over = || Reply::Answer(answer("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
-    assert_eq!(after_one(over, "once"), (200, 2));
-    let ends: [fn() -> Reply; 5] = [
+    assert_eq!(send_with_first_reply(declined, "once"), (200, 2));
+    let timed_out = || Reply::Answer(answer("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
+    assert_eq!(send_with_first_reply(timed_out, "once"), (200, 2));
+    let uncertain_replies: [fn() -> Reply; 5] = [
         || Reply::Answer(answer("500 Internal Server Error", "", "")),
         || Reply::Answer(answer("503 Service Unavailable", "", "")),
         || Reply::AnswerAndClose(String::new()),
         || Reply::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
         || Reply::AnswerAndClose("no HTTP at all\r\n\r\n".to_owned()),
     ];
-    for (i, end) in ends.into_iter().enumerate() {
-        let (status, sent) = after_one(end, "once");
+    for (i, uncertain_reply) in uncertain_replies.into_iter().enumerate() {
+        let (status, sent) = send_with_first_reply(uncertain_reply, "once");
         assert!(
             status >= 500 && status != 503 && sent == 1,
-            "end {i}: {status} after {sent}"
+            "outcome {i}: status {status} after {sent} attempts"
         );
     }
 }
 
-// Guards against half an answer passed on as a whole one.
+// Guards against a truncated response that is relayed as a complete one.
 #[test]
 fn an_idempotent_request_is_retried_after_a_truncated_response() {
-    let half =
+    let truncated =
         || Reply::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned());
-    assert_eq!(after_one(half, "read"), (200, 2));
+    assert_eq!(send_with_first_reply(truncated, "read"), (200, 2));
 }
 
-// Guards against a refused connection that is taken for a request that may have run.
+// Guards against a refused connection that is treated as a request that may have run.
 #[test]
 fn a_non_idempotent_request_is_retried_after_a_refused_connection() {
     let closed = std::net::TcpListener::bind("127.0.0.1:0")
@@ -192,7 +199,7 @@
     assert_eq!(server.count(), 6);
 }
 
-// Guards against a list that cannot be read: the node goes on with what it has, and asks again.
+// Guards against a malformed list that stops the node: it keeps its list and opens a new watch.
 #[test]
 fn a_malformed_list_is_a_failed_call_and_the_watch_is_opened_again() {
     let server = CacheServer::serving("value");
@@ -201,9 +208,9 @@
     discovery.wait_until_applied(1);
     let calls = discovery.calls();
     discovery.publish_text("{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":".to_owned());
-    wait_for("another call", || discovery.calls() > calls);
+    wait_for("another call to discovery", || discovery.calls() > calls);
     assert_eq!(node.read("read", 1).status(), 200);
-    // The version held has not moved.
+    // The node's version is unchanged.
     assert!(discovery.received.lock().unwrap()[calls..]
         .iter()
         .all(|path| path.contains("after=1&")));
@@ -213,11 +220,11 @@
     assert_eq!(node.read("read", 1).body, b"new");
 }
 
-// Guards against what a server sends behind an answer being read as the answer to the next request.
+// Guards against extra bytes after a response that are read as the response to the next request.
 #[test]
 fn bytes_after_a_response_are_never_part_of_the_next_one() {
-    let server = CacheServer::start(|asked| {
-        let own = answer("200 OK", "", asked.header("req-id").unwrap());
+    let server = CacheServer::start(|message| {
+        let own = answer("200 OK", "", message.header("req-id").unwrap());
         let extra = answer("200 OK", "", "a copy");
         Reply::Answer(own + &extra)
     });
@@ -234,15 +241,17 @@
     assert_eq!(server.count(), 199);
 }
 
-// Guards against waiting for an answer that is said to be larger than any may be: the time is the repeat's.
+// Guards against waiting for a response whose stated length exceeds the limit: the time is needed
+// for the retry.
 #[test]
 fn a_response_with_a_content_length_over_the_limit_fails_its_attempt_at_once() {
     let huge =
         || Reply::Answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
-    assert_eq!(after_one(huge, "read"), (200, 2));
+    assert_eq!(send_with_first_reply(huge, "read"), (200, 2));
 }
 
-// Guards against a head without end that fills memory, and against taking a 1xx answer for the final one.
+// Guards against an endless response head that fills memory, and against a 1xx response that is
+// taken for the final one.
 #[test]
 fn an_endless_response_head_fails_its_attempt_and_interim_responses_are_skipped() {
     let endless = || {
@@ -251,57 +260,67 @@
             "X-Noise: noise\r\n".repeat(2_000)
         ))
     };
-    assert_eq!(after_one(endless, "read"), (200, 2));
+    assert_eq!(send_with_first_reply(endless, "read"), (200, 2));
     let switched = || Reply::Answer("HTTP/1.1 101 Switching Protocols\r\n\r\n".to_owned());
-    assert_eq!(after_one(switched, "read"), (200, 2));
+    assert_eq!(send_with_first_reply(switched, "read"), (200, 2));
     let interim = || {
         let ahead = "HTTP/1.1 103 Early Hints\r\nX: 1\r\n\r\n".repeat(2);
         Reply::Answer(ahead + &answer("200 OK", "", "value"))
     };
-    assert_eq!(after_one(interim, "read"), (200, 1));
+    assert_eq!(send_with_first_reply(interim, "read"), (200, 1));
 }
 
-// Guards against one class that a server turns away (a release that does not know it, say) costing that server
-// the keys of all classes: they would be missed elsewhere, and the misses of a whole fleet drown the origin.
+// Guards against a server that loses the keys of all classes because it rejects one class, for
+// example one that its release does not know. The keys would miss on other servers, and the misses
+// of a whole fleet would overload the origin.
 #[test]
 fn a_class_that_an_endpoint_rejects_leaves_other_classes_keys_there() {
-    let picky = CacheServer::start(|asked| match asked.header("idempotency-key") {
+    let rejecting = CacheServer::start(|message| match message.header("idempotency-key") {
         Some(_) => Reply::Answer(answer(
             "503 Service Unavailable",
             "Srv-Declined: 1\r\nSrv-Load: waiting=0\r\n",
             "",
         )),
-        None => Reply::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "picky")),
+        None => Reply::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "rejecting")),
     });
     let other =
         CacheServer::start(|_| Reply::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "other")));
-    let discovery = Discovery::start(&[picky.entry("s-1", "ready"), other.entry("s-2", "ready")]);
+    let discovery =
+        Discovery::start(&[rejecting.entry("s-1", "ready"), other.entry("s-2", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    let own: Vec<u64> = (0..60)
-        .filter(|&key| node.read("read", key).body == b"picky")
+    let owned_keys: Vec<u64> = (0..60)
+        .filter(|&key| node.read("read", key).body == b"rejecting")
         .collect();
-    assert!(own.len() >= 10, "{} of 60 keys", own.len());
+    assert!(
+        owned_keys.len() >= 10,
+        "only {} of 60 keys belong to the server",
+        owned_keys.len()
+    );
     let mut client = node.client();
-    let mut keyed = |key| {
+    let mut send_keyed = |key| {
         let text = read("keyed", key, 20_000).replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\n\r\n");
         assert_eq!(client.request(&text).status(), 200);
     };
-    (0..2).for_each(|_| own.iter().for_each(|&key| keyed(key)));
-    let before = picky.count();
-    own.iter().for_each(|&key| keyed(key));
+    (0..2).for_each(|_| owned_keys.iter().for_each(|&key| send_keyed(key)));
+    let before = rejecting.count();
+    owned_keys.iter().for_each(|&key| send_keyed(key));
     assert!(
-        picky.count() - before <= 3,
-        "{} more of that class went there",
-        picky.count() - before
+        rejecting.count() - before <= 3,
+        "{} further requests of the rejected class reached the server",
+        rejecting.count() - before
     );
-    for &key in &own {
-        assert_eq!(node.read("read", key).body, b"picky", "key {key}");
+    for &key in &owned_keys {
+        assert_eq!(node.read("read", key).body, b"rejecting", "key {key}");
     }
 }
 
-/// Asks for these keys at once. The servers hold what reaches them until each request has reached one or has its
-/// answer; returns how many came that far, and all answers.
-fn at_once(node: &Node, gate: &Gate, keys: std::ops::Range<u64>) -> (usize, Vec<Message>) {
+/// Requests these keys concurrently. The servers hold their requests until each request has reached
+/// a server or has a response. Returns the number of requests at servers, and all responses.
+fn send_concurrently(
+    node: &Node,
+    gate: &Gate,
+    keys: std::ops::Range<u64>,
+) -> (usize, Vec<Message>) {
     gate.hold(true);
     let before = gate.reached.load(Ordering::SeqCst);
     let (sender, answers) = std::sync::mpsc::channel();
@@ -313,21 +332,25 @@
                 .unwrap()
         });
     }
-    let mut got = Vec::new();
+    let mut responses = Vec::new();
     let mut reached = 0;
-    wait_for("each request at a server or answered", || {
-        got.extend(answers.try_iter());
+    wait_for("each request at a server or with a response", || {
+        responses.extend(answers.try_iter());
         reached = gate.reached.load(Ordering::SeqCst) - before;
-        got.len() + reached == keys.clone().count()
+        responses.len() + reached == keys.clone().count()
     });
     gate.hold(false);
-    while got.len() < keys.clone().count() {
-        got.push(answers.recv_timeout(WAIT_TIMEOUT).expect("an answer"));
+    while responses.len() < keys.clone().count() {
+        responses.push(
+            answers
+                .recv_timeout(WAIT_TIMEOUT)
+                .expect("a response to each request"),
+        );
     }
-    (reached, got)
+    (reached, responses)
 }
 
-/// What the servers of a test wait for before they answer.
+/// Blocks the servers of a test before they respond.
 #[derive(Default)]
 struct Gate {
     held: Mutex<bool>,
@@ -352,24 +375,24 @@
     }
 }
 
-// Guards against a day that stays down: an origin with too much to do fails the misses, their clients and the
-// node ask for the same again, and the servers never get to hold what they are asked for.
+// Guards against an outage that sustains itself: an overloaded origin fails the misses, the clients
+// and the node retry them, and the servers never cache the requested values.
 #[test]
 fn likely_misses_are_limited_while_origin_fetches_fail_and_hits_are_served() {
     let gate = Arc::new(Gate::default());
-    let down = Arc::new(AtomicBool::new(false));
+    let origin_fails = Arc::new(AtomicBool::new(false));
     let server = || {
-        let (gate, down) = (gate.clone(), down.clone());
-        // Keys under 1000 it holds, all others it has to fetch.
-        CacheServer::start(move |asked| {
-            let key = asked
+        let (gate, origin_fails) = (gate.clone(), origin_fails.clone());
+        // The server has keys under 1000 in its cache and fetches all others.
+        CacheServer::start(move |message| {
+            let key = message
                 .header("req-id")
                 .and_then(|id| u64::from_str_radix(id, 16).ok());
             if key.is_some_and(|key| key < 1000) {
                 return Reply::Answer(answer("200 OK", "", "held"));
             }
             gate.wait_until_open();
-            Reply::Answer(match down.load(Ordering::SeqCst) {
+            Reply::Answer(match origin_fails.load(Ordering::SeqCst) {
                 true => answer("500 Internal Server Error", "", ""),
                 false => answer("200 OK", "", "fetched"),
             })
@@ -385,23 +408,25 @@
     let node = Node::ready(&config(Discovery::start(&hosts).address));
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"held"));
     let mut keys = (1..).map(|round| round * 1000..round * 1000 + 20);
-    let mut ask = || at_once(&node, &gate, keys.next().unwrap());
-    // In good times none is held back.
-    assert_eq!(ask().0, 20);
-    down.store(true, Ordering::SeqCst);
-    wait_for("a limit", || ask().0 <= 3);
-    let (_, answers) = ask();
-    let refused = answers
+    let mut send_round = || send_concurrently(&node, &gate, keys.next().unwrap());
+    // While the origin succeeds, no request is held back.
+    assert_eq!(send_round().0, 20);
+    origin_fails.store(true, Ordering::SeqCst);
+    wait_for("the limit on likely misses", || send_round().0 <= 3);
+    let (_, answers) = send_round();
+    let shed = answers
         .iter()
         .filter(|answer| answer.status() == 503)
         .collect::<Vec<_>>();
     assert!(
-        refused.len() >= 17
-            && refused
+        shed.len() >= 17
+            && shed
                 .iter()
                 .all(|answer| answer.header("retry-after").is_some())
     );
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"held", "key {key}"));
-    down.store(false, Ordering::SeqCst);
-    wait_for("the limit's end", || ask().0 == 20);
+    origin_fails.store(false, Ordering::SeqCst);
+    wait_for("the end of the limit on likely misses", || {
+        send_round().0 == 20
+    });
 }
--- a/crates/cli/tests/node_stale_lists.rs
+++ b/crates/cli/tests/node_stale_lists.rs
@@ -1,4 +1,5 @@
-//! Lists of servers that cross one another: none of before a drain undoes it, and what is newer than the drain counts.
+//! Endpoint lists that arrive out of order: a list older than a drain never undoes the drain, and a
+//! newer list takes effect.
 
 mod node_common;
 
@@ -9,14 +10,15 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-fn moved_to(config: &Value, discovery: SocketAddr) -> String {
+fn config_with_discovery(config: &Value, discovery: SocketAddr) -> String {
     let mut moved = config.clone();
     moved["discovery"] = json!(discovery.to_string());
     moved.to_string()
 }
 
-// Guards against a drain that the old discovery told while a node moved, and that the new one's whole list undoes though
-// it is of before: it was made, and is on its way, when the drain is told.
+// Guards against a drain that is published by the old discovery during a move and undone by the
+// complete list of the new discovery. That list is older: it was in flight when the drain was
+// published.
 #[test]
 fn a_complete_list_older_than_a_drain_does_not_undo_it_after_a_move_of_discovery() {
     let pair = EndpointPair::start();
@@ -30,15 +32,15 @@
     });
     pair.wait_for_both(&node);
     let mut watch = old.next_call();
-    node.reload(&moved_to(&config, new.address));
-    let mut whole = new.next_call();
-    assert_eq!(whole.path, "/v1/servers");
+    node.reload(&config_with_discovery(&config, new.address));
+    let mut complete_call = new.next_call();
+    assert_eq!(complete_call.path, "/v1/servers");
     watch.answer(&list(6, false, &pair.entries("draining")[..1]));
     pair.wait_until_unused(&node);
-    whole.answer(&list(5, true, &pair.entries("ready")));
+    complete_call.answer(&list(5, true, &pair.entries("ready")));
     let mut next = new.next_call();
     pair.assert_unused(&node);
-    // A later word that it is ready again counts.
+    // A newer list in which the server is ready again takes effect.
     next.answer(&list(
         7,
         false,
@@ -47,22 +49,22 @@
     pair.wait_for_both(&node);
 }
 
-/// How a server is told to leave.
+/// How a list makes a server leave.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Leaves {
+enum Departure {
     Draining,
     Gone,
-    /// By a whole list that lacks it.
+    /// A complete list omits the server.
     Absent,
 }
 
-// Guards against a list of before a drain or an end that undoes it: one of a lower version is followed by the whole list, and
-// that may be of before as well.
+// Guards against a drain or removal that an older list undoes: after a list of a lower version, the
+// node requests the complete list, which may be older as well.
 #[test]
 fn a_list_older_than_a_drain_does_not_undo_it_at_the_same_discovery() {
     let mut undone = Vec::new();
-    for leaves in [Leaves::Draining, Leaves::Gone, Leaves::Absent] {
-        // It leaves with version 6, and a whole list of this one comes after that.
+    for departure in [Departure::Draining, Departure::Gone, Departure::Absent] {
+        // The server leaves in version 6; then a complete list of version `seq` arrives.
         for seq in [4, 6] {
             let pair = EndpointPair::start();
             let discovery = ManualDiscovery::start();
@@ -74,10 +76,10 @@
                 node.get("/healthz").status() == 200
             });
             pair.wait_for_both(&node);
-            discovery.next_call().answer(&match leaves {
-                Leaves::Draining => list(6, false, &pair.entries("draining")[..1]),
-                Leaves::Gone => list(6, false, &pair.entries("gone")[..1]),
-                Leaves::Absent => list(6, true, &pair.entries("ready")[1..]),
+            discovery.next_call().answer(&match departure {
+                Departure::Draining => list(6, false, &pair.entries("draining")[..1]),
+                Departure::Gone => list(6, false, &pair.entries("gone")[..1]),
+                Departure::Absent => list(6, true, &pair.entries("ready")[1..]),
             });
             let mut watch = discovery.next_call();
             pair.assert_unused(&node);
@@ -91,9 +93,9 @@
             (20..60).for_each(|key| drop(node.read("read", key)));
             let sent = pair.leaving.count() - before;
             if sent > 0 {
-                undone.push((leaves, seq, sent));
+                undone.push((departure, seq, sent));
             }
-            // Started anew, it is ready.
+            // After a new start, the server is used again.
             next.answer(&list(
                 7,
                 false,
@@ -104,12 +106,13 @@
     }
     assert!(
         undone.is_empty(),
-        "how it left, the version that undid it, sends after that: {undone:?}"
+        "how the server left, the version that undid it, requests sent after that: {undone:?}"
     );
 }
 
-// Guards against a node that serves from the list it knew and whose first call is refused, or waits for its turn, as a drain is
-// told: the answer to that call, or to the next, is heeded, and the next one comes soon.
+// Guards against a missed drain while a node serves from its configured list and its first call is
+// refused or queued: the answer to that call, or to the next, takes effect, and the next call
+// follows soon.
 #[test]
 fn a_drain_in_the_first_list_or_the_one_after_a_failed_call_takes_effect() {
     for refused in [false, true] {
@@ -124,7 +127,7 @@
             call.refuse();
             let since = Instant::now();
             call = discovery.next_call();
-            // The module's pause is 0.84 s at most; the rest is for a machine that does other things too.
+            // The policy's backoff is 0.84 s at most; the remaining time allows for a busy machine.
             assert!(
                 since.elapsed() < Duration::from_secs(3),
                 "{:?}",
@@ -139,10 +142,11 @@
     }
 }
 
-// Guards against a ready server that is taken for one that leaves for good: a new start is heeded, whichever way it is told.
+// Guards against a drained server that is treated as removed permanently: a new start takes effect,
+// whichever kind of list announces it.
 #[test]
 fn an_endpoint_with_a_new_incarnation_after_its_drain_is_used_again() {
-    for (whole, gone_between) in [(false, false), (false, true), (true, false), (true, true)] {
+    for (whole, removed_between) in [(false, false), (false, true), (true, false), (true, true)] {
         let pair = EndpointPair::start();
         let discovery = Discovery::start(&pair.entries("ready"));
         let node = Node::ready(&config(discovery.address));
@@ -151,7 +155,7 @@
         discovery.wait_until_applied(2);
         pair.assert_unused(&node);
         let mut seq = 2;
-        if gone_between {
+        if removed_between {
             match whole {
                 true => discovery.publish(true, &pair.entries("ready")[1..]),
                 false => discovery.publish(false, &pair.entries("gone")[..1]),
