--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -14,8 +14,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest time from the publication of a drain to the first byte of the last request: the default
-/// drain grace of 250 ms, and 50 ms for the sockets.
+/// Longest accepted time from the publication of a drain to the first byte of the last request: the
+/// default drain grace of 250 ms, and 50 ms for the sockets.
 const DRAIN_LIMIT: Duration = Duration::from_millis(300);
 
 /// Starts a server that serves every request and records when it received each.
--- a/crates/cli/tests/node_pushed_lists.rs
+++ b/crates/cli/tests/node_pushed_lists.rs
@@ -83,12 +83,12 @@
     assert!((1..20).all(|key| node.read("read", key).body == b"staying"));
     assert_eq!(gone.count(), 0);
 
-    let refusing = TcpListener::bind("127.0.0.1:0")
+    let refusing_agent = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    let alone = Node::ready(&pushed_config(refusing, &known));
-    assert_eq!(alone.read("read", 1).status(), 200);
+    let node_without_agent = Node::ready(&pushed_config(refusing_agent, &known));
+    assert_eq!(node_without_agent.read("read", 1).status(), 200);
 }
 
 // Guards against a server that drains in a list rejected as outdated and still receives requests
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -108,12 +108,12 @@
     })
 }
 
-fn name(server: usize) -> String {
+fn server_name(server: usize) -> String {
     format!("s-{server}")
 }
 
 /// Result of a played sequence of steps.
-struct Played {
+struct PlaybackResult {
     /// By request id.
     outcomes: BTreeMap<String, ClientOutcome>,
     received: Vec<ReceivedRequest>,
@@ -224,8 +224,8 @@
 
     /// Publishes the servers' states as a complete list and records the exclusions that result.
     fn publish_states(&mut self) {
-        let listed =
-            (0..SERVERS).filter_map(|i| Some(self.servers[i].entry(&name(i), self.states[i]?)));
+        let listed = (0..SERVERS)
+            .filter_map(|i| Some(self.servers[i].entry(&server_name(i), self.states[i]?)));
         let listed: Vec<_> = listed.collect();
         // A server that is ready again may be used from before the publication. An excluded server
         // must not be used once the list is applied.
@@ -250,7 +250,7 @@
     }
 
     /// Waits for the clients and checks that the node serves requests afterwards.
-    fn finish(mut self) -> Played {
+    fn finish(mut self) -> PlaybackResult {
         let clients = std::mem::take(&mut self.clients);
         let outcomes = clients.into_iter().map(PendingClient::outcome).collect();
         let end = Instant::now();
@@ -271,7 +271,7 @@
             }));
         drop(self.node);
         let received = std::mem::take(&mut *self.received.lock().unwrap());
-        Played {
+        PlaybackResult {
             outcomes,
             received,
             exclusions: self.exclusions,
@@ -282,12 +282,12 @@
 fn all_ready(servers: &[CacheServer]) -> Vec<serde_json::Value> {
     let entries = servers.iter().enumerate();
     entries
-        .map(|(server, endpoint)| endpoint.entry(&name(server), "ready"))
+        .map(|(server, endpoint)| endpoint.entry(&server_name(server), "ready"))
         .collect()
 }
 
 /// Plays the steps against a node.
-fn play(steps: &[Step]) -> Played {
+fn play(steps: &[Step]) -> PlaybackResult {
     let mut playback = Playback::start(steps);
     for step in steps {
         playback.apply(step);
@@ -365,7 +365,7 @@
 #[test]
 fn a_node_keeps_the_rules_through_any_sequence_of_events() {
     check_without_shrinking(0..6, 120, |_, steps| {
-        let Played {
+        let PlaybackResult {
             outcomes,
             received,
             exclusions,
--- a/crates/cli/tests/node_servers.rs
+++ b/crates/cli/tests/node_servers.rs
@@ -69,7 +69,8 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut key, mut served) = (0, 0);
-    // Each round sends reads without a pause, then an unsafe request after an idle period.
+    // In each round, reads without a pause give the node the baseline loss rate of connections; an
+    // idle period and an unsafe request follow.
     wait_for(
         "five consecutive unsafe requests served after idle periods",
         || {
@@ -183,13 +184,13 @@
 // Guards against a refused connection that is treated as a request that may have run.
 #[test]
 fn a_non_idempotent_request_is_retried_after_a_refused_connection() {
-    let closed = std::net::TcpListener::bind("127.0.0.1:0")
+    let refusing_address = std::net::TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[
-        endpoint_entry("s-1", closed, "ready"),
+        endpoint_entry("s-1", refusing_address, "ready"),
         server.entry("s-2", "ready"),
     ]);
     let node = Node::ready(&config(discovery.address));
