--- a/crates/cli/tests/node_features/audit_trail.rs
+++ b/crates/cli/tests/node_features/audit_trail.rs
@@ -1,19 +1,19 @@
-//! The audit trail: its records over restarts, its verification, and targets that cannot be written.
+//! The audit trail: records across restarts, verification, and paths that cannot be written to.
 
 use crate::node_common::{
     command, config, temporary_path, wait_for, write_config, CacheServer, Discovery, Node,
 };
-use crate::{log_has, run_until_exit};
+use crate::{log_has_line, run_until_exit};
 use serde_json::Value;
 use std::path::Path;
 use std::process::Command;
 
-/// Settings for a trail in a file.
-fn trail_at(path: &Path) -> String {
+/// Returns feature settings that write the audit trail to a file.
+fn audit_trail_settings(path: &Path) -> String {
     format!("[audit]\npath = \"{}\"\n", path.display())
 }
 
-/// The records of a trail.
+/// Reads all records of an audit trail.
 fn read_records(path: &Path) -> Vec<Value> {
     let text = std::fs::read_to_string(path).unwrap();
     text.lines()
@@ -21,7 +21,7 @@
         .collect()
 }
 
-/// Runs `slatelink audit verify`. Returns what it prints and its exit code.
+/// Runs `slatelink audit verify`. Returns its standard output and its exit code.
 fn verify(path: &Path) -> (String, Option<i32>) {
     let output = command()
         .args(["audit", "verify"])
@@ -34,13 +34,13 @@
     )
 }
 
-/// A file's SHA-256 in hexadecimal, by another implementation.
+/// Returns the SHA-256 of a file in hexadecimal, computed by an independent implementation.
 fn sha256(path: &Path) -> String {
     let output = Command::new("sha256sum").arg(path).output().unwrap();
     String::from_utf8(output.stdout).unwrap()[..64].to_owned()
 }
 
-/// The records whose field has this value.
+/// Returns the records whose field has the given value.
 fn records_with<'a>(records: &'a [Value], field: &str, value: &str) -> Vec<&'a Value> {
     records
         .iter()
@@ -48,10 +48,10 @@
         .collect()
 }
 
-// Guards against a start, stop, configuration or change of health that the trail lacks, and against a hash chain that a restart
-// breaks. The operators' own check stands at the end.
+// Guards against a missing record of a start, stop, configuration or health change, against a hash
+// chain that a restart breaks, and against edits that `audit verify` does not detect.
 #[test]
-fn the_trail_continues_over_restarts_and_any_edit_of_it_is_found() {
+fn audit_trail_continues_across_restarts_and_verify_detects_any_edit() {
     let server = CacheServer::serving("value");
     let path = temporary_path("trail");
     let mut config_hashes = Vec::new();
@@ -63,10 +63,10 @@
     ] {
         let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
         let platform = config(discovery.address);
-        let node = Node::with_features(&platform, &trail_at(&path));
+        let node = Node::with_features(&platform, &audit_trail_settings(&path));
         config_hashes.push(sha256(node.config()));
         if signal == "-TERM" {
-            change_health(&discovery, &server);
+            publish_health_changes(&discovery, &server);
             node.reload(&format!("{platform} "));
             wait_for("the reload", || {
                 records_with(&read_records(&path), "file", "platform").len() == 2
@@ -74,9 +74,11 @@
             config_hashes.push(sha256(node.config()));
             node.reload("not a configuration");
         }
-        // Before it is killed, its records must be there.
-        let loaded = || records_with(&read_records(&path), "file", "features").len();
-        wait_for("the start's records", || loaded() == config_hashes.len());
+        // The records must be on file before SIGKILL, which leaves no time to write them.
+        let features_loaded = || records_with(&read_records(&path), "file", "features").len();
+        wait_for("the records of the start", || {
+            features_loaded() == config_hashes.len()
+        });
         node.signal(signal);
         assert_eq!(node.exit().code(), exit_code, "{signal}");
     }
@@ -88,13 +90,13 @@
     assert_starts_and_stops(&records);
     assert_health_changes(&records);
     assert_configurations(&records, &config_hashes);
-    assert_edits_are_found(&path, records.len());
+    assert_edits_are_detected(&path, records.len());
     std::fs::remove_file(&path).unwrap();
     assert_eq!(verify(&path), (String::new(), Some(2)));
 }
 
-/// Takes the endpoint through all kinds of change of its health, one version each.
-fn change_health(discovery: &Discovery, server: &CacheServer) {
+/// Publishes every kind of health change of the endpoint, each in a version of its own.
+fn publish_health_changes(discovery: &Discovery, server: &CacheServer) {
     discovery.publish(false, &[server.entry("s-1", "draining")]);
     discovery.wait_until_applied(2);
     discovery.publish(true, &[]);
@@ -105,7 +107,8 @@
     discovery.wait_until_applied(5);
 }
 
-/// Asserts a start of each of the four nodes, and a stop of all but the third, which was killed.
+/// Asserts a start record of each of the four nodes, and a stop record of each node except the
+/// third, which was killed.
 fn assert_starts_and_stops(records: &[Value]) {
     let starts = records_with(records, "event", "start");
     assert_eq!(starts.len(), 4);
@@ -115,7 +118,7 @@
         .map(|record| record["signal"].clone())
         .collect();
     assert_eq!(signals, ["SIGTERM", "SIGINT", "SIGUSR2"]);
-    // A node that was killed shows as a start without a stop before it.
+    // After a killed node, the next start record has no stop record before it.
     let event_before = |start: usize| {
         let position = records.iter().rposition(|record| record == starts[start]);
         &records[position.unwrap() - 1]["event"]
@@ -126,7 +129,8 @@
     );
 }
 
-/// Asserts the first node's start and [`change_health`].
+/// Asserts the health records of the first node: its first list and the changes of
+/// [`publish_health_changes`].
 fn assert_health_changes(records: &[Value]) {
     let changes: Vec<_> = records_with(records, "event", "health")[..5]
         .iter()
@@ -147,14 +151,14 @@
     assert_eq!(changes, expected);
 }
 
-/// Asserts a record of each configuration that was loaded, with its hash; a rejected one has none.
+/// Asserts a record with the hash of each loaded configuration, and none of the rejected one.
 fn assert_configurations(records: &[Value], hashes: &[String]) {
     let configurations = records_with(records, "event", "config");
-    let of_file = |file: &str| -> Vec<&Value> {
+    let configurations_of = |file: &str| -> Vec<&Value> {
         let records = configurations.iter().copied();
         records.filter(|record| record["file"] == file).collect()
     };
-    let platform = of_file("platform");
+    let platform = configurations_of("platform");
     assert_eq!(platform.len(), 5);
     assert!(
         platform
@@ -163,11 +167,11 @@
             .all(|(record, hash)| record["sha256"] == **hash),
         "{platform:?} {hashes:?}"
     );
-    assert_eq!(of_file("features").len(), 5);
+    assert_eq!(configurations_of("features").len(), 5);
 }
 
-/// Asserts that a flipped bit in any line and a missing last byte are found.
-fn assert_edits_are_found(path: &Path, lines: usize) {
+/// Asserts that `audit verify` detects a flipped bit in any line and a missing last byte.
+fn assert_edits_are_detected(path: &Path, lines: usize) {
     let text = std::fs::read(path).unwrap();
     let mut start = 0;
     for line in 1..=lines {
@@ -183,13 +187,13 @@
     assert_eq!(verify(path), (format!("torn at line {lines}\n"), Some(1)));
 }
 
-// Guards against two nodes that write one trail.
+// Guards against two nodes that write to the same audit trail.
 #[test]
-fn a_trail_that_another_node_writes_fails_the_start() {
+fn audit_trail_in_use_by_another_node_fails_the_start() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let path = temporary_path("shared");
-    let settings = trail_at(&path);
+    let settings = audit_trail_settings(&path);
     let node = Node::with_features(&config(discovery.address), &settings);
     let platform = write_config(&config(discovery.address).to_string());
     let second = run_until_exit(&platform, &write_config(&settings));
@@ -207,15 +211,15 @@
     std::fs::remove_file(path).unwrap();
 }
 
-// Guards against a full disk that stops service.
+// Guards against a full disk that interrupts service.
 #[test]
-fn a_trail_that_cannot_be_written_is_reported_and_requests_are_served() {
+fn unwritable_audit_trail_is_reported_and_requests_are_served() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let features = trail_at("/dev/full".as_ref());
+    let features = audit_trail_settings("/dev/full".as_ref());
     let node = Node::with_features(&config(discovery.address), &features);
-    wait_for("a log line of the error", || {
-        log_has(&node, |line| {
+    wait_for("the log line of the write error", || {
+        log_has_line(&node, |line| {
             line.starts_with("audit: a record is not written")
         })
     });
@@ -224,9 +228,9 @@
     assert!(node.exit().success());
 }
 
-// Guards against records that are lost where no path is set.
+// Guards against audit records that are lost when no path is set.
 #[test]
-fn a_trail_without_a_path_goes_to_standard_error() {
+fn audit_trail_without_a_path_is_written_to_standard_error() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::with_features(&config(discovery.address), "[audit]\n");
@@ -237,7 +241,7 @@
             .map(|line| line.clone() + "\n")
             .collect::<String>()
     };
-    wait_for("a change of health", || {
+    wait_for("the record of a health change", || {
         records().contains("\"event\":\"health\"")
     });
     let path = write_config(&records());
--- a/crates/cli/tests/node_features/hot_list.rs
+++ b/crates/cli/tests/node_features/hot_list.rs
@@ -1,12 +1,12 @@
-//! The hot list, which the node prints on SIGUSR1.
+//! The hot list, which the node logs on SIGUSR1.
 
 use crate::node_common::{config, read, wait_for, write_config, CacheServer, Discovery, Node};
-use crate::{log_has, run_until_exit};
+use crate::{log_has_line, run_until_exit};
 use std::collections::HashMap;
 
-/// Requests that the clients send in the test of the counts.
+/// Number of reads in the test of the counts.
 const REQUESTS: u64 = 600;
-/// Keys that the hot list holds in that test.
+/// Number of keys that the hot list holds in the test of the counts.
 const CAPACITY: u64 = 8;
 
 /// A line of the hot list.
@@ -16,12 +16,12 @@
     /// Requests a second.
     rate: f64,
     count: u64,
-    /// By how much the count may be too large.
+    /// Maximum by which `count` may exceed the real count.
     error_bound: u64,
 }
 
 impl HotKey {
-    /// Reads a line without its class: `KEY rate=NUMBER/s count=NUMBER err<=NUMBER`.
+    /// Parses a line without its class: `KEY rate=NUMBER/s count=NUMBER err<=NUMBER`.
     fn parse(line: &str) -> Self {
         let words: Vec<_> = line.split(' ').collect();
         let [key, rate, count, error_bound] = words[..] else {
@@ -39,7 +39,7 @@
     }
 }
 
-/// The hot list's lines of a class, in their order.
+/// Returns the hot list of a class from the node's log, in log order.
 fn hot_keys(node: &Node, class: &str) -> Vec<HotKey> {
     let log = node.log.lock().unwrap();
     let start = format!("hot {class} ");
@@ -50,7 +50,7 @@
         .collect()
 }
 
-/// Sends reads of which a third is of one key. Returns how often each key was sent.
+/// Sends reads of which a third has the same key. Returns the number of reads sent for each key.
 fn send_skewed_reads(node: &Node) -> HashMap<String, u64> {
     let mut client = node.client();
     let mut sent = HashMap::<String, u64>::new();
@@ -64,32 +64,33 @@
     sent
 }
 
-// The operators' own check: a skewed load, and its clients' counts against the printed ones.
+// Guards against logged counts that differ from the numbers of requests sent by more than the error
+// bound, under a skewed load.
 #[test]
-fn the_hot_list_agrees_with_the_clients_counts_within_its_error_bound() {
+fn hot_list_counts_match_sent_requests_within_the_error_bound() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let features = format!("[hotlist]\ncapacity = {CAPACITY}\n");
     let node = Node::with_features(&config(discovery.address), &features);
     let sent = send_skewed_reads(&node);
-    // A request that is shed is counted too; an invalid one is not.
+    // A shed request is counted; an invalid request is not.
     discovery.publish(false, &[server.entry("s-1", "draining")]);
     discovery.wait_until_applied(2);
     assert_eq!(node.read("once", 0xabc).status(), 503);
     assert_eq!(node.read("no such class", 1).status(), 400);
     node.signal("-USR1");
     wait_for("the list", || {
-        log_has(&node, |line| line.starts_with("hot keyed "))
+        log_has_line(&node, |line| line.starts_with("hot keyed "))
     });
     let reads = hot_keys(&node, "read");
     assert_eq!((reads.len(), &*reads[0].key), (CAPACITY as usize, "key7"));
     assert!(reads.is_sorted_by(|a, b| a.count >= b.count), "{reads:?}");
     for hot in &reads {
-        let real = sent[&hot.key];
+        let sent_count = sent[&hot.key];
         assert_eq!(hot.error_bound, REQUESTS / CAPACITY);
         assert!(
-            real <= hot.count && hot.count - real <= hot.error_bound,
-            "{}: {real} and {}",
+            sent_count <= hot.count && hot.count - sent_count <= hot.error_bound,
+            "{}: {sent_count} requests sent, {} counted",
             hot.key,
             hot.count
         );
@@ -105,17 +106,18 @@
         ),
         (1, "0000000000000abc", 1, 0)
     );
-    assert!(log_has(&node, |line| line == "hot keyed none"));
+    assert!(log_has_line(&node, |line| line == "hot keyed none"));
     assert_eq!(
         node.read("once", 1).status(),
         503,
-        "the node runs on after the signal"
+        "the node keeps running after the signal"
     );
 }
 
-// Guards against a signal that is caught although the feature is off, and against a capacity that takes too much memory.
+// Guards against a signal handler that is installed although the feature is off, and against a
+// capacity that exceeds the memory limit.
 #[test]
-fn a_capacity_of_zero_turns_the_hot_list_off_and_one_too_large_fails_the_start() {
+fn capacity_of_zero_disables_the_hot_list_and_excessive_capacity_fails_the_start() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let platform = config(discovery.address);
@@ -124,7 +126,7 @@
     assert_eq!(
         node.exit().code(),
         None,
-        "the signal ends a process that does not catch it"
+        "without a handler the signal terminates the process"
     );
     let (platform, features) = (
         write_config(&platform.to_string()),
--- a/crates/cli/tests/node_features/main.rs
+++ b/crates/cli/tests/node_features/main.rs
@@ -1,4 +1,5 @@
-//! The features that the operators' file turns on (metrics, audit trail, hot list), over the command line and loopback sockets.
+//! End-to-end tests of the optional features (metrics, audit trail, hot list), which the operators'
+//! feature file enables. They use the command line and loopback sockets.
 
 #[path = "../node_common/mod.rs"]
 mod node_common;
@@ -13,7 +14,7 @@
 use std::path::Path;
 use std::process::Output;
 
-/// Runs a node on these files until it exits, as it does where it cannot start.
+/// Runs a node whose start is expected to fail, and waits for its exit.
 fn run_until_exit(config: &Path, features: &Path) -> Output {
     command()
         .env("LB_CONFIG", config)
@@ -23,7 +24,7 @@
         .unwrap()
 }
 
-/// Whether a line of the node's log, but for the first one, meets a condition.
-fn log_has(node: &Node, condition: impl Fn(&str) -> bool) -> bool {
+/// Checks whether any log line of the node, other than the first, meets the condition.
+fn log_has_line(node: &Node, condition: impl Fn(&str) -> bool) -> bool {
     node.log.lock().unwrap().iter().any(|line| condition(line))
 }
--- a/crates/cli/tests/node_features/metrics.rs
+++ b/crates/cli/tests/node_features/metrics.rs
@@ -1,20 +1,20 @@
-//! What metrics say of requests, attempts and endpoints.
+//! Metrics of requests, attempts and endpoints.
 
-use crate::log_has;
+use crate::log_has_line;
 use crate::node_common::{
     answer, config, temporary_path, wait_for, CacheServer, Discovery, Node, Reply,
 };
 use std::path::Path;
 
-/// Settings for metrics that are written to a file, flushed at this interval.
-pub fn file_target(path: &Path, flush_ms: u64) -> String {
+/// Returns feature settings that write metrics to a file at the given flush interval.
+pub fn metrics_file_settings(path: &Path, flush_ms: u64) -> String {
     format!(
         "[figures]\ntarget = \"file:{}\"\nflush_ms = {flush_ms}\n",
         path.display()
     )
 }
 
-/// The sum of a StatsD counter over all lines that have its name and a part of its tags.
+/// Returns the sum of a StatsD counter over the lines whose tags contain `tags`.
 pub fn counter_sum(lines: &str, name: &str, tags: &str) -> u64 {
     let start = format!("{name}:");
     let matching = lines
@@ -26,21 +26,25 @@
         .sum()
 }
 
-/// A cache server that fails the request with the id 7.
-fn server_failing_request_7() -> CacheServer {
+/// Starts a cache server that answers request id 7 with status 500 and all others with status 200.
+fn start_server_failing_request_7() -> CacheServer {
     CacheServer::start(|request| match request.header("req-id") {
         Some("7") => Reply::Answer(answer("500 No", "", "")),
         _ => Reply::Answer(answer("200 OK", "", "value")),
     })
 }
 
-// Guards against requests or attempts that are not counted, or counted under another endpoint, class or outcome.
+// Guards against requests or attempts that are not counted, or are counted under the wrong
+// endpoint, class or outcome.
 #[test]
 fn metrics_count_each_request_and_attempt_with_its_class_and_endpoint() {
-    let server = server_failing_request_7();
+    let server = start_server_failing_request_7();
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let path = temporary_path("figures");
-    let node = Node::with_features(&config(discovery.address), &file_target(&path, 50));
+    let node = Node::with_features(
+        &config(discovery.address),
+        &metrics_file_settings(&path, 50),
+    );
     for key in 0..5 {
         assert_eq!(node.read("read", key).status(), 200);
     }
@@ -48,46 +52,58 @@
     discovery.publish(false, &[server.entry("s-1", "draining")]);
     discovery.wait_until_applied(2);
     assert_eq!(node.read("keyed", 8).status(), 503);
-    let written = || std::fs::read_to_string(&path).unwrap();
-    wait_for("a flush", || written().contains("status:503"));
+    let read_metrics = || std::fs::read_to_string(&path).unwrap();
+    wait_for("a flush", || read_metrics().contains("status:503"));
     assert!(
-        written().contains("slatelink.req.open:0|g|#kind:read\n"),
+        read_metrics().contains("slatelink.req.open:0|g|#kind:read\n"),
         "{}",
-        written()
+        read_metrics()
     );
-    // What has not been flushed is written at the shutdown.
+    // Metrics that are not flushed yet are written at shutdown.
     discovery.publish(false, &[server.entry("s-1", "ready")]);
     discovery.wait_until_applied(3);
     assert_eq!(node.read("read", 9).status(), 200);
     node.terminate();
     assert!(node.exit().success());
-    assert_counts(&written());
+    assert_counts(&read_metrics());
     std::fs::remove_file(path).unwrap();
 }
 
-/// Asserts the counts of six reads that were served, one request that failed at the endpoint and one that was shed.
+/// Asserts the counts of six successful reads, one request that failed at the endpoint and one shed
+/// request.
 fn assert_counts(lines: &str) {
-    let requests = |tags: &str| counter_sum(lines, "slatelink.req.count", tags);
-    assert_eq!(requests("#kind:read,host:s-1,status:200"), 6, "{lines}");
-    assert_eq!(requests("#kind:once,host:s-1,status:502"), 1);
-    assert_eq!(requests("#kind:keyed,host:none,status:503"), 1);
-    assert_eq!(requests(""), 8);
+    let request_count = |tags: &str| counter_sum(lines, "slatelink.req.count", tags);
+    assert_eq!(
+        request_count("#kind:read,host:s-1,status:200"),
+        6,
+        "{lines}"
+    );
+    assert_eq!(request_count("#kind:once,host:s-1,status:502"), 1);
+    assert_eq!(request_count("#kind:keyed,host:none,status:503"), 1);
+    assert_eq!(request_count(""), 8);
     assert_eq!(lines.matches("slatelink.req.time:").count(), 8);
-    let attempts = |tags: &str| counter_sum(lines, "slatelink.attempt.count", tags);
-    assert_eq!(attempts("host:s-1,outcome:ok"), 6);
-    assert_eq!(attempts("host:s-1,outcome:failed"), 1);
+    let attempt_count = |tags: &str| counter_sum(lines, "slatelink.attempt.count", tags);
+    assert_eq!(attempt_count("host:s-1,outcome:ok"), 6);
+    assert_eq!(attempt_count("host:s-1,outcome:failed"), 1);
     assert!(lines.contains("slatelink.host.blocked:0|g|#host:s-1\n"));
     assert!(lines.ends_with('\n') && lines.lines().all(|line| line.starts_with("slatelink.")));
 }
 
-// Guards against a gauge that misses an opened circuit breaker, of which only the policy's log lines tell.
+// Guards against a gauge that misses an open circuit breaker, which only the policy's log
+// lines report.
 #[test]
 fn a_gauge_shows_an_endpoint_whose_circuit_breaker_is_open() {
-    let bad = CacheServer::start(|_| Reply::Answer(answer("500 No", "", "")));
-    let good = CacheServer::serving("value");
-    let discovery = Discovery::start(&[bad.entry("s-bad", "ready"), good.entry("s-good", "ready")]);
+    let failing_server = CacheServer::start(|_| Reply::Answer(answer("500 No", "", "")));
+    let healthy_server = CacheServer::serving("value");
+    let discovery = Discovery::start(&[
+        failing_server.entry("s-bad", "ready"),
+        healthy_server.entry("s-good", "ready"),
+    ]);
     let path = temporary_path("blocked");
-    let node = Node::with_features(&config(discovery.address), &file_target(&path, 20));
+    let node = Node::with_features(
+        &config(discovery.address),
+        &metrics_file_settings(&path, 20),
+    );
     let mut key = 0;
     wait_for("a blocked endpoint", || {
         key += 1;
@@ -96,8 +112,8 @@
             .unwrap()
             .contains("slatelink.host.blocked:1|g|#host:s-bad\n")
     });
-    wait_for("the breaker's line in the log", || {
-        log_has(&node, |line| line == "breaker of s-bad tripped")
+    wait_for("the log line of the breaker", || {
+        log_has_line(&node, |line| line == "breaker of s-bad tripped")
     });
     assert!(!std::fs::read_to_string(&path)
         .unwrap()
--- a/crates/cli/tests/node_features/metrics_targets.rs
+++ b/crates/cli/tests/node_features/metrics_targets.rs
@@ -1,6 +1,6 @@
-//! Targets that take no metrics, or take them late: service must not wait for them.
+//! Metrics targets that reject or delay writes. Requests must be served without delay regardless.
 
-use crate::metrics::{counter_sum, file_target};
+use crate::metrics::{counter_sum, metrics_file_settings};
 use crate::node_common::{
     command, config, read, temporary_path, wait_for, write_config, CacheServer, Client, Discovery,
     Node, WAIT_TIMEOUT,
@@ -10,15 +10,16 @@
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Command, Stdio};
 
-/// The totals of dropped batches, in the order in which the node's log has them.
+/// Returns the totals of dropped batches from the node's log, in log order.
 fn dropped_batches(node: &Node) -> Vec<u64> {
     let log = node.log.lock().unwrap();
     let totals = log
         .iter()
         .filter_map(|line| line.strip_prefix("slatelink.figures.dropped: "));
     totals
-        .map(|rest| {
-            rest.strip_suffix(" batches so far")
+        .map(|total| {
+            total
+                .strip_suffix(" batches so far")
                 .unwrap()
                 .parse()
                 .unwrap()
@@ -26,16 +27,17 @@
         .collect()
 }
 
-// The operators' own check: every write to this target fails, requests are served and the count rises.
+// Guards against failed writes to the metrics target that disturb service or go uncounted. Every
+// write to `/dev/full` fails.
 #[test]
 fn metrics_to_a_full_device_are_dropped_and_counted_while_requests_are_served() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let features = file_target("/dev/full".as_ref(), 20);
+    let features = metrics_file_settings("/dev/full".as_ref(), 20);
     let node = Node::with_features(&config(discovery.address), &features);
     let mut client = node.client();
     let mut key = 0;
-    wait_for("a count that rises", || {
+    wait_for("an increasing count of dropped batches", || {
         key += 1;
         assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
         dropped_batches(&node).len() > 3
@@ -49,14 +51,15 @@
     );
 }
 
-/// The reading end of a FIFO of metrics, and what was read from it.
+/// Reading end of a metrics FIFO and the text read from it so far.
 struct FifoReader {
     fifo: File,
     text: String,
 }
 
 impl FifoReader {
-    /// Reads up to 1 KiB more. Returns how many dropped batches the complete lines so far report.
+    /// Reads up to 1 KiB more. Returns the number of dropped batches that all complete lines read
+    /// so far report.
     fn read_more(&mut self) -> u64 {
         let mut bytes = [0; 1024];
         let count = self.fifo.read(&mut bytes).unwrap();
@@ -66,15 +69,16 @@
         let complete = &self.text[..end];
         assert!(
             complete.lines().all(|line| line.starts_with("slatelink.")),
-            "complete lines only"
+            "a line is not a complete metric: {complete}"
         );
         counter_sum(complete, "slatelink.figures.dropped", "")
     }
 }
 
-// Guards against a FIFO that stalls the node: without a reader, with one that reads nothing, and with one that reads late.
+// Guards against a FIFO that stalls the node: without a reader, with a reader that reads nothing,
+// and with a reader that reads late.
 #[test]
-fn metrics_to_a_fifo_never_wait_for_its_reader() {
+fn metrics_to_a_fifo_never_block_the_node() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let path = temporary_path("fifo");
@@ -83,7 +87,10 @@
         .status()
         .unwrap()
         .success());
-    let node = Node::with_features(&config(discovery.address), &file_target(&path, 10));
+    let node = Node::with_features(
+        &config(discovery.address),
+        &metrics_file_settings(&path, 10),
+    );
     let dropped = || dropped_batches(&node).last().copied().unwrap_or(0);
     wait_for("dropped batches", || dropped() > 0);
     let mut reader = FifoReader {
@@ -91,24 +98,26 @@
         text: String::new(),
     };
     let mut reported = 0;
-    wait_for("the count of dropped batches", || {
+    wait_for("the metric of dropped batches", || {
         reported = reader.read_more();
         reported > 0
     });
     // Once the FIFO is full, writes to it fail.
     let (mut client, mut key) = (node.client(), 0);
-    wait_for("dropped batches again", || {
+    wait_for("further dropped batches", || {
         key += 1;
         assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
         dropped() > reported
     });
-    wait_for("the count of those", || reader.read_more() > reported);
+    wait_for("the increased metric of dropped batches", || {
+        reader.read_more() > reported
+    });
     std::fs::remove_file(path).unwrap();
 }
 
-// Guards against a pipe that nobody reads, and that stalls the node once it is full.
+// Guards against a node that stalls once the unread pipe at its standard error is full.
 #[test]
-fn a_node_whose_standard_error_is_not_read_serves_and_stops() {
+fn node_with_unread_standard_error_serves_requests_and_stops() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let platform = write_config(&config(discovery.address).to_string());
@@ -120,7 +129,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The small buffer leaves the rest in the pipe.
+    // The small buffer leaves most of the log in the pipe.
     let mut log = BufReader::with_capacity(64, child.stderr.take().unwrap());
     let mut line = String::new();
     log.read_line(&mut line).unwrap();
@@ -134,7 +143,7 @@
             .status()
             == 200
     });
-    // Well over what a pipe of 64 KiB and the buffer of 256 KiB hold.
+    // The metrics of these requests far exceed the pipe (64 KiB) and the metrics buffer (256 KiB).
     for key in 0..4_000 {
         assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
     }
--- a/crates/cli/tests/node_features/settings.rs
+++ b/crates/cli/tests/node_features/settings.rs
@@ -1,12 +1,13 @@
-//! Feature files that are empty, missing or invalid.
+//! Empty, missing and invalid feature files.
 
 use crate::node_common::{config, write_config, CacheServer, Discovery, Node};
 use crate::run_until_exit;
 
-// Guards against a node that starts on settings that it does not understand, or without those that were named.
+// Guards against a node that ignores unknown or invalid settings, or that starts without the
+// feature file named on the command line.
 #[test]
 fn a_missing_or_invalid_feature_file_fails_the_start_with_one_line() {
-    let texts = [
+    let invalid_settings = [
         "unknown = 1",
         "[nothing]",
         "[figures",
@@ -25,9 +26,12 @@
         "[hotlist]\nwindow_s = 0",
         "[audit]\npath = \"/no/such/folder/trail\"",
     ];
-    let mut paths: Vec<_> = texts.iter().map(|text| write_config(text)).collect();
+    let mut paths: Vec<_> = invalid_settings
+        .iter()
+        .map(|text| write_config(text))
+        .collect();
     paths.push("no/such/file.toml".into());
-    // The platform's configuration is valid: only the feature file can fail the start.
+    // The platform configuration is valid, so only the feature file can cause the failure.
     let platform = write_config(&config("127.0.0.1:1".parse().unwrap()).to_string());
     for path in paths {
         let output = run_until_exit(&platform, &path);
@@ -42,7 +46,7 @@
     }
 }
 
-// Guards against a file without sections that changes what the node does.
+// Guards against a feature file without sections that changes the node's behaviour.
 #[test]
 fn a_node_with_an_empty_feature_file_serves_and_stops_as_without_one() {
     let server = CacheServer::serving("value");
