--- a/crates/cli/tests/node_multiget/bounds.rs
+++ b/crates/cli/tests/node_multiget/bounds.rs
@@ -1,26 +1,29 @@
-//! Bounds on what one call, and all calls together, may use.
+//! Bounds on the resources of one call and of all calls together.
 
-use crate::multi_get::{all_served, echo, keys, multi_get, multi_get_address, MULTI_GET};
+use crate::multi_get::{
+    all_served, echo_target, multi_get_address, multi_get_command, numbered_keys,
+    MULTI_GET_FEATURES,
+};
 use crate::node_common::{config, read, wait_for, CacheServer, Discovery, Gate, Node};
 use serde_json::json;
 use std::process::Stdio;
 
-// Guards against more items in flight at once than the setting allows.
+// Guards against a call with more items in flight than the setting `parallel` allows.
 #[test]
-fn a_call_has_no_more_items_in_flight_than_the_setting_allows() {
+fn items_in_flight_of_a_call_never_exceed_the_setting() {
     let gate = Gate::default();
     let server_gate = gate.clone();
     let server = CacheServer::start(move |request| {
         server_gate.wait_until_open();
-        echo(request)
+        echo_target(request)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let features = format!("{MULTI_GET}parallel = 3\n");
+    let features = format!("{MULTI_GET_FEATURES}parallel = 3\n");
     let node = Node::with_features(&config(discovery.address), &features);
-    let mut call = multi_get(multi_get_address(&node), 20_000, &keys(9));
+    let mut call = multi_get_command(multi_get_address(&node), 20_000, &numbered_keys(9));
     let call = std::thread::spawn(move || call.output().unwrap());
     wait_for("the first items", || server.count() == 3);
-    // The node answers others meanwhile, and sends no fourth.
+    // The node answers other requests in the meantime, but sends no fourth item.
     for _ in 0..5 {
         assert_eq!(node.get("/healthz").status(), 200);
     }
@@ -30,18 +33,18 @@
     assert_eq!(server.count(), 9);
 }
 
-// Guards against items that take descriptors past the node's bound, and against a multi-get port that takes those of other
-// clients.
+// Guards against items that use more descriptors than the node's limit, and against a multi-get
+// port that uses up the connections of other clients.
 #[test]
-fn with_few_connections_allowed_all_items_and_clients_are_still_served() {
-    let server = CacheServer::start(echo);
+fn all_items_and_clients_are_served_with_few_allowed_connections() {
+    let server = CacheServer::start(echo_target);
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let mut small = config(discovery.address);
-    // Six client connections: the items of three calls are queued for them.
-    small["limits"]["sockets"] = json!(46);
-    let node = Node::with_features(&small, MULTI_GET);
+    let mut low_limit_config = config(discovery.address);
+    // 46 sockets allow six client connections, so the items of the three calls are queued.
+    low_limit_config["limits"]["sockets"] = json!(46);
+    let node = Node::with_features(&low_limit_config, MULTI_GET_FEATURES);
     let address = multi_get_address(&node);
-    let idle: Vec<_> = (0..5)
+    let idle_clients: Vec<_> = (0..5)
         .map(|i| {
             let mut client = node.client();
             let request = read("read", 1_000 + i, 20_000);
@@ -50,7 +53,7 @@
         })
         .collect();
     let mut calls: Vec<_> = (0..3)
-        .map(|_| multi_get(address, 20_000, &keys(12)))
+        .map(|_| multi_get_command(address, 20_000, &numbered_keys(12)))
         .collect();
     let calls: Vec<_> = calls
         .iter_mut()
@@ -61,5 +64,5 @@
         assert!(all_served(&output), "{output:?}");
     }
     assert_eq!(node.read("read", 2_000).status(), 200);
-    drop(idle);
+    drop(idle_clients);
 }
--- a/crates/cli/tests/node_multiget/lifecycle.rs
+++ b/crates/cli/tests/node_multiget/lifecycle.rs
@@ -1,24 +1,27 @@
-//! The start and the graceful shutdown of a node with a multi-get port.
+//! Start and graceful shutdown of a node with a multi-get port.
 
-use crate::multi_get::{all_served, echo, keys, multi_get, multi_get_address, MULTI_GET};
+use crate::multi_get::{
+    all_served, echo_target, multi_get_address, multi_get_command, numbered_keys,
+    MULTI_GET_FEATURES,
+};
 use crate::node_common::{
     command, config, wait_for, write_config, CacheServer, Discovery, Gate, Node,
 };
 use std::net::{TcpListener, TcpStream};
 
-// Guards against a shutdown that loses items that were accepted.
+// Guards against a shutdown that loses accepted items.
 #[test]
-fn a_terminated_node_finishes_the_calls_that_it_accepted() {
+fn terminated_node_finishes_accepted_calls() {
     let gate = Gate::default();
     let server_gate = gate.clone();
     let server = CacheServer::start(move |request| {
         server_gate.wait_until_open();
-        echo(request)
+        echo_target(request)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::with_features(&config(discovery.address), MULTI_GET);
+    let node = Node::with_features(&config(discovery.address), MULTI_GET_FEATURES);
     let address = multi_get_address(&node);
-    let mut call = multi_get(address, 20_000, &keys(12));
+    let mut call = multi_get_command(address, 20_000, &numbered_keys(12));
     let call = std::thread::spawn(move || call.output().unwrap());
     wait_for("the first items", || server.count() == 8);
     node.terminate();
@@ -31,9 +34,10 @@
     assert!(node.exit().success());
 }
 
-// Guards against a multi-get port that no setting asks for.
+// Guards against a multi-get port that opens without the setting `port`, and against a node that
+// starts although the port is in use.
 #[test]
-fn without_a_port_there_is_no_multi_get_and_a_port_in_use_fails_the_start() {
+fn without_a_port_multi_get_is_off_and_a_port_in_use_fails_the_start() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let platform = config(discovery.address);
@@ -44,10 +48,10 @@
         .unwrap()
         .iter()
         .any(|line| line.contains("multi-get")));
-    let in_use = TcpListener::bind("127.0.0.1:0").unwrap();
+    let occupying_listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let features = write_config(&format!(
         "[multiget]\nport = {}\n",
-        in_use.local_addr().unwrap().port()
+        occupying_listener.local_addr().unwrap().port()
     ));
     let platform = write_config(&platform.to_string());
     let output = command()
--- a/crates/cli/tests/node_multiget/main.rs
+++ b/crates/cli/tests/node_multiget/main.rs
@@ -1,4 +1,5 @@
-//! The multi-get port and the command `slatelink multi-get` that calls it, over the command line and loopback sockets.
+//! End-to-end tests of the multi-get port and of the command `slatelink multi-get`, which calls the
+//! port. They use the command line and loopback sockets.
 
 #[path = "../node_common/mod.rs"]
 mod node_common;
--- a/crates/cli/tests/node_multiget/multi_get.rs
+++ b/crates/cli/tests/node_multiget/multi_get.rs
@@ -1,4 +1,4 @@
-//! Calls to the multi-get port, by the command and by hand.
+//! Helpers that call the multi-get port, through the command or with hand-written requests.
 
 use crate::node_common::{answer, command, wait_for, Client, Message, Node, Reply, WAIT_TIMEOUT};
 use serde_json::{json, Value};
@@ -6,18 +6,18 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-/// Features that turn the multi-get port on, at a free port.
-pub const MULTI_GET: &str = "[multiget]\nport = 0\n";
+/// Feature settings that enable the multi-get port on a free port.
+pub const MULTI_GET_FEATURES: &str = "[multiget]\nport = 0\n";
 
-/// Settings for metrics that are written to a file.
-pub fn metrics_to(path: &Path) -> String {
+/// Returns feature settings that write metrics to a file.
+pub fn metrics_file_settings(path: &Path) -> String {
     format!(
         "[figures]\ntarget = \"file:{}\"\nflush_ms = 20\n",
         path.display()
     )
 }
 
-/// The address of a node's multi-get port, once the node's log states it.
+/// Waits until the node logs the address of its multi-get port, and returns the address.
 pub fn multi_get_address(node: &Node) -> SocketAddr {
     let address = || {
         let log = node.log.lock().unwrap();
@@ -29,15 +29,15 @@
     address().unwrap()
 }
 
-/// A connection to a multi-get port.
+/// Connects to a multi-get port.
 pub fn connect(address: SocketAddr) -> Client {
     let stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     Client::on(stream)
 }
 
-/// The text of a call with this body.
-pub fn post(body: &str, deadline_ms: u64) -> String {
+/// Formats a call with the given body.
+pub fn post_request(body: &str, deadline_ms: u64) -> String {
     format!(
         "POST /multi HTTP/1.1\r\nHost: s\r\nReq-Kind: read\r\nReq-Deadline-Ms: {deadline_ms}\r\n\
          Content-Length: {}\r\n\r\n{body}",
@@ -45,13 +45,13 @@
     )
 }
 
-/// An item of a call's body.
+/// Returns an item of a call's body.
 pub fn item(key: &str, request_id: &str) -> Value {
     json!({"key": key, "req_id": request_id})
 }
 
-/// The command that reads these keys through a multi-get port.
-pub fn multi_get(address: SocketAddr, deadline_ms: u64, keys: &[String]) -> Command {
+/// Prepares the command that reads the given keys through a multi-get port.
+pub fn multi_get_command(address: SocketAddr, deadline_ms: u64, keys: &[String]) -> Command {
     let mut command = command();
     command
         .args(["multi-get", "--node", &address.to_string()])
@@ -61,7 +61,7 @@
     command
 }
 
-/// The lines that the command has printed.
+/// Parses the lines that the command printed.
 pub fn printed_lines(output: &Output) -> Vec<Value> {
     let text = std::str::from_utf8(&output.stdout).unwrap();
     text.lines()
@@ -69,20 +69,20 @@
         .collect()
 }
 
-/// Whether all lines that the command has printed are of served items.
+/// Checks whether every line that the command printed reports status 200.
 pub fn all_served(output: &Output) -> bool {
     printed_lines(output)
         .iter()
         .all(|line| line["status"] == 200)
 }
 
-/// So many keys, which count up from 1 in hexadecimal.
-pub fn keys(count: usize) -> Vec<String> {
+/// Returns `count` keys, numbered from 1 in hexadecimal.
+pub fn numbered_keys(count: usize) -> Vec<String> {
     (0..count).map(|i| format!("{:016x}", i + 1)).collect()
 }
 
-/// A cache server's reply whose body is the request's target.
-pub fn echo(request: &Message) -> Reply {
+/// Replies with the request's target as the body.
+pub fn echo_target(request: &Message) -> Reply {
     let target = request.start.split(' ').nth(1).unwrap();
     Reply::Answer(answer("200 OK", "", target))
 }
--- a/crates/cli/tests/node_multiget/rejections.rs
+++ b/crates/cli/tests/node_multiget/rejections.rs
@@ -1,34 +1,39 @@
-//! Calls that are rejected and reach no cache server.
+//! Rejected calls, none of which reaches a cache server.
 
-use crate::multi_get::{connect, item, keys, multi_get, multi_get_address, post, MULTI_GET};
+use crate::multi_get::{
+    connect, item, multi_get_address, multi_get_command, numbered_keys, post_request,
+    MULTI_GET_FEATURES,
+};
 use crate::node_common::{config, read, CacheServer, Discovery, Node};
 use serde_json::{json, Value};
 use std::io::ErrorKind;
 use std::net::TcpListener;
 
-// Guards against a call with more keys than allowed of which some are sent.
+// Guards against a call that has too many keys and is still sent in part.
 #[test]
-fn the_command_sends_nothing_and_exits_with_2_when_given_too_many_keys() {
+fn command_with_too_many_keys_sends_nothing_and_exits_with_2() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let output = multi_get(address, 1_000, &keys(33)).output().unwrap();
+    let output = multi_get_command(address, 1_000, &numbered_keys(33))
+        .output()
+        .unwrap();
     assert_eq!((output.status.code(), output.stdout.len()), (Some(2), 0));
     listener.set_nonblocking(true).unwrap();
     assert_eq!(listener.accept().unwrap_err().kind(), ErrorKind::WouldBlock);
 }
 
-/// A call that is rejected, and its status.
-struct Rejection {
+/// A call that the node must reject, and the expected status.
+struct RejectedCall {
     request: String,
     status: u16,
 }
 
-fn rejection(request: String, status: u16) -> Rejection {
-    Rejection { request, status }
+fn rejected_call(request: String, status: u16) -> RejectedCall {
+    RejectedCall { request, status }
 }
 
-/// Calls whose body is not an array of items that can be requested.
-fn invalid_bodies() -> Vec<Rejection> {
+/// Returns calls whose body is not an array of valid items.
+fn invalid_bodies() -> Vec<RejectedCall> {
     let unknown_field = json!([{"key": "1", "req_id": "1", "more": 1}]).to_string();
     let texts = [
         "",
@@ -51,56 +56,67 @@
         .into_iter()
         .map(str::to_owned)
         .chain(arrays.iter().map(Value::to_string))
-        .map(|body| rejection(post(&body, 900), 400))
+        .map(|body| rejected_call(post_request(&body, 900), 400))
         .collect()
 }
 
-/// Calls with more items, or a longer body, than is allowed.
-fn too_large() -> Vec<Rejection> {
+/// Returns calls with too many items or too long a body.
+fn oversized_calls() -> Vec<RejectedCall> {
     let many: Vec<_> = (0..33).map(|i| item("1", &i.to_string())).collect();
     let long = json!([item(&"k".repeat(70_000), "1")]);
     vec![
-        rejection(post(&json!(many).to_string(), 900), 413),
-        rejection(post(&long.to_string(), 900), 413),
+        rejected_call(post_request(&json!(many).to_string(), 900), 413),
+        rejected_call(post_request(&long.to_string(), 900), 413),
     ]
 }
 
-/// Calls with an invalid head.
-fn invalid_heads() -> Vec<Rejection> {
-    let valid = post("[]", 900);
+/// Returns calls with an invalid request line or invalid headers.
+fn invalid_heads() -> Vec<RejectedCall> {
+    let valid = post_request("[]", 900);
     let chunked = valid
         .replace("Content-Length: 2", "Transfer-Encoding: chunked")
         .replace("[]", "0\r\n\r\n");
     vec![
-        rejection(valid.replace("read", "other"), 400),
-        rejection(valid.replace("Req-Kind: read\r\n", ""), 400),
-        rejection(valid.replace("900", "soon"), 400),
-        rejection(valid.replace("/multi", "/other"), 404),
-        rejection(valid.replace("POST", "GET"), 405),
-        rejection(chunked, 411),
-        rejection(read("read", 1, 900), 404),
+        rejected_call(valid.replace("read", "other"), 400),
+        rejected_call(valid.replace("Req-Kind: read\r\n", ""), 400),
+        rejected_call(valid.replace("900", "soon"), 400),
+        rejected_call(valid.replace("/multi", "/other"), 404),
+        rejected_call(valid.replace("POST", "GET"), 405),
+        rejected_call(chunked, 411),
+        rejected_call(read("read", 1, 900), 404),
     ]
 }
 
-// Guards against input that takes the multi-get port down or reaches a cache server.
+// Guards against invalid input that disables the multi-get port or reaches a cache server.
 #[test]
 fn invalid_calls_are_rejected_with_their_status_and_reach_no_cache_server() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let node = Node::with_features(&config(discovery.address), MULTI_GET);
+    let node = Node::with_features(&config(discovery.address), MULTI_GET_FEATURES);
     let address = multi_get_address(&node);
-    let rejections: Vec<_> = [invalid_bodies(), too_large(), invalid_heads()]
+    let rejected_calls: Vec<_> = [invalid_bodies(), oversized_calls(), invalid_heads()]
         .into_iter()
         .flatten()
         .collect();
-    for Rejection { request, status } in rejections {
+    for RejectedCall { request, status } in rejected_calls {
         let mut client = connect(address);
         assert_eq!(client.request(&request).status(), status, "{request}");
-        assert_eq!(client.answer(), None, "still open after {request}");
+        assert_eq!(
+            client.answer(),
+            None,
+            "the connection is still open after {request}"
+        );
     }
     assert_eq!(server.count(), 0);
-    let mut silent = connect(address);
-    assert_eq!(silent.answer(), None, "a silent peer is closed");
-    // The main port does not accept what the multi-get port does.
-    assert_eq!(node.client().request(&post("[]", 900)).status(), 404);
+    let mut silent_client = connect(address);
+    assert_eq!(
+        silent_client.answer(),
+        None,
+        "the connection of a silent client is closed"
+    );
+    // The main port does not accept multi-get calls.
+    assert_eq!(
+        node.client().request(&post_request("[]", 900)).status(),
+        404
+    );
 }
