--- a/crates/cli/tests/relay/fleet.rs
+++ b/crates/cli/tests/relay/fleet.rs
@@ -1,4 +1,4 @@
-//! Real nodes behind relays.
+//! Real nodes that receive the endpoint list from relays.
 
 use crate::node_common::{config, wait_for, CacheServer, Node};
 use crate::relay_process::RelayProcess;
@@ -9,7 +9,7 @@
     [CacheServer::serving("one"), CacheServer::serving("two")]
 }
 
-/// The servers' entries, both ready.
+/// Returns the entries of both servers with the health `ready`.
 fn ready_entries(servers: &[CacheServer; 2]) -> [Value; 2] {
     [
         servers[0].entry("s-1", "ready"),
@@ -17,18 +17,19 @@
     ]
 }
 
-/// Asserts that the node sends nothing more to the first of two servers, and serves.
-fn assert_first_is_unused(node: &Node, servers: &[CacheServer; 2]) {
-    let before = servers[0].count();
+/// Asserts that the node serves requests and sends none of them to the first server.
+fn assert_first_server_receives_no_requests(node: &Node, servers: &[CacheServer; 2]) {
+    let initial_count = servers[0].count();
     for key in 100..130 {
         assert_eq!(node.read("read", key).body, b"two", "{key}");
     }
-    assert_eq!(servers[0].count(), before);
+    assert_eq!(servers[0].count(), initial_count);
 }
 
-// Guards against a node that stops serving without its relay, and against one that never finds the next one.
+// Guards against a node that stops serving without its relay, or that does not reconnect to a new
+// relay at the same address.
 #[test]
-fn a_node_whose_relay_is_killed_keeps_serving_and_follows_the_next_one() {
+fn a_node_whose_relay_is_killed_keeps_serving_and_follows_a_new_relay() {
     let servers = two_cache_servers();
     let discovery = VersionedDiscovery::start(Fault::None, &ready_entries(&servers));
     let relay = RelayProcess::ready(&[discovery.address], &[]);
@@ -40,33 +41,33 @@
     }
     discovery.publish(servers[0].entry("s-1", "draining"));
     let relay = RelayProcess::start_at(address, &[discovery.address], &[]);
-    wait_for("the node at its new relay", || {
+    wait_for("the node's watch at its new relay", || {
         relay.status()["waiting"] == 1 && relay.status()["version"] == 51
     });
-    assert_first_is_unused(&node, &servers);
+    assert_first_server_receives_no_requests(&node, &servers);
 }
 
-// Guards against a drain that a tier delays. Each tier forwards what it reads before it calls again, so the node has the drain
-// when its next watch has come to its relay. The lease is longer than any wait of the test, so that neither its end nor that
-// of a watch can bring the drain.
+// Guards against a drain that a relay tier delays. Each tier forwards an update before its next
+// call, so the node has applied the drain once its next watch reaches its relay. The lease is
+// longer than any wait of the test, so no expiring lease or watch can deliver the drain.
 #[test]
-fn a_drain_passes_two_tiers_of_relays_to_a_node_without_a_lease_or_watch_running_out() {
+fn a_drain_reaches_a_node_through_two_relay_tiers_without_an_expired_lease_or_watch() {
     let servers = two_cache_servers();
     let discovery = VersionedDiscovery::start(Fault::None, &ready_entries(&servers));
-    let lease = ["--lease-ms", "3600000"];
-    let region = RelayProcess::ready(&[discovery.address], &lease);
-    let site = RelayProcess::ready(&[region.address], &lease);
-    let node = Node::ready(&config(site.address));
-    wait_for("the watches", || {
-        [&region, &site]
+    let lease_arguments = ["--lease-ms", "3600000"];
+    let region_relay = RelayProcess::ready(&[discovery.address], &lease_arguments);
+    let site_relay = RelayProcess::ready(&[region_relay.address], &lease_arguments);
+    let node = Node::ready(&config(site_relay.address));
+    wait_for("the watches at both relays", || {
+        [&region_relay, &site_relay]
             .iter()
             .all(|relay| relay.status()["waiting"] == 1)
     });
     discovery.publish(servers[0].entry("s-1", "draining"));
     wait_for("the node's next watch", || {
-        site.status()["version"] == 51 && site.status()["waiting"] == 1
+        site_relay.status()["version"] == 51 && site_relay.status()["waiting"] == 1
     });
-    assert_first_is_unused(&node, &servers);
-    assert_eq!(site.status()["callers"]["change_answers"], 1);
-    assert_eq!(region.status()["callers"]["change_answers"], 1);
+    assert_first_server_receives_no_requests(&node, &servers);
+    assert_eq!(site_relay.status()["callers"]["change_answers"], 1);
+    assert_eq!(region_relay.status()["callers"]["change_answers"], 1);
 }
--- a/crates/cli/tests/relay/settings.rs
+++ b/crates/cli/tests/relay/settings.rs
@@ -1,30 +1,35 @@
-//! A relay's settings, from a file and from arguments.
+//! Settings of a relay from a file and from arguments.
 
 use crate::node_common::{command, write_config};
 use crate::relay_process::RelayProcess;
 use crate::versioned_discovery::{two_ready_entries, Fault, VersionedDiscovery};
 
-// Guards against settings of a file that are not read, or are misread silently.
+// Guards against a settings file that is ignored, and against unknown settings that are accepted
+// silently.
 #[test]
-fn settings_are_read_from_a_file_and_an_unknown_one_fails_the_start() {
-    let (down, discovery) = (
+fn settings_are_read_from_a_file_and_an_unknown_setting_fails_the_start() {
+    let (unavailable_discovery, discovery) = (
         VersionedDiscovery::start(Fault::Down, &two_ready_entries()),
         VersionedDiscovery::start(Fault::None, &two_ready_entries()),
     );
-    let upstream = [down.address, discovery.address].map(|address| address.to_string());
-    let file = |last_line: &str| {
+    let upstream =
+        [unavailable_discovery.address, discovery.address].map(|address| address.to_string());
+    let write_settings = |last_line: &str| {
         write_config(&format!(
             "upstream = {upstream:?}\nlisten = \"127.0.0.1:0\"\ncallers = 7\n{last_line}"
         ))
     };
-    let (valid, misspelt) = (file("lease_ms = 700"), file("leese_ms = 700"));
-    let relay = RelayProcess::spawn(command().args(["relay", "--config"]).arg(&valid));
+    let (valid_file, misspelt_file) = (
+        write_settings("lease_ms = 700"),
+        write_settings("leese_ms = 700"),
+    );
+    let relay = RelayProcess::spawn(command().args(["relay", "--config"]).arg(&valid_file));
     relay.wait_until_healthy();
     assert_eq!(relay.status()["most_open"], 7);
     assert!(relay.status()["lease_left_ms"].as_u64() <= Some(700));
     let output = command()
         .args(["relay", "--config"])
-        .arg(&misspelt)
+        .arg(&misspelt_file)
         .output()
         .unwrap();
     let stderr = String::from_utf8(output.stderr).unwrap();
@@ -32,23 +37,25 @@
         stderr.contains("line 4: unknown field `leese_ms`"),
         "{stderr}"
     );
-    [valid, misspelt]
+    [valid_file, misspelt_file]
         .iter()
         .for_each(|path| std::fs::remove_file(path).unwrap());
 }
 
-// Guards against a start on arguments that are missing, out of their range or name a file that cannot be read.
+// Guards against a relay that starts with missing or out-of-range arguments, or with an unreadable
+// settings file.
 #[test]
 fn invalid_arguments_fail_the_start_with_the_reason() {
-    let complete = ["--upstream", "127.0.0.1:1", "--listen", "127.0.0.1:0"];
-    let with =
-        |argument: &'static str, value: &'static str| [&complete[..], &[argument, value]].concat();
+    let required_arguments = ["--upstream", "127.0.0.1:1", "--listen", "127.0.0.1:0"];
+    let with_argument = |argument: &'static str, value: &'static str| {
+        [&required_arguments[..], &[argument, value]].concat()
+    };
     for (arguments, reason) in [
         (vec!["--listen", "127.0.0.1:0"], "--upstream"),
-        (with("--lease-ms", "9"), "lease_ms is 9"),
-        (with("--callers", "0"), "callers is 0"),
+        (with_argument("--lease-ms", "9"), "lease_ms is 9"),
+        (with_argument("--callers", "0"), "callers is 0"),
         (
-            with("--callers", "999999"),
+            with_argument("--callers", "999999"),
             "file descriptors is too low for 999999 client connections",
         ),
         (
