--- a/crates/cli/tests/node_features/hot_list.rs
+++ b/crates/cli/tests/node_features/hot_list.rs
@@ -4,7 +4,7 @@
 use crate::{log_has_line, run_until_exit};
 use std::collections::HashMap;
 
-/// Number of reads in the test of the counts.
+/// Number of reads that the test of the counts sends.
 const REQUESTS: u64 = 600;
 /// Number of keys that the hot list holds in the test of the counts.
 const CAPACITY: u64 = 8;
@@ -79,7 +79,7 @@
     assert_eq!(node.read("once", 0xabc).status(), 503);
     assert_eq!(node.read("no such class", 1).status(), 400);
     node.signal("-USR1");
-    wait_for("the list", || {
+    wait_for("the hot list", || {
         log_has_line(&node, |line| line.starts_with("hot keyed "))
     });
     let reads = hot_keys(&node, "read");
--- a/crates/cli/tests/node_features/metrics_targets.rs
+++ b/crates/cli/tests/node_features/metrics_targets.rs
@@ -91,26 +91,26 @@
         &config(discovery.address),
         &metrics_file_settings(&path, 10),
     );
-    let dropped = || dropped_batches(&node).last().copied().unwrap_or(0);
-    wait_for("dropped batches", || dropped() > 0);
+    let last_dropped_total = || dropped_batches(&node).last().copied().unwrap_or(0);
+    wait_for("dropped batches", || last_dropped_total() > 0);
     let mut reader = FifoReader {
         fifo: File::open(&path).unwrap(),
         text: String::new(),
     };
-    let mut reported = 0;
+    let mut reported_drops = 0;
     wait_for("the metric of dropped batches", || {
-        reported = reader.read_more();
-        reported > 0
+        reported_drops = reader.read_more();
+        reported_drops > 0
     });
     // Once the FIFO is full, writes to it fail.
     let (mut client, mut key) = (node.client(), 0);
     wait_for("further dropped batches", || {
         key += 1;
         assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
-        dropped() > reported
+        last_dropped_total() > reported_drops
     });
     wait_for("the increased metric of dropped batches", || {
-        reader.read_more() > reported
+        reader.read_more() > reported_drops
     });
     std::fs::remove_file(path).unwrap();
 }
--- a/crates/cli/tests/node_multiget/rejections.rs
+++ b/crates/cli/tests/node_multiget/rejections.rs
@@ -62,11 +62,11 @@
 
 /// Returns calls with too many items or too long a body.
 fn oversized_calls() -> Vec<RejectedCall> {
-    let many: Vec<_> = (0..33).map(|i| item("1", &i.to_string())).collect();
-    let long = json!([item(&"k".repeat(70_000), "1")]);
+    let too_many_items: Vec<_> = (0..33).map(|i| item("1", &i.to_string())).collect();
+    let item_with_long_key = json!([item(&"k".repeat(70_000), "1")]);
     vec![
-        rejected_call(post_request(&json!(many).to_string(), 900), 413),
-        rejected_call(post_request(&long.to_string(), 900), 413),
+        rejected_call(post_request(&json!(too_many_items).to_string(), 900), 413),
+        rejected_call(post_request(&item_with_long_key.to_string(), 900), 413),
     ]
 }
 
