--- a/crates/policy/examples/decision_cost/main.rs
+++ b/crates/policy/examples/decision_cost/main.rs
@@ -6,11 +6,11 @@
 //!     > docs/capacity/decision-cost.json
 //! ```
 //!
-//! Prints one JSON object with a row for each number of endpoints. For each figure it contains a
-//! least-squares fit in the number of endpoints, made from the rows with at least `FITTED_FROM`
-//! endpoints without the row of `HELD_BACK`, and the error of the fit at the held-back row. Keys,
-//! names and the node's seed are fixed, so that each run makes the same decisions; only times and
-//! memory differ.
+//! Prints one JSON object with a row for each number of endpoints. For each figure, the object
+//! contains a least-squares fit in the number of endpoints, made from the rows with at least
+//! `FITTED_FROM` endpoints without the row of `HELD_BACK`, and the error of the fit at the
+//! held-back row. Keys, names and the node's seed are fixed, so that each run makes the same
+//! decisions; only times and memory differ.
 //!
 //! All cases run in each of `PASSES` passes, so that a period of other load on the machine affects
 //! all cases. In each pass a case runs `BATCHES` batches of about `BATCH_TIME` each, or of one
--- a/crates/policy/src/api/action.rs
+++ b/crates/policy/src/api/action.rs
@@ -52,9 +52,9 @@
         endpoint: EndpointId,
         /// Timeout of the attempt; never later than the request's deadline.
         timeout: Duration,
-        /// Time within which the node must begin to write the request; a later attempt must not be
-        /// written. While the connection is established, endpoints may cease to discard repeats of
-        /// the request.
+        /// Time within which the node must begin to write the request. A request that is not begun
+        /// within this time must not be written: while the connection was being established,
+        /// endpoints may have ceased to discard repeats of the request.
         begin_within: Duration,
     },
     /// Final response: shed. The request never ran, or is safe to repeat.
--- a/crates/policy/src/api/endpoint.rs
+++ b/crates/policy/src/api/endpoint.rs
@@ -8,7 +8,7 @@
 pub enum Availability {
     /// The endpoint accepts requests.
     Ready,
-    /// The endpoint finishes its current requests and must receive no new ones.
+    /// The endpoint finishes its current requests and must receive no new requests.
     Draining,
     /// The endpoint is no longer listed.
     Removed,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A response from discovery.
+/// An update of the endpoint list from discovery, or the failure to get one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointUpdate {
     /// The complete endpoint list; endpoints missing from it are removed.
--- a/crates/policy/src/api/event.rs
+++ b/crates/policy/src/api/event.rs
@@ -8,7 +8,7 @@
 pub enum Event {
     /// The node starts with the last list known to an earlier process; possibly stale.
     LastKnownEndpoints(Arc<[Endpoint]>),
-    /// Discovery responded.
+    /// Discovery sent an update, or a call to discovery or the watch failed.
     Endpoints(EndpointUpdate),
     /// A request arrived.
     Request(Request),
--- a/crates/policy/src/api/request.rs
+++ b/crates/policy/src/api/request.rs
@@ -19,8 +19,8 @@
     pub expected_work: Option<Duration>,
     /// Whether the request changes the object.
     pub write: bool,
-    /// Whether the class exceeds its quota of open requests, or no memory is left for the request;
-    /// such a request is shed.
+    /// Whether the class exceeds its quota of requests in flight, or no memory is available for the
+    /// request; such a request is shed.
     pub over_quota: bool,
 }
 
@@ -63,7 +63,7 @@
 }
 
 impl Status {
-    /// Whether the status proves that the request never ran.
+    /// Checks whether the status proves that the request never ran.
     pub const fn never_ran(self) -> bool {
         matches!(
             self,
--- a/crates/policy/src/api/settings.rs
+++ b/crates/policy/src/api/settings.rs
@@ -89,10 +89,11 @@
     /// Whether discovery must be polled with
     /// [`Action::PollDiscovery`](crate::Action::PollDiscovery); otherwise discovery pushes updates.
     pub polls_discovery: bool,
-    /// Without a watch, a node that has not polled for this duration counts as notified.
+    /// Without a watch, a node that has not polled for this duration counts as notified of all
+    /// changes.
     pub max_poll_interval: Duration,
-    /// Time after the notification that an endpoint drains or was removed; the node must send
-    /// nothing to the endpoint later than this.
+    /// Time that a node has, once it counts as notified that an endpoint drains or was removed, to
+    /// stop sending to the endpoint.
     pub drain_grace: Duration,
     /// Maximum number of attempts of a request, including the first.
     pub max_attempts: u32,
--- a/crates/policy/src/balancer/dispatch.rs
+++ b/crates/policy/src/balancer/dispatch.rs
@@ -50,7 +50,7 @@
         let shed = is_new && self.load_shedder.sheds(pending.dither);
         let cost = self.retry_cost(pending);
         // While the origin's breaker is open, only reads known to be cached are sent: an origin
-        // whose queue is longer than clients wait would serve no client in time.
+        // whose queueing delay exceeds the clients' timeouts would serve no request in time.
         let origin_admits = || self.is_cached(&pending.request) || self.origin.breaker.admits(now);
         shed || cost.is_some_and(|cost| !self.retry_budget.affords(cost))
             || now >= pending.request.deadline
@@ -73,8 +73,8 @@
         !request.write && self.cached_keys.contains(routing_key(request))
     }
 
-    /// Returns the time of the next dispatch of a request without an endpoint; `None` if the
-    /// request must not be queued.
+    /// Returns the time of the next dispatch of a request for which no endpoint was selected;
+    /// `None` if the request must not be queued.
     fn next_dispatch(&self, pending: &PendingRequest, now: Timestamp) -> Option<Timestamp> {
         let is_new = pending.attempts.is_empty();
         let mut endpoints = self.endpoints.iter();
@@ -158,8 +158,8 @@
         (!cached || breaker.is_closed()).then_some(breaker.epoch())
     }
 
-    /// Gives a request that is not served its final response: shed if the client may send the
-    /// request again, otherwise failed.
+    /// Finishes a request without serving it: sheds the request if the client may send it again,
+    /// otherwise fails it.
     pub(super) fn finish_unserved(
         &mut self,
         pending: PendingRequest,
@@ -183,9 +183,9 @@
         }
     }
 
-    /// Returns the delay that a shed request recommends to its client: until the origin's breaker
-    /// admits its first trial, and at least a short delay. The delay is short otherwise, because
-    /// another node may receive the repeated request and have capacity.
+    /// Returns the Retry-After of a shed request: the time until the origin's breaker admits its
+    /// first trial, and at least a short delay. The minimum is short, because another node may
+    /// receive the repeated request and have capacity.
     fn retry_after(&self, request: &Request, now: Timestamp) -> Duration {
         let mut endpoints = self.endpoints.iter();
         let origin = endpoints.find(|state| self.is_origin(&state.endpoint));
--- a/crates/policy/src/balancer/outcome.rs
+++ b/crates/policy/src/balancer/outcome.rs
@@ -40,10 +40,10 @@
     epochs: BreakerEpochs,
     /// Whether the endpoint had recently reported an empty queue, before this attempt ended.
     recent_queue_was_empty: bool,
-    /// Whether the attempt timed out at an endpoint that recently reported an empty queue, which
-    /// has another cause than the queue, such as a miss that waits for the origin. The endpoint's
-    /// breaker and load shedding do not count such a timeout, because the endpoint's keys would be
-    /// misses at other endpoints. The concurrency limit still decreases.
+    /// Whether the attempt timed out at an endpoint that recently reported an empty queue. The
+    /// queue is not the cause of such a timeout; a miss that waits for the origin is a possible
+    /// cause. The endpoint's breaker and load shedding do not count the timeout, because the
+    /// endpoint's keys would be misses at other endpoints. The concurrency limit still decreases.
     timeout_without_queue: bool,
     /// Whether the latency is within the time allowed for the expected work and latency objective.
     in_time: bool,
@@ -266,8 +266,8 @@
 
     /// Adapts the endpoint's concurrency limit and counts the outcome for load shedding.
     fn update_concurrency(&mut self, index: usize, evaluation: &Evaluation, now: Timestamp) {
-        // A node of a large deployment cannot prevent endpoints from being full for short times.
-        // Such a rejection is not counted while the request is retried at another endpoint.
+        // A node of a large deployment cannot prevent endpoints from being full for short times. A
+        // rejection is therefore not counted while the request is retried at another endpoint.
         let retries_elsewhere = self.is_large_deployment() && evaluation.status == Status::Rejected;
         let state = &mut self.endpoints[index];
         if let Some(queue_is_empty) = evaluation.reported_queue_empty {
@@ -348,8 +348,8 @@
     ) {
         let state = &mut self.endpoints[index];
         let rejected = evaluation.status == Status::Rejected;
-        let is_load = rejected && state.is_busy(now);
-        let result = if is_load || evaluation.is_rejected_without_load() {
+        let is_load_rejection = rejected && state.is_busy(now);
+        let result = if is_load_rejection || evaluation.is_rejected_without_load() {
             CallResult::Inconclusive
         } else {
             evaluation.result
--- a/crates/policy/src/balancer/selection.rs
+++ b/crates/policy/src/balancer/selection.rs
@@ -10,16 +10,17 @@
 use crate::pending::PendingRequest;
 use crate::slow_start;
 
-/// Number of eligible endpoints, in the order of the key, that are checked for capacity. Small,
-/// because in a slow fleet more candidates would turn hits into misses.
+/// Number of eligible endpoints, by rank for the key, that are checked for capacity. Small, because
+/// in a slow fleet more candidates would turn hits into misses.
 const MAX_CANDIDATES: usize = 3;
-/// Fraction of an endpoint's concurrency limit that is usable by keys with another first eligible
-/// endpoint.
+/// Fraction of an endpoint's concurrency limit that is available to requests whose first eligible
+/// endpoint is another one.
 const OVERFLOW_FRACTION: f64 = 0.5;
 
 impl Balancer {
-    /// Returns the endpoint for the request's next attempt, if an endpoint can accept it now. If
-    /// `exclude_likely_misses`, endpoints that probably have to fetch the value are excluded.
+    /// Returns the position of the endpoint for the request's next attempt, if an endpoint can
+    /// accept the attempt now. `exclude_likely_misses` excludes endpoints that probably have to
+    /// fetch the value.
     pub(super) fn select_endpoint(
         &self,
         pending: &PendingRequest,
@@ -140,7 +141,7 @@
             || self.is_large_deployment() && fractional_limit_allows()
     }
 
-    /// Returns the ready cache servers in the order of this key.
+    /// Returns the positions of the ready cache servers, by increasing distance from this key.
     fn rank(&self, key: u64, now: Timestamp) -> impl Iterator<Item = usize> + use<> {
         let ready = self
             .endpoints
@@ -170,8 +171,9 @@
         let ready = self.endpoints.iter();
         let ready = ready.filter(|state| self.is_ready_cache(&state.endpoint));
         let total_capacity: f64 = ready.map(|state| self.capacity(state, now)).sum();
-        let share = self.capacity(state, now) / total_capacity;
-        let budget = slow_start::slot_budget(&self.settings, self.load_shedder.good(), share);
+        let capacity_share = self.capacity(state, now) / total_capacity;
+        let budget =
+            slow_start::slot_budget(&self.settings, self.load_shedder.good(), capacity_share);
         let slot = slow_start::slot_at(&self.settings, now);
         let max_sends = (budget + self.random.fixed(state.hash ^ slot)).floor();
         f64::from(state.slow_start.sends_in(slot)) < max_sends
--- a/crates/policy/src/cached_keys.rs
+++ b/crates/policy/src/cached_keys.rs
@@ -1,7 +1,8 @@
 //! Estimate of the endpoints' cache contents, from the responses to this node's own requests.
 //!
-//! Two tables of bounded size: the keys recently served by each incarnation of an endpoint, and, if
-//! endpoints report cache results, whether a key's last response came from a cache.
+//! There are two tables of bounded size: the keys recently served by each incarnation of an
+//! endpoint, and, if endpoints report cache results, whether a key's last response came from a
+//! cache.
 
 use crate::api::Timestamp;
 use crate::endpoint_table::EndpointState;
--- a/crates/policy/src/concurrency_limit.rs
+++ b/crates/policy/src/concurrency_limit.rs
@@ -47,7 +47,8 @@
 
     /// Checks whether the deployment has so many nodes that an endpoint's initial limit allows at
     /// most one attempt per node. A node of such a deployment sends to an endpoint only
-    /// occasionally: its information about an endpoint is late, and its own load fills no queue.
+    /// occasionally: its information about an endpoint is outdated, and its own load fills no
+    /// queue.
     pub(crate) fn is_large_deployment(self) -> bool {
         self.initial <= 1.0
     }
@@ -97,7 +98,7 @@
 
     /// Checks whether a limit below 1, interpreted as a duty cycle, allows an attempt: whether the
     /// last send to an endpoint without attempts in flight was long enough ago that one attempt of
-    /// the average latency (in seconds) keeps to the limit on average. If the limit were the
+    /// the average latency (in seconds) stays within the limit on average. If the limit were the
     /// probability of sending, the endpoint would not get the attempts whose responses increase the
     /// limit again.
     pub(crate) fn fractional_limit_allows(
--- a/crates/policy/src/latency.rs
+++ b/crates/policy/src/latency.rs
@@ -1,4 +1,4 @@
-//! Average latency of each class, and the latency from which a response indicates a high load of
+//! Average latency of each class, and the latency from which a response indicates a high load at
 //! the endpoint.
 
 use crate::api::Class;
--- a/crates/policy/src/load_shedding.rs
+++ b/crates/policy/src/load_shedding.rs
@@ -32,7 +32,7 @@
         self.good
     }
 
-    /// Counts a response that was in time or met no queue.
+    /// Counts a response that was not late because of load.
     pub(crate) fn record_good(&mut self) {
         self.good += 1.0;
     }
--- a/crates/policy/src/origin_protection.rs
+++ b/crates/policy/src/origin_protection.rs
@@ -48,7 +48,7 @@
     likely_misses: DecayedCounts,
     other_attempts: DecayedCounts,
     /// Whether the deployment is large. The limit then never decreases, because a node sends too
-    /// few likely misses for a judgement.
+    /// few likely misses for a meaningful failure rate.
     is_large_deployment: bool,
 }
 
@@ -74,7 +74,7 @@
         self.other_attempts.scale(factor);
     }
 
-    /// Checks whether the limit admits no likely miss of this request.
+    /// Checks whether the likely misses in flight have reached the limit for this request.
     pub(crate) fn is_full_for(&self, pending: &PendingRequest) -> bool {
         let fraction = if pending.likely_miss_failed() {
             LIMIT_FRACTION_AFTER_FAILURE
--- a/crates/policy/src/outlier.rs
+++ b/crates/policy/src/outlier.rs
@@ -13,7 +13,7 @@
 
 /// Checks whether the failure rate of all endpoints except the one at `index` is below
 /// [`COMMON_FAILURE_RATE`]. Returns true if the other endpoints had fewer than [`MIN_CALLS`] calls,
-/// too few for a judgement.
+/// too few for a meaningful failure rate.
 pub(crate) fn endpoint_is_outlier(table: &EndpointTable, index: usize, now: Timestamp) -> bool {
     let others = counts_of_others(table, index, now, |endpoint| &endpoint.breaker);
     others.calls < MIN_CALLS || others.failure_rate_below(COMMON_FAILURE_RATE)
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -45,7 +45,7 @@
     pub(crate) dither: f64,
     /// Time of arrival at this node.
     pub(crate) arrived: Timestamp,
-    /// Whether no response is due: the final response has been given or the client disconnected.
+    /// Whether no response is due: the final response has been sent or the client disconnected.
     pub(crate) finished: bool,
 }
 
--- a/crates/policy/src/poll_schedule.rs
+++ b/crates/policy/src/poll_schedule.rs
@@ -8,14 +8,14 @@
 use crate::api::Timestamp;
 use std::time::Duration;
 
-/// Mean pause. After a failed call, each change counts as notified 6 s after discovery had the
-/// change. Two further failed calls, with a wait of 2 s in discovery's queue, must fit into this
-/// time.
+/// Mean pause. After a failed call, the node counts as notified of each change 6 s after discovery
+/// had the change. Two further failed calls, with a wait of 2 s in discovery's queue, must fit into
+/// this time.
 const MEAN_POLL_RETRY_PAUSE: Duration = Duration::from_millis(600);
 /// Maximum deviation of a pause from the mean, as a fraction of the mean.
 const POLL_RETRY_JITTER: f64 = 0.4;
 /// Minimum number of mean pauses per maximum poll interval. Without a watch, a node that has not
-/// polled for the maximum poll interval counts as notified.
+/// polled for the maximum poll interval counts as notified of all changes.
 const MIN_PAUSES_PER_POLL_INTERVAL: u32 = 4;
 
 /// Time of the next poll of discovery.
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -2,11 +2,11 @@
 //! within its current capacity.
 //!
 //! The usual slow start raises a new host's weight. Here the weight grows the same way, and each
-//! node also has a hard budget of sends to a warming endpoint: an endpoint that receives too much
-//! from all nodes together becomes overloaded and does not recover. The budget follows from the
-//! good outcomes at this node and the endpoint's share of the fleet's capacity. It holds for one
-//! slot, half the window in which the endpoint's load is measured. Fractions are rounded by seed,
-//! and unused budget does not carry over to the next slot.
+//! node also has a hard budget of sends to a warming endpoint: an endpoint that receives too many
+//! requests from all nodes together becomes overloaded and does not recover. The budget follows
+//! from the good outcomes at this node and the endpoint's share of the fleet's capacity. It holds
+//! for one slot, half the window in which the endpoint's load is measured. A fractional budget is
+//! rounded at random, by the node's seed, and unused budget does not carry over to the next slot.
 
 use crate::api::{Endpoint, Settings, Timestamp};
 use crate::decay::DECAY_TIME;
@@ -74,10 +74,10 @@
 
 /// Returns the number of sends per slot to an endpoint with this share of the fleet's capacity.
 /// `good_outcomes` is the number of good outcomes in the last [`DECAY_TIME`].
-pub(crate) fn slot_budget(settings: &Settings, good_outcomes: f64, share: f64) -> f64 {
+pub(crate) fn slot_budget(settings: &Settings, good_outcomes: f64, capacity_share: f64) -> f64 {
     let windows = settings.slow_start_overload_window.as_secs_f64() / DECAY_TIME.as_secs_f64();
     good_outcomes * windows / SLOTS_PER_WINDOW as f64
-        * share
+        * capacity_share
         * settings.slow_start_overload_factor
         * OVERLOAD_FACTOR_FRACTION
 }
--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -122,8 +122,8 @@
     for _ in 0..3 {
         node.read(7, Status::Ok);
     }
-    // The attempt was sent before the breaker opened, so its failure must not count for the
-    // breaker that is closed again.
+    // The attempt was sent before the breaker opened, so its failure must not count for the breaker
+    // that is closed again.
     node.end_attempt_in_flight(&late_request, Status::Failed);
     node.read(7, Status::Failed);
     node.read(7, Status::Failed);
--- a/crates/policy/tests/large_deployment.rs
+++ b/crates/policy/tests/large_deployment.rs
@@ -238,8 +238,8 @@
 }
 
 /// A node of a large deployment sends to an endpoint only every few seconds, so the breakers of
-/// endpoints cannot detect the loss or partition of a zone in time. Without a breaker of the
-/// zone, a quarter of each node's requests would wait for their timeout.
+/// endpoints cannot detect the loss or partition of a zone in time. Without a breaker of the zone,
+/// a quarter of each node's requests would wait for their timeout.
 #[test]
 fn the_breaker_of_a_zone_blocks_the_zone_until_its_endpoints_respond_again() {
     // One of 300 nodes receives twelve requests per second. Endpoints of unresponsive zones do not
@@ -306,7 +306,7 @@
     });
     assert!(
         sent_after_recovery.count() >= 30,
-        "the zone receives its share again after recovery"
+        "the zone receives its share of the requests again after recovery"
     );
     // If no zone responds, none is worse than the others, and no breaker of a zone opens.
     let (_, node) = simulate(2, &|_| &["n", "e", "s", "w"]);
--- a/crates/policy/tests/properties/breakers.rs
+++ b/crates/policy/tests/properties/breakers.rs
@@ -172,8 +172,8 @@
     check(SEEDS, 10, 60, |seed, steps| {
         let mut simulation = Simulation::new(seed);
         for chunk in steps.chunks(15) {
-            // Requests for some or all keys fail, so breakers open, and trials with these keys
-            // fail too.
+            // Requests for some or all keys fail, so breakers open, and trials with these keys fail
+            // too.
             let served_keys_of_four = chunk.len() as u64 % 4;
             let status = |key: u64, _: &EndpointId| {
                 if key % 4 >= served_keys_of_four {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -216,9 +216,9 @@
     );
 }
 
-/// After a failed call, each change counts as notified 6 s after discovery had the change. Two
-/// further failed calls, with a wait of 2 s in discovery's queue, must fit into this time. Jitter
-/// prevents nodes that lost discovery together from polling again together.
+/// After a failed call, the node counts as notified of each change 6 s after discovery had the
+/// change. Two further failed calls, with a wait of 2 s in discovery's queue, must fit into this
+/// time. Jitter prevents nodes that lost discovery together from polling again together.
 #[test]
 fn failed_polls_are_retried_in_time_with_jitter() {
     let pauses = |seed, max_poll_interval| {
