--- a/crates/admission/src/connections.rs
+++ b/crates/admission/src/connections.rs
@@ -141,8 +141,8 @@
 
     /// Adds a connection that was accepted from this address.
     pub fn insert(&mut self, now: Duration, address: IpAddr, mut lease: Lease) -> ConnectionId {
-        // The memory of a socket is counted if the budget allows; the amount is too small to refuse
-        // the connection for.
+        // The memory of a socket is charged if the budget allows. The amount is too small to be a
+        // reason for refusing the connection.
         lease.try_set_bytes(self.limits.parked_bytes);
         let address = self.limits.per_address.map(|_| address);
         if let Some(address) = address {
--- a/crates/admission/src/connections/eviction.rs
+++ b/crates/admission/src/connections/eviction.rs
@@ -37,8 +37,8 @@
 }
 
 impl ConnectionTable {
-    /// Decides whether a connection stays open after its next response. It closes while other
-    /// connections wait for a descriptor, or while
+    /// Decides whether a connection stays open after its next response. The connection closes while
+    /// other connections wait for a descriptor, or while
     /// [`keep_alive_limit`](super::ConnectionLimits::keep_alive_limit) connections are in use and
     /// none has been idle long enough to be evicted.
     pub fn keep_alive(&mut self, now: Duration, id: ConnectionId) -> KeepAlive {
@@ -66,9 +66,9 @@
     /// connection has to be woken.
     ///
     /// Connections without a request are evicted first, so that a flood of such connections evicts
-    /// its own. The next candidates are connections whose request arrives slowly. The last
-    /// candidate is the longest idle connection, unless a connection was accepted so recently that
-    /// its request may still arrive.
+    /// only connections of the flood. The next candidates are connections whose request arrives
+    /// slowly. The last candidate is the longest idle connection, unless a connection was accepted
+    /// so recently that its request may still arrive.
     pub fn evict_for_client(&mut self, now: Duration) -> Option<ConnectionId> {
         let evicted = self
             .oldest_unused(now)
--- a/crates/admission/src/connections/memory.rs
+++ b/crates/admission/src/connections/memory.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// No memory is available to read from a connection, which waits until some is released.
+/// No memory is available to read from a connection, which waits until memory is released.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemoryShortage {
     /// Idle connection that has to release its buffers on
@@ -27,8 +27,8 @@
     /// Reserves the memory to read bytes that have arrived on a connection.
     ///
     /// On failure, the connection has to try again when
-    /// [`next_awaiting_memory`](Self::next_awaiting_memory) returns it. It is closed if it gets no
-    /// memory within the request timeout.
+    /// [`next_awaiting_memory`](Self::next_awaiting_memory) returns its id, and is closed if it
+    /// gets no memory within the request timeout.
     pub fn on_readable(&mut self, now: Duration, id: ConnectionId) -> Result<(), MemoryShortage> {
         let active_bytes = self.limits.active_bytes;
         let Some(entry) = self.entry_mut(id) else {
@@ -64,7 +64,7 @@
     /// Reserves `bytes` for a request until its response, in addition to the bytes of a connection
     /// in use.
     ///
-    /// Returns `false` if the budget has no memory for the request, which is then to be shed.
+    /// Returns `false` if the budget has no memory for the request; the request must then be shed.
     pub fn reserve_request_bytes(&mut self, id: ConnectionId, bytes: usize) -> bool {
         let bytes = self.limits.active_bytes.saturating_add(bytes);
         let reserved = self
--- a/crates/admission/src/connections/quotas.rs
+++ b/crates/admission/src/connections/quotas.rs
@@ -17,8 +17,8 @@
 /// The client address has reached its connection quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AddressQuotaExceeded {
-    /// Longest idle connection of the address, which is closed to make the new connection possible;
-    /// its owner has to be woken. `None` if all connections of the address are in use; the new
+    /// Longest idle connection of the address, which is closed to admit the new connection; its
+    /// owner has to be woken. `None` if all connections of the address are in use; the new
     /// connection is then refused.
     pub evicted: Option<ConnectionId>,
 }
@@ -38,14 +38,14 @@
         self.waiting += 1;
     }
 
-    /// Decrements the number of connections that wait for a descriptor; each call matches one of
-    /// [`add_waiter`](Self::add_waiter).
+    /// Decrements the number of connections that wait for a descriptor. Each call must match an
+    /// earlier call of [`add_waiter`](Self::add_waiter).
     pub fn remove_waiter(&mut self) {
         self.waiting -= 1;
     }
 
-    /// Checks whether an address may have one more connection, and closes its longest idle one if
-    /// not.
+    /// Checks whether an address may have one more connection. If not, closes the longest idle
+    /// connection of the address.
     pub fn check_address_quota(&mut self, address: IpAddr) -> Result<(), AddressQuotaExceeded> {
         let quota = self.limits.per_address.unwrap_or(usize::MAX);
         let Some(usage) = self
--- a/crates/admission/src/connections/timeouts.rs
+++ b/crates/admission/src/connections/timeouts.rs
@@ -7,7 +7,7 @@
 /// connection, between the accept and the end of the request. A client must get an error or a close
 /// within 3 s, whatever it sends or omits.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Maximum duration of writing a response; the client may not read it.
+/// Maximum duration of writing a response; bounds the wait for a client that does not read.
 const RESPONSE_WRITE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Idle time after which a connection releases its buffers and parser; an active client sends its
 /// next request sooner.
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,5 +1,4 @@
-//! Admission control for a node's connections: which are accepted, which are evicted, and when they
-//! time out.
+//! Admission control for a node's connections: acceptance, eviction and timeouts.
 //!
 //! Owns the [`Budget`] of descriptors and bytes, and the [`ConnectionTable`] with its timers. Uses
 //! no sockets and no clock: time is passed in as a [`Duration`](std::time::Duration) since an
--- a/crates/membership/src/replica/answer.rs
+++ b/crates/membership/src/replica/answer.rs
@@ -9,7 +9,7 @@
 pub struct ListQuery {
     /// Version that the client holds; `None` to request a snapshot.
     pub after: Option<Version>,
-    /// When the query was received.
+    /// Time at which the query was received.
     pub received_at: Duration,
     /// Whether the client's wait has expired, so that the query is answered even without a newer
     /// version.
@@ -63,8 +63,8 @@
     /// named the held version after the start of the present epoch waits instead. Otherwise the
     /// client would call again without a pause.
     fn answer_ambiguous(&self, after: Version, held: Version, query: ListQuery) -> Answer {
-        let is_of_present_epoch = self.epochs.follows_change(query.received_at);
-        if after == held && is_of_present_epoch && !query.wait_expired {
+        let received_in_present_epoch = self.epochs.is_in_present_epoch(query.received_at);
+        if after == held && received_in_present_epoch && !query.wait_expired {
             return Answer::Wait;
         }
         Answer::Snapshot
--- a/crates/membership/src/replica/apply.rs
+++ b/crates/membership/src/replica/apply.rs
@@ -32,7 +32,7 @@
         read_at: Duration,
     ) -> Result<ApplyOutcome, RejectedUpdate> {
         if let UpstreamCall::Confirm(version) = call {
-            self.note_confirmation(version, &update, sent_at);
+            self.record_confirmation(version, &update, sent_at);
         }
         self.endpoint_bytes = self.validate(call, &update)?;
         self.snapshot_reason = None;
@@ -46,9 +46,9 @@
         })
     }
 
-    /// Records that upstream was called to confirm a client's version, even if the update is then
+    /// Records the answer to a call that confirms a client's version, even if the update is then
     /// rejected. A client that needs another confirmation queries again.
-    fn note_confirmation(&mut self, version: Version, update: &ListUpdate, sent_at: Duration) {
+    fn record_confirmation(&mut self, version: Version, update: &ListUpdate, sent_at: Duration) {
         self.unconfirmed = None;
         if update.version < version {
             self.unknown = Some(UnknownVersion {
--- a/crates/membership/src/replica/epoch.rs
+++ b/crates/membership/src/replica/epoch.rs
@@ -17,7 +17,7 @@
 struct EarlierEpochs {
     /// Highest version of the earlier epochs that this replica held.
     highest: Version,
-    /// When the present epoch began.
+    /// Time at which the present epoch began.
     ended_at: Duration,
 }
 
@@ -61,7 +61,7 @@
 
     /// Returns whether `received_at` is at or after the start of the present epoch; false while
     /// there was no earlier epoch.
-    pub(super) fn follows_change(&self, received_at: Duration) -> bool {
+    pub(super) fn is_in_present_epoch(&self, received_at: Duration) -> bool {
         self.earlier
             .is_some_and(|earlier| received_at >= earlier.ended_at)
     }
--- a/crates/membership/src/replica/lease.rs
+++ b/crates/membership/src/replica/lease.rs
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub(super) struct Lease {
     duration: Duration,
-    /// When the last applied update was read.
+    /// Time at which the last applied update was read.
     renewed_at: Option<Duration>,
 }
 
--- a/crates/membership/src/replica/validation.rs
+++ b/crates/membership/src/replica/validation.rs
@@ -5,9 +5,9 @@
 use crate::record::EndpointRecord;
 use thiserror::Error;
 
-/// A snapshot with fewer endpoints than the held number divided by this factor, or with none, is
-/// applied only if the next snapshot is as small. A fault that empties the list would otherwise
-/// take the whole fleet out of service.
+/// A snapshot is rejected if it has no endpoints, or fewer than the number of held endpoints
+/// divided by this factor; a second such snapshot in a row is applied. Otherwise a fault that
+/// empties the list would take the whole fleet out of service.
 pub const UNCONFIRMED_SHRINK_FACTOR: usize = 2;
 /// Maximum memory of the held endpoints, in bytes. An update that would exceed it is rejected. The
 /// limit is fifty times the memory of 4,600 endpoints.
