--- a/crates/admission/tests/properties.rs
+++ b/crates/admission/tests/properties.rs
@@ -19,7 +19,7 @@
 const REQUEST_BYTES_PER_MS: usize = 20;
 
 /// A table and its expected requests in flight.
-struct Run {
+struct Model {
     table: ConnectionTable,
     budget: Budget,
     now: Duration,
@@ -27,7 +27,7 @@
     in_flight: Vec<(u32, usize)>,
 }
 
-impl Run {
+impl Model {
     fn new() -> Self {
         let quota = |reserved| Quota {
             reserved,
@@ -142,11 +142,11 @@
 #[test]
 fn every_request_ends_once_and_all_leases_are_released() {
     check(0..6, 60, 300, |_, steps| {
-        let mut run = Run::new();
+        let mut model = Model::new();
         for step in steps {
-            run.step(step);
-            run.check();
+            model.step(step);
+            model.check();
         }
-        run.remove_all();
+        model.remove_all();
     });
 }
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -39,7 +39,7 @@
     },
 }
 
-/// A snapshot, or a delta from the version in the request.
+/// A snapshot, or a delta from the version named in the call or query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListUpdate {
     /// Version of the list after the update is applied.
--- a/crates/membership/tests/properties.rs
+++ b/crates/membership/tests/properties.rs
@@ -305,7 +305,8 @@
     });
 }
 
-// Guards against the same failure with a second-tier replica, whose upstream is a relay.
+// Guards against any order of snapshots, deltas and restarts that leaves a client of a second-tier
+// replica, whose upstream is a relay, with a list other than upstream's list.
 #[test]
 fn client_of_second_tier_ends_with_exactly_the_list_of_upstream() {
     const SECOND_TIER: u8 = 2;
@@ -313,8 +314,8 @@
         let mut simulation = Simulation::new(3);
         for step in steps {
             match step.clone() {
-                // Clients keep to one relay: a client cannot distinguish a relay that has detected
-                // a restart from a relay that has not.
+                // All clients query the same relay: a client cannot distinguish a relay that has
+                // detected a restart from a relay that has not.
                 Step::Query {
                     client,
                     wants_snapshot,
--- a/crates/policy/examples/decision_cost/cases.rs
+++ b/crates/policy/examples/decision_cost/cases.rs
@@ -15,7 +15,7 @@
 pub const ZONES: usize = 55;
 /// Requests per second at the node; determines the step of the simulated clock.
 pub const REQUESTS_PER_SECOND: u32 = 1_000;
-/// Number of distinct keys that are requested.
+/// Number of keys from which the key of each request is drawn.
 pub const KEYS: u64 = 240_000_000;
 pub const SEED: u64 = 30;
 /// Start of the simulated clock.
@@ -158,7 +158,7 @@
     })
 }
 
-/// Measures lists of one endpoint that has restarted.
+/// Measures deltas with one endpoint that has restarted.
 fn measure_single_changes(endpoints: usize) -> Cost {
     let entries = fleet(endpoints);
     let mut balancer = balancer_with_endpoints(settings(), entries.clone());
--- a/crates/policy/examples/decision_cost/timing.rs
+++ b/crates/policy/examples/decision_cost/timing.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Times an operation in batches, after an uncounted batch that determines the number of operations
+/// Times an operation in batches, after a warm-up batch that determines the number of operations
 /// per batch.
 pub fn time(mut operation: impl FnMut()) -> Cost {
     let began = Instant::now();
--- a/crates/policy/src/api/identifiers.rs
+++ b/crates/policy/src/api/identifiers.rs
@@ -43,7 +43,8 @@
     Name
 );
 
-/// A point on the caller's clock, in microseconds from any epoch; the clock must not run backwards.
+/// A point on the caller's clock, in microseconds since an epoch that the caller chooses; the clock
+/// must not run backwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(u64);
 
--- a/crates/policy/src/balancer.rs
+++ b/crates/policy/src/balancer.rs
@@ -30,7 +30,7 @@
 use crate::zone_breakers::ZoneBreakers;
 use std::collections::HashMap;
 
-/// Decides for one node. Has no clock and does no I/O: equal events give equal actions.
+/// Load balancer of one node, without a clock and without I/O: equal events give equal actions.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
--- a/crates/policy/src/breaker.rs
+++ b/crates/policy/src/breaker.rs
@@ -18,11 +18,11 @@
 pub(crate) const OPENING_FAILURE_RATE: f64 = 0.6;
 /// Minimum number of calls in a window for a meaningful failure rate.
 pub(crate) const MIN_CALLS: u32 = 3;
-/// A window is not evaluated before it has one call per this number of calls in the previous
-/// window. Otherwise, at a failure rate of one in eight, the breaker would open every few windows,
-/// whenever two of the first three calls fail. The breaker of a target with little load still opens
-/// after few calls. The drawback is that a busy target that fails receives the calls of half a
-/// second, not three calls.
+/// Number of calls in the previous window for each call that the current window needs before the
+/// window is evaluated. Without this minimum, at a failure rate of one in eight, the breaker would
+/// open every few windows, whenever two of the first three calls fail. The breaker of a target with
+/// little load still opens after few calls. The drawback is that a busy target that fails receives
+/// the calls of half a second, not three calls.
 const PREVIOUS_WINDOW_CALLS_PER_CALL: u32 = 10;
 /// Window of most breakers; long enough for [`MIN_CALLS`] calls at a target with little load.
 pub(crate) const WINDOW: Duration = Duration::from_secs(5);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
 //! Load-balancing policy: endpoint selection, retries and load shedding.
 //!
-//! A [`Balancer`] decides for one node. It does no I/O and has no clock: the caller provides the
-//! random seed and the time of each event, and performs the resulting [`Action`]s. Equal events
-//! give equal actions.
+//! A [`Balancer`] makes the decisions of one node. It does no I/O and has no clock: the caller
+//! provides the random seed and the time of each event, and performs the resulting [`Action`]s.
+//! Equal events give equal actions.
 //!
 //! [`api`] is the interface and [`balancer`] the event handling. Each other module is one
 //! mechanism; the balancer calls the mechanisms, and no mechanism depends on the balancer.
--- a/crates/policy/tests/breaker.rs
+++ b/crates/policy/tests/breaker.rs
@@ -362,7 +362,7 @@
 }
 
 #[test]
-fn a_class_rejected_by_an_endpoint_with_an_empty_queue_is_blocked_quickly_and_alone() {
+fn a_class_rejected_by_an_endpoint_with_an_empty_queue_is_blocked_quickly_without_other_classes() {
     // Guards against two faults: earlier successes hide the rejections for a whole window, while
     // each rejected request loses time at the endpoint; or the rejections of one class block the
     // endpoint for the keys of all classes.
--- a/crates/policy/tests/hashing.rs
+++ b/crates/policy/tests/hashing.rs
@@ -15,7 +15,7 @@
     owners
 }
 
-fn share(owners: &BTreeMap<u64, EndpointId>, endpoint: &str) -> f64 {
+fn share_of_keys(owners: &BTreeMap<u64, EndpointId>, endpoint: &str) -> f64 {
     owners.values().filter(|id| id.as_str() == endpoint).count() as f64 / owners.len() as f64
 }
 
@@ -36,7 +36,7 @@
     }
     for other in ["a", "h"] {
         assert!(
-            share(&after_removal, other) > share(&before, other),
+            share_of_keys(&after_removal, other) > share_of_keys(&before, other),
             "the keys of d are distributed over all other endpoints"
         );
     }
@@ -57,8 +57,8 @@
         weighted("c", 2.0),
     ]);
     let owners = owners(&mut node);
-    assert!((share(&owners, "a") - 0.25).abs() < 0.04);
-    assert!((share(&owners, "c") - 0.5).abs() < 0.04);
+    assert!((share_of_keys(&owners, "a") - 0.25).abs() < 0.04);
+    assert!((share_of_keys(&owners, "c") - 0.5).abs() < 0.04);
 }
 
 #[test]
--- a/crates/policy/tests/large_deployment.rs
+++ b/crates/policy/tests/large_deployment.rs
@@ -118,7 +118,7 @@
 /// minimum concurrency limit were applied as a probability, 19 of 20 requests would be shed, and no
 /// response would raise the limit for minutes.
 #[test]
-fn a_node_of_a_large_deployment_sends_again_to_endpoints_that_rejected_it() {
+fn a_node_of_a_large_deployment_sends_again_to_endpoints_that_rejected_its_attempts() {
     let mut nodes = nodes_with_endpoints(300, 3);
     let node = &mut nodes[0];
     node.read(1, Status::Ok);
@@ -308,7 +308,7 @@
         sent_after_recovery.count() >= 30,
         "the zone receives its share of the requests again after recovery"
     );
-    // If no zone responds, none is worse than the others, and no breaker of a zone opens.
+    // If no zone responds, no zone is an outlier, and no breaker of a zone opens.
     let (_, node) = simulate(2, &|_| &["n", "e", "s", "w"]);
     let is_zone_opening =
         |action: &Action| matches!(action, Action::BreakerOpened(BreakerScope::Zone(_)));
@@ -349,7 +349,7 @@
 /// overloaded, if the listed weights do not include speed.
 #[test]
 fn a_slow_kind_gets_fewer_keys_if_weights_do_not_include_speed() {
-    let share = |weights_include_speed| {
+    let share_of_slow_kind = |weights_include_speed| {
         let mut node = Node::new(
             Settings {
                 weights_include_speed,
@@ -375,8 +375,16 @@
         }
         f64::from(sent_to_slow) / 1_000.0
     };
-    assert!((0.45..0.55).contains(&share(true)), "{}", share(true));
-    assert!((0.2..0.3).contains(&share(false)), "{}", share(false));
+    assert!(
+        (0.45..0.55).contains(&share_of_slow_kind(true)),
+        "{}",
+        share_of_slow_kind(true)
+    );
+    assert!(
+        (0.2..0.3).contains(&share_of_slow_kind(false)),
+        "{}",
+        share_of_slow_kind(false)
+    );
 }
 
 /// Guards against memory that grows over time while endpoints of new kinds are listed and removed.
--- a/crates/policy/tests/overload.rs
+++ b/crates/policy/tests/overload.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn an_endpoint_with_nothing_in_flight_gets_the_next_request() {
+fn an_endpoint_without_attempts_in_flight_gets_the_next_request() {
     // Late responses reduce the concurrency limit of an endpoint to a fraction of a request. Guards
     // against an idle endpoint that receives nothing, so that no response raises its limit again.
     let mut node = Node::with_endpoints(
@@ -214,7 +214,10 @@
         400,
         "the expected work explains the latency"
     );
-    assert!(count_sent(20) < 350, "unexpected latency counts as a queue");
+    assert!(
+        count_sent(20) < 350,
+        "latency beyond the expected work counts as a queue"
+    );
 }
 
 /// If all endpoints are overloaded, sent requests keep the queues full and wait longer than their
@@ -270,7 +273,7 @@
 fn late_responses_without_a_queue_hardly_lower_a_concurrency_limit() {
     // Guards against heavy requests that are late because of their own work and lower the limits of
     // a fleet without overload until requests are shed.
-    let sent_at = |nodes, reported_queue_length| {
+    let count_sent_with_queue_length = |nodes, reported_queue_length| {
         let mut node = Node::with_endpoints(
             Settings {
                 nodes,
@@ -282,20 +285,20 @@
         offer_every(&mut node, 30, 140, None).0
     };
     assert!(
-        sent_at(2, 0.0) >= 95,
+        count_sent_with_queue_length(2, 0.0) >= 95,
         "{} of 100 requests were sent to endpoints without a queue",
-        sent_at(2, 0.0)
+        count_sent_with_queue_length(2, 0.0)
     );
     assert!(
-        sent_at(2, 4.0) < 80,
+        count_sent_with_queue_length(2, 4.0) < 80,
         "{} of 100 requests were sent to endpoints with a queue",
-        sent_at(2, 4.0)
+        count_sent_with_queue_length(2, 4.0)
     );
     // In a large deployment, a node has only old load reports.
     assert!(
-        sent_at(300, 0.0) < 80,
+        count_sent_with_queue_length(300, 0.0) < 80,
         "{} of 100 requests were sent by a node of a large deployment",
-        sent_at(300, 0.0)
+        count_sent_with_queue_length(300, 0.0)
     );
 }
 
@@ -303,7 +306,7 @@
 fn timeouts_at_endpoints_without_a_queue_neither_open_breakers_nor_lower_limits() {
     // Misses time out at a slow origin. Guards against timeouts that count against the endpoints: a
     // fleet with spare capacity would shed hits and move keys to endpoints without the values.
-    let sent_at = |reported_queue_length| {
+    let count_sent_with_queue_length = |reported_queue_length| {
         let mut node = Node::with_endpoints(
             Settings {
                 nodes: 2,
@@ -334,8 +337,8 @@
             .any(|action| matches!(action, Action::BreakerOpened(_)));
         (sent, opened)
     };
-    assert_eq!(sent_at(0.0), (900, false));
-    let (sent, _) = sent_at(4.0);
+    assert_eq!(count_sent_with_queue_length(0.0), (900, false));
+    let (sent, _) = count_sent_with_queue_length(4.0);
     assert!(
         sent < 800,
         "{sent} of 900 requests were sent to endpoints with a queue"
--- a/crates/policy/tests/properties/slow_start.rs
+++ b/crates/policy/tests/properties/slow_start.rs
@@ -46,8 +46,8 @@
         .iter()
         .rev()
         .take_while(|send| now.since(send.at) <= window);
-    let (count, capacity) = in_window.fold((0, 0.0f64), |(count, most), send| {
-        (count + 1, most.max(send.capacity))
+    let (count, capacity) = in_window.fold((0, 0.0f64), |(count, max_capacity), send| {
+        (count + 1, max_capacity.max(send.capacity))
     });
     let budget = capacity * settings.slow_start_overload_factor * 1.1 + 3.0;
     assert!(
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -181,7 +181,7 @@
     // The late outcome must not make the request pending again.
     assert_eq!(node.end_attempt_in_flight(&id, Status::Failed), []);
     assert_eq!(node.handle(Event::Timer), []);
-    assert_eq!(node.handle(Event::RequestCanceled("unheard-of".into())), []);
+    assert_eq!(node.handle(Event::RequestCanceled("unknown".into())), []);
 }
 
 #[test]
