--- a/crates/admission/src/connections/quotas.rs
+++ b/crates/admission/src/connections/quotas.rs
@@ -32,8 +32,8 @@
 impl std::error::Error for AddressQuotaExceeded {}
 
 impl ConnectionTable {
-    /// Increments the number of accepted connections that wait for a descriptor. While it is not
-    /// zero, connections close with their responses.
+    /// Increments the number of accepted connections that wait for a descriptor. While any
+    /// connection waits, connections close with their responses.
     pub fn add_waiter(&mut self) {
         self.waiting += 1;
     }
--- a/crates/membership/src/history.rs
+++ b/crates/membership/src/history.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Maximum memory of the stored changes, in bytes. Beyond it the oldest changes are dropped, and a
-/// client with an older version receives a snapshot. A release that changes all of 4,600 endpoints
-/// takes about 1 MiB.
+/// Maximum memory of the stored changes, in bytes. Beyond this limit the oldest changes are
+/// dropped, and a client with an older version receives a snapshot. A release that changes all of
+/// 4,600 endpoints takes about 1 MiB.
 pub const MAX_HISTORY_BYTES: usize = 2 << 20;
-/// Maximum number of versions from which a delta can be computed. Beyond it the oldest versions are
-/// dropped.
+/// Maximum number of versions from which a delta can be computed. Beyond this limit the oldest
+/// versions are dropped.
 pub const MAX_HISTORY_VERSIONS: usize = 1 << 16;
 
 /// The latest change of each endpoint that changed since the oldest stored version.
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -7,8 +7,8 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Version number that upstream assigns to the endpoint list; `seq` on the wire. It only grows
-/// within an epoch.
+/// Version number that upstream assigns to the endpoint list; `seq` on the wire. Within an epoch,
+/// versions only grow.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/membership/src/replica/answer.rs
+++ b/crates/membership/src/replica/answer.rs
@@ -60,11 +60,11 @@
     }
 
     /// Answers a client whose version may belong to an earlier epoch with a snapshot. A client that
-    /// named the held version after the start of the present epoch waits instead. Otherwise the
+    /// named the held version after the start of the current epoch waits instead. Otherwise the
     /// client would call again without a pause.
     fn answer_ambiguous(&self, after: Version, held: Version, query: ListQuery) -> Answer {
-        let received_in_present_epoch = self.epochs.is_in_present_epoch(query.received_at);
-        if after == held && received_in_present_epoch && !query.wait_expired {
+        let received_in_current_epoch = self.epochs.is_in_current_epoch(query.received_at);
+        if after == held && received_in_current_epoch && !query.wait_expired {
             return Answer::Wait;
         }
         Answer::Snapshot
--- a/crates/membership/src/replica/epoch.rs
+++ b/crates/membership/src/replica/epoch.rs
@@ -12,12 +12,12 @@
 /// client has received an answer of the new epoch within this time.
 pub const EPOCH_AMBIGUITY_WINDOW: Duration = Duration::from_secs(120);
 
-/// The epochs before the present epoch.
+/// The epochs before the current epoch.
 #[derive(Clone, Copy, Debug)]
 struct EarlierEpochs {
     /// Highest version of the earlier epochs that this replica held.
     highest: Version,
-    /// Time at which the present epoch began.
+    /// Time at which the current epoch began.
     ended_at: Duration,
 }
 
@@ -59,9 +59,9 @@
         recent.is_some_and(|earlier| version <= earlier.highest)
     }
 
-    /// Returns whether `received_at` is at or after the start of the present epoch; false while
+    /// Returns whether `received_at` is at or after the start of the current epoch; false while
     /// there was no earlier epoch.
-    pub(super) fn is_in_present_epoch(&self, received_at: Duration) -> bool {
+    pub(super) fn is_in_current_epoch(&self, received_at: Duration) -> bool {
         self.earlier
             .is_some_and(|earlier| received_at >= earlier.ended_at)
     }
--- a/crates/membership/src/replica/validation.rs
+++ b/crates/membership/src/replica/validation.rs
@@ -9,8 +9,8 @@
 /// divided by this factor; a second such snapshot in a row is applied. Otherwise a fault that
 /// empties the list would take the whole fleet out of service.
 pub const UNCONFIRMED_SHRINK_FACTOR: usize = 2;
-/// Maximum memory of the held endpoints, in bytes. An update that would exceed it is rejected. The
-/// limit is fifty times the memory of 4,600 endpoints.
+/// Maximum memory of the held endpoints, in bytes. An update that would exceed this limit is
+/// rejected. The limit is fifty times the memory of 4,600 endpoints.
 pub const MAX_LIST_BYTES: usize = 32 << 20;
 
 /// Reason why an update was not applied. The held list is unchanged, and [`Replica::next_call`]
--- a/crates/membership/tests/replica/epoch.rs
+++ b/crates/membership/tests/replica/epoch.rs
@@ -43,7 +43,7 @@
         wait_expired: false,
     };
     assert_eq!(replica.answer(waiting, now), Ok(Answer::Snapshot));
-    // A watch that was received in the present epoch waits.
+    // A watch that was received in the current epoch waits.
     let current = ListQuery {
         after: Some(Version(4)),
         received_at: now,
--- a/crates/policy/src/balancer/outcome.rs
+++ b/crates/policy/src/balancer/outcome.rs
@@ -231,7 +231,7 @@
             CallResult::Inconclusive => CallResult::Failure,
             CallResult::Success | CallResult::Failure => CallResult::Success,
         };
-        // There is one origin: it cannot be an outlier.
+        // There is only one origin, so outlier detection does not apply.
         let breaker = &mut self.origin.breaker;
         if breaker.on_outcome(epoch, result, now) != Verdict::Keep {
             breaker.open(COOLDOWN, now);
--- a/crates/policy/src/pending.rs
+++ b/crates/policy/src/pending.rs
@@ -40,8 +40,8 @@
     pub(crate) request: Request,
     /// Attempts in the order of sending; only the last can be in flight.
     pub(crate) attempts: Vec<Attempt>,
-    /// Random number, uniform between 0 and 1, drawn once per request. It rounds fractional limits
-    /// up or down at random (dithering) and decides whether load shedding affects the request.
+    /// Random number, uniform between 0 and 1, drawn once per request; rounds fractional limits up
+    /// or down at random (dithering) and decides whether load shedding affects the request.
     pub(crate) dither: f64,
     /// Time of arrival at this node.
     pub(crate) arrived: Timestamp,
--- a/crates/policy/src/slow_start.rs
+++ b/crates/policy/src/slow_start.rs
@@ -4,9 +4,10 @@
 //! The usual slow start raises a new host's weight. Here the weight grows the same way, and each
 //! node also has a hard budget of sends to a warming endpoint: an endpoint that receives too many
 //! requests from all nodes together becomes overloaded and does not recover. The budget follows
-//! from the good outcomes at this node and the endpoint's share of the fleet's capacity. It holds
-//! for one slot, half the window in which the endpoint's load is measured. A fractional budget is
-//! rounded at random, by the node's seed, and unused budget does not carry over to the next slot.
+//! from the good outcomes at this node and the endpoint's share of the fleet's capacity. The budget
+//! applies to one slot, which is half the window in which the endpoint's load is measured. A
+//! fractional budget is rounded at random, by the node's seed, and unused budget does not carry
+//! over to the next slot.
 
 use crate::api::{Endpoint, Settings, Timestamp};
 use crate::decay::DECAY_TIME;
