--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -7,8 +7,8 @@
 use std::fmt;
 use thiserror::Error;
 
-/// Version number that upstream assigns to the endpoint list; `seq` on the wire. It only grows
-/// within an epoch.
+/// Version number that upstream assigns to the endpoint list; `seq` on the wire. Within an epoch,
+/// versions only grow.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -39,7 +39,7 @@
     },
 }
 
-/// A snapshot, or a delta from the version in the request.
+/// A snapshot, or a delta from the version named in the call or query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListUpdate {
     /// Version of the list after the update is applied.
