--- a/crates/cli/tests/node_exhaustion.rs
+++ b/crates/cli/tests/node_exhaustion.rs
@@ -130,7 +130,7 @@
     set_limit(&node, Resource::Nofile, NO_FREE_DESCRIPTORS);
     node.reload(&config(lists[1].address).to_string());
     wait_for("the log line of the failed reload", || {
-        !log_lines(&node, "configuration not taken: ").is_empty()
+        !log_lines(&node, "configuration rejected: ").is_empty()
     });
     assert_eq!(lists[1].calls(), 0);
     set_limit(&node, Resource::Nofile, None);
@@ -273,7 +273,7 @@
     set_limit(&node, Resource::Fsize, None);
     node.reload("not a configuration");
     wait_for("the log line of the failed reload", || {
-        log().contains("configuration not taken")
+        log().contains("configuration rejected")
     });
     fs::remove_file(&path).unwrap();
 }
--- a/crates/cli/tests/node_lifecycle.rs
+++ b/crates/cli/tests/node_lifecycle.rs
@@ -139,7 +139,7 @@
         let said = || {
             let log = node.log.lock().unwrap();
             log.iter()
-                .filter(|line| line.starts_with("configuration not taken: "))
+                .filter(|line| line.starts_with("configuration rejected: "))
                 .count()
         };
         wait_for("a line in the log", || said() == i + 1);
@@ -211,7 +211,7 @@
             .lock()
             .unwrap()
             .iter()
-            .filter(|line| line.contains("configuration read again"))
+            .filter(|line| line.contains("configuration reloaded"))
             .count()
     };
     node.terminate();
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,5 +1,4 @@
-//! Handles SIGHUP: the node reads its configuration file again and applies the address of
-//! discovery.
+//! Handles SIGHUP: the node reloads its configuration file and applies the address of discovery.
 //!
 //! All other settings stay as they were at the start of the process. `LB_DISCOVERY` is ignored,
 //! because a process keeps the environment that it started with and the address in the file is
@@ -36,7 +35,7 @@
         match load_file() {
             Ok(config) => return apply(&config, discovery, telemetry),
             Err(error) => {
-                let text = format!("configuration not taken: {error}");
+                let text = format!("configuration rejected: {error}");
                 telemetry.log.rate_limited("reload", &text);
                 if !is_transient(&error) {
                     return;
@@ -56,7 +55,7 @@
 
 fn apply(config: &Config, discovery: &watch::Sender<SocketAddr>, telemetry: &Telemetry) {
     telemetry.log.line(&format!(
-        "configuration read again: discovery at {}",
+        "configuration reloaded: discovery at {}",
         config.discovery
     ));
     telemetry.config_loaded(&config.path, &config.contents);
