--- a/crates/config/src/endpoint_list.rs
+++ b/crates/config/src/endpoint_list.rs
@@ -8,7 +8,7 @@
 const READY_STATE: &str = "ready";
 /// State of an endpoint that finishes its open requests and accepts no new work.
 const DRAINING_STATE: &str = "draining";
-/// State of an endpoint that has left.
+/// State of an endpoint that was removed.
 const REMOVED_STATE: &str = "gone";
 /// Weight of an endpoint without a valid weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
@@ -19,7 +19,7 @@
     /// Version of the list.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether the list is complete: an endpoint absent from a complete list has left.
+    /// Whether the list is complete: an endpoint absent from a complete list was removed.
     #[serde(rename = "whole")]
     pub complete: bool,
     /// All endpoints if the list is complete, otherwise the changed ones.
@@ -60,7 +60,7 @@
         &self.id
     }
 
-    /// Returns the endpoint's address; an endpoint that has left may have none.
+    /// Returns the endpoint's address; a removed endpoint may have none.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
@@ -71,7 +71,7 @@
         &self.state
     }
 
-    /// Returns whether the endpoint accepts new work.
+    /// Returns the availability of the endpoint for new work.
     pub fn availability(&self) -> Availability {
         match self.state.as_str() {
             READY_STATE => Availability::Ready,
@@ -92,7 +92,7 @@
         self.started_ms.filter(|&at| at > 0)
     }
 
-    /// Converts the record to the policy's endpoint type.
+    /// Converts the record to the decision module's endpoint type.
     pub fn endpoint(&self) -> Endpoint {
         Endpoint {
             id: self.id.as_str().into(),
--- a/crates/config/src/operators/bounded.rs
+++ b/crates/config/src/operators/bounded.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// An integer from `MIN` to `MAX`, both included.
+/// An integer from `MIN` to `MAX`, both inclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(try_from = "i64")]
 pub struct BoundedInteger<const MIN: usize, const MAX: usize>(usize);
--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -32,7 +32,7 @@
         /// Value read, its place and the value expected.
         error: serde_json::Error,
     },
-    /// The policy's settings in the file are not valid.
+    /// The decision module's settings in the file are not valid.
     #[error("invalid settings in the configuration: {0}")]
     Settings(#[from] WireError),
     /// An address from the file, or from the variable that overrides it, cannot be parsed.
@@ -68,7 +68,7 @@
     pub memory_bytes: Option<u64>,
     /// The last endpoint list known to this node.
     pub known_endpoints: EndpointList,
-    /// Settings of the policy.
+    /// Settings of the decision module.
     pub settings: Settings,
     /// Path of the file that the configuration was read from.
     pub path: PathBuf,
--- a/crates/config/src/relay.rs
+++ b/crates/config/src/relay.rs
@@ -64,7 +64,8 @@
     ///
     /// # Errors
     ///
-    /// If the file cannot be read, does not have the expected format, or has a value out of range.
+    /// Returns an error if the file cannot be read, does not have the expected format, or has a
+    /// value out of range.
     pub fn load(path: &Path) -> Result<Self, RelayConfigError> {
         let text = toml_file::read(path)?;
         let settings: Self = toml_file::parse(path, &text)?;
@@ -76,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// If a value is out of range.
+    /// Returns an error if a value is out of range.
     pub fn validate(&self) -> Result<(), RelayConfigError> {
         if !(1..=MAX_UPSTREAMS).contains(&self.upstream.len()) {
             return Err(RelayConfigError::Upstreams(self.upstream.len()));
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Returns how long calls are answered after the last answer from upstream.
+    /// Returns the length of the lease: the time after the last answer from upstream for which the
+    /// relay answers calls.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -30,23 +30,23 @@
 const FREE_CLIENT_DESCRIPTORS_DIVISOR: usize = 5;
 
 /// One in this many of the process's descriptors is reserved for clients: as many as clients use
-/// without other settings. The reserves for endpoints and the side port take precedence.
+/// without other settings. The reserves for endpoints and the multi-get port take precedence.
 const CLIENT_RESERVE_DIVISOR: usize = 3;
 /// At most one in this many of the descriptors available to connections is reserved for clients.
 const MAX_CLIENT_RESERVE_DIVISOR: usize = 2;
-/// One in this many parts of the memory is left for the allocator's fragmentation.
+/// One part in this many of the memory is left for the allocator's fragmentation.
 const FRAGMENTATION_DIVISOR: u64 = 4;
-/// One in this many parts of the connections' memory is for connections to endpoints.
+/// One part in this many of the connections' memory is for connections to endpoints.
 const UPSTREAM_MEMORY_DIVISOR: usize = 3;
 
 /// Reason why the limits and settings allow no budget.
 #[derive(Debug, Error)]
 pub enum BudgetError {
-    /// The reserves for connections to endpoints and the side port exceed the available descriptors
-    /// or leave none for clients.
+    /// The reserves for connections to endpoints and the multi-get port exceed the available
+    /// descriptors or leave none for clients.
     #[error(
         "a limit of {limit} sockets leaves {available} for connections: not enough for {upstream} to servers \
-         (front.servers_floor), {side_port} on the multi-get port and those of clients"
+         (front.servers_floor), {multi_get} on the multi-get port and those of clients"
     )]
     Descriptors {
         /// Number of descriptors that the process may hold.
@@ -55,8 +55,8 @@
         available: usize,
         /// Number of descriptors reserved for connections to endpoints.
         upstream: usize,
-        /// Number of descriptors reserved for the side port.
-        side_port: usize,
+        /// Number of descriptors reserved for the multi-get port.
+        multi_get: usize,
     },
     /// The settings limit a request class that the platform does not define.
     #[error("front.per_class has an unknown class {name:?}; expected one of: {}", .known.join(", "))]
@@ -105,10 +105,10 @@
         })
     }
 
-    /// Returns the limits of multi-get connections. They have no limit per address, because all of
-    /// them may come from one address, and none per class, because only the items of a multi-get
-    /// request belong to a class.
-    pub fn side_port_limits(&self) -> ConnectionLimits {
+    /// Returns the limits of multi-get connections. There is no limit per address, because all
+    /// multi-get connections may come from one address, and no limit per class, because only the
+    /// items of a multi-get request belong to a class.
+    pub fn multiget_limits(&self) -> ConnectionLimits {
         ConnectionLimits {
             keep_alive_limit: usize::MAX,
             per_address: None,
@@ -123,37 +123,37 @@
     let available = connection_descriptors(settings, limits.descriptors);
     let memory = connection_memory(limits.memory_bytes);
     let upstream = upstream_quota(&settings.admission, available, memory.upstream);
-    let side_port = side_port_quota(settings);
-    let unreserved = available.saturating_sub(upstream.reserved + side_port.reserved);
+    let multi_get = multiget_quota(settings);
+    let unreserved = available.saturating_sub(upstream.reserved + multi_get.reserved);
     let clients = Quota {
         reserved: (limits.descriptors / CLIENT_RESERVE_DIVISOR)
             .min(available / MAX_CLIENT_RESERVE_DIVISOR)
             .min(unreserved),
         limit: available,
     };
-    let quotas = [clients, upstream, side_port];
+    let quotas = [clients, upstream, multi_get];
     Budget::new(available, quotas, memory.clients)
         .filter(is_usable)
         .ok_or(BudgetError::Descriptors {
             limit: limits.descriptors,
             available,
             upstream: upstream.reserved,
-            side_port: side_port.reserved,
+            multi_get: multi_get.reserved,
         })
 }
 
 /// Returns the number of descriptors left for connections after those of the runtime and the
 /// features.
 fn connection_descriptors(settings: &Settings, limit: usize) -> usize {
-    let side_port = settings
+    let multi_get = settings
         .multiget_port()
         .map_or(0, |_| MultiGet::DESCRIPTORS);
-    limit.saturating_sub(RUNTIME_DESCRIPTORS + Telemetry::descriptor_count(settings) + side_port)
+    limit.saturating_sub(RUNTIME_DESCRIPTORS + Telemetry::descriptor_count(settings) + multi_get)
 }
 
 /// Bytes that connections may use.
 struct ConnectionMemory {
-    /// For connections of clients and of the side port.
+    /// For connections of clients and of the multi-get port.
     clients: usize,
     /// For connections to endpoints.
     upstream: usize,
@@ -185,7 +185,7 @@
 }
 
 /// Returns the quota of multi-get connections, all of which are reserved.
-fn side_port_quota(settings: &Settings) -> Quota {
+fn multiget_quota(settings: &Settings) -> Quota {
     let connections = settings
         .multiget_port()
         .map_or(0, |_| MultiGet::CONNECTIONS);
--- a/crates/node/src/connections/handle.rs
+++ b/crates/node/src/connections/handle.rs
@@ -108,7 +108,8 @@
         self.socket.read_ahead_exceeded.get()
     }
 
-    /// Returns whether the client has closed its side, even if the end follows unprocessed bytes.
+    /// Returns whether the client has shut down its write half, even if unprocessed bytes precede
+    /// the end of the stream.
     pub fn client_has_disconnected(&self) -> bool {
         self.socket.fill_read_ahead();
         self.socket.read_closed.get()
@@ -130,9 +131,9 @@
         true
     }
 
-    /// Keeps a connection whose write side is shut down open while its client may still be reading.
-    /// Reads no requests: a request that crossed the shutdown must be sent again by the client on
-    /// another connection.
+    /// Keeps a connection open after the shutdown of its write half, while its client may still be
+    /// reading. Reads no requests: a request that was in transit at the shutdown must be sent again
+    /// by the client on another connection.
     pub async fn linger(&self) {
         let Some(last_write_at) = self.socket.last_write_at.get() else {
             return;
--- a/crates/node/src/connections/socket.rs
+++ b/crates/node/src/connections/socket.rs
@@ -22,15 +22,15 @@
     pub(super) stream: TcpStream,
     /// Bytes that were read but not processed yet.
     pub(super) read_ahead: RefCell<BytesMut>,
-    /// Set when the client has closed its side or the connection is broken.
+    /// Set when the client has shut down its write half or the connection is broken.
     pub(super) read_closed: Cell<bool>,
     /// Set when the client has sent more than [`MAX_READ_AHEAD_BYTES`]. Further bytes are not read
     /// as requests.
     pub(super) read_ahead_exceeded: Cell<bool>,
     /// Time of the last write.
     pub(super) last_write_at: Cell<Option<Instant>>,
-    /// Set when the node has closed its side: the connection is half-closed until the client closes
-    /// the other side.
+    /// Set when the node has shut down its write half: the connection is half-closed until the
+    /// client shuts down its own.
     pub(super) write_shut_down: Cell<bool>,
 }
 
--- a/crates/node/src/control.rs
+++ b/crates/node/src/control.rs
@@ -136,7 +136,7 @@
         match event {
             DriverEvent::EndpointListReceived(list) => self.apply_endpoint_list(&list),
             DriverEvent::DiscoveryFailed => self.on_discovery_failed(),
-            // Never received: only the discovery client holds the sending end.
+            // Never received: only the discovery client holds the sender.
             DriverEvent::RequestReceived(_)
             | DriverEvent::ClientDisconnected(_)
             | DriverEvent::AttemptEnded { .. } => {}
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -3,9 +3,9 @@
 //! While the client holds a list it keeps a *watch* open: a long poll that discovery answers with
 //! the next change. It *renews* the watch at intervals, because a stalled watch, which no longer
 //! delivers changes, looks like a watch without changes. Without a list it *polls* for the complete
-//! list. After a failed call it waits for the policy's request to poll, which follows the policy's
-//! backoff, and for a backoff of its own where the state of discovery requires one. The next watch
-//! is *verified* by a poll, and calls after late failures are *hedged*.
+//! list. After a failed call it waits for the decision module's request to poll, which follows the
+//! decision module's backoff, and for the client's own backoff where the failure requires one. The
+//! next watch is *verified* by a poll, and calls after late failures are *hedged*.
 //!
 //! | module | concern |
 //! | --- | --- |
@@ -46,8 +46,8 @@
     pub address: tokio::sync::watch::Receiver<SocketAddr>,
     /// Version of the endpoint list that the node holds; `None` if it holds no list.
     pub version: Option<u64>,
-    /// Whether a sidecar agent receives the lists. The client then always keeps a watch open at the
-    /// agent, without a request to poll.
+    /// Whether lists are pushed to a discovery agent that serves only this node. The client then
+    /// always keeps a watch open at the agent, without a request to poll.
     pub pushed: bool,
     /// Grace period after the notification that an endpoint is draining or removed. Once it is
     /// over, the node sends nothing to the endpoint.
@@ -57,7 +57,7 @@
     /// Source of jitter.
     pub random: fastrand::Rng,
     /// Channel to the driver for the lists, and for an event after each failure that requires the
-    /// policy to request a poll.
+    /// decision module to request a poll.
     pub events: UnboundedSender<DriverEvent>,
     /// Log of failures and stale lists; its lines are rate-limited.
     pub log: Log,
--- a/crates/node/src/discovery/call.rs
+++ b/crates/node/src/discovery/call.rs
@@ -36,8 +36,8 @@
 type ConnectionDriver = Pin<Box<ClientConnection>>;
 
 /// An open connection to discovery. It is driven by the call that uses the connection, not by a
-/// separate task: a separate task would be scheduled behind the tasks of all requests before an
-/// answer is read.
+/// separate task: a separate task would be scheduled behind the tasks of all requests, and answers
+/// would be read late.
 pub struct DiscoveryConnection {
     sender: RequestSender,
     /// `None` once the connection has ended.
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -126,8 +126,9 @@
                 && address_changed_at
                     .is_some_and(|at| at.elapsed() < NOTIFIED_AFTER_ADDRESS_CHANGE);
             poll_at_once = awaits_first_list || self.failed_late;
-            // The failure is reported to the policy only if the policy's backoff determines the
-            // next poll, or if lists are pushed and the policy requests no polls.
+            // The failure is reported to the decision module only if the decision module's backoff
+            // determines the next poll, or if lists are pushed and the decision module requests no
+            // polls.
             if self.pushed || !poll_at_once {
                 self.events
                     .send(DriverEvent::DiscoveryFailed)
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Returns the client's own backoff, which is independent of the policy's backoff.
+    /// Returns the client's own backoff, which is independent of the decision module's backoff.
     fn backoff_after(&self, failed: &FailedCall, awaits_first_list: bool) -> Jittered {
         let mean = match failed.error {
             _ if self.pushed && !failed.repeated => Duration::ZERO,
--- a/crates/node/src/discovery/notified.rs
+++ b/crates/node/src/discovery/notified.rs
@@ -19,10 +19,10 @@
 //! - **No call**: a node that neither called nor kept a watch open for the configured polling
 //!   interval (`max_poll_interval`) is notified of all changes.
 //! - **Changed address**: a node that was reconfigured to use another discovery is notified of the
-//!   whole list of the new discovery [`NOTIFIED_AFTER_ADDRESS_CHANGE`] later. Until then the
-//!   answers that the old discovery has written count.
-//! - **Pushed lists**: where a sidecar agent receives the lists, the node is immediately notified
-//!   of the agent's list, with or without a call.
+//!   whole list of the new discovery [`NOTIFIED_AFTER_ADDRESS_CHANGE`] later. Until then the node
+//!   is also notified of the answers that the old discovery writes.
+//! - **Pushed lists**: where discovery pushes lists to an agent that serves only this node, the
+//!   node is immediately notified of the agent's list, with or without a call.
 //!
 //! Discovery handles calls one after the other. A call waits in discovery's queue for
 //! [`QUEUE_LIMIT`] at most; a call that would wait longer is refused with status 503.
--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -12,8 +12,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Duration of a call in discovery by the number of nodes. Measured with 6 and 300 nodes; the value
-/// for 300 nodes is also used for 350.
+/// Numbers of nodes, each with the duration of a call in discovery. Measured with 6 and 300 nodes;
+/// the value for 300 nodes is also used for 350.
 const FLEETS: [(u64, Duration); 3] = [
     (6, Duration::from_millis(350)),
     (300, Duration::from_micros(13_600)),
@@ -24,9 +24,10 @@
 /// wait longer than `QUEUE_LIMIT`.
 struct QueuingDiscovery {
     address: SocketAddr,
-    /// Resets all open calls once. Later calls are answered with a new version when they leave the
-    /// queue.
+    /// Notified once to reset all open calls. Each later call is answered with a new version when
+    /// it leaves the queue.
     reset: Rc<Notify>,
+    /// Number of refused calls.
     refused: Rc<Cell<u32>>,
 }
 
@@ -87,7 +88,7 @@
         call.answer(&changes(2, &[("s-1", "draining")]));
         return;
     }
-    // The call already names the newest version.
+    // The node already holds the newest version, so the call waits as a watch.
     sleep(wait_of(&call.path)).await;
     if call.is_open() {
         call.answer(&changes(2, &[]));
@@ -113,7 +114,7 @@
         }
         arrivals.sort_unstable();
         println!(
-            "{nodes} nodes: {} calls refused, median arrival {:?}, last {:?}",
+            "{nodes} nodes: {} calls refused, median arrival {:?}, last arrival {:?}",
             discovery.refused.get(),
             arrivals[arrivals.len() / 2],
             arrivals[arrivals.len() - 1]
@@ -139,6 +140,6 @@
     }
     assert!(
         late.is_empty(),
-        "fleets with late nodes (nodes, late nodes, last arrival): {late:?}"
+        "the list did not reach all nodes within {NOTIFIED_AFTER_FAILED_CALL:?} (nodes, late nodes, last arrival): {late:?}"
     );
 }
--- a/crates/node/src/discovery/tests/harness.rs
+++ b/crates/node/src/discovery/tests/harness.rs
@@ -12,7 +12,7 @@
 use tokio::task::{spawn_local, yield_now, LocalSet};
 use tokio::time::{sleep, timeout_at, Instant};
 
-/// Longest backoff of the policy after a reported failure.
+/// Longest backoff of the decision module after a reported failure.
 pub const LONGEST_POLICY_BACKOFF: Duration = Duration::from_millis(840);
 /// Maximum time from the writing of an answer to its arrival at the driver. The rule allows 0.25 s,
 /// which also has to cover the transit time from the node to an endpoint.
@@ -49,12 +49,12 @@
     }
 }
 
-/// Time from a failure until the policy requests a poll.
+/// Time from a failure until the decision module requests a poll.
 #[derive(Clone, Copy)]
 pub enum PolicyBackoff {
     /// Always `LONGEST_POLICY_BACKOFF`.
     Longest,
-    /// Drawn from the range that the policy uses.
+    /// Drawn from the range that the decision module uses.
     Drawn,
 }
 
--- a/crates/node/src/discovery/tests/pushed.rs
+++ b/crates/node/src/discovery/tests/pushed.rs
@@ -1,5 +1,5 @@
-//! Tests of pushed lists: a sidecar agent receives the lists, and the node is immediately notified
-//! of the agent's list.
+//! Tests of pushed lists: discovery pushes the lists to an agent that serves only this node, and
+//! the node is immediately notified of the agent's list.
 
 use super::fake_discovery::{Reply, ScriptedDiscovery};
 use super::harness::{run_in_virtual_time, PolicyBackoff, TestClient};
--- a/crates/node/src/discovery/tests/renewal.rs
+++ b/crates/node/src/discovery/tests/renewal.rs
@@ -65,8 +65,8 @@
     });
 }
 
-// Guards against a healthy watch that is closed, and reported as failed to the policy, because an
-// overloaded discovery did not accept the renewal.
+// Guards against a healthy watch that is closed, and reported as failed to the decision module,
+// because an overloaded discovery did not accept the renewal.
 #[test]
 fn refused_or_reset_renewal_leaves_watch_open() {
     run_in_virtual_time(async |log| {
@@ -188,8 +188,8 @@
     })
 }
 
-// Guards against an old watch that is closed in favor of a stalled renewal: a closed call counts as
-// failed.
+// Guards against an old watch that is closed in favour of a stalled renewal: a closed call counts
+// as failed.
 #[test]
 fn change_after_stalled_renewal_arrives_before_node_is_notified() {
     let mut late = Vec::new();
--- a/crates/node/src/discovery/timing.rs
+++ b/crates/node/src/discovery/timing.rs
@@ -23,10 +23,10 @@
     }
 }
 
-/// Wait that a watch requests; the longest that discovery grants. A node has this much time to
-/// detect a stalled watch.
+/// Wait that a watch requests; the longest that discovery grants. A stalled watch has to be
+/// detected within this time.
 pub const WATCH_WAIT: Duration = Duration::from_secs(60);
-/// Time after the end of its wait at which a watch without an answer has failed.
+/// Time from the end of a watch's wait until the watch counts as failed if it was not answered.
 pub const WATCH_ANSWER_GRACE: Duration = Duration::from_millis(500);
 
 /// Time from the opening of a watch to its renewal. Watches aren't renewed more often because a
--- a/crates/node/src/discovery/watch.rs
+++ b/crates/node/src/discovery/watch.rs
@@ -31,7 +31,7 @@
 }
 
 impl WatchSession {
-    /// Returns the time at which the watches have failed without an answer.
+    /// Returns the time at which the watches count as failed if none of them was answered.
     fn deadline(&self) -> Instant {
         self.opened_at + WATCH_WAIT + WATCH_ANSWER_GRACE
     }
--- a/crates/node/src/driver/messages.rs
+++ b/crates/node/src/driver/messages.rs
@@ -20,7 +20,7 @@
     RequestReceived(Box<ClientRequest>),
     /// The client of the request with this number has disconnected.
     ClientDisconnected(u64),
-    /// An attempt that the driver started has ended.
+    /// An attempt has ended.
     AttemptEnded {
         /// Id of the attempt's request.
         id: RequestId,
@@ -52,7 +52,7 @@
     pub expected_work: Option<Duration>,
     /// Whether the request changes stored data.
     pub write: bool,
-    /// Whether its class, or all requests together, already use the whole quota.
+    /// Whether the class exceeds its quota of open requests, or no memory is left for the body.
     pub over_quota: bool,
     /// Message to forward to an endpoint.
     pub message: ForwardedRequest,
@@ -72,12 +72,12 @@
 pub enum FinalResponse {
     /// The body of the endpoint's 200 response.
     Served(Bytes),
-    /// Not carried out, or safe to repeat: the client may send the request again.
+    /// Not executed, or safe to repeat: the client may send the request again.
     Shed {
         /// Time that the client should wait before it sends the request again.
         retry_after: Duration,
     },
-    /// Not carried out, or with an unknown result.
+    /// Not executed, or with an unknown result.
     Failed,
 }
 
--- a/crates/node/src/list_client.rs
+++ b/crates/node/src/list_client.rs
@@ -2,8 +2,8 @@
 //! the endpoint list with their answers, and errors.
 //!
 //! Driving a connection is left to the caller. The node drives a connection within the call that
-//! uses it, because a separate task would be scheduled behind the tasks of all requests before an
-//! answer is read. A relay drives each connection by a separate task.
+//! uses it, because a separate task would be scheduled behind the tasks of all requests, and
+//! answers would be read late. A relay drives each connection by a separate task.
 
 #[cfg(test)]
 mod tests;
--- a/crates/node/src/multiget.rs
+++ b/crates/node/src/multiget.rs
@@ -113,8 +113,8 @@
         sweep.abort();
     }
 
-    /// Serves one request. With a single request per connection, the duration is limited however
-    /// slowly the client reads the response.
+    /// Serves one request. A single request per connection limits the duration of the connection,
+    /// however slowly the client reads the response.
     async fn serve_connection(self: Rc<Self>, handle: ConnectionHandle) {
         let handle = Rc::new(handle);
         let service = service_fn(async |request| {
--- a/crates/node/src/multiget/response.rs
+++ b/crates/node/src/multiget/response.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// A body of lines that is streamed. Dropped with its response, it cancels the items in flight.
+/// A streamed body of lines. Dropping it, together with its response, cancels the items in flight.
 pub(super) struct ResponseLines {
     lines: Receiver<Bytes>,
     /// Task that runs the items: a `JoinSet` aborts it when dropped.
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -52,7 +52,7 @@
     pub discovery_address: watch::Receiver<SocketAddr>,
     /// Set once the node is ready.
     pub ready: Rc<Cell<bool>>,
-    /// Receives the ends of attempts.
+    /// Sender of the events that the driver reads; attempts report their results through it.
     pub events: UnboundedSender<DriverEvent>,
     /// Receiving end of `events`, read by the driver.
     pub received_events: UnboundedReceiver<DriverEvent>,
@@ -60,7 +60,7 @@
 
 /// The parts of a node that its tasks share.
 pub struct Node {
-    /// Notified of all events.
+    /// Log and observer of the node's events.
     pub telemetry: Rc<Telemetry>,
     budget: ConnectionBudget,
     connections: Rc<ConnectionManager>,
@@ -155,9 +155,9 @@
     /// Returns the options of the discovery client.
     ///
     /// If the node polls for lists, the client starts from the list that the node holds, because a
-    /// complete list is expensive there. If lists are pushed, a node counts as informed of
-    /// everything that its agent knows from the start of its process: the client requests the
-    /// complete list at once, and the node is not ready before the list has arrived.
+    /// complete list is expensive for discovery. If lists are pushed, a node counts as notified of
+    /// its agent's list from the start of the node's process: the client requests the complete list
+    /// at once, and the node is not ready before the list has arrived.
     fn discovery_options(
         &self,
         start: &DriverStart,
@@ -193,7 +193,7 @@
             connections: ConnectionManager::new(
                 self.budget.shared.clone(),
                 ConnectionKind::SidePort,
-                self.budget.side_port_limits(),
+                self.budget.multiget_limits(),
             ),
             upstream: self.upstream.clone(),
         };
--- a/crates/node/src/relay/upstream_client.rs
+++ b/crates/node/src/relay/upstream_client.rs
@@ -23,7 +23,7 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 /// Number of equal parts of the lease. A watch waits for one part, and its response may take
-/// another part; the rest of the lease is for a call to another address.
+/// another part; the remaining part is for a call to another address.
 const LEASE_PARTS: u32 = 3;
 /// Bounds of the time that a call may take beyond its wait. Discovery may queue a call for 2 s.
 const RESPONSE_TIMEOUT_BOUNDS: RangeInclusive<Duration> =
--- a/crates/node/src/server.rs
+++ b/crates/node/src/server.rs
@@ -1,4 +1,4 @@
-//! The client side of HTTP.
+//! The HTTP server for clients.
 //!
 //! Connections are accepted ([`accept`], [`descriptors`]) and served until they end
 //! ([`connection`]). A request is read and checked ([`request`], [`parameters`]) and passed to the
@@ -35,8 +35,8 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::watch;
 
-/// Largest head of a request that is read; a larger head is answered with 431. Together with a body
-/// it is the most that a connection can make the node hold.
+/// Largest head of a request that is read; a larger head is answered with 431. Together with the
+/// largest body, it bounds the request data that the node holds for a connection.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// A request class that clients may name.
--- a/crates/node/src/server/accept.rs
+++ b/crates/node/src/server/accept.rs
@@ -17,8 +17,8 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts connections and serves each in a task of its own until the node closes, then returns
-/// when all connections have ended. A connection without an available descriptor is accepted and
-/// waits; later connections wait unaccepted.
+/// when all connections have ended. If no descriptor is available, an accepted connection waits for
+/// a lease, and later connections stay in the accept queue.
 pub async fn serve<F: Future<Output = ()> + 'static>(
     listener: TcpListener,
     descriptors: Rc<DescriptorSource>,
--- a/crates/node/src/server/descriptors.rs
+++ b/crates/node/src/server/descriptors.rs
@@ -18,7 +18,7 @@
 }
 
 impl DescriptorSource {
-    /// Closes a connection of the given other kind. Returns `false` if none can be closed.
+    /// Closes a connection of another kind. Returns `false` if none can be closed.
     fn evict_other_kind(&self, kind: ConnectionKind) -> bool {
         kind == ConnectionKind::Upstream && self.upstream.close_oldest_idle()
     }
--- a/crates/node/src/server/parameters.rs
+++ b/crates/node/src/server/parameters.rs
@@ -86,7 +86,7 @@
     pub class: ClassId,
     /// Work at an endpoint that the client expects the request to cost.
     pub expected_work: Option<Duration>,
-    /// Whether its class, or all requests together, already use the whole quota.
+    /// Whether the class exceeds its quota of open requests, or no memory is left for the body.
     pub over_quota: bool,
 }
 
@@ -138,8 +138,8 @@
     }
 }
 
-/// Returns the value of a header that must not occur twice: the parsers on the client side and at
-/// the endpoint could choose different values (request smuggling).
+/// Returns the value of a header that must not occur twice: the parsers at the client and at the
+/// endpoint could choose different values (request smuggling).
 fn single_value<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
--- a/crates/node/src/server/request.rs
+++ b/crates/node/src/server/request.rs
@@ -34,7 +34,7 @@
     // Closes after an invalid request: the client probably repeats it at once, and on an open
     // connection it could do so without the delay of a reconnect, at the expense of other clients.
     // Closes when descriptors run out, too: an open connection would hold its descriptor while
-    // idle, and others would wait unaccepted or could not connect at all.
+    // idle, and new connections would stay in the accept queue or could not be established at all.
     if !usable
         || connection.closes_with_response()
         || connection.read_ahead_exceeded()
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -8,8 +8,8 @@
 //!    requests.
 //! 3. Once the last connection has ended, the process exits with code 0.
 //!
-//! SIGHUP reloads the configuration (see [`crate::reload`]), and SIGUSR1 has another use if there
-//! is a hot list. Any other terminating signal ends the process at once. With an audit trail the
+//! SIGHUP reloads the configuration (see [`crate::reload`]), and SIGUSR1 prints the hot list if
+//! there is one. Any other terminating signal ends the process at once. With an audit trail the
 //! signal is caught so that the trail can record it, and the exit code is 128 plus the signal
 //! number, as a shell reports it.
 
@@ -24,8 +24,8 @@
 use tokio::task::{JoinError, JoinHandle};
 use tokio::time::sleep;
 
-/// Time for which the node still accepts connections after SIGTERM: new connections arrive for 0.4
-/// s, until the client side has noticed that the node is not ready.
+/// Time for which the node still accepts connections after SIGTERM. Clients open new connections
+/// for 0.4 s, until they have detected that the node is not ready.
 const DRAINING_TIME: Duration = Duration::from_millis(500);
 /// Added to the signal number in the exit code of a process ended by a signal.
 const SIGNAL_EXIT_CODE_BASE: u8 = 128;
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -1,5 +1,5 @@
-//! The endpoint side of HTTP: a connection pool per endpoint, with one request at a time on each
-//! connection, and the attempts made on these connections.
+//! The HTTP client for endpoints: a connection pool per endpoint, with one request at a time on
+//! each connection, and the attempts made on these connections.
 //!
 //! An attempt checks a connection out of its endpoint's pool ([`checkout`]), sends its request and
 //! reads the response ([`exchange`]), and returns the connection to the pool if it is reusable
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -137,7 +137,7 @@
                 reusable: true,
             })
         }
-        // The endpoint has carried out the request, but its response cannot be used.
+        // The endpoint has executed the request, but its response cannot be used.
         Err(BodyError::TooLarge) => {
             result.status = Status::Failed;
             Ok(Exchange {
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -19,7 +19,7 @@
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 
 /// A connection to an endpoint. Dropping it closes the socket at once, even while a response is
-/// being received; attempts are abandoned this way.
+/// being received; an attempt is abandoned in this way.
 pub(super) struct PooledConnection {
     /// Incarnation of the pool when the connection was made.
     pub(super) incarnation: u64,
--- a/crates/node/src/upstream/write_progress.rs
+++ b/crates/node/src/upstream/write_progress.rs
@@ -10,7 +10,7 @@
 pub(super) struct WriteProgress {
     /// Whether the first byte was written: the endpoint may have read it.
     pub(super) started: Cell<bool>,
-    /// Whether the last byte was written: the endpoint may have carried out the request.
+    /// Whether the last byte was written: the endpoint may have executed the request.
     pub(super) complete: Cell<bool>,
     /// Whether the connection has been idle in its pool before, most often after a response.
     pub(super) reused: Cell<bool>,
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,8 +1,8 @@
 //! The node's own log: text lines or JSON objects on standard error.
 //!
-//! Lines are written by the bounded writer: a direct write would block the node if nobody reads
-//! stderr. Messages that may be frequent are grouped by topic: a few lines of a topic are written
-//! and the others are counted, so that logging does not add to an overload.
+//! Lines are written by the bounded writer: a direct write would block the node if standard error
+//! is not read. Messages that may be frequent are grouped by topic: a few lines of a topic are
+//! written and the others are counted, so that logging does not add to an overload.
 
 mod sink;
 mod topic;
--- a/crates/telemetry/src/metrics/buffer.rs
+++ b/crates/telemetry/src/metrics/buffer.rs
@@ -74,7 +74,7 @@
         true
     }
 
-    /// Returns `false` if no line is queued.
+    /// Evicts the oldest queued line. Returns `false` if no line is queued.
     fn evict_oldest_line(&mut self) -> bool {
         let Some(end) = self.lines.iter().position(|&byte| byte == b'\n') else {
             return false;
--- a/crates/telemetry/src/observer.rs
+++ b/crates/telemetry/src/observer.rs
@@ -10,9 +10,9 @@
 pub enum RequestOutcome {
     /// An endpoint's response was returned.
     Served,
-    /// Not executed, and safe to retry.
+    /// Not executed, or safe to repeat.
     Shed,
-    /// Not executed, or not known to be executed.
+    /// Not executed, or with an unknown result.
     Failed,
     /// The client disconnected before the response.
     ClientDisconnected,
@@ -36,7 +36,7 @@
     fn request_received(&self, _class: ClassId, _path: &str) {}
 
     /// A request has its final response, or its client has disconnected. `endpoint` is the endpoint
-    /// that served the request or that was attempted last; `None` if no endpoint was picked.
+    /// that served the request or that was attempted last; `None` if no endpoint was chosen.
     /// `latency` is measured from the receipt of the request.
     fn request_completed(
         &self,
@@ -60,6 +60,6 @@
     /// The counts of the client connection table, reported each second.
     fn connections_sampled(&self, _stats: &ConnectionStats) {}
 
-    /// A circuit breaker of the policy has opened.
+    /// A circuit breaker of the decision module has opened.
     fn breaker_opened(&self, _scope: &BreakerScope) {}
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-/// A line that cannot be parsed; a host cannot continue after it. Displays as one line of text.
+/// A line that cannot be parsed. The adapter ends at such a line. Displays as one line of text.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum WireError {
     /// A required field of the line is missing.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Owns the format: parses lines into [`Message`]s, settings and load reports into the types of the
 //! decision module, and writes actions as lines. It makes no decisions and does no I/O; the binary
-//! of this crate hosts the decision module on standard input and output.
+//! of this crate, the simulator adapter, runs the decision module on standard input and output.
 //!
 //! A line is a word followed by `name=value` pairs, separated by single spaces. Unknown words and
 //! names are skipped, so that a newer simulator can send additional data. Times and durations are
--- a/crates/wire/src/main.rs
+++ b/crates/wire/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts balancers on the simulator's wire, on standard input and output. Each instance is one
-//! isolated [`Balancer`]; each batch of lines gets a reply of lines.
+//! The simulator adapter: runs balancers on the simulator's wire, on standard input and output.
+//! Each instance is one isolated [`Balancer`]; each batch of lines gets a reply of lines.
 
 use slatelink_policy::{Action, Balancer, Event, Timestamp};
 use slatelink_wire::{
@@ -15,9 +15,9 @@
 /// Size of the input buffer in bytes: batches for many instances are long.
 const INPUT_BUFFER_BYTES: usize = 256 * 1024;
 
-/// Reason why the host ends before the end of its input.
+/// Reason why the adapter ends before the end of its input.
 #[derive(Debug, Error)]
-enum HostError {
+enum AdapterError {
     #[error(transparent)]
     Wire(#[from] WireError),
     #[error(transparent)]
@@ -37,13 +37,13 @@
 }
 
 /// Handles the lines of `input` until its end.
-fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), HostError> {
+fn serve(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut parser = Parser::default();
-    let mut host = Host::default();
+    let mut adapter = Adapter::default();
     let mut line = String::new();
     while input.read_line(&mut line)? > 0 {
         if let Some(message) = parser.parse_line(&line)? {
-            host.handle(message, &mut output)?;
+            adapter.handle(message, &mut output)?;
         }
         line.clear();
     }
@@ -52,7 +52,7 @@
 
 /// The instances and the state of the current batch.
 #[derive(Default)]
-struct Host {
+struct Adapter {
     instances: HashMap<InstanceId, Balancer>,
     /// Time of the batch.
     now: Timestamp,
@@ -62,7 +62,7 @@
     actions: Vec<Action>,
 }
 
-impl Host {
+impl Adapter {
     /// Handles a message. If the message ends the batch, writes the reply to `output`.
     fn handle(&mut self, message: Message, output: &mut impl Write) -> io::Result<()> {
         match message {
