--- a/crates/config/src/platform.rs
+++ b/crates/config/src/platform.rs
@@ -98,8 +98,8 @@
     memory_mb: Option<u32>,
 }
 
-/// Smallest accepted limit on descriptors: enough for those of the runtime and one connection in
-/// each direction.
+/// Smallest accepted limit on descriptors: enough for the runtime, one connection to a client and
+/// one to an endpoint.
 const MIN_DESCRIPTORS: usize = 32;
 
 /// Holds the path of the file. A process keeps its environment, so a reload reads the same path.
--- a/crates/node/src/discovery/stale_lists.rs
+++ b/crates/node/src/discovery/stale_lists.rs
@@ -57,7 +57,7 @@
     ) -> bool {
         self.announcements
             .retain(|_, announcement| now - announcement.announced_at < ANNOUNCEMENT_LIFETIME);
-        let newest = self.update_newest(list, generation, now);
+        let is_newest = self.update_newest(list, generation, now);
         let version = list.version;
         let mut marked_any = false;
         for endpoint in &mut list.endpoints {
@@ -69,7 +69,7 @@
                     announced_at: now,
                 };
                 self.record(endpoint.id(), announcement);
-            } else if self.known_state_takes_precedence(endpoint, generation, version, newest) {
+            } else if self.known_state_takes_precedence(endpoint, generation, version, is_newest) {
                 endpoint.set_draining();
                 marked_any = true;
             } else {
@@ -80,20 +80,20 @@
     }
 
     /// Returns whether the known state of an endpoint takes precedence over a list that contains it
-    /// as ready. `newest` is whether the list is the newest so far, as returned by `update_newest`.
+    /// as ready. `is_newest` is the result of `update_newest` for the list.
     fn known_state_takes_precedence(
         &self,
         endpoint: &EndpointRecord,
         generation: AddressGeneration,
         version: u64,
-        newest: bool,
+        is_newest: bool,
     ) -> bool {
         let Some(announcement) = self.announcements.get(endpoint.id()) else {
             let unlisted = self
                 .listed
                 .as_ref()
                 .is_some_and(|listed| !listed.contains(endpoint.id()));
-            return unlisted && !newest;
+            return unlisted && !is_newest;
         };
         let newer = generation == announcement.generation && version > announcement.version;
         let restarted = endpoint.started_ms() > announcement.started_ms;
--- a/crates/node/src/discovery/tests/failures.rs
+++ b/crates/node/src/discovery/tests/failures.rs
@@ -93,8 +93,9 @@
     (listener, connections)
 }
 
-// Guards against the same delay when discovery is unreachable and becomes reachable while the node
-// still waits for a connection that is never established.
+// Guards against a node that receives a change only after it is notified of the change, because
+// discovery becomes reachable while the node still waits for a connection that is never
+// established.
 #[test]
 fn change_after_unreachable_discovery_arrives_before_node_is_notified() {
     run_in_virtual_time(async |log| {
--- a/crates/node/src/discovery/tests/fleet.rs
+++ b/crates/node/src/discovery/tests/fleet.rs
@@ -54,13 +54,13 @@
 ) {
     let mut open: Vec<PendingCall> = Vec::new();
     let mut was_reset = false;
-    let mut idle_at = Instant::now();
+    let mut queue_empty_at = Instant::now();
     loop {
         tokio::select! {
             () = reset.notified() => {
                 was_reset = true;
                 open.drain(..).for_each(|call| call.reset());
-                idle_at = Instant::now();
+                queue_empty_at = Instant::now();
             }
             call = calls.recv() => {
                 let Some(call) = call else { return };
@@ -69,14 +69,14 @@
                     continue;
                 }
                 let now = Instant::now();
-                idle_at = idle_at.max(now);
-                if idle_at - now > QUEUE_LIMIT {
+                queue_empty_at = queue_empty_at.max(now);
+                if queue_empty_at - now > QUEUE_LIMIT {
                     refused.set(refused.get() + 1);
                     call.refuse();
                     continue;
                 }
-                idle_at += call_duration;
-                spawn_local(answer_at(idle_at, call));
+                queue_empty_at += call_duration;
+                spawn_local(answer_at(queue_empty_at, call));
             }
         }
     }
--- a/crates/node/src/discovery/tests/renewal.rs
+++ b/crates/node/src/discovery/tests/renewal.rs
@@ -100,8 +100,9 @@
     });
 }
 
-// Guards against nodes that call discovery together once and then keep doing so. Discovery's queue
-// is short, and a node that is refused receives the changes that its watch missed late.
+// Guards against nodes that open their watches at the same time and then renew them at the same
+// time. Discovery's queue is short, and a refused node is late to receive the changes that its
+// watch missed.
 #[test]
 fn watches_opened_together_are_renewed_at_different_times() {
     run_in_virtual_time(async |log| {
@@ -193,8 +194,8 @@
 #[test]
 fn change_after_stalled_renewal_arrives_before_node_is_notified() {
     let mut late = Vec::new();
-    // The change is made while the renewal may wait in the queue, after that, and up to the next
-    // renewal.
+    // The change is made while the renewal may still wait in the queue, after the renewal has left
+    // the queue, and up to the next renewal.
     for change_after in [0, 1_000, 3_100, 6_000, 9_000, 12_000, 16_000].map(Duration::from_millis) {
         for seed in 0..3 {
             let elapsed = change_after_stalled_renewal(change_after, seed);
--- a/crates/node/src/driver/readiness.rs
+++ b/crates/node/src/driver/readiness.rs
@@ -6,14 +6,15 @@
 use tokio::time::Instant;
 
 /// Where discovery pushes changes, a new process is not ready before its first list. If discovery
-/// does not answer, the process waits no longer than this.
+/// does not answer, the wait ends with the first failed call after this time.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Conditions for readiness. Once they are met, the node stays ready until it shuts down.
 pub struct Readiness {
     /// Flag that `/healthz` reads.
     ready: Rc<Cell<bool>>,
-    /// End of the wait for the first list; `None` if there is no such wait or the wait is over.
+    /// Time from which a failed call ends the wait for the first list; `None` if there is no such
+    /// wait or the wait is over.
     first_list_deadline: Option<Instant>,
     has_ready_endpoint: bool,
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -50,7 +50,7 @@
 /// Reason why a relay cannot run.
 #[derive(Debug, Error)]
 pub enum RelayError {
-    /// The address cannot be listened on; for example, because it is in use.
+    /// The relay cannot listen on the address, for example because the address is in use.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     /// The descriptor limit of the process is too low for the requested number of connections.
@@ -64,7 +64,7 @@
         /// Requested number of connections.
         connections: usize,
     },
-    /// The log cannot be written.
+    /// Telemetry, which writes the log, cannot start.
     #[error("{0}")]
     Telemetry(#[from] TelemetryError),
     /// Signals cannot be handled, or the listener's address cannot be read.
--- a/crates/node/src/timer_queue.rs
+++ b/crates/node/src/timer_queue.rs
@@ -1,4 +1,4 @@
-//! A queue of timers that expire at set points in time.
+//! A queue of timers, each of which expires at a given time.
 
 use std::collections::BTreeSet;
 use std::future::pending;
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -124,7 +124,7 @@
 }
 
 // Guards against a shortage of the node's own resources that counts against the endpoint to which
-// the node meant to connect.
+// the node was connecting.
 #[test]
 fn shortage_of_descriptors_memory_or_addresses_is_a_local_resource_error() {
     for code in [
--- a/crates/telemetry/src/audit/trail.rs
+++ b/crates/telemetry/src/audit/trail.rs
@@ -251,11 +251,11 @@
             file.seek(SeekFrom::Start(start))?;
             file.take(file_len - start).read_to_end(&mut end)?;
         }
-        let whole_bytes = end
+        let complete_bytes = end
             .iter()
             .rposition(|&byte| byte == b'\n')
             .map_or(0, |last| last + 1);
-        let torn = end.split_off(whole_bytes);
+        let torn = end.split_off(complete_bytes);
         let position = match end.strip_suffix(b"\n") {
             Some(lines) => last_position(lines).ok_or(TrailError::InvalidLastRecord)?,
             None if start == 0 && may_begin_trail(&torn) => ChainPosition::default(),
@@ -263,7 +263,7 @@
         };
         Ok(Self {
             position,
-            len: start + whole_bytes as u64,
+            len: start + complete_bytes as u64,
             torn,
         })
     }
