--- a/crates/node/src/budget.rs
+++ b/crates/node/src/budget.rs
@@ -45,8 +45,8 @@
     /// The reserves for connections to endpoints and the multi-get port exceed the available
     /// descriptors or leave none for clients.
     #[error(
-        "a limit of {limit} sockets leaves {available} for connections: not enough for {upstream} to servers \
-         (front.servers_floor), {multi_get} on the multi-get port and those of clients"
+        "a limit of {limit} sockets leaves {available} for connections: too few for {upstream} connections to servers \
+         (front.servers_floor), {multi_get} connections on the multi-get port and any client connections"
     )]
     Descriptors {
         /// Number of descriptors that the process may hold.
@@ -142,8 +142,8 @@
         })
 }
 
-/// Returns the number of descriptors left for connections after those of the runtime and the
-/// features.
+/// Returns the number of descriptors left for connections after the descriptors of the runtime and
+/// the features.
 fn connection_descriptors(settings: &Settings, limit: usize) -> usize {
     let multi_get = settings
         .multiget_port()
--- a/crates/node/src/discovery/notified.rs
+++ b/crates/node/src/discovery/notified.rs
@@ -1,9 +1,10 @@
 //! The rules by which discovery counts this node as notified of a change of the endpoint list.
 //!
-//! Discovery doesn't wait for an acknowledgement. It infers from a node's calls that the node knows
-//! a change, and counts the node as *notified* from then on. Once a node is notified that an
-//! endpoint is draining or removed, it must not send anything to the endpoint after the configured
-//! grace period (`drain_grace`). The client's timing (`timing`) follows from these rules:
+//! Discovery doesn't wait for an acknowledgement. It infers from a node's calls that the node has
+//! received a change, and counts the node as *notified* of the change from then on. Once a node is
+//! notified that an endpoint is draining or removed, it must not send anything to the endpoint
+//! after the configured grace period (`drain_grace`). The client's timing (`timing`) follows from
+//! these rules:
 //!
 //! - **Written answer**: the node is notified of the whole content of an answer as soon as
 //!   discovery has written it, whether or not the node reads it. Therefore no call is dropped while
--- a/crates/node/src/discovery/stale_lists.rs
+++ b/crates/node/src/discovery/stale_lists.rs
@@ -1,10 +1,10 @@
 //! Prevents stale lists from making an endpoint ready again after it was announced as draining or
 //! removed.
 //!
-//! Lists reach a node on several connections: those of a watch and its renewal, and those to the
-//! old and the new discovery after a change of address. An older list may therefore arrive after a
-//! newer list, and a discovery that has lost its state may start again with old versions. The
-//! module reads no clock: the current time is an argument.
+//! Lists reach a node on several connections: a watch and its renewal use separate connections, and
+//! so do the old and the new discovery after a change of address. An older list may therefore
+//! arrive after a newer list, and a discovery that has lost its state may start again with old
+//! versions. The module reads no clock: the current time is an argument.
 
 use super::in_flight::AddressGeneration;
 use slatelink_config::{EndpointList, EndpointRecord};
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -121,8 +121,9 @@
 
     /// Spawns the driver and returns the future of the discovery client that feeds it.
     ///
-    /// The client must be polled as part of the main future: a spawned task is queued behind those
-    /// of all requests, while a `LocalSet` polls the main future again after at most 61 tasks.
+    /// The client must be polled as part of the main future: a spawned task is queued behind the
+    /// tasks of all requests, while a `LocalSet` polls the main future again after at most 61
+    /// tasks.
     pub fn spawn_driver(&self, start: DriverStart) -> impl Future<Output = Infallible> {
         let poll_requested = Rc::new(Notify::new());
         let pushed = !start.settings.polls_discovery;
--- a/crates/node/src/server/descriptors.rs
+++ b/crates/node/src/server/descriptors.rs
@@ -12,8 +12,8 @@
 pub struct DescriptorSource {
     /// Connections of the port.
     pub connections: Rc<ConnectionManager>,
-    /// Connections to endpoints, which share the budget; idle ones are closed to free descriptors
-    /// for this port.
+    /// Connections to endpoints, which share the budget; idle connections to endpoints are closed
+    /// to free descriptors for this port.
     pub upstream: Rc<Upstream>,
 }
 
