--- a/crates/node/src/discovery/notified.rs
+++ b/crates/node/src/discovery/notified.rs
@@ -1,9 +1,10 @@
 //! The rules by which discovery counts this node as notified of a change of the endpoint list.
 //!
-//! Discovery doesn't wait for an acknowledgement. It infers from a node's calls that the node knows
-//! a change, and counts the node as *notified* from then on. Once a node is notified that an
-//! endpoint is draining or removed, it must not send anything to the endpoint after the configured
-//! grace period (`drain_grace`). The client's timing (`timing`) follows from these rules:
+//! Discovery doesn't wait for an acknowledgement. It infers from a node's calls that the node has
+//! received a change, and counts the node as *notified* of the change from then on. Once a node is
+//! notified that an endpoint is draining or removed, it must not send anything to the endpoint
+//! after the configured grace period (`drain_grace`). The client's timing (`timing`) follows from
+//! these rules:
 //!
 //! - **Written answer**: the node is notified of the whole content of an answer as soon as
 //!   discovery has written it, whether or not the node reads it. Therefore no call is dropped while
@@ -19,10 +20,10 @@
 //! - **No call**: a node that neither called nor kept a watch open for the configured polling
 //!   interval (`max_poll_interval`) is notified of all changes.
 //! - **Changed address**: a node that was reconfigured to use another discovery is notified of the
-//!   whole list of the new discovery [`NOTIFIED_AFTER_ADDRESS_CHANGE`] later. Until then the
-//!   answers that the old discovery has written count.
-//! - **Pushed lists**: where a sidecar agent receives the lists, the node is immediately notified
-//!   of the agent's list, with or without a call.
+//!   whole list of the new discovery [`NOTIFIED_AFTER_ADDRESS_CHANGE`] later. Until then the node
+//!   is also notified of the answers that the old discovery writes.
+//! - **Pushed lists**: where discovery pushes lists to an agent that serves only this node, the
+//!   node is immediately notified of the agent's list, with or without a call.
 //!
 //! Discovery handles calls one after the other. A call waits in discovery's queue for
 //! [`QUEUE_LIMIT`] at most; a call that would wait longer is refused with status 503.
--- a/crates/node/src/discovery/tests/renewal.rs
+++ b/crates/node/src/discovery/tests/renewal.rs
@@ -65,8 +65,8 @@
     });
 }
 
-// Guards against a healthy watch that is closed, and reported as failed to the policy, because an
-// overloaded discovery did not accept the renewal.
+// Guards against a healthy watch that is closed, and reported as failed to the decision module,
+// because an overloaded discovery did not accept the renewal.
 #[test]
 fn refused_or_reset_renewal_leaves_watch_open() {
     run_in_virtual_time(async |log| {
@@ -100,8 +100,9 @@
     });
 }
 
-// Guards against nodes that call discovery together once and then keep doing so. Discovery's queue
-// is short, and a node that is refused receives the changes that its watch missed late.
+// Guards against nodes that open their watches at the same time and then renew them at the same
+// time. Discovery's queue is short, and a refused node is late to receive the changes that its
+// watch missed.
 #[test]
 fn watches_opened_together_are_renewed_at_different_times() {
     run_in_virtual_time(async |log| {
@@ -188,13 +189,13 @@
     })
 }
 
-// Guards against an old watch that is closed in favor of a stalled renewal: a closed call counts as
-// failed.
+// Guards against an old watch that is closed in favour of a stalled renewal: a closed call counts
+// as failed.
 #[test]
 fn change_after_stalled_renewal_arrives_before_node_is_notified() {
     let mut late = Vec::new();
-    // The change is made while the renewal may wait in the queue, after that, and up to the next
-    // renewal.
+    // The change is made while the renewal may still wait in the queue, after the renewal has left
+    // the queue, and up to the next renewal.
     for change_after in [0, 1_000, 3_100, 6_000, 9_000, 12_000, 16_000].map(Duration::from_millis) {
         for seed in 0..3 {
             let elapsed = change_after_stalled_renewal(change_after, seed);
--- a/crates/node/src/server/descriptors.rs
+++ b/crates/node/src/server/descriptors.rs
@@ -12,13 +12,13 @@
 pub struct DescriptorSource {
     /// Connections of the port.
     pub connections: Rc<ConnectionManager>,
-    /// Connections to endpoints, which share the budget; idle ones are closed to free descriptors
-    /// for this port.
+    /// Connections to endpoints, which share the budget; idle connections to endpoints are closed
+    /// to free descriptors for this port.
     pub upstream: Rc<Upstream>,
 }
 
 impl DescriptorSource {
-    /// Closes a connection of the given other kind. Returns `false` if none can be closed.
+    /// Closes a connection of another kind. Returns `false` if none can be closed.
     fn evict_other_kind(&self, kind: ConnectionKind) -> bool {
         kind == ConnectionKind::Upstream && self.upstream.close_oldest_idle()
     }
