--- a/crates/cli/tests/node_clients.rs
+++ b/crates/cli/tests/node_clients.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_request_and_its_response_are_forwarded_unchanged() {
     let server = CacheServer::start(|_| {
-        Reply::Answer(answer(
+        Reply::Response(http_response(
             "200 OK",
             "Srv-Load: queue=2\r\n",
             "the\r\n\r\nvalue",
@@ -114,7 +114,7 @@
         411,
         "a body without a Content-Length"
     );
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
     assert_eq!(node.read("read", 1).status(), 200);
 }
 
@@ -149,7 +149,7 @@
     discovery.wait_until_applied(2);
     let mut client = node.client();
     // The deadline is one hour: any response within the test was not held until the deadline.
-    let shed = client.request(&read("read", 1, 3_600_000));
+    let shed = client.request(&read_request("read", 1, 3_600_000));
     assert_eq!(shed.status(), 503);
     let after: f64 = shed
         .header("retry-after")
@@ -157,7 +157,7 @@
         .parse()
         .unwrap();
     assert!(after > 0.0 && after <= 2.0, "{after}");
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 // Guards against a request without a response because its cache server sends none, and against a
@@ -165,16 +165,19 @@
 #[test]
 fn an_endpoint_that_never_answers_fails_the_request_once_before_its_deadline() {
     let server = CacheServer::start(|incoming| match incoming.header("req-id") {
-        Some("1") => Reply::NoAnswer,
-        _ => Reply::Answer(answer("200 OK", "", "value")),
+        Some("1") => Reply::NoResponse,
+        _ => Reply::Response(http_response("200 OK", "", "value")),
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
-    let failed = client.request(&read("read", 1, 300));
+    let failed = client.request(&read_request("read", 1, 300));
     assert!(failed.status() >= 400, "{failed:?}");
     // The connection stays open, and its next response belongs to the next request.
-    assert_eq!(client.request(&read("read", 2, 20_000)).body, b"value");
+    assert_eq!(
+        client.request(&read_request("read", 2, 20_000)).body,
+        b"value"
+    );
     // The attempt was abandoned: its connection is closed.
     wait_for("the end of the abandoned attempt's connection", || {
         server.closed.load(Ordering::SeqCst) == 1
@@ -191,7 +194,7 @@
     let node = Node::ready(&small_config);
     let mut clients: Vec<_> = (0..30).map(|_| node.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        let text = read("read", i as u64, 20_000);
+        let text = read_request("read", i as u64, 20_000);
         // The connection may have been evicted before its first request: reconnect and resend.
         let mut response = client.try_request(&text);
         if response.is_none() {
@@ -204,14 +207,14 @@
             "client {i}"
         );
     }
-    assert_eq!(server.count(), 30);
+    assert_eq!(server.request_count(), 30);
 }
 
 // Guards against work for a disconnected client: its failed attempt must not be retried.
 #[test]
 fn no_further_attempt_is_made_for_a_client_that_disconnected() {
     let gate = Gate::default();
-    let server = || CacheServer::delaying_first(&gate, || Reply::AnswerAndClose(String::new()));
+    let server = || CacheServer::delaying_first(&gate, || Reply::ResponseAndClose(String::new()));
     let (server_a, server_b) = (server(), server());
     let discovery = Discovery::start(&[
         server_a.entry("s-1", "ready"),
@@ -219,20 +222,22 @@
     ]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
-    client.send(&read("read", 1, 60_000));
-    wait_for("the attempt", || server_a.count() + server_b.count() == 1);
+    client.send(&read_request("read", 1, 60_000));
+    wait_for("the attempt", || {
+        server_a.request_count() + server_b.request_count() == 1
+    });
     client.shutdown_write();
-    assert_eq!(client.answer(), None);
+    assert_eq!(client.read_response(), None);
     gate.open();
     for key in 2..12 {
         assert_eq!(node.read("read", key).status(), 200);
     }
-    assert_eq!(server_a.count() + server_b.count(), 11);
+    assert_eq!(server_a.request_count() + server_b.request_count(), 11);
 }
 
-/// Formats a read with additional headers and with `after_head` behind its head.
+/// Formats a read request with additional headers and with `after_head` after its head.
 fn read_with(key: u64, headers: &str, after_head: &str) -> String {
-    read("read", key, 20_000).replace("\r\n\r\n", &format!("\r\n{headers}\r\n{after_head}"))
+    read_request("read", key, 20_000).replace("\r\n\r\n", &format!("\r\n{headers}\r\n{after_head}"))
 }
 
 // Guards against request smuggling in the body of another request, and against reuse of a
@@ -242,7 +247,7 @@
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    let smuggled = read("read", 99, 20_000);
+    let smuggled = read_request("read", 99, 20_000);
     let length = format!("Content-Length: {}\r\n", smuggled.len() + 5);
     let cases = [
         read_with(
@@ -273,9 +278,9 @@
             "{} to {text}",
             response.status()
         );
-        assert_eq!(client.answer(), None, "still open after {text}");
+        assert_eq!(client.read_response(), None, "still open after {text}");
     }
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 // Guards against a second copy of a request that another client sends under the same id.
@@ -285,13 +290,13 @@
     let server_gate = gate.clone();
     let server = CacheServer::start(move |_| {
         server_gate.wait_until_open();
-        Reply::Answer(answer("200 OK", "", "value"))
+        Reply::Response(http_response("200 OK", "", "value"))
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut first = node.client();
-    first.send(&read("read", 1, 20_000));
-    wait_for("the attempt", || server.count() == 1);
+    first.send(&read_request("read", 1, 20_000));
+    wait_for("the attempt", || server.request_count() == 1);
     let response = node.read("read", 1);
     assert!(
         (400..500).contains(&response.status()),
@@ -301,13 +306,13 @@
     gate.open();
     assert_eq!(
         first
-            .answer()
+            .read_response()
             .expect("no response to the first request")
             .status(),
         200
     );
     assert_eq!(node.read("read", 1).status(), 200);
-    assert_eq!(server.count(), 2);
+    assert_eq!(server.request_count(), 2);
 }
 
 // Guards against clients that hold an entry of the connection table with no bytes, a partial head
@@ -328,12 +333,12 @@
         client.send(text);
     }
     for (client, text) in clients.iter_mut().zip(texts) {
-        assert_eq!(client.answer(), None, "{text}");
+        assert_eq!(client.read_response(), None, "{text}");
     }
     // Well above the request timeout of 2 s, and well below the 60 s after which the client's own
     // read would time out.
     assert!(start.elapsed() < WAIT_TIMEOUT / 2, "{:?}", start.elapsed());
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
 }
 
 // Guards against a flood of silent connections that evicts active clients from a full table, and
@@ -346,12 +351,23 @@
     small_config["limits"]["sockets"] = json!(40);
     let node = Node::ready(&small_config);
     let mut active = node.client();
-    assert_eq!(active.request(&read("read", 1, 20_000)).status(), 200);
+    assert_eq!(
+        active.request(&read_request("read", 1, 20_000)).status(),
+        200
+    );
     let _flood: Vec<_> = (0..24).map(|_| node.client()).collect();
     let mut new_client = node.client();
-    assert_eq!(new_client.request(&read("read", 2, 20_000)).status(), 200);
-    assert_eq!(active.request(&read("read", 3, 20_000)).status(), 200);
-    assert_eq!(server.count(), 3);
+    assert_eq!(
+        new_client
+            .request(&read_request("read", 2, 20_000))
+            .status(),
+        200
+    );
+    assert_eq!(
+        active.request(&read_request("read", 3, 20_000)).status(),
+        200
+    );
+    assert_eq!(server.request_count(), 3);
 }
 
 // Guards against connections that stay idle in a full table after their response while other
@@ -366,7 +382,7 @@
     let mut early_client = node.client();
     assert_eq!(
         early_client
-            .request(&read("read", 0, 20_000))
+            .request(&read_request("read", 0, 20_000))
             .header("connection"),
         None
     );
@@ -376,7 +392,7 @@
         open_clients.push(node.client());
         let response = open_clients
             .last_mut()
-            .and_then(|client| client.try_request(&read("read", key, 20_000)));
+            .and_then(|client| client.try_request(&read_request("read", key, 20_000)));
         response.is_some_and(|response| response.header("connection") == Some("close"))
     });
 }
@@ -398,7 +414,7 @@
             "client {key} cannot connect: idle connections hold the reserved third"
         );
         let mut client = node.client();
-        let served = client.request(&read("read", key, 20_000));
+        let served = client.request(&read_request("read", key, 20_000));
         assert_eq!(served.status(), 200);
         if served.header("connection") != Some("close") {
             kept_open.push_back(client);
@@ -409,13 +425,14 @@
         "only {} connections stayed open, expected most of the reserved third",
         kept_open.len()
     );
-    // A connection that has been idle for 2 s is evicted before the one just answered.
+    // A connection that has been idle for 2 s is evicted before a connection that has just
+    // received a response.
     wait_for("a response that leaves its connection open", || {
         node.read("read", 1).header("connection") != Some("close")
     });
     let mut oldest = kept_open.pop_front().unwrap();
     assert_eq!(
-        oldest.answer(),
+        oldest.read_response(),
         None,
         "the oldest idle connection is still open"
     );
@@ -437,34 +454,45 @@
         .enumerate()
     {
         assert_eq!(
-            client.request(&read("read", key as u64, 20_000)).status(),
+            client
+                .request(&read_request("read", key as u64, 20_000))
+                .status(),
             200
         );
     }
     for key in 10..12 {
         std::thread::sleep(IDLE_TIME);
-        let served = active.request(&read("read", key, 20_000));
+        let served = active.request(&read_request("read", key, 20_000));
         assert_eq!((served.status(), served.header("connection")), (200, None));
     }
     // The first part wakes the connection and the second completes the request. Two requests sent
     // at once are both answered.
-    let text = read("read", 20, 20_000);
+    let text = read_request("read", 20, 20_000);
     fragmented.send(&text[..10]);
     std::thread::sleep(IDLE_TIME / 2);
     assert_eq!(fragmented.request(&text[10..]).status(), 200);
     std::thread::sleep(IDLE_TIME);
-    fragmented.send(&[read("read", 21, 20_000), read("read", 22, 20_000)].concat());
+    fragmented.send(
+        &[
+            read_request("read", 21, 20_000),
+            read_request("read", 22, 20_000),
+        ]
+        .concat(),
+    );
     assert_eq!(
         (
-            fragmented.answer().unwrap().status(),
-            fragmented.answer().unwrap().status()
+            fragmented.read_response().unwrap().status(),
+            fragmented.read_response().unwrap().status()
         ),
         (200, 200)
     );
     disconnecting.shutdown_write();
-    assert_eq!(disconnecting.answer(), None);
+    assert_eq!(disconnecting.read_response(), None);
     std::thread::sleep(IDLE_TIME);
     node.terminate();
-    assert_eq!((active.answer(), fragmented.answer()), (None, None));
-    assert!(node.exit().success());
+    assert_eq!(
+        (active.read_response(), fragmented.read_response()),
+        (None, None)
+    );
+    assert!(node.wait_for_exit().success());
 }
--- a/crates/cli/tests/node_common/cache_server.rs
+++ b/crates/cli/tests/node_common/cache_server.rs
@@ -1,6 +1,6 @@
 //! Cache servers whose responses the test defines.
 
-use super::http::{answer, Message};
+use super::http::{http_response, Message};
 use super::waiting::Gate;
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
@@ -13,17 +13,18 @@
 /// Reaction of a cache server to a request.
 pub enum Reply {
     /// Writes this text and keeps the connection open.
-    Answer(String),
+    Response(String),
     /// Writes this text and closes the connection.
-    AnswerAndClose(String),
+    ResponseAndClose(String),
     /// Writes nothing and keeps the connection open until the node closes it.
-    NoAnswer,
+    NoResponse,
 }
 
 /// A cache server that records the requests it receives, in order.
 pub struct CacheServer {
     pub address: SocketAddr,
     pub received: Arc<Mutex<Vec<Message>>>,
+    /// Number of accepted connections.
     pub connections: Arc<AtomicU32>,
     /// Number of connections closed by the node.
     pub closed: Arc<AtomicU32>,
@@ -45,7 +46,7 @@
     /// an idle time longer than `idle_limit`.
     pub fn closing_idle(idle_limit: Duration) -> Self {
         Self::start_with(
-            |_, _| Reply::Answer(answer("200 OK", "", "value")),
+            |_, _| Reply::Response(http_response("200 OK", "", "value")),
             Some(idle_limit),
         )
     }
@@ -86,11 +87,11 @@
                         last_request_at = Some(Instant::now());
                         requests.lock().unwrap().push(message.clone());
                         match reply(&message, peer) {
-                            Reply::Answer(text) => drop(stream.write_all(text.as_bytes())),
-                            Reply::AnswerAndClose(text) => {
+                            Reply::Response(text) => drop(stream.write_all(text.as_bytes())),
+                            Reply::ResponseAndClose(text) => {
                                 return drop(stream.write_all(text.as_bytes()))
                             }
-                            Reply::NoAnswer => {}
+                            Reply::NoResponse => {}
                         }
                     }
                     closed.fetch_add(1, Ordering::SeqCst);
@@ -102,7 +103,7 @@
 
     /// Starts a server that answers every request with this body.
     pub fn serving(body: &'static str) -> Self {
-        Self::start(move |_| Reply::Answer(answer("200 OK", "", body)))
+        Self::start(move |_| Reply::Response(http_response("200 OK", "", body)))
     }
 
     /// Starts a server that holds the request with id 1 until the gate opens and then reacts with
@@ -114,14 +115,14 @@
         let gate_for_reply = gate.clone();
         Self::start(move |request| {
             if request.header("req-id") != Some("1") {
-                return Reply::Answer(answer("200 OK", "", "value"));
+                return Reply::Response(http_response("200 OK", "", "value"));
             }
             gate_for_reply.wait_until_open();
             delayed_reply()
         })
     }
 
-    pub fn count(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.received.lock().unwrap().len()
     }
 
--- a/crates/cli/tests/node_common/discovery.rs
+++ b/crates/cli/tests/node_common/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery that answers every call with the list that the test has published.
 
-use super::http::{answer, Message};
+use super::http::{http_response, Message};
 use super::waiting::{wait_for, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
@@ -56,7 +56,7 @@
                             .unwrap()
                             .0;
                         if stream
-                            .write_all(answer("200 OK", "", &list.body).as_bytes())
+                            .write_all(http_response("200 OK", "", &list.body).as_bytes())
                             .is_err()
                         {
                             return;
@@ -78,7 +78,7 @@
         self.publish_text(json!({"seq": seq, "whole": whole, "hosts": hosts}).to_string());
     }
 
-    /// Answers pending calls, and later ones until the next publication, with this text.
+    /// Answers pending calls, and later calls until the next publication, with this text.
     pub fn publish_text(&self, body: String) {
         let mut current_list = self.current_list.0.lock().unwrap();
         *current_list = PublishedList {
@@ -88,11 +88,11 @@
         self.current_list.1.notify_all();
     }
 
-    pub fn calls(&self) -> usize {
+    pub fn call_count(&self) -> usize {
         self.received.lock().unwrap().len()
     }
 
-    /// Waits until the node has applied the list of this version: it then watches for a later one.
+    /// Waits until the node has applied the list of this version, which its next watch confirms.
     pub fn wait_until_applied(&self, seq: u64) {
         let next = format!("after={seq}&");
         wait_for("the watch that follows the applied list", || {
--- a/crates/cli/tests/node_common/endpoint_pair.rs
+++ b/crates/cli/tests/node_common/endpoint_pair.rs
@@ -1,5 +1,5 @@
-//! Two cache servers, one of which is drained or removed, and checks that it receives no further
-//! requests.
+//! Two cache servers, one of which is drained or removed, and checks that the leaving server
+//! receives no further requests.
 
 use super::{wait_for, CacheServer, Node};
 use serde_json::{json, Value};
@@ -26,41 +26,42 @@
         ]
     }
 
-    /// Waits until the node uses both servers.
-    pub fn wait_for_both(&self, node: &Node) {
-        let before = self.leaving.count();
+    /// Sends reads until the node uses both servers.
+    pub fn wait_until_both_used(&self, node: &Node) {
+        let before = self.leaving.request_count();
         wait_for("requests to both servers", || {
             (1..20).for_each(|key| drop(node.read("read", key)));
-            self.leaving.count() > before && self.staying.count() > 0
+            self.leaving.request_count() > before && self.staying.request_count() > 0
         });
     }
 
-    /// Waits until the node sends the leaving server no further request.
-    pub fn wait_until_unused(&self, node: &Node) {
+    /// Sends reads until the node sends none of them to the leaving server.
+    pub fn wait_until_leaving_server_unused(&self, node: &Node) {
         wait_for("the end of requests to the leaving server", || {
-            let before = self.leaving.count();
+            let before = self.leaving.request_count();
             (1..20).for_each(|key| drop(node.read("read", key)));
-            self.leaving.count() == before
+            self.leaving.request_count() == before
         });
     }
 
-    /// Asserts that all requests go to the staying server.
-    pub fn assert_unused(&self, node: &Node) {
-        let before = self.leaving.count();
-        let answers: Vec<_> = (20..60).map(|key| node.read("read", key)).collect();
+    /// Sends reads and asserts that the staying server serves all of them.
+    pub fn assert_leaving_server_unused(&self, node: &Node) {
+        let before = self.leaving.request_count();
+        let responses: Vec<_> = (20..60).map(|key| node.read("read", key)).collect();
         assert_eq!(
-            self.leaving.count(),
+            self.leaving.request_count(),
             before,
             "the leaving server received requests after its drain was published"
         );
         assert!(
-            answers.iter().all(|answer| answer.body == b"staying"),
-            "{answers:?}"
+            responses.iter().all(|response| response.body == b"staying"),
+            "{responses:?}"
         );
     }
 }
 
-pub fn started_at(mut entry: Value, at_ms: u64) -> Value {
+/// Returns the entry with this start time of its server.
+pub fn with_start_time(mut entry: Value, at_ms: u64) -> Value {
     entry["born_ms"] = json!(at_ms);
     entry
 }
--- a/crates/cli/tests/node_common/http.rs
+++ b/crates/cli/tests/node_common/http.rs
@@ -50,15 +50,15 @@
 }
 
 /// Formats a response; each extra header in `headers` ends with CRLF.
-pub fn answer(status: &str, headers: &str, body: &str) -> String {
+pub fn http_response(status: &str, headers: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
 }
 
-/// Formats a read of this class; `key` is both the key and the request's id.
-pub fn read(class: &str, key: u64, deadline_ms: u64) -> String {
+/// Formats a read request of this class; `key` is both the key and the request's id.
+pub fn read_request(class: &str, key: u64, deadline_ms: u64) -> String {
     format!(
         "GET /api/{key:016x} HTTP/1.1\r\nHost: s\r\nReq-Id: {key:x}\r\nReq-Kind: {class}\r\n\
          Req-Deadline-Ms: {deadline_ms}\r\n\r\n"
@@ -91,7 +91,7 @@
     }
 
     /// Reads the next response. `None` if the node closes the connection first.
-    pub fn answer(&mut self) -> Option<Message> {
+    pub fn read_response(&mut self) -> Option<Message> {
         match Message::read(&mut self.0) {
             Ok(message) => message,
             Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => None,
@@ -109,21 +109,21 @@
     /// Sends a request and reads its response. `None` if the node has closed the connection.
     pub fn try_request(&mut self, text: &str) -> Option<Message> {
         self.0.get_mut().write_all(text.as_bytes()).ok()?;
-        self.answer()
+        self.read_response()
     }
 
     pub fn request(&mut self, text: &str) -> Message {
         self.send(text);
-        self.answer()
+        self.read_response()
             .expect("the node closed the connection without a response")
     }
 }
 
 /// Asserts that the request was shed: status 503 with a positive Retry-After.
-pub fn assert_shed(answer: &Message) {
-    assert_eq!(answer.status(), 503, "{answer:?}");
+pub fn assert_shed(response: &Message) {
+    assert_eq!(response.status(), 503, "{response:?}");
     assert!(
-        answer
+        response
             .header("retry-after")
             .unwrap()
             .parse::<f64>()
--- a/crates/cli/tests/node_common/manual_discovery.rs
+++ b/crates/cli/tests/node_common/manual_discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery whose calls the test answers one by one.
 
-use super::{answer, Message, WAIT_TIMEOUT};
+use super::{http_response, Message, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -22,13 +22,13 @@
 impl Call {
     pub fn answer(&mut self, list: &str) {
         self.stream
-            .write_all(answer("200 OK", "", list).as_bytes())
+            .write_all(http_response("200 OK", "", list).as_bytes())
             .unwrap();
     }
 
     pub fn refuse(&mut self) {
         self.stream
-            .write_all(answer("503 Service Unavailable", "", "").as_bytes())
+            .write_all(http_response("503 Service Unavailable", "", "").as_bytes())
             .unwrap();
     }
 
--- a/crates/cli/tests/node_common/node.rs
+++ b/crates/cli/tests/node_common/node.rs
@@ -1,6 +1,6 @@
 //! The node under test: a process of this package's binary, with its configuration and signals.
 
-use super::http::{read, Client, Message};
+use super::http::{read_request, Client, Message};
 use super::waiting::{wait_for, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
@@ -16,11 +16,12 @@
     pub child: Child,
     /// Log lines after the first.
     pub log: Arc<Mutex<Vec<String>>>,
-    config: std::path::PathBuf,
-    features: Option<std::path::PathBuf>,
+    config_path: std::path::PathBuf,
+    features_path: Option<std::path::PathBuf>,
 }
 
-/// Configuration with an empty initial list: the node receives its endpoints from discovery.
+/// Returns a configuration with an empty initial list: the node receives its endpoints from
+/// discovery.
 pub fn config(discovery: SocketAddr) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "dedup_scope": "all", "promise_us": 5_000_000,
@@ -44,7 +45,7 @@
 static FILES_WRITTEN: AtomicU32 = AtomicU32::new(0);
 
 /// Writes a configuration or features to a new temporary file and returns its path.
-pub fn write_config(text: &str) -> std::path::PathBuf {
+pub fn write_temporary_file(text: &str) -> std::path::PathBuf {
     let number = FILES_WRITTEN.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("slatelink-{}-{number}.json", std::process::id()));
     std::fs::write(&path, text).unwrap();
@@ -56,8 +57,8 @@
     std::env::temp_dir().join(format!("slatelink-{}-{name}", std::process::id()))
 }
 
-/// Command of the node, without the platform's environment variables that the test process may
-/// have inherited.
+/// Returns the command of the node, without the platform's environment variables that the test
+/// process may have inherited.
 pub fn command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_slatelink"));
     for variable in ["LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY"] {
@@ -67,7 +68,7 @@
 }
 
 impl Node {
-    /// Starts a node and waits until it listens.
+    /// Starts a node and waits until the node listens.
     pub fn start(config: &Value) -> Self {
         Self::start_with(config, None)
     }
@@ -78,16 +79,16 @@
     }
 
     fn start_with(config: &Value, features: Option<&str>) -> Self {
-        let path = write_config(&config.to_string());
+        let path = write_temporary_file(&config.to_string());
         // The platform sets LB_DISCOVERY in addition to the configuration.
         let discovery = config["discovery"].as_str().unwrap();
         let mut command = command();
         command
             .env("LB_CONFIG", &path)
             .env("LB_DISCOVERY", discovery);
-        let features = features.map(write_config);
-        if let Some(features) = &features {
-            command.arg("--features").arg(features);
+        let features_path = features.map(write_temporary_file);
+        if let Some(features_path) = &features_path {
+            command.arg("--features").arg(features_path);
         }
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(child.stderr.take().unwrap());
@@ -105,20 +106,20 @@
             address: listening_address(&line),
             child,
             log: lines,
-            config: path,
-            features,
+            config_path: path,
+            features_path,
         }
     }
 
-    /// Starts a node and waits until it is ready for clients.
+    /// Starts a node and waits until the node is ready for clients.
     pub fn ready(config: &Value) -> Self {
         Self::start(config).wait_until_ready()
     }
 
-    /// Starts a node with this standard error, of which `first_line` reads the first line, and
-    /// waits until the node is ready for clients.
+    /// Starts a node with this standard error and waits until the node is ready for clients.
+    /// `first_line` returns the first log line.
     pub fn with_stderr(config: &Value, stderr: Stdio, first_line: impl FnOnce() -> String) -> Self {
-        let path = write_config(&config.to_string());
+        let path = write_temporary_file(&config.to_string());
         let child = command()
             .env("LB_CONFIG", &path)
             .stderr(stderr)
@@ -128,8 +129,8 @@
             address: listening_address(&first_line()),
             child,
             log: Arc::default(),
-            config: path,
-            features: None,
+            config_path: path,
+            features_path: None,
         };
         node.wait_until_ready()
     }
@@ -155,11 +156,11 @@
 
     /// Sends one read on a new connection.
     pub fn read(&self, class: &str, key: u64) -> Message {
-        self.client().request(&read(class, key, 20_000))
+        self.client().request(&read_request(class, key, 20_000))
     }
 
-    pub fn config(&self) -> &std::path::Path {
-        &self.config
+    pub fn config_path(&self) -> &std::path::Path {
+        &self.config_path
     }
 
     pub fn terminate(&self) {
@@ -176,12 +177,12 @@
 
     /// Replaces the configuration file with this text and sends SIGHUP to the node.
     pub fn reload(&self, text: &str) {
-        let new_file = write_config(text);
-        std::fs::rename(new_file, &self.config).unwrap();
+        let new_file = write_temporary_file(text);
+        std::fs::rename(new_file, &self.config_path).unwrap();
         self.signal("-HUP");
     }
 
-    pub fn exit(mut self) -> ExitStatus {
+    pub fn wait_for_exit(mut self) -> ExitStatus {
         let mut status = None;
         wait_for("the node's exit", || {
             status = self.child.try_wait().unwrap();
@@ -202,9 +203,9 @@
         // Fails if the node has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config);
-        if let Some(features) = &self.features {
-            let _ = std::fs::remove_file(features);
+        let _ = std::fs::remove_file(&self.config_path);
+        if let Some(features_path) = &self.features_path {
+            let _ = std::fs::remove_file(features_path);
         }
     }
 }
--- a/crates/cli/tests/node_common/slow_server.rs
+++ b/crates/cli/tests/node_common/slow_server.rs
@@ -1,6 +1,6 @@
 //! A cache server that delays the establishment of connections.
 
-use super::http::answer;
+use super::http::http_response;
 use socket2::{Domain, Socket, Type};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -92,7 +92,7 @@
                             .lock()
                             .unwrap()
                             .push(String::from_utf8_lossy(&buffer[..bytes_read]).into_owned());
-                        drop(stream.write_all(answer("200 OK", "", "value").as_bytes()));
+                        drop(stream.write_all(http_response("200 OK", "", "value").as_bytes()));
                     }
                 });
             }
--- a/crates/cli/tests/node_common/waiting.rs
+++ b/crates/cli/tests/node_common/waiting.rs
@@ -7,7 +7,7 @@
 /// Upper bound of a wait, far above the duration of any step: reaching it is a failure.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until `done` holds.
+/// Waits until `done` returns true; `what` names the awaited state in the failure message.
 pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -15,7 +15,7 @@
 /// Sends a read from a client that disconnects at once.
 fn send_read_and_disconnect(node: &Node, key: u64) {
     let mut client = node.client();
-    client.send(&read("read", key, 20_000));
+    client.send(&read_request("read", key, 20_000));
     client.shutdown_write();
 }
 
@@ -27,17 +27,25 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut connected = node.client();
-    assert_eq!(connected.request(&read("read", 1, 20_000)).status(), 200);
+    assert_eq!(
+        connected.request(&read_request("read", 1, 20_000)).status(),
+        200
+    );
     // While the node is stopped, requests and disconnects queue up in the kernel.
     node.signal("-STOP");
-    connected.send(&read("read", 2, 20_000));
+    connected.send(&read_request("read", 2, 20_000));
     connected.shutdown_write();
     (3..20).for_each(|key| send_read_and_disconnect(&node, key));
     node.signal("-CONT");
-    assert_eq!(connected.answer(), None);
+    assert_eq!(connected.read_response(), None);
     // This client connected last, so the node has accepted all earlier connections.
     assert_eq!(node.read("read", 20).status(), 200);
-    assert_eq!(server.count(), 2, "{:?}", server.received.lock().unwrap());
+    assert_eq!(
+        server.request_count(),
+        2,
+        "{:?}",
+        server.received.lock().unwrap()
+    );
 }
 
 // Guards against a request that is sent on a connection established after its client disconnected.
@@ -47,18 +55,18 @@
     let discovery = Discovery::start(&[endpoint_entry("s-1", slow.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
-    client.send(&read("once", 1, 20_000));
+    client.send(&read_request("once", 1, 20_000));
     let mut other = node.client();
-    other.send(&read("once", 2, 20_000));
+    other.send(&read_request("once", 2, 20_000));
     wait_for("the attempts", || slow.pending_connections() >= 2);
     client.shutdown_write();
     assert_eq!(
-        client.answer(),
+        client.read_response(),
         None,
         "the node did not notice the disconnect"
     );
     slow.accept();
-    assert_eq!(other.answer().unwrap().status(), 200);
+    assert_eq!(other.read_response().unwrap().status(), 200);
     let sent_requests = slow.received();
     assert_eq!(sent_requests.len(), 1, "{sent_requests:?}");
     assert!(
@@ -71,9 +79,14 @@
 // many, before it.
 #[test]
 fn no_second_attempt_is_made_for_a_client_that_sends_more_bytes_and_disconnects() {
-    for further in [read("read", 2, 20_000), "\r\n".into(), "x".repeat(300_000)] {
+    for further in [
+        read_request("read", 2, 20_000),
+        "\r\n".into(),
+        "x".repeat(300_000),
+    ] {
         let gate = Gate::default();
-        let server = || CacheServer::delaying_first(&gate, || Reply::AnswerAndClose(String::new()));
+        let server =
+            || CacheServer::delaying_first(&gate, || Reply::ResponseAndClose(String::new()));
         let (server_a, server_b) = (server(), server());
         let discovery = Discovery::start(&[
             server_a.entry("s-1", "ready"),
@@ -81,19 +94,21 @@
         ]);
         let node = Node::ready(&config(discovery.address));
         let mut client = node.client();
-        client.send(&read("read", 1, 60_000));
-        wait_for("the attempt", || server_a.count() + server_b.count() == 1);
+        client.send(&read_request("read", 1, 60_000));
+        wait_for("the attempt", || {
+            server_a.request_count() + server_b.request_count() == 1
+        });
         client.send(&further);
         client.shutdown_write();
         assert_eq!(
-            client.answer(),
+            client.read_response(),
             None,
             "the node did not notice the disconnect"
         );
         gate.open();
         assert!((10..20).all(|key| node.read("read", key).status() == 200));
         assert_eq!(
-            server_a.count() + server_b.count(),
+            server_a.request_count() + server_b.request_count(),
             11,
             "{} further bytes",
             further.len()
@@ -119,8 +134,8 @@
     }
 }
 
-// Guards against a retry that is started within its repeat window and sent after it: servers no
-// longer recognize it as a duplicate.
+// Guards against a retry that starts within its repeat window but is sent after the window: servers
+// no longer recognize such a retry as a duplicate.
 #[test]
 fn a_retry_whose_connection_is_established_after_its_repeat_window_is_not_sent() {
     const REQUESTS: u64 = 11;
@@ -129,7 +144,7 @@
     let server_gate = gate.clone();
     let broken = CacheServer::start(move |_| {
         server_gate.wait_until_open();
-        Reply::AnswerAndClose(String::new())
+        Reply::ResponseAndClose(String::new())
     });
     let discovery = Discovery::start(&[
         broken.entry("s-1", "ready"),
@@ -140,14 +155,14 @@
     // First attempts at the slow server outlast the repeat window.
     config["settings"]["limits"]["connect_timeout_us"] = json!(20_000_000);
     let node = Node::ready(&config);
-    // The first attempt of each request is at either server; those at the slow one stay pending.
+    // Each first attempt goes to either server; attempts at the slow server stay pending.
     let mut clients: Vec<_> = (1..=REQUESTS).map(|key| (key, node.client())).collect();
     clients
         .iter_mut()
-        .for_each(|(key, client)| client.send(&read("keyed", *key, 20_000)));
+        .for_each(|(key, client)| client.send(&read_request("keyed", *key, 20_000)));
     // No request can be retried before the gate opens, so each has one first attempt.
     wait_for("all first attempts", || {
-        slow.pending_connections() + broken.count() >= clients.len()
+        slow.pending_connections() + broken.request_count() >= clients.len()
     });
     let first_at_slow = slow.pending_connections();
     let retried = received_ids(&broken);
@@ -164,29 +179,29 @@
     wait_for("a pending retry", || {
         slow.pending_connections() > first_at_slow
     });
-    // Answered after the window, when no server may receive the request any more.
+    // The response follows after the window, when no server may receive the request any more.
     for (key, client) in &mut clients {
         if retried.contains(&format!("{key:x}")) {
-            assert!(client.answer().unwrap().status() >= 500, "{key}");
+            assert!(client.read_response().unwrap().status() >= 500, "{key}");
         }
     }
     slow.accept();
     for (key, client) in &mut clients {
         if !retried.contains(&format!("{key:x}")) {
-            assert_eq!(client.answer().unwrap().status(), 200, "{key}");
+            assert_eq!(client.read_response().unwrap().status(), 200, "{key}");
         }
     }
     let sent_requests = slow.received();
     assert_eq!(sent_requests.len(), first_at_slow, "{sent_requests:?}");
     assert_none_contains(&sent_requests, &retried);
     assert_eq!(
-        broken.count(),
+        broken.request_count(),
         retried.len(),
         "requests were sent to the broken server again"
     );
     assert_eq!(
         broken.connections.load(Ordering::SeqCst) as usize,
-        broken.count()
+        broken.request_count()
     );
 }
 
@@ -198,26 +213,29 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut used, mut fresh, mut idle) = (node.client(), node.client(), node.client());
-    assert_eq!(used.request(&read("read", 1, 20_000)).status(), 200);
-    assert_eq!(idle.request(&read("read", 2, 20_000)).status(), 200);
-    let (first_text, second_text) = (read("read", 3, 20_000), read("read", 4, 20_000));
+    assert_eq!(used.request(&read_request("read", 1, 20_000)).status(), 200);
+    assert_eq!(idle.request(&read_request("read", 2, 20_000)).status(), 200);
+    let (first_text, second_text) = (
+        read_request("read", 3, 20_000),
+        read_request("read", 4, 20_000),
+    );
     used.send(&first_text[..40]);
     fresh.send(&second_text[..40]);
     node.terminate();
     // The end of the idle connection shows that the shutdown has begun.
-    assert_eq!(idle.answer(), None);
+    assert_eq!(idle.read_response(), None);
     used.send(&first_text[40..]);
     fresh.send(&second_text[40..]);
     for client in [&mut used, &mut fresh] {
         let served = client
-            .answer()
+            .read_response()
             .expect("no response to a partly read request");
         assert_eq!(
             (served.status(), served.header("connection")),
             (200, Some("close"))
         );
     }
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 // Guards against a response that is lost to a reset: closing a socket with unread received bytes
@@ -229,7 +247,7 @@
     let body: &'static str = Box::leak("v".repeat(60_000).into_boxed_str());
     let server = CacheServer::start(move |_| {
         server_gate.wait_until_open();
-        Reply::Answer(answer("200 OK", "", body))
+        Reply::Response(http_response("200 OK", "", body))
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -241,21 +259,21 @@
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let peek_stream = stream.try_clone().unwrap();
     let mut client = Client::from_stream(stream);
-    client.send(&read("read", 1, 60_000));
-    wait_for("the attempt", || server.count() == 1);
+    client.send(&read_request("read", 1, 60_000));
+    wait_for("the attempt", || server.request_count() == 1);
     node.terminate();
     gate.open();
     assert!(peek_stream.peek(&mut [0]).unwrap() > 0);
     // The response closes the connection while these bytes are unread.
     client.send(&"x".repeat(20_000));
     let served = client
-        .answer()
+        .read_response()
         .expect("the connection was closed without a response");
     assert_eq!((served.status(), served.body.len()), (200, body.len()));
-    assert_eq!(server.count(), 1);
+    assert_eq!(server.request_count(), 1);
     drop(client);
     drop(peek_stream);
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 // Guards against a late duplicate that is taken for the response to the next request: it arrives
@@ -264,30 +282,33 @@
 fn a_late_duplicate_response_is_never_given_to_the_next_request() {
     let last_responses: Arc<Mutex<HashMap<SocketAddr, (Instant, String)>>> = Arc::default();
     let server = CacheServer::start_with_peers(move |message, peer| {
-        let response = answer("200 OK", "", message.header("req-id").unwrap());
+        let response = http_response("200 OK", "", message.header("req-id").unwrap());
         // A duplicate in transit when the next request arrives is read first.
         let previous = last_responses
             .lock()
             .unwrap()
             .insert(peer, (Instant::now(), response.clone()));
         let late = previous.filter(|(at, _)| at.elapsed() < Duration::from_millis(10));
-        Reply::Answer(late.map_or(String::new(), |(_, duplicate)| duplicate) + &response)
+        Reply::Response(late.map_or(String::new(), |(_, duplicate)| duplicate) + &response)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
     for key in 1..60 {
-        let served = client.request(&read("once", key, 20_000));
+        let served = client.request(&read_request("once", key, 20_000));
         assert_eq!(
             (served.status(), served.body),
             (200, format!("{key:x}").into_bytes())
         );
     }
-    assert_eq!(server.count(), 59);
+    assert_eq!(server.request_count(), 59);
     // After a pause, connections are reused.
     std::thread::sleep(Duration::from_millis(40));
     let connections = server.connections.load(Ordering::SeqCst);
-    assert_eq!(client.request(&read("once", 60, 20_000)).status(), 200);
+    assert_eq!(
+        client.request(&read_request("once", 60, 20_000)).status(),
+        200
+    );
     assert_eq!(server.connections.load(Ordering::SeqCst), connections);
 }
 
@@ -385,7 +406,7 @@
                 Continuation::Reset => SockRef::from(&stream)
                     .set_linger(Some(Duration::ZERO))
                     .unwrap(),
-                // Until the node abandons the attempt.
+                // The bytes continue until the node abandons the attempt.
                 Continuation::Endless => {
                     while stream.write_all(b"v").is_ok() {
                         std::thread::sleep(Duration::from_millis(5));
@@ -407,7 +428,7 @@
     let sent_at = Instant::now();
     let served = node
         .client()
-        .request(&read("once", 1, deadline.as_millis() as u64));
+        .request(&read_request("once", 1, deadline.as_millis() as u64));
     assert_eq!(served.status(), status, "{text:?} {continuation:?}");
     if status == 200 {
         assert_eq!(served.body, b"value", "{text:?}");
@@ -433,11 +454,11 @@
     let discovery = Discovery::start(&[endpoint_entry("s-1", slow.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
-    client.send(&read("once", 1, 20_000));
+    client.send(&read_request("once", 1, 20_000));
     wait_for("the attempt", || slow.pending_connections() == 1);
     client.shutdown_write();
     assert_eq!(
-        client.answer(),
+        client.read_response(),
         None,
         "the node did not notice the disconnect"
     );
@@ -446,13 +467,13 @@
     std::thread::sleep(Duration::from_millis(50));
     node.signal("-STOP");
     unused_connection
-        .write_all(answer("200 OK", "", "stray").as_bytes())
+        .write_all(http_response("200 OK", "", "stray").as_bytes())
         .unwrap();
     let mut next = node.client();
-    next.send(&read("once", 2, 20_000));
+    next.send(&read_request("once", 2, 20_000));
     slow.accept();
     node.signal("-CONT");
-    assert_eq!(next.answer().unwrap().body, b"value");
+    assert_eq!(next.read_response().unwrap().body, b"value");
     assert_eq!(
         unused_connection.read(&mut [0]).unwrap_or(0),
         0,
--- a/crates/cli/tests/node_exhaustion.rs
+++ b/crates/cli/tests/node_exhaustion.rs
@@ -1,4 +1,4 @@
-//! Exhaustion of descriptors, memory or disk in a node or its surroundings: no accepted request is
+//! Exhaustion of descriptors, memory or disk in a node or its environment: no accepted request is
 //! lost, nothing spins, and service resumes once resources are free. The tests lower and raise the
 //! limits of the running node.
 
@@ -26,7 +26,7 @@
     prlimit(Some(Pid::from_child(&node.child)), resource, new).unwrap();
 }
 
-/// Limit at which no further descriptor can be opened, whichever connections close: the standard
+/// Limit at which no further descriptor can be opened, even after connections close: the standard
 /// streams stay open.
 const NO_FREE_DESCRIPTORS: Option<u64> = Some(3);
 
@@ -71,12 +71,12 @@
     let (cpu_time, start) = (cpu_seconds(&node), Instant::now());
     // The connection to the endpoint needs a descriptor. The shortage is no failure of the
     // endpoint, and the request is shed at once.
-    assert_shed(&accepted_client.request(&read("once", 1, 20_000)));
+    assert_shed(&accepted_client.request(&read_request("once", 1, 20_000)));
     // Without a descriptor to accept them, these connections wait in the kernel's accept queue.
     let mut waiting_clients: Vec<_> = (2..40).map(|key| (key, node.client())).collect();
     waiting_clients
         .iter_mut()
-        .for_each(|(key, client)| client.send(&read("read", *key, 50_000)));
+        .for_each(|(key, client)| client.send(&read_request("read", *key, 50_000)));
     sleep(Duration::from_secs(3));
     let (cpu_time, wall_time) = (cpu_seconds(&node) - cpu_time, start.elapsed().as_secs_f64());
     assert!(
@@ -88,27 +88,29 @@
         (1..=10).contains(&accept_lines),
         "{accept_lines} log lines in {wall_time:.1} s without a free descriptor"
     );
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
     set_limit(&node, Resource::Nofile, None);
     let mut served = 0;
     for (_, client) in &mut waiting_clients {
         // All requests arrive at once, and a server without previous requests receives only a few
         // at first.
-        let answer = client.answer().expect("no response to a waiting client");
-        match answer.status() {
+        let response = client
+            .read_response()
+            .expect("no response to a waiting client");
+        match response.status() {
             200 => served += 1,
-            _ => assert_shed(&answer),
+            _ => assert_shed(&response),
         }
     }
     assert!(served > 10, "{served}");
     assert_eq!(
         accepted_client
-            .try_request(&read("once", 1, 20_000))
+            .try_request(&read_request("once", 1, 20_000))
             .unwrap_or_else(|| node.read("once", 1))
             .status(),
         200
     );
-    // Afterwards the log states for how long lines were suppressed, and how many.
+    // Afterwards the log states the number of suppressed lines and the duration of the suppression.
     wait_for("the summary of suppressed log lines", || {
         let suppression_lines = log_lines(&node, "accept: ");
         suppression_lines.iter().any(|line| {
@@ -122,19 +124,19 @@
 #[test]
 fn a_reload_without_descriptors_is_retried_until_descriptors_are_free() {
     let servers = [CacheServer::serving("0"), CacheServer::serving("1")];
-    let lists = servers
+    let discoveries = servers
         .each_ref()
         .map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
-    let node = Node::ready(&config(lists[0].address));
-    lists[0].wait_until_applied(1);
+    let node = Node::ready(&config(discoveries[0].address));
+    discoveries[0].wait_until_applied(1);
     set_limit(&node, Resource::Nofile, NO_FREE_DESCRIPTORS);
-    node.reload(&config(lists[1].address).to_string());
+    node.reload(&config(discoveries[1].address).to_string());
     wait_for("the log line of the failed reload", || {
         !log_lines(&node, "configuration not taken: ").is_empty()
     });
-    assert_eq!(lists[1].calls(), 0);
+    assert_eq!(discoveries[1].call_count(), 0);
     set_limit(&node, Resource::Nofile, None);
-    lists[1].wait_until_applied(1);
+    discoveries[1].wait_until_applied(1);
     assert_eq!(node.read("read", 1).body, b"1");
 }
 
@@ -154,15 +156,15 @@
     );
     let node = Node::with_features(&config(discovery.address), &settings);
     discovery.wait_until_applied(1);
-    let len = |path| fs::metadata(path).map_or(0, |file| file.len());
+    let file_size = |path| fs::metadata(path).map_or(0, |file| file.len());
     wait_for("the audit records of the start", || {
         fs::read_to_string(&audit_file).unwrap().contains("\"s-1\"")
     });
     wait_for("a metrics file larger than the audit file", || {
-        len(&metrics_file) > len(&audit_file) + 40
+        file_size(&metrics_file) > file_size(&audit_file) + 40
     });
     // The limit truncates a record in the middle of its line.
-    set_limit(&node, Resource::Fsize, Some(len(&audit_file) + 40));
+    set_limit(&node, Resource::Fsize, Some(file_size(&audit_file) + 40));
     for seq in 2..5 {
         discovery.publish(
             false,
@@ -191,16 +193,16 @@
     assert_eq!(node.read("read", 1).status(), 200);
     set_limit(&node, Resource::Fsize, None);
     discovery.publish(false, &[server.entry("s-2", "ready")]);
-    wait_for("the record of lost records", || {
+    wait_for("the audit record of lost records", || {
         fs::read_to_string(&audit_file)
             .unwrap()
             .contains("\"event\":\"lost\"")
     });
-    wait_for("the next record", || {
+    wait_for("the audit record that follows", || {
         fs::read_to_string(&audit_file).unwrap().contains("\"s-2\"")
     });
     assert!(verify_output().starts_with("ok "), "{}", verify_output());
-    wait_for("the metric of dropped figures", || {
+    wait_for("the metric of dropped batches", || {
         fs::read_to_string(&metrics_file)
             .unwrap()
             .lines()
@@ -230,14 +232,14 @@
         node.reload("not a configuration");
         assert_eq!(
             client
-                .try_request(&read("read", key, 20_000))
+                .try_request(&read_request("read", key, 20_000))
                 .expect("no response during reloads")
                 .status(),
             200
         );
     }
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
     drop(reader);
 }
 
@@ -264,7 +266,7 @@
         node.reload("not a configuration");
         assert_eq!(
             client
-                .try_request(&read("read", key, 20_000))
+                .try_request(&read_request("read", key, 20_000))
                 .expect("no response during reloads")
                 .status(),
             200
@@ -289,11 +291,11 @@
         {
             // Out of descriptors: the connection is accepted and closed. Out of memory: the
             // response is truncated.
-            Ok(n) if n % 2 == 0 => Reply::AnswerAndClose(String::new()),
+            Ok(n) if n % 2 == 0 => Reply::ResponseAndClose(String::new()),
             Ok(_) => {
-                Reply::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nva".to_owned())
+                Reply::ResponseAndClose("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nva".to_owned())
             }
-            Err(_) => Reply::Answer(answer("200 OK", "", "value")),
+            Err(_) => Reply::Response(http_response("200 OK", "", "value")),
         }
     });
     let healthy = CacheServer::serving("value");
@@ -303,11 +305,11 @@
     let mut key = 0;
     wait_for("requests to the recovered server", || {
         key += 1;
-        let answer = node.read("read", key);
-        assert!(matches!(answer.status(), 200 | 503), "{answer:?}");
+        let response = node.read("read", key);
+        assert!(matches!(response.status(), 200 | 503), "{response:?}");
         assert!(
-            answer.status() != 200 || answer.body == b"value",
-            "{answer:?}"
+            response.status() != 200 || response.body == b"value",
+            "{response:?}"
         );
         // The server restarts with an empty cache under the same name.
         if key == 60 {
@@ -320,7 +322,7 @@
             discovery.publish(false, &[entry]);
             discovery.wait_until_applied(2);
         }
-        key > 200 && failing.count() > 40
+        key > 200 && failing.request_count() > 40
     });
 }
 
@@ -346,11 +348,11 @@
     wait_for("the log line of a failed call", || {
         !log_lines(&node, "discovery: ").is_empty()
     });
-    // Twice the number of clients that the node can accept: the others wait unaccepted.
+    // Twice the number of clients that the node can accept; the other clients wait unaccepted.
     let mut idle_clients: Vec<_> = (0..100).map(|_| node.client()).collect();
     let (cpu_time, start) = (cpu_seconds(&node), Instant::now());
     for (key, client) in idle_clients.iter_mut().enumerate().take(20) {
-        client.try_send(&read("read", key as u64, 20_000));
+        client.try_send(&read_request("read", key as u64, 20_000));
     }
     sleep(Duration::from_secs(2));
     let (cpu_time, wall_time) = (cpu_seconds(&node) - cpu_time, start.elapsed().as_secs_f64());
@@ -368,7 +370,12 @@
     );
     // The client has to wait for a descriptor, and the node has no connection to the endpoint yet.
     let mut late_client = node.client();
-    assert_eq!(late_client.request(&read("once", 1_000, 20_000)).body, b"1");
+    assert_eq!(
+        late_client
+            .request(&read_request("once", 1_000, 20_000))
+            .body,
+        b"1"
+    );
     drop(idle_clients);
     wait_for("service after the idle clients disconnected", || {
         node.read("read", 1_001).status() == 200
--- a/crates/cli/tests/node_features/audit_trail.rs
+++ b/crates/cli/tests/node_features/audit_trail.rs
@@ -1,7 +1,7 @@
 //! The audit trail: records across restarts, verification, and paths that cannot be written to.
 
 use crate::node_common::{
-    command, config, temporary_path, wait_for, write_config, CacheServer, Discovery, Node,
+    command, config, temporary_path, wait_for, write_temporary_file, CacheServer, Discovery, Node,
 };
 use crate::{log_has_line, run_until_exit};
 use serde_json::Value;
@@ -64,14 +64,14 @@
         let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
         let platform = config(discovery.address);
         let node = Node::with_features(&platform, &audit_trail_settings(&path));
-        config_hashes.push(sha256(node.config()));
+        config_hashes.push(sha256(node.config_path()));
         if signal == "-TERM" {
             publish_health_changes(&discovery, &server);
             node.reload(&format!("{platform} "));
             wait_for("the reload", || {
                 records_with(&read_records(&path), "file", "platform").len() == 2
             });
-            config_hashes.push(sha256(node.config()));
+            config_hashes.push(sha256(node.config_path()));
             node.reload("not a configuration");
         }
         // The records must be on file before SIGKILL, which leaves no time to write them.
@@ -80,7 +80,7 @@
             features_loaded() == config_hashes.len()
         });
         node.signal(signal);
-        assert_eq!(node.exit().code(), exit_code, "{signal}");
+        assert_eq!(node.wait_for_exit().code(), exit_code, "{signal}");
     }
     let records = read_records(&path);
     assert_eq!(verify(&path), (format!("ok {}\n", records.len()), Some(0)));
@@ -195,8 +195,8 @@
     let path = temporary_path("shared");
     let settings = audit_trail_settings(&path);
     let node = Node::with_features(&config(discovery.address), &settings);
-    let platform = write_config(&config(discovery.address).to_string());
-    let second = run_until_exit(&platform, &write_config(&settings));
+    let platform = write_temporary_file(&config(discovery.address).to_string());
+    let second = run_until_exit(&platform, &write_temporary_file(&settings));
     let error = String::from_utf8(second.stderr).unwrap();
     assert_eq!(
         (second.status.code(), error.lines().count()),
@@ -225,7 +225,7 @@
     });
     assert_eq!(node.read("read", 1).status(), 200);
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 // Guards against audit records that are lost when no path is set.
@@ -244,7 +244,7 @@
     wait_for("the record of a health change", || {
         records().contains("\"event\":\"health\"")
     });
-    let path = write_config(&records());
+    let path = write_temporary_file(&records());
     assert_eq!(
         verify(&path),
         (format!("ok {}\n", records().lines().count()), Some(0))
--- a/crates/cli/tests/node_features/hot_list.rs
+++ b/crates/cli/tests/node_features/hot_list.rs
@@ -1,6 +1,8 @@
 //! The hot list, which the node logs on SIGUSR1.
 
-use crate::node_common::{config, read, wait_for, write_config, CacheServer, Discovery, Node};
+use crate::node_common::{
+    config, read_request, wait_for, write_temporary_file, CacheServer, Discovery, Node,
+};
 use crate::{log_has_line, run_until_exit};
 use std::collections::HashMap;
 
@@ -56,7 +58,7 @@
     let mut sent = HashMap::<String, u64>::new();
     for i in 0..REQUESTS {
         let key = if i % 3 == 0 { 7 } else { i * 40_503 % 100 };
-        let text = read("read", i, 20_000)
+        let text = read_request("read", i, 20_000)
             .replace(&format!("/api/{i:016x}"), &format!("/api/x/key{key}?v={i}"));
         assert_eq!(client.request(&text).status(), 200);
         *sent.entry(format!("key{key}")).or_default() += 1;
@@ -124,13 +126,13 @@
     let node = Node::with_features(&platform, "[hotlist]\ncapacity = 0\n");
     node.signal("-USR1");
     assert_eq!(
-        node.exit().code(),
+        node.wait_for_exit().code(),
         None,
         "without a handler the signal terminates the process"
     );
     let (platform, features) = (
-        write_config(&platform.to_string()),
-        write_config("[hotlist]\ncapacity = 100000\n"),
+        write_temporary_file(&platform.to_string()),
+        write_temporary_file("[hotlist]\ncapacity = 100000\n"),
     );
     let output = run_until_exit(&platform, &features);
     let error = String::from_utf8(output.stderr).unwrap();
--- a/crates/cli/tests/node_features/metrics.rs
+++ b/crates/cli/tests/node_features/metrics.rs
@@ -2,7 +2,7 @@
 
 use crate::log_has_line;
 use crate::node_common::{
-    answer, config, temporary_path, wait_for, CacheServer, Discovery, Node, Reply,
+    config, http_response, temporary_path, wait_for, CacheServer, Discovery, Node, Reply,
 };
 use std::path::Path;
 
@@ -29,8 +29,8 @@
 /// Starts a cache server that answers request id 7 with status 500 and all others with status 200.
 fn start_server_failing_request_7() -> CacheServer {
     CacheServer::start(|request| match request.header("req-id") {
-        Some("7") => Reply::Answer(answer("500 No", "", "")),
-        _ => Reply::Answer(answer("200 OK", "", "value")),
+        Some("7") => Reply::Response(http_response("500 No", "", "")),
+        _ => Reply::Response(http_response("200 OK", "", "value")),
     })
 }
 
@@ -64,7 +64,7 @@
     discovery.wait_until_applied(3);
     assert_eq!(node.read("read", 9).status(), 200);
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
     assert_counts(&read_metrics());
     std::fs::remove_file(path).unwrap();
 }
@@ -93,7 +93,7 @@
 // lines report.
 #[test]
 fn a_gauge_shows_an_endpoint_whose_circuit_breaker_is_open() {
-    let failing_server = CacheServer::start(|_| Reply::Answer(answer("500 No", "", "")));
+    let failing_server = CacheServer::start(|_| Reply::Response(http_response("500 No", "", "")));
     let healthy_server = CacheServer::serving("value");
     let discovery = Discovery::start(&[
         failing_server.entry("s-bad", "ready"),
--- a/crates/cli/tests/node_features/metrics_targets.rs
+++ b/crates/cli/tests/node_features/metrics_targets.rs
@@ -2,8 +2,8 @@
 
 use crate::metrics::{counter_sum, metrics_file_settings};
 use crate::node_common::{
-    command, config, read, temporary_path, wait_for, write_config, CacheServer, Client, Discovery,
-    Node, WAIT_TIMEOUT,
+    command, config, read_request, temporary_path, wait_for, write_temporary_file, CacheServer,
+    Client, Discovery, Node, WAIT_TIMEOUT,
 };
 use std::fs::File;
 use std::io::{BufRead, BufReader, Read};
@@ -39,7 +39,10 @@
     let mut key = 0;
     wait_for("an increasing count of dropped batches", || {
         key += 1;
-        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
+        assert_eq!(
+            client.request(&read_request("read", key, 20_000)).status(),
+            200
+        );
         dropped_batches(&node).len() > 3
     });
     assert!(
@@ -106,7 +109,10 @@
     let (mut client, mut key) = (node.client(), 0);
     wait_for("further dropped batches", || {
         key += 1;
-        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
+        assert_eq!(
+            client.request(&read_request("read", key, 20_000)).status(),
+            200
+        );
         last_dropped_total() > reported_drops
     });
     wait_for("the increased metric of dropped batches", || {
@@ -120,8 +126,8 @@
 fn node_with_unread_standard_error_serves_requests_and_stops() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let platform = write_config(&config(discovery.address).to_string());
-    let features = write_config("[figures]\nflush_ms = 20\n");
+    let platform = write_temporary_file(&config(discovery.address).to_string());
+    let features = write_temporary_file("[figures]\nflush_ms = 20\n");
     let mut child = command()
         .env("LB_CONFIG", &platform)
         .arg("--features")
@@ -145,7 +151,10 @@
     });
     // The metrics of these requests far exceed the pipe (64 KiB) and the metrics buffer (256 KiB).
     for key in 0..4_000 {
-        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
+        assert_eq!(
+            client.request(&read_request("read", key, 20_000)).status(),
+            200
+        );
     }
     let killed = Command::new("kill")
         .arg(child.id().to_string())
--- a/crates/cli/tests/node_features/settings.rs
+++ b/crates/cli/tests/node_features/settings.rs
@@ -1,6 +1,6 @@
 //! Empty, missing and invalid feature files.
 
-use crate::node_common::{config, write_config, CacheServer, Discovery, Node};
+use crate::node_common::{config, write_temporary_file, CacheServer, Discovery, Node};
 use crate::run_until_exit;
 
 // Guards against a node that ignores unknown or invalid settings, or that starts without the
@@ -28,11 +28,11 @@
     ];
     let mut paths: Vec<_> = invalid_settings
         .iter()
-        .map(|text| write_config(text))
+        .map(|text| write_temporary_file(text))
         .collect();
     paths.push("no/such/file.toml".into());
     // The platform configuration is valid, so only the feature file can cause the failure.
-    let platform = write_config(&config("127.0.0.1:1".parse().unwrap()).to_string());
+    let platform = write_temporary_file(&config("127.0.0.1:1".parse().unwrap()).to_string());
     for path in paths {
         let output = run_until_exit(&platform, &path);
         let error = String::from_utf8(output.stderr).unwrap();
@@ -54,5 +54,5 @@
     let node = Node::with_features(&config(discovery.address), "# nothing is on\n");
     assert_eq!(node.read("read", 1).body, b"value");
     node.terminate();
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
--- a/crates/cli/tests/node_front.rs
+++ b/crates/cli/tests/node_front.rs
@@ -8,8 +8,8 @@
 /// Starts a server that sends no response to requests whose id begins with `dead`.
 fn server_holding_requests() -> CacheServer {
     CacheServer::start(|request| match request.header("req-id") {
-        Some(id) if id.starts_with("dead") => Reply::NoAnswer,
-        _ => Reply::Answer(answer("200 OK", "", "value")),
+        Some(id) if id.starts_with("dead") => Reply::NoResponse,
+        _ => Reply::Response(http_response("200 OK", "", "value")),
     })
 }
 
@@ -27,7 +27,7 @@
         let mut client = node.client();
         let mut response = None;
         wait_for("a connection within the quota", || {
-            response = client.try_request(&read("read", key, 20_000));
+            response = client.try_request(&read_request("read", key, 20_000));
             if response.is_none() {
                 client = node.client();
             }
@@ -41,12 +41,12 @@
         200,
         "the oldest idle connection of the address is evicted"
     );
-    assert_eq!(kept_open[0].answer(), None);
-    // With the attempts of two further clients and of a third unanswered, all three connections of
-    // the quota are in use, and the next one is rejected.
+    assert_eq!(kept_open[0].read_response(), None);
+    // Three further clients get no response to their requests. All three connections of the quota
+    // are then in use, and the connection of a fourth client is rejected.
     let held = [0xdead_0001u64, 0xdead_0002].map(|key| {
         let mut client = node.client();
-        client.send(&read("read", key, 20_000));
+        client.send(&read_request("read", key, 20_000));
         wait_for("the attempt at the server", || {
             server
                 .received
@@ -58,13 +58,13 @@
         client
     });
     let mut third = node.client();
-    third.send(&read("read", 0xdead_0003, 20_000));
+    third.send(&read_request("read", 0xdead_0003, 20_000));
     wait_for("the third attempt at the server", || {
-        server.count() == 4 + 3
+        server.request_count() == 4 + 3
     });
     let mut fourth = node.client();
     assert_eq!(
-        fourth.try_request(&read("read", 4, 20_000)),
+        fourth.try_request(&read_request("read", 4, 20_000)),
         None,
         "closed without a response, because no request was read yet"
     );
@@ -94,10 +94,10 @@
     // The limit of the class is 5 % of the clients' third of 120 descriptors: two open requests.
     let held = [0xdead_0001u64, 0xdead_0002].map(|key| {
         let mut client = node.client();
-        client.send(&read("once", key, 20_000));
+        client.send(&read_request("once", key, 20_000));
         client
     });
-    wait_for("both attempts", || server.count() == 2);
+    wait_for("both attempts", || server.request_count() == 2);
     let shed = node.read("once", 1);
     assert_eq!(shed.status(), 503);
     assert!(shed.header("retry-after").is_some(), "{shed:?}");
@@ -127,12 +127,12 @@
     let mut connections: Vec<_> = (0..200).map(|_| node.client()).collect();
     for round in 0..2 {
         for (i, client) in connections.iter_mut().enumerate() {
-            client.send(&read("read", round * 1_000 + i as u64, 20_000));
+            client.send(&read_request("read", round * 1_000 + i as u64, 20_000));
         }
         for client in &mut connections {
             // One server has not enough capacity for all requests at once: the decision module may
             // shed some of them, with a Retry-After header.
-            let response = client.answer().expect("a response");
+            let response = client.read_response().expect("a response");
             assert!(
                 response.status() == 200 || response.header("retry-after").is_some(),
                 "{response:?}"
@@ -143,8 +143,8 @@
     node.terminate();
     assert!(connections
         .iter_mut()
-        .all(|client| client.answer().is_none()));
-    assert!(node.exit().success());
+        .all(|client| client.read_response().is_none()));
+    assert!(node.wait_for_exit().success());
 }
 
 // Guards against a client that is accepted just before the node stops accepting, while all
@@ -157,7 +157,7 @@
             let server_gate = gate.clone();
             CacheServer::start(move |_| {
                 server_gate.wait_until_open();
-                Reply::Answer(answer("200 OK", "", "value"))
+                Reply::Response(http_response("200 OK", "", "value"))
             })
         })
         .collect();
@@ -177,7 +177,7 @@
     // Each client sends its request at once: a client that stays silent would be evicted.
     let connect_and_send = |key| {
         let mut client = node.client();
-        client.send(&read("read", key, 20_000));
+        client.send(&read_request("read", key, 20_000));
         client
     };
     let mut clients: Vec<_> = (0..11).map(connect_and_send).collect();
@@ -192,19 +192,20 @@
         has_log_line("slatelink.conn.waiting:1|")
     });
     node.terminate();
-    // Longer than the node accepts connections after SIGTERM; a longer wait changes nothing.
+    // Longer than the period after SIGTERM in which the node accepts connections; a longer wait
+    // changes nothing.
     std::thread::sleep(std::time::Duration::from_millis(1_000));
     gate.open();
     for client in &mut clients {
-        assert!(client.answer().is_some(), "a client got no response");
+        assert!(client.read_response().is_some(), "a client got no response");
     }
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 // Guards against an invalid limit that is silently ignored.
 #[test]
 fn an_invalid_limit_is_one_log_line_and_a_failed_start() {
-    let config_path = write_config(&config("127.0.0.1:1".parse().unwrap()).to_string());
+    let config_path = write_temporary_file(&config("127.0.0.1:1".parse().unwrap()).to_string());
     for (text, expected) in [
         ("[front]\nclients_percent = 0", "1 to 100"),
         ("[front]\nidle_s = 1", "2 to 86400"),
@@ -213,7 +214,7 @@
         ("[front]\nper_adress = 5", "per_address"),
         ("[front.per_class]\nnobody = 5", "read, once, keyed"),
     ] {
-        let features_path = write_config(text);
+        let features_path = write_temporary_file(text);
         let failed_start = command()
             .env("LB_CONFIG", &config_path)
             .arg("--features")
--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -3,7 +3,7 @@
 
 mod node_common;
 
-use node_common::endpoint_pair::{started_at, EndpointPair};
+use node_common::endpoint_pair::{with_start_time, EndpointPair};
 use node_common::manual_discovery::{list, ManualDiscovery};
 use node_common::*;
 use serde_json::{json, Value};
@@ -24,7 +24,7 @@
     let recorded_times = receive_times.clone();
     let server = CacheServer::start(move |_| {
         recorded_times.lock().unwrap().push(Instant::now());
-        Reply::Answer(answer("200 OK", "", "value"))
+        Reply::Response(http_response("200 OK", "", "value"))
     });
     (server, receive_times)
 }
@@ -51,19 +51,20 @@
                 while !stop.load(Ordering::SeqCst) {
                     round += 1;
                     for (i, client) in clients.iter_mut().enumerate() {
-                        client.try_send(&read(
+                        client.try_send(&read_request(
                             "read",
                             thread << 48 | round << 16 | i as u64,
                             20_000,
                         ));
                     }
                     for client in &mut clients {
-                        let answer = client.answer();
-                        match answer.as_ref().map(Message::status) {
+                        let response = client.read_response();
+                        match response.as_ref().map(Message::status) {
                             Some(200) => served += 1,
                             _ => not_served += 1,
                         }
-                        if answer.is_none_or(|answer| answer.header("connection") == Some("close"))
+                        if response
+                            .is_none_or(|response| response.header("connection") == Some("close"))
                         {
                             *client = connect();
                         }
@@ -83,8 +84,8 @@
             .threads
             .into_iter()
             .map(|thread| thread.join().unwrap());
-        counts.fold((0, 0), |total, of_thread| {
-            (total.0 + of_thread.0, total.1 + of_thread.1)
+        counts.fold((0, 0), |total, thread_counts| {
+            (total.0 + thread_counts.0, total.1 + thread_counts.1)
         })
     }
 }
@@ -182,15 +183,15 @@
     node.signal("-STOP");
     publish_list();
     for (key, client) in (first_key..).zip(clients.iter_mut()) {
-        client.send(&read("read", key, 20_000));
+        client.send(&read_request("read", key, 20_000));
     }
     let continued_at = Instant::now();
     node.signal("-CONT");
     let mut served = 0;
     for client in clients.iter_mut() {
-        match client.answer() {
-            Some(answer) if answer.header("connection") != Some("close") => {
-                served += usize::from(answer.status() == 200);
+        match client.read_response() {
+            Some(response) if response.header("connection") != Some("close") => {
+                served += usize::from(response.status() == 200);
             }
             _ => *client = node.client(),
         }
@@ -218,7 +219,10 @@
     let mut clients: Vec<_> = (0..600).map(|_| node.client()).collect();
     for (key, client) in (0..).zip(clients.iter_mut().take(200)) {
         // The node may have closed a connection that was idle for long.
-        if client.try_request(&read("read", key, 20_000)).is_none() {
+        if client
+            .try_request(&read_request("read", key, 20_000))
+            .is_none()
+        {
             *client = node.client();
         }
     }
@@ -278,11 +282,11 @@
         let mut clients: Vec<_> = (1..16).map(|key| (key, node.client())).collect();
         clients
             .iter_mut()
-            .for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
-        wait_for("requests at the other server", || other.count() > 0);
+            .for_each(|(key, client)| client.send(&read_request("once", *key, 20_000)));
+        wait_for("requests at the other server", || other.request_count() > 0);
         wait_for(
             "all other requests on connections to the slow server",
-            || slow.pending_connections() + other.count() >= clients.len(),
+            || slow.pending_connections() + other.request_count() >= clients.len(),
         );
         assert!(slow.pending_connections() > 0);
         for (i, (health, at_new_address, start)) in changes.iter().enumerate() {
@@ -293,17 +297,21 @@
             };
             discovery.publish(
                 false,
-                &[started_at(endpoint_entry("s-1", dial, health), *start)],
+                &[with_start_time(endpoint_entry("s-1", dial, health), *start)],
             );
             discovery.wait_until_applied(i as u64 + 2);
         }
         slow.accept();
         for (key, client) in &mut clients {
-            assert_eq!(client.answer().unwrap().status(), 200, "{changes:?}: {key}");
+            assert_eq!(
+                client.read_response().unwrap().status(),
+                200,
+                "{changes:?}: {key}"
+            );
         }
         assert_eq!(slow.received().concat(), "", "{changes:?}");
         if changes.last().is_some_and(|last| last.0 != "ready") {
-            assert_eq!(moved.count(), 0, "{changes:?}");
+            assert_eq!(moved.request_count(), 0, "{changes:?}");
         }
     }
 }
@@ -363,11 +371,11 @@
         let mut config = config(discovery.address);
         config["settings"]["safety"] = json!({"stop_sending_within_us": grace_us});
         let node = Node::ready(&config);
-        pair.wait_for_both(&node);
+        pair.wait_until_both_used(&node);
         discovery.publish(false, &pair.entries("draining")[..1]);
         // The node has applied the list when it calls for the next one.
         discovery.wait_until_applied(2);
-        pair.assert_unused(&node);
+        pair.assert_leaving_server_unused(&node);
     }
 }
 
@@ -439,9 +447,9 @@
             }
         };
         server
-            .write_all(answer("200 OK", "", "early").as_bytes())
+            .write_all(http_response("200 OK", "", "early").as_bytes())
             .unwrap();
-        assert_eq!(client.answer().unwrap().body, b"early", "request {id}");
+        assert_eq!(client.read_response().unwrap().body, b"early", "id {id}");
         // A connection is not reused immediately after a response.
         thread::sleep(Duration::from_millis(40));
         id += 1;
@@ -451,7 +459,8 @@
         client.send(&put(id));
         assert!(id < 1_000, "the connection accepted 1000 unread requests");
     }
-    // The node assigns this request to the blocked connection, or to a new one if it detects that.
+    // The node assigns this request to the blocked connection, or to a new connection if it has
+    // detected the blockage.
     client.send(&put(id));
     thread::sleep(Duration::from_millis(300));
     discovery.publish(true, &entries("draining"));
@@ -472,5 +481,5 @@
         "the first byte of the last request was sent after the drain grace"
     );
     // The request was not sent to the leaving server on another connection either.
-    assert_eq!(client.answer().unwrap().body, b"staying");
+    assert_eq!(client.read_response().unwrap().body, b"staying");
 }
--- a/crates/cli/tests/node_lifecycle.rs
+++ b/crates/cli/tests/node_lifecycle.rs
@@ -1,4 +1,4 @@
-//! How the node starts and stops, on loopback sockets.
+//! Start, reload and shutdown of a node, on loopback sockets.
 
 mod node_common;
 
@@ -10,26 +10,27 @@
 #[test]
 fn a_terminated_node_finishes_accepted_requests_and_exits_successfully() {
     let gate = Gate::default();
-    let server =
-        CacheServer::delaying_first(&gate, || Reply::Answer(answer("200 OK", "", "value")));
+    let server = CacheServer::delaying_first(&gate, || {
+        Reply::Response(http_response("200 OK", "", "value"))
+    });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut waiting, mut idle) = (node.client(), node.client());
-    waiting.send(&read("read", 1, 60_000));
-    wait_for("the first request", || server.count() == 1);
-    let served = idle.request(&read("read", 2, 20_000));
+    waiting.send(&read_request("read", 1, 60_000));
+    wait_for("the first request", || server.request_count() == 1);
+    let served = idle.request(&read_request("read", 2, 20_000));
     assert_eq!((served.status(), served.header("connection")), (200, None));
     node.terminate();
     // The idle connection is closed once the node accepts no more clients. The accepted request is
     // still in flight.
-    assert_eq!(idle.answer(), None);
+    assert_eq!(idle.read_response(), None);
     gate.open();
     let served = waiting
-        .answer()
+        .read_response()
         .expect("the response to the accepted request");
     assert_eq!((served.status(), &served.body[..]), (200, &b"value"[..]));
     assert_eq!(served.header("connection"), Some("close"));
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 // Guards against idle clients that keep a node from exiting.
@@ -39,11 +40,11 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut used, mut fresh) = (node.client(), node.client());
-    assert_eq!(used.request(&read("read", 1, 20_000)).status(), 200);
+    assert_eq!(used.request(&read_request("read", 1, 20_000)).status(), 200);
     node.terminate();
-    assert_eq!(used.answer(), None);
-    assert_eq!(fresh.answer(), None);
-    assert!(node.exit().success());
+    assert_eq!(used.read_response(), None);
+    assert_eq!(fresh.read_response(), None);
+    assert!(node.wait_for_exit().success());
 }
 
 // Guards against a node that starts on a partial configuration, or ends with a multi-line panic.
@@ -67,7 +68,11 @@
     ];
     let mut paths: Vec<_> = contents
         .iter()
-        .map(|content| content.as_ref().map(|content| write_config(content)))
+        .map(|content| {
+            content
+                .as_ref()
+                .map(|content| write_temporary_file(content))
+        })
         .collect();
     paths.push(Some("no/such/file.json".into()));
     for path in paths {
@@ -92,32 +97,37 @@
         CacheServer::serving("1"),
         CacheServer::serving("2"),
     ];
-    let lists = servers
+    let discoveries = servers
         .each_ref()
         .map(|server| Discovery::start(&[server.entry("s-1", "ready")]));
-    let node = Node::ready(&config(lists[0].address));
-    lists[0].wait_until_applied(1);
+    let node = Node::ready(&config(discoveries[0].address));
+    discoveries[0].wait_until_applied(1);
     // The connection of this client stays open across the reloads.
     let mut client = node.client();
-    for (i, list) in lists.iter().enumerate().skip(1) {
+    for (i, discovery) in discoveries.iter().enumerate().skip(1) {
         assert_eq!(
-            client.request(&read("read", 1, 20_000)).body,
+            client.request(&read_request("read", 1, 20_000)).body,
             (i - 1).to_string().as_bytes()
         );
-        node.reload(&config(list.address).to_string());
-        list.wait_until_applied(1);
-        assert_eq!(list.received.lock().unwrap()[0], "/v1/servers");
+        node.reload(&config(discovery.address).to_string());
+        discovery.wait_until_applied(1);
+        assert_eq!(discovery.received.lock().unwrap()[0], "/v1/servers");
         assert_eq!(
-            client.request(&read("read", 1, 20_000)).body,
+            client.request(&read_request("read", 1, 20_000)).body,
             i.to_string().as_bytes()
         );
     }
     // Lists from the old discoveries have no effect.
-    lists[0].publish(true, &[servers[0].entry("s-1", "ready")]);
-    lists[2].publish(false, &[]);
-    lists[2].wait_until_applied(2);
-    assert_eq!(client.request(&read("read", 1, 20_000)).body, b"2");
-    assert_eq!(lists.each_ref().map(|list| list.calls()), [2, 2, 3]);
+    discoveries[0].publish(true, &[servers[0].entry("s-1", "ready")]);
+    discoveries[2].publish(false, &[]);
+    discoveries[2].wait_until_applied(2);
+    assert_eq!(client.request(&read_request("read", 1, 20_000)).body, b"2");
+    assert_eq!(
+        discoveries
+            .each_ref()
+            .map(|discovery| discovery.call_count()),
+        [2, 2, 3]
+    );
 }
 
 // Guards against a reload that terminates the node or leaves it without a list: the node serves
@@ -158,10 +168,10 @@
     let _call = unresponsive.accept().unwrap();
     assert_eq!(node.read("read", 1).status(), 200);
     // A node can move back from a discovery that never answers.
-    let calls = discovery.calls();
+    let calls = discovery.call_count();
     node.reload(&good.to_string());
     wait_for("a call to the previous discovery", || {
-        discovery.calls() > calls
+        discovery.call_count() > calls
     });
     assert_eq!(discovery.received.lock().unwrap()[calls], "/v1/servers");
     assert_eq!(node.read("read", 1).status(), 200);
@@ -172,7 +182,7 @@
 fn the_log_is_json_if_requested() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let path = write_config(&config(discovery.address).to_string());
+    let path = write_temporary_file(&config(discovery.address).to_string());
     let mut child = command()
         .args(["--log-format", "json"])
         .env("LB_CONFIG", &path)
@@ -204,14 +214,15 @@
 #[test]
 fn further_signals_during_shutdown_change_nothing() {
     let gate = Gate::default();
-    let server =
-        CacheServer::delaying_first(&gate, || Reply::Answer(answer("200 OK", "", "value")));
+    let server = CacheServer::delaying_first(&gate, || {
+        Reply::Response(http_response("200 OK", "", "value"))
+    });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut waiting, mut idle) = (node.client(), node.client());
-    waiting.send(&read("once", 1, 60_000));
-    wait_for("the attempt", || server.count() == 1);
-    assert_eq!(idle.request(&read("read", 2, 20_000)).status(), 200);
+    waiting.send(&read_request("once", 1, 60_000));
+    wait_for("the attempt", || server.request_count() == 1);
+    assert_eq!(idle.request(&read_request("read", 2, 20_000)).status(), 200);
     node.terminate();
     // Signals are sent while the node still accepts clients, and again when it no longer does.
     let reloads = || {
@@ -226,7 +237,7 @@
     node.signal("-HUP");
     wait_for("the first reload", || reloads() == 1);
     assert_eq!(
-        idle.answer(),
+        idle.read_response(),
         None,
         "the node must close idle connections once it accepts no more clients"
     );
@@ -236,13 +247,13 @@
     gate.open();
     assert_eq!(
         waiting
-            .answer()
+            .read_response()
             .expect("the response to the accepted request")
             .status(),
         200
     );
-    assert_eq!(server.count(), 2);
-    assert!(node.exit().success());
+    assert_eq!(server.request_count(), 2);
+    assert!(node.wait_for_exit().success());
 }
 
 // Guards against nodes that start together and stay unready because discovery is slow and refuses
@@ -313,10 +324,11 @@
         Arc::new(Mutex::new(Instant::now())),
         Arc::new(Mutex::new(0)),
     );
-    let count = refused.clone();
+    let refusal_counter = refused.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
-            let (next_free, refused, list) = (next_free.clone(), count.clone(), list.clone());
+            let (next_free, refused, list) =
+                (next_free.clone(), refusal_counter.clone(), list.clone());
             std::thread::spawn(move || {
                 let mut reader = std::io::BufReader::new(stream.try_clone().unwrap());
                 while let Ok(Some(call)) = Message::read(&mut reader) {
@@ -329,7 +341,7 @@
                     let response = match admitted {
                         None => {
                             *refused.lock().unwrap() += 1;
-                            answer("503 Service Unavailable", "", "")
+                            http_response("503 Service Unavailable", "", "")
                         }
                         Some(previous_free) => {
                             std::thread::sleep(
@@ -340,7 +352,7 @@
                             if call.start.contains("after=1&wait_ms=60000") {
                                 continue;
                             }
-                            answer("200 OK", "", &list)
+                            http_response("200 OK", "", &list)
                         }
                     };
                     if std::io::Write::write_all(&mut stream, response.as_bytes()).is_err() {
--- a/crates/cli/tests/node_lists.rs
+++ b/crates/cli/tests/node_lists.rs
@@ -2,7 +2,7 @@
 
 mod node_common;
 
-use node_common::endpoint_pair::started_at;
+use node_common::endpoint_pair::with_start_time;
 use node_common::manual_discovery::list;
 use node_common::*;
 use serde_json::{json, Value};
@@ -24,7 +24,7 @@
         {
             gate.wait_until_open();
         }
-        Reply::Answer(answer("200 OK", "", name))
+        Reply::Response(http_response("200 OK", "", name))
     })
 }
 
@@ -36,42 +36,42 @@
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut waiting_client = node.client();
-    waiting_client.send(&read("once", 1, 20_000));
-    wait_for("the attempt", || old.count() == 1);
+    waiting_client.send(&read_request("once", 1, 20_000));
+    wait_for("the attempt", || old.request_count() == 1);
     discovery.publish(false, &[new.entry("s-1", "ready")]);
     discovery.wait_until_applied(2);
     gate.open();
     assert_eq!(
-        waiting_client.answer().unwrap().body,
+        waiting_client.read_response().unwrap().body,
         b"old",
         "the attempt in progress was not completed at the old address"
     );
     for key in [2, 4, 6] {
         assert_eq!(node.read("read", key).body, b"new", "{key}");
     }
-    assert_eq!(old.count(), 1);
+    assert_eq!(old.request_count(), 1);
 }
 
-// Guards against reuse of connections to an ended process: a machine that fails sends nothing on
-// them.
+// Guards against reuse of connections to a process that has ended: a machine that fails sends
+// nothing on its connections, so they stay open at the node.
 #[test]
 fn a_new_incarnation_at_the_same_name_and_address_gets_new_connections() {
     let gate = Gate::default();
     let server = gated_server("value", &gate);
-    let discovery = Discovery::start(&[started_at(server.entry("s-1", "ready"), 1)]);
+    let discovery = Discovery::start(&[with_start_time(server.entry("s-1", "ready"), 1)]);
     let node = Node::ready(&config(discovery.address));
     let mut waiting_client = node.client();
-    waiting_client.send(&read("once", 1, 20_000));
-    wait_for("the attempt", || server.count() == 1);
+    waiting_client.send(&read_request("once", 1, 20_000));
+    wait_for("the attempt", || server.request_count() == 1);
     assert_eq!(node.read("read", 2).status(), 200);
     assert_eq!(server.connections.load(Ordering::SeqCst), 2);
-    discovery.publish(false, &[started_at(server.entry("s-1", "ready"), 2)]);
+    discovery.publish(false, &[with_start_time(server.entry("s-1", "ready"), 2)]);
     discovery.wait_until_applied(2);
     wait_for("the end of the idle connection", || {
         server.closed.load(Ordering::SeqCst) == 1
     });
     gate.open();
-    assert_eq!(waiting_client.answer().unwrap().status(), 200);
+    assert_eq!(waiting_client.read_response().unwrap().status(), 200);
     wait_for("the end of the other connection", || {
         server.closed.load(Ordering::SeqCst) == 2
     });
@@ -103,21 +103,22 @@
             thread::spawn(move || {
                 let stream = std::net::TcpStream::connect(address).unwrap();
                 stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-                let (mut connection, mut answers) = (Client::from_stream(stream), 0);
+                let (mut connection, mut response_count) = (Client::from_stream(stream), 0);
                 while stop.load(Ordering::SeqCst) == 0 {
-                    let key = client << 32 | answers;
-                    let Some(answer) = connection.try_request(&read("once", key, 20_000)) else {
+                    let key = client << 32 | response_count;
+                    let Some(response) = connection.try_request(&read_request("once", key, 20_000))
+                    else {
                         break;
                     };
                     // At least one server is ready at any time.
-                    assert_eq!(answer.status(), 200, "{key:x}");
-                    answers += 1;
-                    if answer.header("connection") == Some("close") {
+                    assert_eq!(response.status(), 200, "{key:x}");
+                    response_count += 1;
+                    if response.header("connection") == Some("close") {
                         let stream = std::net::TcpStream::connect(address).unwrap();
                         connection = Client::from_stream(stream);
                     }
                 }
-                answers
+                response_count
             })
         })
         .collect();
@@ -127,25 +128,25 @@
         state[changed] = ["draining", "absent"][round / 3 % 2];
         discovery.publish(true, &entries(&state));
         discovery.wait_until_applied(round as u64 + 2);
-        // Attempts in progress at the notification may still reach the server, but none after the
-        // time that the rules allow.
+        // Attempts in progress at the notification may still reach the server, but no request may
+        // after the time that the rules allow.
         thread::sleep(Duration::from_millis(300));
-        let count = servers[changed].count();
+        let count = servers[changed].request_count();
         thread::sleep(Duration::from_millis(100));
         assert_eq!(
-            servers[changed].count(),
+            servers[changed].request_count(),
             count,
             "round {round}: a request reached the drained or removed server"
         );
     }
     stop.store(1, Ordering::SeqCst);
-    let answers: u64 = clients
+    let total_responses: u64 = clients
         .into_iter()
         .map(|client| client.join().unwrap())
         .sum();
-    let total_received: usize = servers.iter().map(CacheServer::count).sum();
+    let total_received: usize = servers.iter().map(CacheServer::request_count).sum();
     assert_eq!(
-        answers as usize, total_received,
+        total_responses as usize, total_received,
         "the responses do not match the requests that reached the servers"
     );
     assert!(total_received > 100, "{total_received}");
@@ -153,7 +154,7 @@
 
 // Guards against a request sent on a connection that is established after the drain was notified.
 #[test]
-fn a_drain_notified_while_a_connection_is_established_keeps_the_request_from_it() {
+fn a_drain_notified_while_a_connection_is_established_stops_the_request_on_it() {
     let slow = SlowServer::start();
     let other = CacheServer::serving("value");
     let entries = |health: &str| {
@@ -167,23 +168,23 @@
     let mut clients: Vec<_> = (1..16).map(|key| (key, node.client())).collect();
     clients
         .iter_mut()
-        .for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
-    // Each client has one attempt: the other server answers its attempts, and those at the slow
+        .for_each(|(key, client)| client.send(&read_request("once", *key, 20_000)));
+    // Each client has one attempt. Attempts at the other server are answered; attempts at the slow
     // server stay pending.
     wait_for("one attempt per client", || {
-        slow.pending_connections() + other.count() >= clients.len()
+        slow.pending_connections() + other.request_count() >= clients.len()
     });
     let pending = slow.pending_connections();
     assert!(
-        pending > 0 && other.count() > 0,
+        pending > 0 && other.request_count() > 0,
         "{pending} pending at the slow server"
     );
-    assert_eq!(pending + other.count(), clients.len());
+    assert_eq!(pending + other.request_count(), clients.len());
     discovery.publish(true, &entries("draining"));
     discovery.wait_until_applied(2);
     slow.accept();
     for (key, client) in &mut clients {
-        assert_eq!(client.answer().unwrap().status(), 200, "{key}");
+        assert_eq!(client.read_response().unwrap().status(), 200, "{key}");
     }
     assert_eq!(
         slow.received().concat(),
@@ -227,7 +228,7 @@
                     let list = &lists[(log.len() - 1).min(lists.len() - 1)];
                     drop(log);
                     if stream
-                        .write_all(answer("200 OK", "", list).as_bytes())
+                        .write_all(http_response("200 OK", "", list).as_bytes())
                         .is_err()
                     {
                         return;
@@ -253,7 +254,7 @@
     wait_for("the third call", || paths.lock().unwrap().len() > 3);
     assert_eq!(paths.lock().unwrap()[2], "/v1/servers");
     assert!((1..20).all(|key| node.read("read", key).body == b"value"));
-    assert_eq!(removed.count(), 0);
+    assert_eq!(removed.request_count(), 0);
     wait_for("the log line of the outdated list", || {
         node.log
             .lock()
@@ -304,25 +305,25 @@
     });
     let mut keys = 1..;
     let mut send_requests = |requests: usize| {
-        let before: Vec<_> = servers.iter().map(CacheServer::count).collect();
+        let before: Vec<_> = servers.iter().map(CacheServer::request_count).collect();
         let mut client = node.client();
         for key in keys.by_ref().take(requests) {
-            let answer = client.request(&read("read", key, 20_000));
-            assert_eq!(answer.status(), 200, "{key}");
-            if answer.header("connection") == Some("close") {
+            let response = client.request(&read_request("read", key, 20_000));
+            assert_eq!(response.status(), 200, "{key}");
+            if response.header("connection") == Some("close") {
                 client = node.client();
             }
         }
         servers
             .iter()
             .zip(before)
-            .map(|(server, before)| server.count() - before)
+            .map(|(server, before)| server.request_count() - before)
             .collect::<Vec<_>>()
     };
     // With this number of draws with replacement, 982 servers are expected to be reached.
     let servers_reached = send_requests(3 * SERVERS + 100)
         .iter()
-        .filter(|request_count| **request_count > 0)
+        .filter(|received_count| **received_count > 0)
         .count();
     assert!(
         servers_reached > SERVERS * 9 / 10,
@@ -339,7 +340,7 @@
         counts
             .iter()
             .step_by(2)
-            .all(|request_count| *request_count == 0),
+            .all(|received_count| *received_count == 0),
         "draining servers received requests"
     );
     // Every fourth server stays; servers missing from a complete list are removed.
--- a/crates/cli/tests/node_memory.rs
+++ b/crates/cli/tests/node_memory.rs
@@ -24,7 +24,7 @@
 #[test]
 fn bodies_and_responses_of_the_largest_size_stay_within_memory_and_release_it() {
     let body = "v".repeat(64 << 10);
-    let server = CacheServer::start(move |_| Reply::Answer(answer("200 OK", "", &body)));
+    let server = CacheServer::start(move |_| Reply::Response(http_response("200 OK", "", &body)));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let mut node_config = config(discovery.address);
     node_config["limits"]["memory_mb"] = json!(32);
@@ -33,7 +33,7 @@
     let mut clients: Vec<_> = (0..300u64)
         .map(|key| {
             let mut client = node.client();
-            let head = read("keyed", key, 20_000)
+            let head = read_request("keyed", key, 20_000)
                 .replace("GET", "PUT")
                 .replace("\r\n\r\n", "\r\n");
             client.try_send(&format!(
@@ -43,13 +43,16 @@
             client
         })
         .collect();
-    wait_for("requests at the server", || server.count() > 20);
+    wait_for("requests at the server", || server.request_count() > 20);
     sleep(Duration::from_millis(500));
-    let responses: Vec<_> = clients.iter_mut().filter_map(Client::answer).collect();
-    for answer in &responses {
-        match answer.status() {
-            200 => assert_eq!(answer.body.len(), 64 << 10),
-            _ => assert_shed(answer),
+    let responses: Vec<_> = clients
+        .iter_mut()
+        .filter_map(Client::read_response)
+        .collect();
+    for response in &responses {
+        match response.status() {
+            200 => assert_eq!(response.body.len(), 64 << 10),
+            _ => assert_shed(response),
         }
     }
     assert!(responses.len() > 100, "{} of 300 answered", responses.len());
@@ -78,7 +81,7 @@
                 if request.header("req-id").is_some_and(|id| id.len() < 4) {
                     server_gate.wait_until_open();
                 }
-                Reply::Answer(answer("200 OK", "", "value"))
+                Reply::Response(http_response("200 OK", "", "value"))
             })
         })
         .collect();
@@ -95,12 +98,16 @@
     let mut senders: Vec<_> = (0..120u64)
         .map(|key| {
             let mut client = node.client();
-            client.send(&read("read", key, 60_000));
+            client.send(&read_request("read", key, 60_000));
             client
         })
         .collect();
     wait_for("all requests at the servers", || {
-        servers.iter().map(CacheServer::count).sum::<usize>() == senders.len()
+        servers
+            .iter()
+            .map(CacheServer::request_count)
+            .sum::<usize>()
+            == senders.len()
     });
     senders
         .iter_mut()
--- a/crates/cli/tests/node_multiget/bounds.rs
+++ b/crates/cli/tests/node_multiget/bounds.rs
@@ -4,7 +4,7 @@
     all_served, echo_target, multi_get_address, multi_get_command, numbered_keys,
     MULTI_GET_FEATURES,
 };
-use crate::node_common::{config, read, wait_for, CacheServer, Discovery, Gate, Node};
+use crate::node_common::{config, read_request, wait_for, CacheServer, Discovery, Gate, Node};
 use serde_json::json;
 use std::process::Stdio;
 
@@ -22,15 +22,15 @@
     let node = Node::with_features(&config(discovery.address), &features);
     let mut call = multi_get_command(multi_get_address(&node), 20_000, &numbered_keys(9));
     let call = std::thread::spawn(move || call.output().unwrap());
-    wait_for("the first items", || server.count() == 3);
+    wait_for("the first items", || server.request_count() == 3);
     // The node answers other requests in the meantime, but sends no fourth item.
     for _ in 0..5 {
         assert_eq!(node.get("/healthz").status(), 200);
     }
-    assert_eq!(server.count(), 3);
+    assert_eq!(server.request_count(), 3);
     gate.open();
     assert!(all_served(&call.join().unwrap()));
-    assert_eq!(server.count(), 9);
+    assert_eq!(server.request_count(), 9);
 }
 
 // Guards against items that use more descriptors than the node's limit, and against a multi-get
@@ -47,7 +47,7 @@
     let idle_clients: Vec<_> = (0..5)
         .map(|i| {
             let mut client = node.client();
-            let request = read("read", 1_000 + i, 20_000);
+            let request = read_request("read", 1_000 + i, 20_000);
             assert_eq!(client.request(&request).status(), 200);
             client
         })
--- a/crates/cli/tests/node_multiget/items.rs
+++ b/crates/cli/tests/node_multiget/items.rs
@@ -5,7 +5,7 @@
     printed_lines, MULTI_GET_FEATURES,
 };
 use crate::node_common::{
-    answer, config, temporary_path, wait_for, CacheServer, Discovery, Node, Reply,
+    config, http_response, temporary_path, wait_for, CacheServer, Discovery, Node, Reply,
 };
 use serde_json::{json, Value};
 use std::collections::HashSet;
@@ -20,7 +20,7 @@
 #[test]
 fn each_item_is_a_separate_request_and_lines_follow_the_order_of_the_keys() {
     let server = CacheServer::start(|request| match request.start.contains("0003 ") {
-        true => Reply::Answer(answer("500 No", "", "")),
+        true => Reply::Response(http_response("500 No", "", "")),
         false => echo_target(request),
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
--- a/crates/cli/tests/node_multiget/lifecycle.rs
+++ b/crates/cli/tests/node_multiget/lifecycle.rs
@@ -5,7 +5,7 @@
     MULTI_GET_FEATURES,
 };
 use crate::node_common::{
-    command, config, wait_for, write_config, CacheServer, Discovery, Gate, Node,
+    command, config, wait_for, write_temporary_file, CacheServer, Discovery, Gate, Node,
 };
 use std::net::{TcpListener, TcpStream};
 
@@ -23,7 +23,7 @@
     let address = multi_get_address(&node);
     let mut call = multi_get_command(address, 20_000, &numbered_keys(12));
     let call = std::thread::spawn(move || call.output().unwrap());
-    wait_for("the first items", || server.count() == 8);
+    wait_for("the first items", || server.request_count() == 8);
     node.terminate();
     wait_for("a closed multi-get port", || {
         TcpStream::connect(address).is_err()
@@ -31,7 +31,7 @@
     gate.open();
     let output = call.join().unwrap();
     assert!(all_served(&output), "{output:?}");
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 // Guards against a multi-get port that opens without the setting `port`, and against a node that
@@ -49,11 +49,11 @@
         .iter()
         .any(|line| line.contains("multi-get")));
     let occupying_listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let features = write_config(&format!(
+    let features = write_temporary_file(&format!(
         "[multiget]\nport = {}\n",
         occupying_listener.local_addr().unwrap().port()
     ));
-    let platform = write_config(&platform.to_string());
+    let platform = write_temporary_file(&platform.to_string());
     let output = command()
         .env("LB_CONFIG", platform)
         .arg("--features")
--- a/crates/cli/tests/node_multiget/multi_get.rs
+++ b/crates/cli/tests/node_multiget/multi_get.rs
@@ -1,6 +1,8 @@
 //! Helpers that call the multi-get port, through the command or with hand-written requests.
 
-use crate::node_common::{answer, command, wait_for, Client, Message, Node, Reply, WAIT_TIMEOUT};
+use crate::node_common::{
+    command, http_response, wait_for, Client, Message, Node, Reply, WAIT_TIMEOUT,
+};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
@@ -84,5 +86,5 @@
 /// Replies with the request's target as the body.
 pub fn echo_target(request: &Message) -> Reply {
     let target = request.start.split(' ').nth(1).unwrap();
-    Reply::Answer(answer("200 OK", "", target))
+    Reply::Response(http_response("200 OK", "", target))
 }
--- a/crates/cli/tests/node_multiget/partial_results.rs
+++ b/crates/cli/tests/node_multiget/partial_results.rs
@@ -35,7 +35,7 @@
     let responsive_server = CacheServer::start(echo_target);
     let stalling_server = CacheServer::start(move |request| {
         if server_stalled.load(Ordering::SeqCst) {
-            Reply::NoAnswer
+            Reply::NoResponse
         } else {
             echo_target(request)
         }
@@ -85,7 +85,7 @@
 #[test]
 fn when_the_node_is_killed_served_items_are_printed_and_others_are_partial() {
     let server = CacheServer::start(|request| match request.start.contains("0003 ") {
-        true => Reply::NoAnswer,
+        true => Reply::NoResponse,
         false => echo_target(request),
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -104,7 +104,7 @@
         let line: Value = serde_json::from_str(&line).unwrap();
         assert_eq!((&line["i"], &line["status"]), (&i.into(), &200.into()));
     }
-    wait_for("the third item", || server.count() == 3);
+    wait_for("the third item", || server.request_count() == 3);
     node.child.kill().unwrap();
     let mut last_line = String::new();
     stdout.read_to_string(&mut last_line).unwrap();
@@ -130,7 +130,7 @@
 #[test]
 fn items_of_a_disconnected_client_are_abandoned_and_an_id_in_flight_is_rejected() {
     let server = CacheServer::start(|request| match request.header("req-id") {
-        Some("held") => Reply::NoAnswer,
+        Some("held") => Reply::NoResponse,
         _ => echo_target(request),
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
@@ -144,7 +144,7 @@
     let mut disconnecting_client = connect(address);
     let items = json!([item("1", "held"), item("2", "later")]);
     disconnecting_client.send(&post_request(&items.to_string(), 20_000));
-    wait_for("the first item", || server.count() == 1);
+    wait_for("the first item", || server.request_count() == 1);
     let mut second_client = connect(address);
     second_client.send(&post_request(
         &json!([item("1", "held")]).to_string(),
@@ -167,7 +167,7 @@
     });
     assert_eq!(node.read("read", 3).status(), 200);
     assert_eq!(
-        server.count(),
+        server.request_count(),
         2,
         "the second item of the disconnected client must not be sent"
     );
--- a/crates/cli/tests/node_multiget/rejections.rs
+++ b/crates/cli/tests/node_multiget/rejections.rs
@@ -4,7 +4,7 @@
     connect, item, multi_get_address, multi_get_command, numbered_keys, post_request,
     MULTI_GET_FEATURES,
 };
-use crate::node_common::{config, read, CacheServer, Discovery, Node};
+use crate::node_common::{config, read_request, CacheServer, Discovery, Node};
 use serde_json::{json, Value};
 use std::io::ErrorKind;
 use std::net::TcpListener;
@@ -83,7 +83,7 @@
         rejected_call(valid.replace("/multi", "/other"), 404),
         rejected_call(valid.replace("POST", "GET"), 405),
         rejected_call(chunked, 411),
-        rejected_call(read("read", 1, 900), 404),
+        rejected_call(read_request("read", 1, 900), 404),
     ]
 }
 
@@ -102,15 +102,15 @@
         let mut client = connect(address);
         assert_eq!(client.request(&request).status(), status, "{request}");
         assert_eq!(
-            client.answer(),
+            client.read_response(),
             None,
             "the connection is still open after {request}"
         );
     }
-    assert_eq!(server.count(), 0);
+    assert_eq!(server.request_count(), 0);
     let mut silent_client = connect(address);
     assert_eq!(
-        silent_client.answer(),
+        silent_client.read_response(),
         None,
         "the connection of a silent client is closed"
     );
--- a/crates/cli/tests/node_pushed_lists.rs
+++ b/crates/cli/tests/node_pushed_lists.rs
@@ -12,18 +12,18 @@
 use std::thread;
 
 /// Sends requests until both servers have received some.
-fn wait_for_both(node: &Node, leaving: &CacheServer, staying: &CacheServer) {
+fn wait_until_both_used(node: &Node, leaving: &CacheServer, staying: &CacheServer) {
     wait_for("requests at both servers", || {
         (1..20).for_each(|key| drop(node.read("read", key)));
-        leaving.count() > 0 && staying.count() > 0
+        leaving.request_count() > 0 && staying.request_count() > 0
     });
 }
 
 /// Asserts that all requests are served by the server that responds with "staying".
-fn assert_unused(node: &Node, leaving: &CacheServer) {
-    let before = leaving.count();
+fn assert_leaving_server_unused(node: &Node, leaving: &CacheServer) {
+    let before = leaving.request_count();
     assert!((20..40).all(|key| node.read("read", key).body == b"staying"));
-    assert_eq!(leaving.count(), before);
+    assert_eq!(leaving.request_count(), before);
 }
 
 /// Returns the configuration of a node with pushed lists that starts with the endpoints `known`.
@@ -34,8 +34,8 @@
     config
 }
 
-// Guards against a node that opens no watch where lists are pushed: nothing requests one there,
-// although the node counts as informed of all that its agent knows.
+// Guards against a node that opens no watch where lists are pushed: nothing requests a watch in
+// this mode, although the node counts as informed of all that its agent knows.
 #[test]
 fn pushed_lists_are_watched_and_a_drain_takes_effect() {
     let (leaving, staying) = (
@@ -45,10 +45,10 @@
     let entries = |health: &str| [leaving.entry("s-1", health), staying.entry("s-2", "ready")];
     let discovery = Discovery::start(&entries("ready"));
     let node = Node::ready(&pushed_config(discovery.address, &entries("ready")));
-    wait_for_both(&node, &leaving, &staying);
+    wait_until_both_used(&node, &leaving, &staying);
     discovery.publish(false, &entries("draining")[..1]);
     discovery.wait_until_applied(2);
-    assert_unused(&node, &leaving);
+    assert_leaving_server_unused(&node, &leaving);
 }
 
 // Guards against a new process that serves from an old list where lists are pushed: from its start,
@@ -75,13 +75,13 @@
     assert!(call.start.starts_with("GET /v1/servers "), "{}", call.start);
     let list = list(7, true, &[staying.entry("s-2", "ready")]);
     stream
-        .write_all(answer("200 OK", "", &list).as_bytes())
+        .write_all(http_response("200 OK", "", &list).as_bytes())
         .unwrap();
     wait_for("the node's readiness", || {
         node.get("/healthz").status() == 200
     });
     assert!((1..20).all(|key| node.read("read", key).body == b"staying"));
-    assert_eq!(gone.count(), 0);
+    assert_eq!(gone.request_count(), 0);
 
     let refusing_agent = TcpListener::bind("127.0.0.1:0")
         .unwrap()
@@ -112,13 +112,13 @@
             recorded_lines.lock().unwrap().push(message.start);
             let Ok(text) = lists.recv() else { return };
             stream
-                .write_all(answer("200 OK", "", &text).as_bytes())
+                .write_all(http_response("200 OK", "", &text).as_bytes())
                 .unwrap();
         }
     });
     list_sender.send(list(5, true, &entries("ready"))).unwrap();
     let node = Node::ready(&config(address));
-    wait_for_both(&node, &leaving, &staying);
+    wait_until_both_used(&node, &leaving, &staying);
     list_sender
         .send(list(3, true, &entries("draining")))
         .unwrap();
@@ -126,5 +126,5 @@
     wait_for("the node's third call", || {
         call_lines.lock().unwrap().len() == 3
     });
-    assert_unused(&node, &leaving);
+    assert_leaving_server_unused(&node, &leaving);
 }
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -17,7 +17,7 @@
 /// platform's limit, because the machine may be busy.
 const DRAIN_LIMIT: Duration = Duration::from_millis(500);
 /// Longest accepted delay of a response beyond its client's deadline, on a busy machine.
-const ANSWER_GRACE: Duration = Duration::from_secs(2);
+const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 const CLASSES: [&str; 3] = ["read", "keyed", "once"];
 /// Longest pause of a step, in milliseconds.
 const MAX_PAUSE_MS: u64 = 30;
@@ -40,7 +40,7 @@
 /// How a client's request ended.
 struct ClientOutcome {
     class: &'static str,
-    answer: Option<Message>,
+    response: Option<Message>,
     latency: Duration,
     deadline: Duration,
     disconnected: bool,
@@ -67,10 +67,10 @@
 
     fn outcome(self) -> (String, ClientOutcome) {
         // The thread of a disconnected client may have panicked.
-        let (answer, latency) = self.thread.join().unwrap_or_default();
+        let (response, latency) = self.thread.join().unwrap_or_default();
         let outcome = ClientOutcome {
             class: self.class,
-            answer,
+            response,
             latency,
             deadline: self.deadline,
             disconnected: self.disconnected,
@@ -81,11 +81,11 @@
 
 fn reply(status: Status) -> Reply {
     match status {
-        Status::Failed => Reply::Answer(answer("500 No", "", "")),
-        Status::Rejected => Reply::Answer(answer("503 Full", "Srv-Declined: 1\r\n", "")),
-        Status::Reset | Status::ConnectError => Reply::AnswerAndClose(String::new()),
-        Status::TimedOut => Reply::NoAnswer,
-        _ => Reply::Answer(answer("200 OK", "", "value")),
+        Status::Failed => Reply::Response(http_response("500 No", "", "")),
+        Status::Rejected => Reply::Response(http_response("503 Full", "Srv-Declined: 1\r\n", "")),
+        Status::Reset | Status::ConnectError => Reply::ResponseAndClose(String::new()),
+        Status::TimedOut => Reply::NoResponse,
+        _ => Reply::Response(http_response("200 OK", "", "value")),
     }
 }
 
@@ -205,12 +205,12 @@
         let stream = std::net::TcpStream::connect(self.node.address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let handle = stream.try_clone().unwrap();
-        let text = read(class, key, deadline.as_millis() as u64)
+        let text = read_request(class, key, deadline.as_millis() as u64)
             .replace(&format!("Req-Id: {key:x}"), &format!("Req-Id: {id}"));
         let at = Instant::now();
         let thread = thread::spawn(move || {
-            let answer = Client::from_stream(stream).try_request(&text);
-            (answer, at.elapsed())
+            let response = Client::from_stream(stream).try_request(&text);
+            (response, at.elapsed())
         });
         self.clients.push(PendingClient {
             id,
@@ -303,12 +303,12 @@
 /// after attempts that its class allows.
 fn assert_answered(id: &str, outcome: &ClientOutcome, attempts: &[Status]) {
     // A second response would be taken for the response to the next request on the connection.
-    let answer = outcome
-        .answer
+    let response = outcome
+        .response
         .as_ref()
         .unwrap_or_else(|| panic!("no response to request {id}"));
     assert!(
-        outcome.latency <= outcome.deadline + ANSWER_GRACE,
+        outcome.latency <= outcome.deadline + RESPONSE_GRACE,
         "the response to request {id} took {:?}",
         outcome.latency
     );
@@ -318,13 +318,13 @@
         outcome.class != "once" || attempts.iter().take(retry_count).all(is_rejected),
         "request {id} was retried after attempts {attempts:?}"
     );
-    match answer.status() {
+    match response.status() {
         200 => assert_eq!(
-            (answer.body.as_slice(), attempts.is_empty()),
+            (response.body.as_slice(), attempts.is_empty()),
             (&b"value"[..], false),
             "{id}"
         ),
-        503 => assert_safely_shed(id, outcome.class, answer, attempts),
+        503 => assert_safely_shed(id, outcome.class, response, attempts),
         status => assert_eq!(status, 502, "{id}"),
     }
     // An abandoned request is answered at once: unless an attempt timed out, no request waits for
@@ -338,13 +338,13 @@
 }
 
 /// Asserts that a shed request is safe to retry and that its response has a retry time.
-fn assert_safely_shed(id: &str, class: &str, answer: &Message, attempts: &[Status]) {
+fn assert_safely_shed(id: &str, class: &str, response: &Message, attempts: &[Status]) {
     assert!(
         class != "once" || attempts.iter().all(is_rejected),
         "request {id} was shed after attempts {attempts:?}"
     );
-    let retry_after = answer.header("retry-after").unwrap();
-    assert!(retry_after.parse::<f64>().unwrap() > 0.0, "{answer:?}");
+    let retry_after = response.header("retry-after").unwrap();
+    assert!(retry_after.parse::<f64>().unwrap() > 0.0, "{response:?}");
 }
 
 /// Asserts that no request reached a server while its drain or removal was in effect.
--- a/crates/cli/tests/node_servers.rs
+++ b/crates/cli/tests/node_servers.rs
@@ -24,7 +24,7 @@
     for key in 0..20 {
         assert_eq!(node.read("read", key).body, b"new");
     }
-    assert_eq!((old.count(), new.count()), (1, 20));
+    assert_eq!((old.request_count(), new.request_count()), (1, 20));
 }
 
 // Guards against requests to a server that a complete list omits: such a server has been removed.
@@ -40,13 +40,14 @@
         old.closed.load(Ordering::SeqCst) == 1
     });
     assert_eq!(node.read("read", 1).body, b"new");
-    assert_eq!(old.count(), 1);
+    assert_eq!(old.request_count(), 1);
 }
 
 // Guards against a request written to an idle connection that its server has closed.
 #[test]
 fn a_connection_that_its_server_closed_is_not_used_again() {
-    let server = CacheServer::start(|_| Reply::AnswerAndClose(answer("200 OK", "", "value")));
+    let server =
+        CacheServer::start(|_| Reply::ResponseAndClose(http_response("200 OK", "", "value")));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     for key in 0..10 {
@@ -55,7 +56,10 @@
         std::thread::sleep(std::time::Duration::from_millis(20));
     }
     assert_eq!(
-        (server.count(), server.connections.load(Ordering::SeqCst)),
+        (
+            server.request_count(),
+            server.connections.load(Ordering::SeqCst)
+        ),
         (10, 10)
     );
 }
@@ -104,7 +108,10 @@
         assert_eq!(node.read("read", key).status(), 200);
     }
     assert_eq!(
-        (server.count(), server.connections.load(Ordering::SeqCst)),
+        (
+            server.request_count(),
+            server.connections.load(Ordering::SeqCst)
+        ),
         (10, 1)
     );
     // A connection is reused after its request (10 ms allowed) and the reuse delay of 20 ms.
@@ -112,7 +119,10 @@
     let (mut client, mut sent_at) = (node.client(), Vec::new());
     for key in 10..1_010 {
         sent_at.push(std::time::Instant::now());
-        assert_eq!(client.request(&read("read", key, 20_000)).status(), 200);
+        assert_eq!(
+            client.request(&read_request("read", key, 20_000)).status(),
+            200
+        );
     }
     let time_until_reuse = std::time::Duration::from_millis(20 + 10);
     let request_counts = sent_at.iter().map(|from| {
@@ -139,30 +149,42 @@
         let attempts = attempts.clone();
         CacheServer::start(move |_| match attempts.fetch_add(1, Ordering::SeqCst) {
             0 => reply(),
-            _ => Reply::Answer(answer("200 OK", "", "value")),
+            _ => Reply::Response(http_response("200 OK", "", "value")),
         })
     };
     let (one, two) = (server(), server());
     let discovery = Discovery::start(&[one.entry("s-1", "ready"), two.entry("s-2", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let status = node.read(class, 1).status();
-    (status, one.count() + two.count())
+    (status, one.request_count() + two.request_count())
 }
 
 // Guards against a misjudged outcome: a request that may have run must not be sent again, a request
 // that never ran may be.
 #[test]
 fn a_non_idempotent_request_is_retried_only_where_it_provably_never_ran() {
-    let declined = || Reply::Answer(answer("503 Service Unavailable", "Srv-Declined: 1\r\n", ""));
+    let declined = || {
+        Reply::Response(http_response(
+            "503 Service Unavailable",
+            "Srv-Declined: 1\r\n",
+            "",
+        ))
+    };
     assert_eq!(send_with_first_reply(declined, "once"), (200, 2));
-    let timed_out = || Reply::Answer(answer("504 Gateway Timeout", "Srv-Declined: 1\r\n", ""));
+    let timed_out = || {
+        Reply::Response(http_response(
+            "504 Gateway Timeout",
+            "Srv-Declined: 1\r\n",
+            "",
+        ))
+    };
     assert_eq!(send_with_first_reply(timed_out, "once"), (200, 2));
     let uncertain_replies: [fn() -> Reply; 5] = [
-        || Reply::Answer(answer("500 Internal Server Error", "", "")),
-        || Reply::Answer(answer("503 Service Unavailable", "", "")),
-        || Reply::AnswerAndClose(String::new()),
-        || Reply::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
-        || Reply::AnswerAndClose("no HTTP at all\r\n\r\n".to_owned()),
+        || Reply::Response(http_response("500 Internal Server Error", "", "")),
+        || Reply::Response(http_response("503 Service Unavailable", "", "")),
+        || Reply::ResponseAndClose(String::new()),
+        || Reply::ResponseAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned()),
+        || Reply::ResponseAndClose("no HTTP at all\r\n\r\n".to_owned()),
     ];
     for (i, uncertain_reply) in uncertain_replies.into_iter().enumerate() {
         let (status, sent) = send_with_first_reply(uncertain_reply, "once");
@@ -177,7 +199,7 @@
 #[test]
 fn an_idempotent_request_is_retried_after_a_truncated_response() {
     let truncated =
-        || Reply::AnswerAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned());
+        || Reply::ResponseAndClose("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf".to_owned());
     assert_eq!(send_with_first_reply(truncated, "read"), (200, 2));
 }
 
@@ -197,7 +219,7 @@
     for key in 0..6 {
         assert_eq!(node.read("once", key).status(), 200);
     }
-    assert_eq!(server.count(), 6);
+    assert_eq!(server.request_count(), 6);
 }
 
 // Guards against a malformed list that stops the node: it keeps its list and opens a new watch.
@@ -207,9 +229,11 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     discovery.wait_until_applied(1);
-    let calls = discovery.calls();
+    let calls = discovery.call_count();
     discovery.publish_text("{\"seq\":2,\"whole\":true,\"hosts\":[{\"host\":".to_owned());
-    wait_for("another call to discovery", || discovery.calls() > calls);
+    wait_for("another call to discovery", || {
+        discovery.call_count() > calls
+    });
     assert_eq!(node.read("read", 1).status(), 200);
     // The node's version is unchanged.
     assert!(discovery.received.lock().unwrap()[calls..]
@@ -225,21 +249,21 @@
 #[test]
 fn bytes_after_a_response_are_never_part_of_the_next_one() {
     let server = CacheServer::start(|message| {
-        let own = answer("200 OK", "", message.header("req-id").unwrap());
-        let extra = answer("200 OK", "", "a copy");
-        Reply::Answer(own + &extra)
+        let own = http_response("200 OK", "", message.header("req-id").unwrap());
+        let extra = http_response("200 OK", "", "a copy");
+        Reply::Response(own + &extra)
     });
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
     for key in 1..200_u64 {
-        let served = client.request(&read("read", key, 20_000));
+        let served = client.request(&read_request("read", key, 20_000));
         assert_eq!(
             (served.status(), served.body),
             (200, format!("{key:x}").into_bytes())
         );
     }
-    assert_eq!(server.count(), 199);
+    assert_eq!(server.request_count(), 199);
 }
 
 // Guards against waiting for a response whose stated length exceeds the limit: the time is needed
@@ -247,7 +271,7 @@
 #[test]
 fn a_response_with_a_content_length_over_the_limit_fails_its_attempt_at_once() {
     let huge =
-        || Reply::Answer("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
+        || Reply::Response("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nsome".to_owned());
     assert_eq!(send_with_first_reply(huge, "read"), (200, 2));
 }
 
@@ -256,17 +280,17 @@
 #[test]
 fn an_endless_response_head_fails_its_attempt_and_interim_responses_are_skipped() {
     let endless = || {
-        Reply::Answer(format!(
+        Reply::Response(format!(
             "HTTP/1.1 200 OK\r\n{}",
             "X-Noise: noise\r\n".repeat(2_000)
         ))
     };
     assert_eq!(send_with_first_reply(endless, "read"), (200, 2));
-    let switched = || Reply::Answer("HTTP/1.1 101 Switching Protocols\r\n\r\n".to_owned());
+    let switched = || Reply::Response("HTTP/1.1 101 Switching Protocols\r\n\r\n".to_owned());
     assert_eq!(send_with_first_reply(switched, "read"), (200, 2));
     let interim = || {
         let ahead = "HTTP/1.1 103 Early Hints\r\nX: 1\r\n\r\n".repeat(2);
-        Reply::Answer(ahead + &answer("200 OK", "", "value"))
+        Reply::Response(ahead + &http_response("200 OK", "", "value"))
     };
     assert_eq!(send_with_first_reply(interim, "read"), (200, 1));
 }
@@ -277,15 +301,20 @@
 #[test]
 fn a_class_that_an_endpoint_rejects_leaves_other_classes_keys_there() {
     let rejecting = CacheServer::start(|message| match message.header("idempotency-key") {
-        Some(_) => Reply::Answer(answer(
+        Some(_) => Reply::Response(http_response(
             "503 Service Unavailable",
             "Srv-Declined: 1\r\nSrv-Load: waiting=0\r\n",
             "",
         )),
-        None => Reply::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "rejecting")),
+        None => Reply::Response(http_response(
+            "200 OK",
+            "Srv-Load: waiting=0\r\n",
+            "rejecting",
+        )),
+    });
+    let other = CacheServer::start(|_| {
+        Reply::Response(http_response("200 OK", "Srv-Load: waiting=0\r\n", "other"))
     });
-    let other =
-        CacheServer::start(|_| Reply::Answer(answer("200 OK", "Srv-Load: waiting=0\r\n", "other")));
     let discovery =
         Discovery::start(&[rejecting.entry("s-1", "ready"), other.entry("s-2", "ready")]);
     let node = Node::ready(&config(discovery.address));
@@ -299,16 +328,17 @@
     );
     let mut client = node.client();
     let mut send_keyed = |key| {
-        let text = read("keyed", key, 20_000).replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\n\r\n");
+        let text = read_request("keyed", key, 20_000)
+            .replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\n\r\n");
         assert_eq!(client.request(&text).status(), 200);
     };
     (0..2).for_each(|_| owned_keys.iter().for_each(|&key| send_keyed(key)));
-    let before = rejecting.count();
+    let before = rejecting.request_count();
     owned_keys.iter().for_each(|&key| send_keyed(key));
     assert!(
-        rejecting.count() - before <= 3,
+        rejecting.request_count() - before <= 3,
         "{} further requests of the rejected class reached the server",
-        rejecting.count() - before
+        rejecting.request_count() - before
     );
     for &key in &owned_keys {
         assert_eq!(node.read("read", key).body, b"rejecting", "key {key}");
@@ -319,31 +349,31 @@
 /// a server or has a response. Returns the number of requests at servers, and all responses.
 fn send_concurrently(
     node: &Node,
-    gate: &Gate,
+    gate: &CountingGate,
     keys: std::ops::Range<u64>,
 ) -> (usize, Vec<Message>) {
     gate.hold(true);
     let before = gate.reached.load(Ordering::SeqCst);
-    let (sender, answers) = std::sync::mpsc::channel();
+    let (sender, response_receiver) = std::sync::mpsc::channel();
     for key in keys.clone() {
         let (mut client, sender) = (node.client(), sender.clone());
         std::thread::spawn(move || {
             sender
-                .send(client.request(&read("read", key, 20_000)))
+                .send(client.request(&read_request("read", key, 20_000)))
                 .unwrap()
         });
     }
     let mut responses = Vec::new();
     let mut reached = 0;
     wait_for("each request at a server or with a response", || {
-        responses.extend(answers.try_iter());
+        responses.extend(response_receiver.try_iter());
         reached = gate.reached.load(Ordering::SeqCst) - before;
         responses.len() + reached == keys.clone().count()
     });
     gate.hold(false);
     while responses.len() < keys.clone().count() {
         responses.push(
-            answers
+            response_receiver
                 .recv_timeout(WAIT_TIMEOUT)
                 .expect("a response to each request"),
         );
@@ -351,15 +381,15 @@
     (reached, responses)
 }
 
-/// Blocks the servers of a test before they respond.
+/// Holds the responses of a test's servers and counts the requests that have reached the servers.
 #[derive(Default)]
-struct Gate {
+struct CountingGate {
     held: Mutex<bool>,
     opened: Condvar,
     reached: AtomicUsize,
 }
 
-impl Gate {
+impl CountingGate {
     fn hold(&self, held: bool) {
         *self.held.lock().unwrap() = held;
         self.opened.notify_all();
@@ -380,7 +410,7 @@
 // and the node retry them, and the servers never cache the requested values.
 #[test]
 fn likely_misses_are_limited_while_origin_fetches_fail_and_hits_are_served() {
-    let gate = Arc::new(Gate::default());
+    let gate = Arc::new(CountingGate::default());
     let origin_fails = Arc::new(AtomicBool::new(false));
     let server = || {
         let (gate, origin_fails) = (gate.clone(), origin_fails.clone());
@@ -390,12 +420,12 @@
                 .header("req-id")
                 .and_then(|id| u64::from_str_radix(id, 16).ok());
             if key.is_some_and(|key| key < 1000) {
-                return Reply::Answer(answer("200 OK", "", "held"));
+                return Reply::Response(http_response("200 OK", "", "held"));
             }
             gate.wait_until_open();
-            Reply::Answer(match origin_fails.load(Ordering::SeqCst) {
-                true => answer("500 Internal Server Error", "", ""),
-                false => answer("200 OK", "", "fetched"),
+            Reply::Response(match origin_fails.load(Ordering::SeqCst) {
+                true => http_response("500 Internal Server Error", "", ""),
+                false => http_response("200 OK", "", "fetched"),
             })
         })
     };
@@ -414,16 +444,16 @@
     assert_eq!(send_round().0, 20);
     origin_fails.store(true, Ordering::SeqCst);
     wait_for("the limit on likely misses", || send_round().0 <= 3);
-    let (_, answers) = send_round();
-    let shed = answers
+    let (_, round_responses) = send_round();
+    let shed = round_responses
         .iter()
-        .filter(|answer| answer.status() == 503)
+        .filter(|response| response.status() == 503)
         .collect::<Vec<_>>();
     assert!(
         shed.len() >= 17
             && shed
                 .iter()
-                .all(|answer| answer.header("retry-after").is_some())
+                .all(|response| response.header("retry-after").is_some())
     );
     (0..20).for_each(|key| assert_eq!(node.read("read", key).body, b"held", "key {key}"));
     origin_fails.store(false, Ordering::SeqCst);
--- a/crates/cli/tests/node_stale_lists.rs
+++ b/crates/cli/tests/node_stale_lists.rs
@@ -3,7 +3,7 @@
 
 mod node_common;
 
-use node_common::endpoint_pair::{started_at, EndpointPair};
+use node_common::endpoint_pair::{with_start_time, EndpointPair};
 use node_common::manual_discovery::{list, ManualDiscovery};
 use node_common::*;
 use serde_json::{json, Value};
@@ -30,23 +30,23 @@
     wait_for("the node's readiness", || {
         node.get("/healthz").status() == 200
     });
-    pair.wait_for_both(&node);
+    pair.wait_until_both_used(&node);
     let mut watch = old.next_call();
     node.reload(&config_with_discovery(&config, new.address));
     let mut complete_call = new.next_call();
     assert_eq!(complete_call.path, "/v1/servers");
     watch.answer(&list(6, false, &pair.entries("draining")[..1]));
-    pair.wait_until_unused(&node);
+    pair.wait_until_leaving_server_unused(&node);
     complete_call.answer(&list(5, true, &pair.entries("ready")));
     let mut next = new.next_call();
-    pair.assert_unused(&node);
+    pair.assert_leaving_server_unused(&node);
     // A newer list in which the server is ready again takes effect.
     next.answer(&list(
         7,
         false,
-        &[started_at(pair.entries("ready")[0].clone(), 1_000)],
+        &[with_start_time(pair.entries("ready")[0].clone(), 1_000)],
     ));
-    pair.wait_for_both(&node);
+    pair.wait_until_both_used(&node);
 }
 
 /// How a list makes a server leave.
@@ -75,23 +75,23 @@
             wait_for("the node's readiness", || {
                 node.get("/healthz").status() == 200
             });
-            pair.wait_for_both(&node);
+            pair.wait_until_both_used(&node);
             discovery.next_call().answer(&match departure {
                 Departure::Draining => list(6, false, &pair.entries("draining")[..1]),
                 Departure::Gone => list(6, false, &pair.entries("gone")[..1]),
                 Departure::Absent => list(6, true, &pair.entries("ready")[1..]),
             });
             let mut watch = discovery.next_call();
-            pair.assert_unused(&node);
+            pair.assert_leaving_server_unused(&node);
             watch.answer(&list(seq, true, &pair.entries("ready")));
             let mut next = discovery.next_call();
             if next.path == "/v1/servers" {
                 next.answer(&list(seq, true, &pair.entries("ready")));
                 next = discovery.next_call();
             }
-            let before = pair.leaving.count();
+            let before = pair.leaving.request_count();
             (20..60).for_each(|key| drop(node.read("read", key)));
-            let sent = pair.leaving.count() - before;
+            let sent = pair.leaving.request_count() - before;
             if sent > 0 {
                 undone.push((departure, seq, sent));
             }
@@ -99,14 +99,14 @@
             next.answer(&list(
                 7,
                 false,
-                &[started_at(pair.entries("ready")[0].clone(), 1_000)],
+                &[with_start_time(pair.entries("ready")[0].clone(), 1_000)],
             ));
-            pair.wait_for_both(&node);
+            pair.wait_until_both_used(&node);
         }
     }
     assert!(
         undone.is_empty(),
-        "how the server left, the version that undid it, requests sent after that: {undone:?}"
+        "a list undid the departure (departure, version of the list, requests sent after it): {undone:?}"
     );
 }
 
@@ -122,7 +122,7 @@
         config["known"] = json!({"seq": 1, "whole": true, "hosts": pair.entries("ready")});
         let node = Node::ready(&config);
         let mut call = discovery.next_call();
-        pair.wait_for_both(&node);
+        pair.wait_until_both_used(&node);
         if refused {
             call.refuse();
             let since = Instant::now();
@@ -138,7 +138,7 @@
         call.answer(&list(2, false, &pair.entries("draining")[..1]));
         let next = discovery.next_call();
         assert!(next.path.contains("after=2&"), "{}", next.path);
-        pair.assert_unused(&node);
+        pair.assert_leaving_server_unused(&node);
     }
 }
 
@@ -150,10 +150,10 @@
         let pair = EndpointPair::start();
         let discovery = Discovery::start(&pair.entries("ready"));
         let node = Node::ready(&config(discovery.address));
-        pair.wait_for_both(&node);
+        pair.wait_until_both_used(&node);
         discovery.publish(false, &pair.entries("draining")[..1]);
         discovery.wait_until_applied(2);
-        pair.assert_unused(&node);
+        pair.assert_leaving_server_unused(&node);
         let mut seq = 2;
         if removed_between {
             match whole {
@@ -162,11 +162,11 @@
             }
             seq += 1;
             discovery.wait_until_applied(seq);
-            pair.assert_unused(&node);
+            pair.assert_leaving_server_unused(&node);
         }
         let [leaving, staying] = pair.entries("ready");
-        discovery.publish(whole, &[started_at(leaving, 1_000), staying]);
+        discovery.publish(whole, &[with_start_time(leaving, 1_000), staying]);
         discovery.wait_until_applied(seq + 1);
-        pair.wait_for_both(&node);
+        pair.wait_until_both_used(&node);
     }
 }
--- a/crates/cli/tests/relay/answers.rs
+++ b/crates/cli/tests/relay/answers.rs
@@ -25,7 +25,7 @@
     discovery.publish(unused_entry("s-1", "draining"));
     let delta = discovery.state().response_body(Some(50));
     for client in &mut watchers {
-        assert_eq!(json_body(&client.answer().unwrap()), delta);
+        assert_eq!(json_body(&client.read_response().unwrap()), delta);
     }
     assert_eq!(
         relay.get_json("/v1/servers?after=50"),
@@ -129,7 +129,7 @@
     });
     wait_for("the waiting client", || relay.status()["waiting"] == 1);
     discovery.publish(unused_entry("s-1", "gone"));
-    let response = client_ahead.answer().unwrap();
+    let response = client_ahead.read_response().unwrap();
     assert_eq!(
         health_by_name(&json_body(&response)),
         [("s-1", "gone")],
--- a/crates/cli/tests/relay/connections.rs
+++ b/crates/cli/tests/relay/connections.rs
@@ -53,7 +53,7 @@
         .status()
         .unwrap()
         .success());
-    let response = watcher.answer().unwrap();
+    let response = watcher.read_response().unwrap();
     assert!(
         response.status() == 503 && text_body(&response).contains("the relay stops"),
         "{}",
--- a/crates/cli/tests/relay/fleet.rs
+++ b/crates/cli/tests/relay/fleet.rs
@@ -19,11 +19,11 @@
 
 /// Asserts that the node serves requests and sends none of them to the first server.
 fn assert_first_server_receives_no_requests(node: &Node, servers: &[CacheServer; 2]) {
-    let initial_count = servers[0].count();
+    let initial_count = servers[0].request_count();
     for key in 100..130 {
         assert_eq!(node.read("read", key).body, b"two", "{key}");
     }
-    assert_eq!(servers[0].count(), initial_count);
+    assert_eq!(servers[0].request_count(), initial_count);
 }
 
 // Guards against a node that stops serving without its relay, or that does not reconnect to a new
--- a/crates/cli/tests/relay/settings.rs
+++ b/crates/cli/tests/relay/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of a relay from a file and from arguments.
 
-use crate::node_common::{command, write_config};
+use crate::node_common::{command, write_temporary_file};
 use crate::relay_process::RelayProcess;
 use crate::versioned_discovery::{two_ready_entries, Fault, VersionedDiscovery};
 
@@ -15,7 +15,7 @@
     let upstream =
         [unavailable_discovery.address, discovery.address].map(|address| address.to_string());
     let write_settings = |last_line: &str| {
-        write_config(&format!(
+        write_temporary_file(&format!(
             "upstream = {upstream:?}\nlisten = \"127.0.0.1:0\"\ncallers = 7\n{last_line}"
         ))
     };
--- a/crates/cli/tests/relay/upstream_faults.rs
+++ b/crates/cli/tests/relay/upstream_faults.rs
@@ -14,7 +14,7 @@
     let relay = RelayProcess::ready(&[discovery.address], &["--lease-ms", SHORT_LEASE_MS]);
     let mut watcher = relay.watch(50);
     discovery.set_fault(Fault::Down);
-    let rejection = watcher.answer().unwrap();
+    let rejection = watcher.read_response().unwrap();
     assert!(
         rejection.status() == 503 && text_body(&rejection).contains("the lease is 1500 ms"),
         "{}",
@@ -47,7 +47,7 @@
     let mut watcher = relay.watch(50);
     first_upstream.set_fault(Fault::Unresponsive);
     second_upstream.publish(unused_entry("s-1", "draining"));
-    let response = watcher.answer().unwrap();
+    let response = watcher.read_response().unwrap();
     assert_eq!(
         response.status(),
         200,
@@ -103,7 +103,7 @@
     assert_eq!(relay.get_json("/v1/servers")["seq"], 50);
     assert_eq!(health_by_name(&relay.get_json("/v1/servers?after=50")), []);
     discovery.set_fault(Fault::None);
-    let response = json_body(&watcher.answer().unwrap());
+    let response = json_body(&watcher.read_response().unwrap());
     assert_eq!(
         (&response["seq"], &response["whole"]),
         (&json!(4), &json!(true))
--- a/crates/cli/tests/relay/versioned_discovery.rs
+++ b/crates/cli/tests/relay/versioned_discovery.rs
@@ -1,6 +1,6 @@
 //! Simulated discovery with versions, deltas, long polls and injected faults.
 
-use crate::node_common::{answer, endpoint_entry, Message};
+use crate::node_common::{endpoint_entry, http_response, Message};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
@@ -152,7 +152,7 @@
             let Some(body) = self.wait_for_response_body(&target) else {
                 break;
             };
-            let response = answer("200 OK", "", &body.to_string());
+            let response = http_response("200 OK", "", &body.to_string());
             if stream.write_all(response.as_bytes()).is_err() {
                 break;
             }
