--- a/crates/cli/tests/node_common/http.rs
+++ b/crates/cli/tests/node_common/http.rs
@@ -82,7 +82,7 @@
         let _ = self.0.get_mut().write_all(text.as_bytes());
     }
 
-    /// Closes the sending half, which the node sees as a disconnect of the client.
+    /// Closes the sending half, which the node treats as a disconnect of the client.
     pub fn shutdown_write(&self) {
         self.0
             .get_ref()
--- a/crates/cli/tests/node_front.rs
+++ b/crates/cli/tests/node_front.rs
@@ -168,7 +168,7 @@
         .collect();
     let discovery = Discovery::start(&entries);
     let mut node_config = config(discovery.address);
-    // Leaves ten descriptors for clients, and enough for connections to servers.
+    // This limit leaves ten descriptors for clients, and enough for connections to servers.
     node_config["limits"]["sockets"] = json!(60);
     let node = Node::with_features(
         &node_config,
--- a/crates/cli/tests/node_lifecycle.rs
+++ b/crates/cli/tests/node_lifecycle.rs
@@ -104,14 +104,14 @@
     discoveries[0].wait_until_applied(1);
     // The connection of this client stays open across the reloads.
     let mut client = node.client();
-    for (i, discovery) in discoveries.iter().enumerate().skip(1) {
+    for (i, new_discovery) in discoveries.iter().enumerate().skip(1) {
         assert_eq!(
             client.request(&read_request("read", 1, 20_000)).body,
             (i - 1).to_string().as_bytes()
         );
-        node.reload(&config(discovery.address).to_string());
-        discovery.wait_until_applied(1);
-        assert_eq!(discovery.received.lock().unwrap()[0], "/v1/servers");
+        node.reload(&config(new_discovery.address).to_string());
+        new_discovery.wait_until_applied(1);
+        assert_eq!(new_discovery.received.lock().unwrap()[0], "/v1/servers");
         assert_eq!(
             client.request(&read_request("read", 1, 20_000)).body,
             i.to_string().as_bytes()
@@ -123,9 +123,7 @@
     discoveries[2].wait_until_applied(2);
     assert_eq!(client.request(&read_request("read", 1, 20_000)).body, b"2");
     assert_eq!(
-        discoveries
-            .each_ref()
-            .map(|discovery| discovery.call_count()),
+        discoveries.each_ref().map(|watched| watched.call_count()),
         [2, 2, 3]
     );
 }
--- a/crates/cli/tests/node_memory.rs
+++ b/crates/cli/tests/node_memory.rs
@@ -22,7 +22,7 @@
 // Guards against request and response bodies of many concurrent clients that take more memory than
 // the limit, or whose memory is not released after the clients have disconnected.
 #[test]
-fn bodies_and_responses_of_the_largest_size_stay_within_memory_and_release_it() {
+fn bodies_and_responses_of_the_largest_size_stay_within_the_memory_limit_and_are_released() {
     let body = "v".repeat(64 << 10);
     let server = CacheServer::start(move |_| Reply::Response(http_response("200 OK", "", &body)));
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -37,7 +37,7 @@
     to: Instant,
 }
 
-/// How a client's request ended.
+/// Outcome of a client's request.
 struct ClientOutcome {
     class: &'static str,
     response: Option<Message>,
@@ -148,7 +148,7 @@
         let servers: Vec<_> = (0..SERVERS)
             .map(|server| scripted_server(server, &script, &received))
             .collect();
-        let discovery = Discovery::start(&all_ready(&servers));
+        let discovery = Discovery::start(&ready_entries(&servers));
         let node = Node::ready(&config(discovery.address));
         discovery.wait_until_applied(1);
         Self {
@@ -227,8 +227,8 @@
         let listed = (0..SERVERS)
             .filter_map(|i| Some(self.servers[i].entry(&server_name(i), self.states[i]?)));
         let listed: Vec<_> = listed.collect();
-        // A server that is ready again may be used from before the publication. An excluded server
-        // must not be used once the list is applied.
+        // For a server that is ready again, the exclusion ends before the publication. For a
+        // drained or removed server, it starts once the node has applied the list.
         let before = Instant::now();
         self.discovery.publish(true, &listed);
         self.version += 1;
@@ -254,7 +254,7 @@
         let clients = std::mem::take(&mut self.clients);
         let outcomes = clients.into_iter().map(PendingClient::outcome).collect();
         let end = Instant::now();
-        self.discovery.publish(true, &all_ready(&self.servers));
+        self.discovery.publish(true, &ready_entries(&self.servers));
         self.discovery.wait_until_applied(self.version + 1);
         self.script.lock().unwrap().clear();
         wait_for("a served request", || {
@@ -279,7 +279,7 @@
     }
 }
 
-fn all_ready(servers: &[CacheServer]) -> Vec<serde_json::Value> {
+fn ready_entries(servers: &[CacheServer]) -> Vec<serde_json::Value> {
     let entries = servers.iter().enumerate();
     entries
         .map(|(server, endpoint)| endpoint.entry(&server_name(server), "ready"))
