--- a/crates/cli/tests/node_common/endpoint_pair.rs
+++ b/crates/cli/tests/node_common/endpoint_pair.rs
@@ -4,7 +4,7 @@
 use super::{wait_for, CacheServer, Node};
 use serde_json::{json, Value};
 
-/// A server that is drained or removed and one that stays, with different response bodies.
+/// A server that is drained or removed and a server that stays, with different response bodies.
 pub struct EndpointPair {
     pub leaving: CacheServer,
     pub staying: CacheServer,
--- a/crates/cli/tests/node_features/audit_trail.rs
+++ b/crates/cli/tests/node_features/audit_trail.rs
@@ -62,12 +62,12 @@
         ("-USR2", Some(140)),
     ] {
         let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-        let platform = config(discovery.address);
-        let node = Node::with_features(&platform, &audit_trail_settings(&path));
+        let platform_config = config(discovery.address);
+        let node = Node::with_features(&platform_config, &audit_trail_settings(&path));
         config_hashes.push(sha256(node.config_path()));
         if signal == "-TERM" {
             publish_health_changes(&discovery, &server);
-            node.reload(&format!("{platform} "));
+            node.reload(&format!("{platform_config} "));
             wait_for("the reload", || {
                 records_with(&read_records(&path), "file", "platform").len() == 2
             });
@@ -151,21 +151,22 @@
     assert_eq!(changes, expected);
 }
 
-/// Asserts a record with the hash of each loaded configuration, and none of the rejected one.
+/// Asserts a record with the hash of each loaded configuration, and no record of the rejected
+/// configuration.
 fn assert_configurations(records: &[Value], hashes: &[String]) {
     let configurations = records_with(records, "event", "config");
     let configurations_of = |file: &str| -> Vec<&Value> {
         let records = configurations.iter().copied();
         records.filter(|record| record["file"] == file).collect()
     };
-    let platform = configurations_of("platform");
-    assert_eq!(platform.len(), 5);
+    let platform_records = configurations_of("platform");
+    assert_eq!(platform_records.len(), 5);
     assert!(
-        platform
+        platform_records
             .iter()
             .zip(hashes)
             .all(|(record, hash)| record["sha256"] == **hash),
-        "{platform:?} {hashes:?}"
+        "{platform_records:?} {hashes:?}"
     );
     assert_eq!(configurations_of("features").len(), 5);
 }
@@ -195,8 +196,8 @@
     let path = temporary_path("shared");
     let settings = audit_trail_settings(&path);
     let node = Node::with_features(&config(discovery.address), &settings);
-    let platform = write_temporary_file(&config(discovery.address).to_string());
-    let second = run_until_exit(&platform, &write_temporary_file(&settings));
+    let platform_path = write_temporary_file(&config(discovery.address).to_string());
+    let second = run_until_exit(&platform_path, &write_temporary_file(&settings));
     let error = String::from_utf8(second.stderr).unwrap();
     assert_eq!(
         (second.status.code(), error.lines().count()),
--- a/crates/cli/tests/node_features/hot_list.rs
+++ b/crates/cli/tests/node_features/hot_list.rs
@@ -122,19 +122,19 @@
 fn capacity_of_zero_disables_the_hot_list_and_excessive_capacity_fails_the_start() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let platform = config(discovery.address);
-    let node = Node::with_features(&platform, "[hotlist]\ncapacity = 0\n");
+    let platform_config = config(discovery.address);
+    let node = Node::with_features(&platform_config, "[hotlist]\ncapacity = 0\n");
     node.signal("-USR1");
     assert_eq!(
         node.wait_for_exit().code(),
         None,
         "without a handler the signal terminates the process"
     );
-    let (platform, features) = (
-        write_temporary_file(&platform.to_string()),
+    let (platform_path, features_path) = (
+        write_temporary_file(&platform_config.to_string()),
         write_temporary_file("[hotlist]\ncapacity = 100000\n"),
     );
-    let output = run_until_exit(&platform, &features);
+    let output = run_until_exit(&platform_path, &features_path);
     let error = String::from_utf8(output.stderr).unwrap();
     assert_eq!(
         (output.status.code(), error.lines().count()),
--- a/crates/cli/tests/node_features/metrics_targets.rs
+++ b/crates/cli/tests/node_features/metrics_targets.rs
@@ -126,12 +126,12 @@
 fn node_with_unread_standard_error_serves_requests_and_stops() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let platform = write_temporary_file(&config(discovery.address).to_string());
-    let features = write_temporary_file("[figures]\nflush_ms = 20\n");
+    let platform_path = write_temporary_file(&config(discovery.address).to_string());
+    let features_path = write_temporary_file("[figures]\nflush_ms = 20\n");
     let mut child = command()
-        .env("LB_CONFIG", &platform)
+        .env("LB_CONFIG", &platform_path)
         .arg("--features")
-        .arg(&features)
+        .arg(&features_path)
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
@@ -167,7 +167,7 @@
         exit.is_some()
     });
     assert!(exit.unwrap().success());
-    for path in [platform, features] {
+    for path in [platform_path, features_path] {
         std::fs::remove_file(path).unwrap();
     }
 }
--- a/crates/cli/tests/node_features/settings.rs
+++ b/crates/cli/tests/node_features/settings.rs
@@ -32,9 +32,9 @@
         .collect();
     paths.push("no/such/file.toml".into());
     // The platform configuration is valid, so only the feature file can cause the failure.
-    let platform = write_temporary_file(&config("127.0.0.1:1".parse().unwrap()).to_string());
+    let platform_path = write_temporary_file(&config("127.0.0.1:1".parse().unwrap()).to_string());
     for path in paths {
-        let output = run_until_exit(&platform, &path);
+        let output = run_until_exit(&platform_path, &path);
         let error = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(1), "{error}");
         assert_eq!(error.lines().count(), 1, "{error}");
--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -98,7 +98,7 @@
         Self((0..servers).map(|_| start_recording_server()).collect())
     }
 
-    /// Returns the entries of all servers; those for which `is_leaving` holds are draining.
+    /// Returns the entries of all servers, draining where `is_leaving` holds and ready otherwise.
     fn entries(&self, is_leaving: impl Fn(usize) -> bool) -> Vec<Value> {
         let health = |i| if is_leaving(i) { "draining" } else { "ready" };
         let numbered_servers = self.0.iter().enumerate();
@@ -108,7 +108,7 @@
     }
 
     /// Returns the receive times of all requests to the leaving servers.
-    fn received(&self, is_leaving: impl Fn(usize) -> bool) -> Vec<Instant> {
+    fn request_times(&self, is_leaving: impl Fn(usize) -> bool) -> Vec<Instant> {
         let leaving = self.0.iter().enumerate().filter(|(i, _)| is_leaving(*i));
         leaving
             .flat_map(|(_, (_, receive_times))| receive_times.lock().unwrap().clone())
@@ -137,7 +137,7 @@
     let node = start_node_for_many_clients(&discovery, &list(1, true, &fleet.entries(|_| false)));
     let busy_clients = BusyClients::start(&node, 4, 25);
     wait_for("2000 requests from the busy clients", || {
-        fleet.received(|_| true).len() > 2_000
+        fleet.request_times(|_| true).len() > 2_000
     });
     let (mut max_delay, mut drains) = (Duration::ZERO, 0);
     for round in 0..6 {
@@ -146,12 +146,12 @@
         let mut watch = discovery.next_call();
         watch.answer(&list(round as u64 + 2, true, &fleet.entries(is_leaving)));
         let published_at = Instant::now();
-        let before = fleet.received(|i| !is_leaving(i)).len();
+        let before = fleet.request_times(|i| !is_leaving(i)).len();
         wait_for("requests to the other servers", || {
             published_at.elapsed() > 2 * DRAIN_LIMIT
-                && fleet.received(|i| !is_leaving(i)).len() > before + 200
+                && fleet.request_times(|i| !is_leaving(i)).len() > before + 200
         });
-        let received_at = fleet.received(is_leaving);
+        let received_at = fleet.request_times(is_leaving);
         max_delay = received_at
             .iter()
             .map(|at| at.saturating_duration_since(published_at))
@@ -179,7 +179,7 @@
     publish_list: impl FnOnce(),
     first_key: u64,
 ) -> usize {
-    let before = fleet.received(is_leaving).len();
+    let before = fleet.request_times(is_leaving).len();
     node.signal("-STOP");
     publish_list();
     for (key, client) in (first_key..).zip(clients.iter_mut()) {
@@ -196,7 +196,7 @@
             _ => *client = node.client(),
         }
     }
-    let received_at = fleet.received(is_leaving);
+    let received_at = fleet.request_times(is_leaving);
     let max_delay = received_at
         .iter()
         .map(|at| at.saturating_duration_since(continued_at))
@@ -373,7 +373,7 @@
         let node = Node::ready(&config);
         pair.wait_until_both_used(&node);
         discovery.publish(false, &pair.entries("draining")[..1]);
-        // The node has applied the list when it calls for the next one.
+        // The node has applied the list when it calls for the next list.
         discovery.wait_until_applied(2);
         pair.assert_leaving_server_unused(&node);
     }
--- a/crates/cli/tests/node_lifecycle.rs
+++ b/crates/cli/tests/node_lifecycle.rs
@@ -89,7 +89,7 @@
 }
 
 // Guards against a node that SIGHUP terminates, that stays at its old discovery, or that requests
-// from the new discovery the changes since a version of the old one.
+// from the new discovery a delta after a version of the old discovery.
 #[test]
 fn a_reload_moves_the_watch_to_the_new_discovery_and_its_complete_list() {
     let servers = [
--- a/crates/cli/tests/node_multiget/lifecycle.rs
+++ b/crates/cli/tests/node_multiget/lifecycle.rs
@@ -40,8 +40,8 @@
 fn without_a_port_multi_get_is_off_and_a_port_in_use_fails_the_start() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let platform = config(discovery.address);
-    let node = Node::with_features(&platform, "[multiget]\nparallel = 2\n");
+    let platform_config = config(discovery.address);
+    let node = Node::with_features(&platform_config, "[multiget]\nparallel = 2\n");
     assert!(!node
         .log
         .lock()
@@ -49,15 +49,15 @@
         .iter()
         .any(|line| line.contains("multi-get")));
     let occupying_listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let features = write_temporary_file(&format!(
+    let features_path = write_temporary_file(&format!(
         "[multiget]\nport = {}\n",
         occupying_listener.local_addr().unwrap().port()
     ));
-    let platform = write_temporary_file(&platform.to_string());
+    let platform_path = write_temporary_file(&platform_config.to_string());
     let output = command()
-        .env("LB_CONFIG", platform)
+        .env("LB_CONFIG", platform_path)
         .arg("--features")
-        .arg(features)
+        .arg(features_path)
         .output()
         .unwrap();
     let error = String::from_utf8(output.stderr).unwrap();
