--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -3,7 +3,7 @@
 
 mod node_common;
 
-use node_common::endpoint_pair::{started_at, EndpointPair};
+use node_common::endpoint_pair::{with_start_time, EndpointPair};
 use node_common::manual_discovery::{list, ManualDiscovery};
 use node_common::*;
 use serde_json::{json, Value};
@@ -24,7 +24,7 @@
     let recorded_times = receive_times.clone();
     let server = CacheServer::start(move |_| {
         recorded_times.lock().unwrap().push(Instant::now());
-        Reply::Answer(answer("200 OK", "", "value"))
+        Reply::Response(http_response("200 OK", "", "value"))
     });
     (server, receive_times)
 }
@@ -51,19 +51,20 @@
                 while !stop.load(Ordering::SeqCst) {
                     round += 1;
                     for (i, client) in clients.iter_mut().enumerate() {
-                        client.try_send(&read(
+                        client.try_send(&read_request(
                             "read",
                             thread << 48 | round << 16 | i as u64,
                             20_000,
                         ));
                     }
                     for client in &mut clients {
-                        let answer = client.answer();
-                        match answer.as_ref().map(Message::status) {
+                        let response = client.read_response();
+                        match response.as_ref().map(Message::status) {
                             Some(200) => served += 1,
                             _ => not_served += 1,
                         }
-                        if answer.is_none_or(|answer| answer.header("connection") == Some("close"))
+                        if response
+                            .is_none_or(|response| response.header("connection") == Some("close"))
                         {
                             *client = connect();
                         }
@@ -83,8 +84,8 @@
             .threads
             .into_iter()
             .map(|thread| thread.join().unwrap());
-        counts.fold((0, 0), |total, of_thread| {
-            (total.0 + of_thread.0, total.1 + of_thread.1)
+        counts.fold((0, 0), |total, thread_counts| {
+            (total.0 + thread_counts.0, total.1 + thread_counts.1)
         })
     }
 }
@@ -97,7 +98,7 @@
         Self((0..servers).map(|_| start_recording_server()).collect())
     }
 
-    /// Returns the entries of all servers; those for which `is_leaving` holds are draining.
+    /// Returns the entries of all servers, draining where `is_leaving` holds and ready otherwise.
     fn entries(&self, is_leaving: impl Fn(usize) -> bool) -> Vec<Value> {
         let health = |i| if is_leaving(i) { "draining" } else { "ready" };
         let numbered_servers = self.0.iter().enumerate();
@@ -107,7 +108,7 @@
     }
 
     /// Returns the receive times of all requests to the leaving servers.
-    fn received(&self, is_leaving: impl Fn(usize) -> bool) -> Vec<Instant> {
+    fn request_times(&self, is_leaving: impl Fn(usize) -> bool) -> Vec<Instant> {
         let leaving = self.0.iter().enumerate().filter(|(i, _)| is_leaving(*i));
         leaving
             .flat_map(|(_, (_, receive_times))| receive_times.lock().unwrap().clone())
@@ -136,7 +137,7 @@
     let node = start_node_for_many_clients(&discovery, &list(1, true, &fleet.entries(|_| false)));
     let busy_clients = BusyClients::start(&node, 4, 25);
     wait_for("2000 requests from the busy clients", || {
-        fleet.received(|_| true).len() > 2_000
+        fleet.request_times(|_| true).len() > 2_000
     });
     let (mut max_delay, mut drains) = (Duration::ZERO, 0);
     for round in 0..6 {
@@ -145,12 +146,12 @@
         let mut watch = discovery.next_call();
         watch.answer(&list(round as u64 + 2, true, &fleet.entries(is_leaving)));
         let published_at = Instant::now();
-        let before = fleet.received(|i| !is_leaving(i)).len();
+        let before = fleet.request_times(|i| !is_leaving(i)).len();
         wait_for("requests to the other servers", || {
             published_at.elapsed() > 2 * DRAIN_LIMIT
-                && fleet.received(|i| !is_leaving(i)).len() > before + 200
+                && fleet.request_times(|i| !is_leaving(i)).len() > before + 200
         });
-        let received_at = fleet.received(is_leaving);
+        let received_at = fleet.request_times(is_leaving);
         max_delay = received_at
             .iter()
             .map(|at| at.saturating_duration_since(published_at))
@@ -178,24 +179,24 @@
     publish_list: impl FnOnce(),
     first_key: u64,
 ) -> usize {
-    let before = fleet.received(is_leaving).len();
+    let before = fleet.request_times(is_leaving).len();
     node.signal("-STOP");
     publish_list();
     for (key, client) in (first_key..).zip(clients.iter_mut()) {
-        client.send(&read("read", key, 20_000));
+        client.send(&read_request("read", key, 20_000));
     }
     let continued_at = Instant::now();
     node.signal("-CONT");
     let mut served = 0;
     for client in clients.iter_mut() {
-        match client.answer() {
-            Some(answer) if answer.header("connection") != Some("close") => {
-                served += usize::from(answer.status() == 200);
+        match client.read_response() {
+            Some(response) if response.header("connection") != Some("close") => {
+                served += usize::from(response.status() == 200);
             }
             _ => *client = node.client(),
         }
     }
-    let received_at = fleet.received(is_leaving);
+    let received_at = fleet.request_times(is_leaving);
     let max_delay = received_at
         .iter()
         .map(|at| at.saturating_duration_since(continued_at))
@@ -218,7 +219,10 @@
     let mut clients: Vec<_> = (0..600).map(|_| node.client()).collect();
     for (key, client) in (0..).zip(clients.iter_mut().take(200)) {
         // The node may have closed a connection that was idle for long.
-        if client.try_request(&read("read", key, 20_000)).is_none() {
+        if client
+            .try_request(&read_request("read", key, 20_000))
+            .is_none()
+        {
             *client = node.client();
         }
     }
@@ -278,11 +282,11 @@
         let mut clients: Vec<_> = (1..16).map(|key| (key, node.client())).collect();
         clients
             .iter_mut()
-            .for_each(|(key, client)| client.send(&read("once", *key, 20_000)));
-        wait_for("requests at the other server", || other.count() > 0);
+            .for_each(|(key, client)| client.send(&read_request("once", *key, 20_000)));
+        wait_for("requests at the other server", || other.request_count() > 0);
         wait_for(
             "all other requests on connections to the slow server",
-            || slow.pending_connections() + other.count() >= clients.len(),
+            || slow.pending_connections() + other.request_count() >= clients.len(),
         );
         assert!(slow.pending_connections() > 0);
         for (i, (health, at_new_address, start)) in changes.iter().enumerate() {
@@ -293,17 +297,21 @@
             };
             discovery.publish(
                 false,
-                &[started_at(endpoint_entry("s-1", dial, health), *start)],
+                &[with_start_time(endpoint_entry("s-1", dial, health), *start)],
             );
             discovery.wait_until_applied(i as u64 + 2);
         }
         slow.accept();
         for (key, client) in &mut clients {
-            assert_eq!(client.answer().unwrap().status(), 200, "{changes:?}: {key}");
+            assert_eq!(
+                client.read_response().unwrap().status(),
+                200,
+                "{changes:?}: {key}"
+            );
         }
         assert_eq!(slow.received().concat(), "", "{changes:?}");
         if changes.last().is_some_and(|last| last.0 != "ready") {
-            assert_eq!(moved.count(), 0, "{changes:?}");
+            assert_eq!(moved.request_count(), 0, "{changes:?}");
         }
     }
 }
@@ -363,11 +371,11 @@
         let mut config = config(discovery.address);
         config["settings"]["safety"] = json!({"stop_sending_within_us": grace_us});
         let node = Node::ready(&config);
-        pair.wait_for_both(&node);
+        pair.wait_until_both_used(&node);
         discovery.publish(false, &pair.entries("draining")[..1]);
-        // The node has applied the list when it calls for the next one.
+        // The node has applied the list when it calls for the next list.
         discovery.wait_until_applied(2);
-        pair.assert_unused(&node);
+        pair.assert_leaving_server_unused(&node);
     }
 }
 
@@ -439,9 +447,9 @@
             }
         };
         server
-            .write_all(answer("200 OK", "", "early").as_bytes())
+            .write_all(http_response("200 OK", "", "early").as_bytes())
             .unwrap();
-        assert_eq!(client.answer().unwrap().body, b"early", "request {id}");
+        assert_eq!(client.read_response().unwrap().body, b"early", "id {id}");
         // A connection is not reused immediately after a response.
         thread::sleep(Duration::from_millis(40));
         id += 1;
@@ -451,7 +459,8 @@
         client.send(&put(id));
         assert!(id < 1_000, "the connection accepted 1000 unread requests");
     }
-    // The node assigns this request to the blocked connection, or to a new one if it detects that.
+    // The node assigns this request to the blocked connection, or to a new connection if it has
+    // detected the blockage.
     client.send(&put(id));
     thread::sleep(Duration::from_millis(300));
     discovery.publish(true, &entries("draining"));
@@ -472,5 +481,5 @@
         "the first byte of the last request was sent after the drain grace"
     );
     // The request was not sent to the leaving server on another connection either.
-    assert_eq!(client.answer().unwrap().body, b"staying");
+    assert_eq!(client.read_response().unwrap().body, b"staying");
 }
--- a/crates/cli/tests/node_multiget/lifecycle.rs
+++ b/crates/cli/tests/node_multiget/lifecycle.rs
@@ -5,7 +5,7 @@
     MULTI_GET_FEATURES,
 };
 use crate::node_common::{
-    command, config, wait_for, write_config, CacheServer, Discovery, Gate, Node,
+    command, config, wait_for, write_temporary_file, CacheServer, Discovery, Gate, Node,
 };
 use std::net::{TcpListener, TcpStream};
 
@@ -23,7 +23,7 @@
     let address = multi_get_address(&node);
     let mut call = multi_get_command(address, 20_000, &numbered_keys(12));
     let call = std::thread::spawn(move || call.output().unwrap());
-    wait_for("the first items", || server.count() == 8);
+    wait_for("the first items", || server.request_count() == 8);
     node.terminate();
     wait_for("a closed multi-get port", || {
         TcpStream::connect(address).is_err()
@@ -31,7 +31,7 @@
     gate.open();
     let output = call.join().unwrap();
     assert!(all_served(&output), "{output:?}");
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 // Guards against a multi-get port that opens without the setting `port`, and against a node that
@@ -40,8 +40,8 @@
 fn without_a_port_multi_get_is_off_and_a_port_in_use_fails_the_start() {
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
-    let platform = config(discovery.address);
-    let node = Node::with_features(&platform, "[multiget]\nparallel = 2\n");
+    let platform_config = config(discovery.address);
+    let node = Node::with_features(&platform_config, "[multiget]\nparallel = 2\n");
     assert!(!node
         .log
         .lock()
@@ -49,15 +49,15 @@
         .iter()
         .any(|line| line.contains("multi-get")));
     let occupying_listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let features = write_config(&format!(
+    let features_path = write_temporary_file(&format!(
         "[multiget]\nport = {}\n",
         occupying_listener.local_addr().unwrap().port()
     ));
-    let platform = write_config(&platform.to_string());
+    let platform_path = write_temporary_file(&platform_config.to_string());
     let output = command()
-        .env("LB_CONFIG", platform)
+        .env("LB_CONFIG", platform_path)
         .arg("--features")
-        .arg(features)
+        .arg(features_path)
         .output()
         .unwrap();
     let error = String::from_utf8(output.stderr).unwrap();
