--- a/crates/lab/src/scale/assignment.rs
+++ b/crates/lab/src/scale/assignment.rs
@@ -1,8 +1,8 @@
 //! Assigns simulated nodes to workers, discovery addresses to callers, and nodes to the two sides
 //! of a partition. No I/O.
 
+use crate::scale::discovery::{Caller, Peer};
 use crate::scale::options::Options;
-use crate::scale::service::{Caller, Peer};
 use std::net::SocketAddr;
 use std::ops::Range;
 
--- a/crates/lab/src/scale/service.rs
+++ b/crates/lab/src/scale/discovery.rs
@@ -8,7 +8,7 @@
 use crate::http::{listen, reset, Conn};
 use crate::list_protocol::{ListCall, NOT_FOUND, REFUSED};
 use crate::scale::counts::ControlCounts;
-use crate::scale::directory::{Answer, EndpointChange, EndpointList};
+use crate::scale::endpoint_list::{Answer, EndpointChange, EndpointList};
 use crate::scale::options::Options;
 use crate::scale::processes::{monotonic_us, thread_processor_time};
 use crate::scale::queue::{Admission, CallQueue, Costs};
--- a/crates/lab/src/scale/error.rs
+++ b/crates/lab/src/scale/error.rs
@@ -2,10 +2,10 @@
 
 use crate::nodes::NodeError;
 use crate::scale::bounds::BoundsError;
+use crate::scale::discovery::ServiceStopped;
 use crate::scale::options::OptionsError;
 use crate::scale::real::RealNodeFailure;
 use crate::scale::relays::RelayProcessError;
-use crate::scale::service::ServiceStopped;
 use crate::scale::workers::{WorkerEnd, WorkersError};
 use crate::scenario::ScenarioError;
 use std::io;
--- a/crates/lab/src/scale/sample.rs
+++ b/crates/lab/src/scale/sample.rs
@@ -2,13 +2,13 @@
 //! samples.
 
 use crate::scale::counts::ControlCounts;
+use crate::scale::discovery::ServiceStats;
 use crate::scale::error::ScaleError;
 use crate::scale::fleet::Fleet;
 use crate::scale::options::Options;
 use crate::scale::processes::Usage;
 use crate::scale::relays::RelayProcess;
 use crate::scale::report::{Counts, Discovery, Node, RelayTier, Traffic};
-use crate::scale::service::ServiceStats;
 use crate::scale::workers::Worker;
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/lab/src/scale/schedule.rs
+++ b/crates/lab/src/scale/schedule.rs
@@ -1,7 +1,7 @@
 //! Timeline of a run: planned list changes, new configurations and a fault. No I/O and no clock.
 
 use crate::list_protocol::Availability;
-use crate::scale::directory::EndpointChange;
+use crate::scale::endpoint_list::EndpointChange;
 use crate::scale::options::{FaultKind, Options};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
--- a/crates/lab/src/scale/state.rs
+++ b/crates/lab/src/scale/state.rs
@@ -1,11 +1,11 @@
 //! State of the fleet, derived from the events of its members. No I/O.
 
 use crate::scale::convergence::Convergence;
+use crate::scale::discovery::Acknowledgement;
 use crate::scale::error::ScaleError;
 use crate::scale::options::Options;
 use crate::scale::protocol::{AppliedList, Message, WorkerCounts};
 use crate::scale::real::RealNodeEvent;
-use crate::scale::service::Acknowledgement;
 use crate::scale::workers::{WorkerEnd, WorkerEvent};
 
 /// Event of a member of the fleet.
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -3,8 +3,8 @@
 
 use slatelink_config::operators;
 use slatelink_lab::list_protocol::Availability;
-use slatelink_lab::scale::directory::EndpointChange;
-use slatelink_lab::scale::service::{Caller, DiscoveryService, Peer};
+use slatelink_lab::scale::discovery::{Caller, DiscoveryService, Peer};
+use slatelink_lab::scale::endpoint_list::EndpointChange;
 use slatelink_lab::scale::Options;
 use slatelink_node::control::{run, ControlObserver, ControlOptions};
 use slatelink_policy::{Class, Settings};
