--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -4,9 +4,9 @@
 mod compare;
 mod idle;
 mod list;
-mod play;
 mod run;
 mod scale;
+mod scenario_run;
 
 use crate::exit::CommandResult;
 use clap::Subcommand;
--- a/crates/cli/src/lab/compare.rs
+++ b/crates/cli/src/lab/compare.rs
@@ -1,7 +1,7 @@
 //! `slatelink lab compare`: compares two reports, or two node binaries that play the same
 //! scenarios and seeds alternately.
 
-use super::play::{play_with_bar, scenario_name};
+use super::scenario_run::{play_with_bar, scenario_name};
 use crate::exit::{unusable, CommandResult, EXIT_FAILURE};
 use crate::node_arguments::node_program;
 use clap::Args;
--- a/crates/cli/src/lab/list.rs
+++ b/crates/cli/src/lab/list.rs
@@ -1,6 +1,6 @@
 //! `slatelink lab list`: lists the scenarios in a folder.
 
-use super::play::scenario_name;
+use super::scenario_run::scenario_name;
 use crate::exit::{unusable, CommandResult, EXIT_UNUSABLE};
 use slatelink_lab::scenario::Scenario;
 use std::io::{self, Write};
--- a/crates/cli/src/lab/run.rs
+++ b/crates/cli/src/lab/run.rs
@@ -1,6 +1,6 @@
 //! `slatelink lab run`: plays scenarios and checks the rules.
 
-use super::play::{play_with_bar, scenario_name};
+use super::scenario_run::{play_with_bar, scenario_name};
 use crate::exit::{success_if, unusable, CommandResult, EXIT_FAILURE};
 use crate::node_arguments::NodeArguments;
 use clap::Args;
