--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,4 +1,4 @@
-//! `slatelink lab`: plays scenarios, compares nodes, measures idle connections and the control
+//! `slatelink lab`: runs scenarios, compares nodes, measures idle connections and the control
 //! plane at scale, lists scenarios.
 
 mod compare;
@@ -19,8 +19,8 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Play scenarios and check the rules; exit with 0 if all rules hold, 1 if one is broken, 2 if
-    /// a scenario cannot be played
+    /// Run scenarios and check the rules; exit with 0 if all rules hold, 1 if one is broken, 2 if
+    /// a scenario cannot be run
     Run(Run),
     /// Compare two reports, or two node binaries, run alternately over the same seeds
     Compare(Compare),
--- a/crates/cli/src/lab/compare.rs
+++ b/crates/cli/src/lab/compare.rs
@@ -1,7 +1,7 @@
-//! `slatelink lab compare`: compares two reports, or two node binaries that play the same
+//! `slatelink lab compare`: compares two reports, or two node binaries that run the same
 //! scenarios and seeds alternately.
 
-use super::scenario_run::{play_with_bar, scenario_name};
+use super::scenario_run::{run_with_progress_bar, scenario_name};
 use crate::exit::{unusable, CommandResult, EXIT_FAILURE};
 use crate::node_arguments::node_program;
 use clap::Args;
@@ -19,10 +19,10 @@
     a: PathBuf,
     /// Report B, or binary B
     b: PathBuf,
-    /// Scenarios to play with both binaries
+    /// Scenarios to run with both binaries
     #[arg(long = "scenario", value_name = "FILE")]
     scenarios: Vec<PathBuf>,
-    /// Number of seeds with which each scenario is played
+    /// Number of seeds with which each scenario is run
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(2..=1_000))]
     seeds: u64,
     /// Settings of the operators' features for each node, in TOML
@@ -66,7 +66,7 @@
                 Err(error) => return unusable(error),
             };
             let name = scenario_name(file);
-            let Some(pairs) = self.play_pairs(&name, &scenario, &stop)? else {
+            let Some(pairs) = self.run_pairs(&name, &scenario, &stop)? else {
                 eprintln!("slatelink: stopped");
                 return Ok(ExitCode::from(EXIT_FAILURE));
             };
@@ -75,8 +75,8 @@
         Ok(ExitCode::SUCCESS)
     }
 
-    /// Plays a scenario with both binaries over all seeds. Returns `None` if the run was stopped.
-    fn play_pairs(
+    /// Runs a scenario with both binaries over all seeds. Returns `None` if the run was stopped.
+    fn run_pairs(
         &self,
         name: &str,
         scenario: &Scenario,
@@ -87,7 +87,7 @@
             let seed = scenario.seed.wrapping_add(offset);
             let measure = |binary: &Path| {
                 let program = node_program(binary.to_owned(), self.features.as_deref());
-                play_with_bar(name, scenario, program, seed, stop)
+                run_with_progress_bar(name, scenario, program, seed, stop)
             };
             // The order alternates, so that other load on the machine affects both binaries alike.
             let (a, b) = if offset % 2 == 0 {
--- a/crates/cli/src/lab/idle.rs
+++ b/crates/cli/src/lab/idle.rs
@@ -55,14 +55,14 @@
         "{:>8} {:>10} {:>11} {:>14} {:>14}",
         "idle", "KiB", "bytes each", "look-up p50 ms", "p99 ms"
     )?;
-    for crowd in &measured.crowds {
+    for sample in &measured.samples {
         let IdleSample {
             held,
             resident_kib,
             bytes_each,
             p50_ms,
             p99_ms,
-        } = crowd;
+        } = sample;
         writeln!(
             out,
             "{held:>8} {resident_kib:>10} {bytes_each:>11.0} {p50_ms:>14.2} {p99_ms:>14.2}"
--- a/crates/cli/src/lab/run.rs
+++ b/crates/cli/src/lab/run.rs
@@ -1,6 +1,6 @@
-//! `slatelink lab run`: plays scenarios and checks the rules.
+//! `slatelink lab run`: runs scenarios and checks the rules.
 
-use super::scenario_run::{play_with_bar, scenario_name};
+use super::scenario_run::{run_with_progress_bar, scenario_name};
 use crate::exit::{success_if, unusable, CommandResult, EXIT_FAILURE};
 use crate::node_arguments::NodeArguments;
 use clap::Args;
@@ -47,9 +47,9 @@
 }
 
 impl Run {
-    /// Plays each scenario with each of its seeds and prints the reports.
+    /// Runs each scenario with each of its seeds and prints the reports.
     pub fn run(self) -> CommandResult {
-        // All scenarios are read before the first is played, so that an error in the last scenario
+        // All scenarios are read before the first one runs, so that an error in the last scenario
         // is reported at once.
         let scenarios: Result<Vec<_>, _> = self.files.iter().map(|file| self.load(file)).collect();
         let scenarios = match scenarios {
@@ -72,8 +72,8 @@
         for NamedScenario { name, scenario } in &scenarios {
             let first = self.seed.unwrap_or(scenario.seed);
             for seed in (0..self.repeat).map(|offset| first.wrapping_add(offset)) {
-                let played = play_with_bar(name, scenario, program.clone(), seed, &stop)?;
-                let Some(report) = played else {
+                let result = run_with_progress_bar(name, scenario, program.clone(), seed, &stop)?;
+                let Some(report) = result else {
                     eprintln!("slatelink: stopped");
                     return Ok(ExitCode::from(EXIT_FAILURE));
                 };
--- a/crates/cli/src/lab/scale.rs
+++ b/crates/cli/src/lab/scale.rs
@@ -37,7 +37,7 @@
     /// Processes in which simulated nodes run
     #[arg(long, value_name = "N", default_value_t = 4)]
     workers: usize,
-    /// Cache servers in the server list
+    /// Cache servers in the endpoint list
     #[arg(long, value_name = "N", default_value_t = 50)]
     servers: usize,
     /// Zones among which the cache servers are distributed
@@ -46,7 +46,7 @@
     /// Requests per second of each node
     #[arg(long, value_name = "RATE", default_value_t = 0.0)]
     requests: f64,
-    /// Changes of the server list per second
+    /// Changes of the endpoint list per second
     #[arg(long, value_name = "RATE", default_value_t = 1.0)]
     list_changes: f64,
     /// New configurations per second, each for the whole fleet
@@ -72,7 +72,8 @@
     /// tier
     #[arg(long, value_name = "N[,M]", value_delimiter = ',')]
     relays: Vec<usize>,
-    /// Lease of the relays: how long a relay serves calls after the last response from upstream
+    /// Lease of the relays: time for which a relay serves calls after the last response from
+    /// upstream
     #[arg(long, value_name = "MILLISECONDS", default_value_t = DEFAULT_LEASE_MS)]
     relay_lease_ms: u64,
     /// Fault to inject
@@ -107,7 +108,7 @@
     DiscoveryDown,
     /// A tenth of the nodes restart at once
     RestartTenth,
-    /// The servers of one zone are removed from the server list for the duration of the fault
+    /// The servers of one zone are removed from the endpoint list for the duration of the fault
     ZoneLost,
     /// Half of the nodes cannot reach discovery for the duration of the fault
     Split,
--- a/crates/cli/src/lab/scenario_run.rs
+++ b/crates/cli/src/lab/scenario_run.rs
@@ -1,4 +1,4 @@
-//! Plays one scenario with a progress bar on the terminal.
+//! Runs one scenario with a progress bar on the terminal.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use slatelink_lab::client::LiveCounters;
@@ -26,9 +26,9 @@
     )
 }
 
-/// Plays a scenario with a progress bar, which is hidden without a terminal. Returns `None` if
+/// Runs a scenario with a progress bar, which is hidden without a terminal. Returns `None` if
 /// `stop` has ended the run.
-pub fn play_with_bar(
+pub fn run_with_progress_bar(
     name: &str,
     scenario: &Scenario,
     program: Program,
@@ -40,18 +40,18 @@
         ..Options::new(program, seed)
     };
     let bar = bar(name, scenario, seed);
-    let played = thread::scope(|scope| {
-        let playing = scope.spawn(|| run_scenario(scenario, &options));
-        while !playing.is_finished() {
+    let result = thread::scope(|scope| {
+        let run_thread = scope.spawn(|| run_scenario(scenario, &options));
+        while !run_thread.is_finished() {
             thread::sleep(BAR_INTERVAL);
             update_bar(&bar, scenario, &options.live);
         }
-        playing.join()
+        run_thread.join()
     });
     bar.finish_and_clear();
-    let played = played.map_err(|_| "the run ended in a panic")??;
+    let completed_run = result.map_err(|_| "the run ended in a panic")??;
     let stopped = options.stop.load(Ordering::Relaxed);
-    Ok((!stopped).then(|| Report::new(name, scenario, seed, &played)))
+    Ok((!stopped).then(|| Report::new(name, scenario, seed, &completed_run)))
 }
 
 fn bar(name: &str, scenario: &Scenario, seed: u64) -> ProgressBar {
@@ -64,14 +64,14 @@
 
 fn update_bar(bar: &ProgressBar, scenario: &Scenario, live: &LiveCounters) {
     let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-    let (begun, in_time) = (count(&live.started), count(&live.in_time));
-    if begun == 0 {
+    let (requests_started, in_time) = (count(&live.started), count(&live.in_time));
+    if requests_started == 0 {
         return;
     }
-    let elapsed_s = begun as f64 / scenario.load.rate.get();
+    let elapsed_s = requests_started as f64 / scenario.load.rate.get();
     bar.set_position((elapsed_s * STEPS_PER_SECOND) as u64);
     bar.set_message(format!(
-        "{begun} requests, {in_time} in time, {} refused",
+        "{requests_started} requests, {in_time} in time, {} refused",
         count(&live.refused)
     ));
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -43,12 +43,12 @@
     Audit(audit::Command),
     /// Run a fleet with light traffic on this machine: nodes, cache servers, database, clients
     Up(up::Up),
-    /// Play scenarios with faults against real nodes and check the rules
+    /// Run scenarios with faults against real nodes and check the rules
     #[command(subcommand)]
     Lab(lab::Command),
     /// Request many keys from a node's multi-get port and print one line per key
     MultiGet(multi_get::Command),
-    /// Run a relay, which forwards the server list from discovery to nodes
+    /// Run a relay, which forwards the endpoint list from discovery to nodes
     Relay(relay::Command),
 }
 
@@ -78,7 +78,7 @@
         .transpose()?
         .unwrap_or_default();
     let config = platform::load(|name| std::env::var(name).ok())?;
-    // A node has one core, so a single thread without locks between the node's parts.
+    // A node has one core, so it runs on a single thread without locks between its parts.
     let node = slatelink_node::run(config, features, format.into());
     Ok(LocalSet::new().block_on(&single_threaded_runtime()?, node)?)
 }
--- a/crates/cli/src/multi_get.rs
+++ b/crates/cli/src/multi_get.rs
@@ -51,7 +51,7 @@
     /// Deadline in milliseconds; keys without a response by then are printed as partial
     #[arg(long, value_name = "MS", value_parser = clap::value_parser!(u32).range(1..))]
     deadline_ms: u32,
-    /// Maximum number of keys, as `max_items` is on the node; more keys are rejected
+    /// Maximum number of keys, like the node's setting `max_items`; more keys are rejected
     #[arg(long, value_name = "N", default_value_t = DEFAULT_MAX_ITEMS)]
     max_items: usize,
     /// Keys to request; one line is printed per key, in this order
--- a/crates/cli/src/relay.rs
+++ b/crates/cli/src/relay.rs
@@ -1,4 +1,4 @@
-//! `slatelink relay`: forwards the server list from discovery or other relays to nodes.
+//! `slatelink relay`: forwards the endpoint list from discovery or other relays to nodes.
 
 use crate::exit::CommandResult;
 use crate::log_format::LogFormat;
--- a/crates/cli/src/up.rs
+++ b/crates/cli/src/up.rs
@@ -25,7 +25,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Interval at which the table or line is updated.
 const DISPLAY_INTERVAL: Duration = Duration::from_secs(1);
-/// Circuit breakers that opened within this time are displayed.
+/// Time window of the displayed number of circuit breakers that opened.
 const BREAKER_WINDOW: Duration = Duration::from_secs(6);
 
 #[derive(Args)]
@@ -78,7 +78,7 @@
             ..Options::new(self.node.program()?, SEED)
         };
         let live = options.live.clone();
-        let playing = {
+        let run_thread = {
             let scenario = scenario.clone();
             thread::spawn(move || run_scenario(&scenario, &options))
         };
@@ -86,9 +86,11 @@
         if let Ok(nodes) = ready_nodes.recv() {
             self.print_usage(&nodes)?;
         }
-        display_counts(&live, || playing.is_finished());
-        let played = playing.join().map_err(|_| "the run ended in a panic")??;
-        let report = Report::new("up", &scenario, SEED, &played);
+        display_counts(&live, || run_thread.is_finished());
+        let completed_run = run_thread
+            .join()
+            .map_err(|_| "the run ended in a panic")??;
+        let report = Report::new("up", &scenario, SEED, &completed_run);
         print!("{}", report.text());
         Ok(success_if(report.holds))
     }
@@ -130,7 +132,7 @@
 /// Counts since the start of the run, at one moment.
 #[derive(Clone, Copy)]
 struct Counts {
-    begun: u64,
+    requests_started: u64,
     in_time: u64,
     refused: u64,
 }
@@ -138,7 +140,7 @@
 impl Counts {
     fn of(live: &LiveCounters) -> Self {
         Self {
-            begun: load(&live.started),
+            requests_started: load(&live.started),
             in_time: load(&live.in_time),
             refused: load(&live.refused),
         }
@@ -148,7 +150,7 @@
     fn rates_since(&self, earlier: &Self, elapsed: Duration) -> Rates {
         let rate = |now: u64, before: u64| (now - before) as f64 / elapsed.as_secs_f64();
         Rates {
-            requests: rate(self.begun, earlier.begun),
+            requests: rate(self.requests_started, earlier.requests_started),
             in_time: rate(self.in_time, earlier.in_time),
             refused: rate(self.refused, earlier.refused),
         }
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -62,7 +62,7 @@
 }
 
 /// Stand-in for discovery.
-pub struct Directory {
+pub struct DiscoveryStandIn {
     cache_servers: Rc<CacheServers>,
     fleet: Fleet,
     entries: RefCell<Vec<Entry>>,
@@ -83,7 +83,7 @@
     closed: watch::Sender<Vec<Option<usize>>>,
 }
 
-impl Directory {
+impl DiscoveryStandIn {
     /// Lists the fleet's servers as ready; the spare servers, up to `server_count`, are unlisted.
     pub fn new(
         cache_servers: Rc<CacheServers>,
@@ -115,18 +115,18 @@
 
     /// Changes the state of a server, reported after the report delay.
     pub fn change(self: &Rc<Self>, server: usize, availability: Availability, started_ms: u64) {
-        let directory = self.clone();
+        let discovery_stand_in = self.clone();
         spawn_local(async move {
-            sleep(directory.report_delay.get()).await;
-            let version = *directory.version.borrow() + 1;
-            directory.entries.borrow_mut()[server] = Entry {
+            sleep(discovery_stand_in.report_delay.get()).await;
+            let version = *discovery_stand_in.version.borrow() + 1;
+            discovery_stand_in.entries.borrow_mut()[server] = Entry {
                 availability,
                 started_ms,
                 version,
             };
-            directory.version.send_replace(version);
-            let at = directory.cache_servers.now().as_micros() as u64;
-            directory
+            discovery_stand_in.version.send_replace(version);
+            let at = discovery_stand_in.cache_servers.now().as_micros() as u64;
+            discovery_stand_in
                 .cache_servers
                 .record
                 .borrow_mut()
@@ -175,10 +175,10 @@
 
     /// Closes the previous address of a node and its connections after `OLD_ADDRESS_CLOSE_DELAY`.
     pub fn close_old_address(self: &Rc<Self>, node: usize, address_index: usize) {
-        let directory = self.clone();
+        let discovery_stand_in = self.clone();
         spawn_local(async move {
             sleep(OLD_ADDRESS_CLOSE_DELAY).await;
-            directory
+            discovery_stand_in
                 .closed
                 .send_modify(|closed| closed[node] = Some(address_index));
         });
@@ -190,14 +190,14 @@
         node: usize,
         address_index: usize,
     ) -> io::Result<SocketAddr> {
-        let directory = self.clone();
+        let discovery_stand_in = self.clone();
         listen(move |stream| {
-            let closed = directory.closed.borrow()[node] == Some(address_index);
-            if *directory.down.borrow() || closed {
+            let closed = discovery_stand_in.closed.borrow()[node] == Some(address_index);
+            if *discovery_stand_in.down.borrow() || closed {
                 reset(stream);
             } else if let Ok(conn) = Conn::new(stream) {
                 spawn_local(
-                    directory
+                    discovery_stand_in
                         .clone()
                         .serve_connection(node, address_index, conn),
                 );
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -147,7 +147,7 @@
             let mut head = httparse::Request::new(&mut headers);
             let parsed = head.parse(&self.buffer)?;
             if let httparse::Status::Complete(start) = parsed {
-                let body = length(head.headers);
+                let body = content_length(head.headers);
                 if self.buffer.len() >= start + body {
                     let text = |name: &str| header(head.headers, name).map(str::to_owned);
                     let received_request = ReceivedRequest {
@@ -173,7 +173,7 @@
             let mut head = httparse::Response::new(&mut headers);
             let parsed = head.parse(&self.buffer)?;
             if let httparse::Status::Complete(start) = parsed {
-                let body = length(head.headers);
+                let body = content_length(head.headers);
                 if self.buffer.len() >= start + body {
                     let text = |name| header(head.headers, name);
                     let received_response = ReceivedResponse {
@@ -194,14 +194,14 @@
 }
 
 /// Listens on a port chosen by the kernel, in a task of this thread's local set, and passes each
-/// accepted connection to `on`.
-pub async fn listen(on: impl Fn(TcpStream) + 'static) -> io::Result<SocketAddr> {
+/// accepted connection to `handle`.
+pub async fn listen(handle: impl Fn(TcpStream) + 'static) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     spawn_local(async move {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => on(stream),
+                Ok((stream, _)) => handle(stream),
                 // For example, the lab is out of file descriptors; a later accept may succeed.
                 Err(_) => sleep(ACCEPT_PAUSE).await,
             }
@@ -224,7 +224,7 @@
     std::str::from_utf8(found.value).ok()
 }
 
-fn length(headers: &[httparse::Header<'_>]) -> usize {
+fn content_length(headers: &[httparse::Header<'_>]) -> usize {
     header(headers, "content-length")
         .and_then(|text| text.trim().parse().ok())
         .unwrap_or(0)
--- a/crates/lab/src/idle.rs
+++ b/crates/lab/src/idle.rs
@@ -53,7 +53,8 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct IdleReport {
     /// Measurements by number of idle connections.
-    pub crowds: Vec<IdleSample>,
+    #[serde(rename = "crowds")]
+    pub samples: Vec<IdleSample>,
     /// Number of connections that the node closed with their first response.
     pub closed: usize,
     /// Number of responses when all connections sent a request at once.
@@ -62,8 +63,8 @@
     pub burst_ms: f64,
     /// Peak resident memory of the node, in KiB.
     pub peak_kib: u64,
-    /// Time from SIGTERM, sent when the answered connections were idle again, until the last of
-    /// them was closed, in milliseconds.
+    /// Time from SIGTERM, sent when the answered connections were idle again, until the last
+    /// answered connection was closed, in milliseconds.
     pub stop_ms: f64,
     /// Number of the answered connections that the node closed in order after SIGTERM.
     pub stopped: usize,
@@ -125,7 +126,7 @@
         open_in_batches(address, &mut held, &mut idle.closed, size, batch).await?;
         sleep(IDLE_TIME).await;
         let sample = measure_sample(address, pid, held.len(), empty_kib).await?;
-        idle.crowds.push(sample);
+        idle.samples.push(sample);
     }
     let (held, burst_ms) = send_at_once(held).await?;
     idle.answered = held.len();
@@ -139,8 +140,8 @@
     Ok(idle)
 }
 
-/// Opens connections in batches until `size` were made; `closed` counts those that the node closed
-/// with their first response.
+/// Opens connections in batches until `size` connections have been opened; `closed` counts the
+/// connections that the node closed with their first response.
 async fn open_in_batches(
     address: SocketAddr,
     held: &mut Vec<Conn>,
@@ -150,9 +151,9 @@
 ) -> io::Result<()> {
     while held.len() + *closed < size {
         let count = batch.min(size - held.len() - *closed);
-        let made = connect(address, held.len(), count).await?;
-        *closed += count - made.len();
-        held.extend(made);
+        let kept_open = connect(address, held.len(), count).await?;
+        *closed += count - kept_open.len();
+        held.extend(kept_open);
         sleep(BATCH_INTERVAL).await;
     }
     Ok(())
@@ -216,7 +217,7 @@
     Ok(closed)
 }
 
-/// Opens connections with one request each; returns those that the node kept open.
+/// Opens connections with one request each; returns the connections that the node kept open.
 async fn connect(address: SocketAddr, first: usize, count: usize) -> io::Result<Vec<Conn>> {
     let permits = Arc::new(Semaphore::new(CONCURRENT_CONNECTS));
     let mut connecting = JoinSet::new();
@@ -233,11 +234,11 @@
             Ok::<_, io::Error>(kept.then_some(conn))
         });
     }
-    let mut made = Vec::new();
+    let mut kept_open = Vec::new();
     while let Some(connected) = connecting.join_next().await {
-        made.extend(connected.map_err(io::Error::other)??);
+        kept_open.extend(connected.map_err(io::Error::other)??);
     }
-    Ok(made)
+    Ok(kept_open)
 }
 
 /// Measures the latency of look-ups; returns the 50th and 99th percentile in milliseconds.
--- a/crates/lab/src/model/database.rs
+++ b/crates/lab/src/model/database.rs
@@ -192,7 +192,7 @@
                 job,
                 key,
             } => {
-                // The write was executed, even if its server was restarted or its job is gone.
+                // The write was executed, even if its server was restarted or its job discarded.
                 if succeeded {
                     self.servers
                         .iter_mut()
--- a/crates/lab/src/model/server.rs
+++ b/crates/lab/src/model/server.rs
@@ -32,7 +32,8 @@
 
 pub(super) struct Server {
     pub(super) settings: ServerSettings,
-    /// Time of the start during the run; `None` for a server that was up and warm before it.
+    /// Time of the start during the run; `None` for a server that was already warm when the run
+    /// started.
     pub(super) started_at: Option<Time>,
     pub(super) down: bool,
     /// Divisor of the speed.
--- a/crates/lab/src/nodes.rs
+++ b/crates/lab/src/nodes.rs
@@ -29,12 +29,12 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval of health checks on a starting node.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for a node to exit after SIGTERM, counted from the end of `TERMINATED_IN_TABLE`. A node
-/// that exceeds it counts as failed, since the platform would kill it.
+/// Time for a node to exit after SIGTERM, counted from the end of `TABLE_REMOVAL_DELAY`. A node
+/// that does not exit in this time counts as failed, since the platform would kill it.
 const STOP_TIMEOUT: Duration = Duration::from_millis(4500);
 /// Time that a node stays in the clients' address table after SIGTERM: the front keeps opening
 /// connections for a while.
-const TERMINATED_IN_TABLE: Duration = Duration::from_millis(300);
+const TABLE_REMOVAL_DELAY: Duration = Duration::from_millis(300);
 
 /// Error of starting or controlling a node.
 #[derive(Debug, Error)]
@@ -233,8 +233,9 @@
         }
     }
 
-    /// Checks whether the process has exited by itself; returns `true` only the first time.
-    pub fn has_died(&mut self) -> bool {
+    /// Records an exit of the process that the lab did not cause; returns `true` only on the first
+    /// call after the exit.
+    pub fn detect_exit(&mut self) -> bool {
         let Some(child) = &mut self.child else {
             return false;
         };
@@ -277,7 +278,7 @@
                 self.stop().await;
                 self.start().await?;
             }
-            FaultKind::NodeHup => return self.move_discovery().map(Some),
+            FaultKind::NodeHup => return self.switch_discovery().map(Some),
             _ => {}
         }
         Ok(None)
@@ -285,7 +286,7 @@
 
     /// Writes a configuration with the other discovery address and sends SIGHUP; returns the index
     /// of the previous address.
-    pub fn move_discovery(&mut self) -> Result<usize, NodeError> {
+    pub fn switch_discovery(&mut self) -> Result<usize, NodeError> {
         let old = self.current_discovery;
         self.current_discovery = 1 - old;
         self.config["discovery"] = json!(self.discovery[self.current_discovery].to_string());
@@ -308,7 +309,7 @@
         }
         self.record_event(ProcessEvent::Terminating, "");
         self.signal(Signal::SIGTERM);
-        sleep(TERMINATED_IN_TABLE).await;
+        sleep(TABLE_REMOVAL_DELAY).await;
         self.set_address(None);
         match self.wait().await {
             Some(status) if status.success() => self.record_event(ProcessEvent::Exited, ""),
--- a/crates/lab/src/nodes/config.rs
+++ b/crates/lab/src/nodes/config.rs
@@ -44,7 +44,7 @@
             },
             "safety": {
                 "cold_share": fleet.cold_share.get(), "warm_within_us": us(fleet.warm_s.get()),
-                "fall_multiple": fleet.fall_times.get(), "fall_us": us(fleet.fall_s.get()),
+                "fall_multiple": fleet.overload_factor.get(), "fall_us": us(fleet.overload_window_s.get()),
             },
         },
     })
--- a/crates/lab/src/page.rs
+++ b/crates/lab/src/page.rs
@@ -58,10 +58,10 @@
             offered = self.offered,
             attempts = self.attempts,
             fetches = self.fetches,
-            late = self.rig_late_ms,
+            late = self.send_delay_p99_ms,
         ));
-        if let Some(doubt) = &self.doubt {
-            page.push_line(&format!("<p class=\"ill\">{}</p>", escape(doubt)));
+        if let Some(warning) = &self.warning {
+            page.push_line(&format!("<p class=\"ill\">{}</p>", escape(warning)));
         }
     }
 
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -227,8 +227,8 @@
     pub samples: Vec<Sample>,
     /// Applied faults, one for each server or node they targeted.
     pub faults: Vec<AppliedFault>,
-    /// Delay from the due time to the send of each first try, in microseconds. It is caused by the
-    /// rig (the clients and their machine), not by the node.
+    /// Delay from the due time to the send of each first try, in microseconds. The delay is caused
+    /// by the load generator (the clients and their machine), not by the node.
     pub send_delays_us: Vec<u32>,
     /// Number of fetches and writes sent to the database.
     pub fetches: u64,
@@ -237,8 +237,8 @@
 }
 
 impl Record {
-    /// Makes the times of servers, discovery, nodes and faults relative to `load_start`, as those
-    /// of the clients are.
+    /// Makes the times of servers, discovery, nodes and faults relative to `load_start`, as the
+    /// times of the clients already are.
     pub(crate) fn shift(&mut self, load_start: u64) {
         let shift = |at: &mut u64| *at = at.saturating_sub(load_start);
         self.attempts.iter_mut().for_each(|attempt| {
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -9,11 +9,11 @@
 use crate::scenario::{FaultKind, Scenario};
 use serde::Serialize;
 use std::collections::BTreeMap;
-use tally::{rig_late_ms, Tallies};
+use tally::{send_delay_p99_ms, Tallies};
 
-/// Limit of the 99th percentile of the rig's send delay, in milliseconds. Past this limit the
-/// report warns that its figures do not measure the node.
-pub const MAX_RIG_DELAY_MS: f64 = 5.0;
+/// Limit of the 99th percentile of the load generator's send delay, in milliseconds. Past this
+/// limit the report warns that its figures do not measure the node.
+pub const MAX_SEND_DELAY_MS: f64 = 5.0;
 /// Converts the times of a record, in microseconds, to seconds.
 const MICROS_PER_SECOND: u64 = 1_000_000;
 /// Maximum number of breaches listed in full; every breach is counted.
@@ -104,11 +104,13 @@
     pub breaches: Vec<Breach>,
     /// Expectations that are not met.
     pub unmet: Vec<String>,
-    /// 99th percentile of the rig's send delay of first tries, in milliseconds. It is not caused by
-    /// the node.
-    pub rig_late_ms: f64,
-    /// Warning that the figures are unreliable, if the rig's send delay exceeds its limit.
-    pub doubt: Option<String>,
+    /// 99th percentile of the load generator's send delay of first tries, in milliseconds. The
+    /// delay is not caused by the node.
+    #[serde(rename = "rig_late_ms")]
+    pub send_delay_p99_ms: f64,
+    /// Warning that the figures are unreliable, if the send delay exceeds its limit.
+    #[serde(rename = "doubt")]
+    pub warning: Option<String>,
     /// Figures by second.
     pub by_second: Vec<Second>,
     /// Faults, and load changes with a start and an end.
@@ -121,19 +123,19 @@
 
 impl Report {
     /// Creates the report of a run.
-    pub fn new(name: &str, scenario: &Scenario, seed: u64, played: &CompletedRun) -> Self {
+    pub fn new(name: &str, scenario: &Scenario, seed: u64, completed_run: &CompletedRun) -> Self {
         let CompletedRun {
             plan,
             record,
             breaches,
             load_duration,
-        } = played;
+        } = completed_run;
         let sent_count = record.send_delays_us.len();
         let seconds = load_duration.as_secs_f64().min(scenario.seconds.get());
         let tallies = Tallies::of(scenario, plan, record, seconds);
         let by_second = tallies.by_second();
         let peaks = PeakLoads::of(record, by_second.len());
-        let rig_late_ms = rig_late_ms(record);
+        let send_delay_p99_ms = send_delay_p99_ms(record);
         let mut report = Self {
             scenario: name.to_owned(),
             about: scenario.about.clone(),
@@ -153,8 +155,8 @@
             broken: count_by_rule(breaches),
             breaches: breaches.iter().take(MAX_LISTED_BREACHES).cloned().collect(),
             unmet: Vec::new(),
-            rig_late_ms,
-            doubt: rig_delay_warning(rig_late_ms),
+            send_delay_p99_ms,
+            warning: send_delay_warning(send_delay_p99_ms),
             by_second,
             faults: fault_spans(scenario, record, seconds),
             held: peaks.held,
@@ -254,11 +256,11 @@
     broken
 }
 
-/// Returns a warning about the figures if the rig's send delay exceeds its limit.
-fn rig_delay_warning(rig_late_ms: f64) -> Option<String> {
-    (rig_late_ms > MAX_RIG_DELAY_MS).then(|| {
+/// Returns a warning about the figures if the load generator's send delay exceeds its limit.
+fn send_delay_warning(send_delay_p99_ms: f64) -> Option<String> {
+    (send_delay_p99_ms > MAX_SEND_DELAY_MS).then(|| {
         format!(
-            "the rig itself sent first tries late ({rig_late_ms:.1} ms at the 99th percentile): its figures are no node's"
+            "the rig itself sent first tries late ({send_delay_p99_ms:.1} ms at the 99th percentile): its figures are no node's"
         )
     })
 }
--- a/crates/lab/src/report/tally.rs
+++ b/crates/lab/src/report/tally.rs
@@ -198,8 +198,8 @@
     }
 }
 
-/// Returns the 99th percentile of the rig's send delay of first tries, in milliseconds.
-pub(super) fn rig_late_ms(record: &Record) -> f64 {
+/// Returns the 99th percentile of the load generator's send delay of first tries, in milliseconds.
+pub(super) fn send_delay_p99_ms(record: &Record) -> f64 {
     let mut delays = Tally::new();
     for delay_us in &record.send_delays_us {
         delays
--- a/crates/lab/src/report/text.rs
+++ b/crates/lab/src/report/text.rs
@@ -30,8 +30,8 @@
         for unmet in &self.unmet {
             push_line(format!("  not as expected: {unmet}"));
         }
-        if let Some(doubt) = &self.doubt {
-            push_line(format!("  warning: {doubt}"));
+        if let Some(warning) = &self.warning {
+            push_line(format!("  warning: {warning}"));
         }
         text
     }
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -136,9 +136,9 @@
     // All threads share one clock. Its zero precedes the start of the nodes; at the end of the run,
     // recorded times are shifted to the start of the load.
     let start = Instant::now();
-    let (shutdown, shutdown_seen) = watch::channel(false);
+    let (shutdown, shutdown_requested) = watch::channel(false);
     let (commands, received_commands) = channel::unbounded_channel();
-    let (addresses, listening) = mpsc::channel();
+    let (address_sender, address_receiver) = mpsc::channel();
     let stand_ins = spawn_thread("stand-ins", {
         let (scenario, plan, manual_requests) =
             (scenario.clone(), plan.clone(), options.manual_requests);
@@ -148,13 +148,13 @@
                 plan,
                 start,
                 manual_requests,
-                addresses,
+                address_sender,
                 received_commands,
-                shutdown_seen,
+                shutdown_requested,
             )
         }
     })?;
-    let listening = match listening.recv() {
+    let listening_addresses = match address_receiver.recv() {
         Ok(addresses) => addresses,
         Err(_) => {
             return Err(join_thread(stand_ins, "stand-ins")?
@@ -167,7 +167,13 @@
         .enable_all()
         .build()?;
     let outcome = runtime.block_on(run_load(
-        scenario, options, &plan, start, listening, &folder, commands,
+        scenario,
+        options,
+        &plan,
+        start,
+        listening_addresses,
+        &folder,
+        commands,
     ));
     shutdown.send_replace(true);
     let observed = join_thread(stand_ins, "stand-ins")??;
--- a/crates/lab/src/run/faults.rs
+++ b/crates/lab/src/run/faults.rs
@@ -1,6 +1,6 @@
 //! Application and reversal of scheduled faults of servers and discovery.
 
-use crate::discovery::Directory;
+use crate::discovery::DiscoveryStandIn;
 use crate::list_protocol::Availability;
 use crate::record::AppliedFault;
 use crate::scenario::{Fault, FaultKind, Scenario};
@@ -25,7 +25,7 @@
                 kind if kind.targets_nodes() => fault.nodes.clone(),
                 _ => vec![0],
             };
-            let interval = fault.apart_s.get();
+            let interval = fault.interval_s.get();
             targets
                 .into_iter()
                 .enumerate()
@@ -43,7 +43,7 @@
 pub(super) fn schedule_faults(
     scenario: &Scenario,
     cache_servers: &Rc<CacheServers>,
-    directory: &Rc<Directory>,
+    discovery_stand_in: &Rc<DiscoveryStandIn>,
 ) {
     let load_start = Instant::now();
     let mut next_spare = scenario.fleet.servers;
@@ -67,20 +67,30 @@
         if fault.kind.targets_nodes() {
             continue;
         }
-        let (cache_servers, directory) = (cache_servers.clone(), directory.clone());
+        let (cache_servers, discovery_stand_in) =
+            (cache_servers.clone(), discovery_stand_in.clone());
         spawn_local(async move {
             sleep_until((load_start + at).into()).await;
             tracing::info!(kind = ?fault.kind, whom = server, "fault begins");
-            apply(&fault, server, replacement, &cache_servers, &directory);
+            apply(
+                &fault,
+                server,
+                replacement,
+                &cache_servers,
+                &discovery_stand_in,
+            );
             if let Some(duration) = duration {
                 sleep(duration).await;
                 tracing::info!(kind = ?fault.kind, whom = server, "fault ends");
-                revert(&fault, server, &cache_servers, &directory);
+                revert(&fault, server, &cache_servers, &discovery_stand_in);
             }
-            if let Some(back) = fault.back_s.filter(|_| fault.kind == FaultKind::Drain) {
-                sleep(Duration::from_secs_f64(back.get())).await;
+            if let Some(return_delay) = fault
+                .return_delay_s
+                .filter(|_| fault.kind == FaultKind::Drain)
+            {
+                sleep(Duration::from_secs_f64(return_delay.get())).await;
                 cache_servers.set_mode(server, ServerMode::Healthy);
-                directory.change(server, Availability::Ready, unix_ms());
+                discovery_stand_in.change(server, Availability::Ready, unix_ms());
             }
         });
     }
@@ -97,13 +107,13 @@
     server: usize,
     replacement: usize,
     cache_servers: &Rc<CacheServers>,
-    directory: &Rc<Directory>,
+    discovery_stand_in: &Rc<DiscoveryStandIn>,
 ) {
     let by = fault.by.map_or(1.0, |by| by.get());
     match fault.kind {
         FaultKind::Kill => {
             cache_servers.set_mode(server, ServerMode::Down);
-            directory.change(server, Availability::Removed, 0);
+            discovery_stand_in.change(server, Availability::Removed, 0);
         }
         FaultKind::Hang => cache_servers.set_mode(server, ServerMode::Hang),
         FaultKind::Slow => cache_servers.cluster.borrow_mut().set_slowdown(server, by),
@@ -112,20 +122,20 @@
         FaultKind::Garbage => cache_servers.set_mode(server, ServerMode::Garbage),
         FaultKind::Refuse => cache_servers.set_mode(server, ServerMode::Refuse),
         FaultKind::Partition => cache_servers.set_mode(server, ServerMode::Partitioned),
-        FaultKind::Drain => directory.change(server, Availability::Draining, 0),
+        FaultKind::Drain => discovery_stand_in.change(server, Availability::Draining, 0),
         FaultKind::Replace => {
             cache_servers.set_mode(server, ServerMode::Down);
             cache_servers.set_mode(replacement, ServerMode::Down);
             cache_servers.set_mode(replacement, ServerMode::Healthy);
-            directory.change(server, Availability::Removed, 0);
-            directory.change(replacement, Availability::Ready, unix_ms());
+            discovery_stand_in.change(server, Availability::Removed, 0);
+            discovery_stand_in.change(replacement, Availability::Ready, unix_ms());
         }
-        FaultKind::DiscoveryDown => directory.set_down(true),
-        FaultKind::DiscoveryRefuses => directory.refuses.set(true),
-        FaultKind::DiscoveryLate => directory
+        FaultKind::DiscoveryDown => discovery_stand_in.set_down(true),
+        FaultKind::DiscoveryRefuses => discovery_stand_in.refuses.set(true),
+        FaultKind::DiscoveryLate => discovery_stand_in
             .report_delay
-            .set(directory.report_delay.get() + Duration::from_secs_f64(by)),
-        FaultKind::DiscoveryReportsAllReady => directory.set_reports_all_ready(true),
+            .set(discovery_stand_in.report_delay.get() + Duration::from_secs_f64(by)),
+        FaultKind::DiscoveryReportsAllReady => discovery_stand_in.set_reports_all_ready(true),
         FaultKind::NodeKill | FaultKind::NodeTerm | FaultKind::NodeHup => {}
     }
 }
@@ -134,13 +144,13 @@
     fault: &Fault,
     server: usize,
     cache_servers: &Rc<CacheServers>,
-    directory: &Rc<Directory>,
+    discovery_stand_in: &Rc<DiscoveryStandIn>,
 ) {
     let by = fault.by.map_or(1.0, |by| by.get());
     match fault.kind {
         FaultKind::Kill => {
             cache_servers.set_mode(server, ServerMode::Healthy);
-            directory.change(server, Availability::Ready, unix_ms());
+            discovery_stand_in.change(server, Availability::Ready, unix_ms());
         }
         FaultKind::Slow => cache_servers.cluster.borrow_mut().set_slowdown(server, 1.0),
         FaultKind::Hang
@@ -153,19 +163,19 @@
         }
         FaultKind::Drain => {
             cache_servers.set_mode(server, ServerMode::Down);
-            directory.change(server, Availability::Removed, 0);
+            discovery_stand_in.change(server, Availability::Removed, 0);
         }
-        FaultKind::DiscoveryDown => directory.set_down(false),
-        FaultKind::DiscoveryRefuses => directory.refuses.set(false),
+        FaultKind::DiscoveryDown => discovery_stand_in.set_down(false),
+        FaultKind::DiscoveryRefuses => discovery_stand_in.refuses.set(false),
         FaultKind::DiscoveryLate => {
-            directory.report_delay.set(
-                directory
+            discovery_stand_in.report_delay.set(
+                discovery_stand_in
                     .report_delay
                     .get()
                     .saturating_sub(Duration::from_secs_f64(by)),
             );
         }
-        FaultKind::DiscoveryReportsAllReady => directory.set_reports_all_ready(false),
+        FaultKind::DiscoveryReportsAllReady => discovery_stand_in.set_reports_all_ready(false),
         FaultKind::Replace | FaultKind::NodeKill | FaultKind::NodeTerm | FaultKind::NodeHup => {}
     }
 }
--- a/crates/lab/src/run/nodes.rs
+++ b/crates/lab/src/run/nodes.rs
@@ -21,8 +21,8 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// Delay from the last node becoming ready to the start of the load, so that no start-up connection
-/// is part of its figures.
+/// Delay from the last node becoming ready to the start of the load, so that the figures of the
+/// load include no start-up connection.
 const SETTLE_TIME: Duration = Duration::from_millis(200);
 /// Time that stand-ins keep serving after the last response: attempts of refused or abandoned
 /// requests may still arrive.
@@ -48,11 +48,11 @@
     options: &Options,
     plan: &Arc<Plan>,
     start: Instant,
-    listening: Addresses,
+    listening_addresses: Addresses,
     folder: &Folder,
     commands: channel::UnboundedSender<Command>,
 ) -> Result<LoadOutcome, RunError> {
-    let Addresses { discovery, servers } = listening;
+    let Addresses { discovery, servers } = listening_addresses;
     let environment = NodeEnvironment {
         scenario,
         seed: options.seed,
@@ -257,7 +257,7 @@
                 }
             }
         }
-        node.has_died();
+        node.detect_exit();
         sleep(POLL_INTERVAL).await;
     }
     Ok(())
--- a/crates/lab/src/run/stand_ins.rs
+++ b/crates/lab/src/run/stand_ins.rs
@@ -2,7 +2,7 @@
 
 use super::faults::{faults_by_target, schedule_faults};
 use super::{Addresses, Command};
-use crate::discovery::Directory;
+use crate::discovery::DiscoveryStandIn;
 use crate::model::{Cluster, DatabaseSettings, ServerSettings};
 use crate::plan::{mix, Plan};
 use crate::record::Record;
@@ -22,7 +22,7 @@
     plan: Arc<Plan>,
     start: Instant,
     manual_requests: bool,
-    addresses: mpsc::Sender<Addresses>,
+    address_sender: mpsc::Sender<Addresses>,
     received_commands: channel::UnboundedReceiver<Command>,
     mut shutdown: watch::Receiver<bool>,
 ) -> io::Result<Record> {
@@ -51,7 +51,7 @@
             }
         }
         let servers = addresses_by_node[0][..fleet.servers].to_vec();
-        let directory = Directory::new(
+        let discovery_stand_in = DiscoveryStandIn::new(
             cache_servers.clone(),
             fleet,
             server_count,
@@ -60,8 +60,8 @@
         let mut discovery_addresses = Vec::new();
         for node in 0..fleet.nodes {
             discovery_addresses.push([
-                directory.listen(node, 0).await?,
-                directory.listen(node, 1).await?,
+                discovery_stand_in.listen(node, 0).await?,
+                discovery_stand_in.listen(node, 1).await?,
             ]);
         }
         spawn_local(cache_servers.clone().run_model());
@@ -69,11 +69,11 @@
         spawn_local(execute_commands(
             scenario.clone(),
             cache_servers.clone(),
-            directory,
+            discovery_stand_in,
             received_commands,
         ));
         // The receiver is dropped if the run has already failed.
-        let _ = addresses.send(Addresses {
+        let _ = address_sender.send(Addresses {
             discovery: discovery_addresses,
             servers,
         });
@@ -88,16 +88,16 @@
 async fn execute_commands(
     scenario: Scenario,
     cache_servers: Rc<CacheServers>,
-    directory: Rc<Directory>,
+    discovery_stand_in: Rc<DiscoveryStandIn>,
     mut received_commands: channel::UnboundedReceiver<Command>,
 ) {
     while let Some(command) = received_commands.recv().await {
         match command {
-            Command::StartFaults => schedule_faults(&scenario, &cache_servers, &directory),
+            Command::StartFaults => schedule_faults(&scenario, &cache_servers, &discovery_stand_in),
             Command::CloseOldAddress {
                 node,
                 address_index,
-            } => directory.close_old_address(node, address_index),
+            } => discovery_stand_in.close_old_address(node, address_index),
         }
     }
 }
@@ -115,8 +115,8 @@
         memory: fleet.memory_kib << 10,
         cold_share: fleet.cold_share.get(),
         warm: Duration::from_secs_f64(fleet.warm_s.get()),
-        overload_factor: fleet.fall_times.get(),
-        overload_window: Duration::from_secs_f64(fleet.fall_s.get()),
+        overload_factor: fleet.overload_factor.get(),
+        overload_window: Duration::from_secs_f64(fleet.overload_window_s.get()),
         drops_cancelled: fleet.drops_cancelled,
     };
     let database = &scenario.database;
@@ -124,9 +124,9 @@
         workers: database.workers,
         work: Duration::from_secs_f64(database.work_ms.get() / 1e3),
         queue: database.queue,
-        overload_factor: database.fall_times.get(),
-        overload_window: Duration::from_secs_f64(database.fall_s.get()),
-        restart_delay: Duration::from_secs_f64(database.down_s.get()),
+        overload_factor: database.overload_factor.get(),
+        overload_window: Duration::from_secs_f64(database.overload_window_s.get()),
+        restart_delay: Duration::from_secs_f64(database.restart_delay_s.get()),
     };
     let mut cluster = Cluster::new(
         (0..server_count).map(settings).collect(),
--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -24,7 +24,7 @@
 const RELAY_KIB: u64 = 16 << 10;
 /// Memory of a relay's process per caller, in KiB: two connections and their tasks.
 const RELAY_CALLER_KIB: u64 = 48;
-/// Memory of a server list entry on a node, with the message that carried it, in bytes.
+/// Memory of an endpoint list entry on a node, with the message that carried it, in bytes.
 const ENTRY_BYTES: u64 = 1 << 10;
 
 /// Maximum number of simultaneous connections of a node to discovery: the watch, its replacement,
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -66,7 +66,7 @@
     pub service: DiscoveryService,
     /// Relays between discovery and the nodes.
     pub relays: Relays,
-    /// Newest version of the server list.
+    /// Newest version of the endpoint list.
     version: u64,
     /// Processes in which the simulated nodes run.
     pub workers: Vec<Worker>,
@@ -221,7 +221,7 @@
         self.start_simulated(simulated).await
     }
 
-    /// Changes entries of the server list, all in one version.
+    /// Changes entries of the endpoint list, all in one version.
     pub async fn change_list(
         &mut self,
         changes: Vec<EndpointChange>,
--- a/crates/lab/src/scale/options.rs
+++ b/crates/lab/src/scale/options.rs
@@ -13,7 +13,7 @@
     DiscoveryDown,
     /// A tenth of the nodes restart at once.
     RestartTenth,
-    /// The servers of one zone are absent from the server list for the duration of the fault.
+    /// The servers of one zone are absent from the endpoint list for the duration of the fault.
     ZoneLost,
     /// Half of the nodes cannot reach discovery for the duration of the fault.
     #[serde(rename = "split")]
@@ -40,13 +40,13 @@
     pub simulated: usize,
     /// Maximum number of worker processes for the simulated nodes.
     pub workers: usize,
-    /// Cache servers in the server list.
+    /// Cache servers in the endpoint list.
     pub servers: usize,
     /// Zones over which the cache servers are distributed.
     pub zones: usize,
     /// Requests per second of each node.
     pub requests: f64,
-    /// Changes of the server list per second.
+    /// Changes of the endpoint list per second.
     pub list_changes: f64,
     /// New configurations per second, each for the whole fleet.
     pub configurations: f64,
@@ -195,7 +195,7 @@
         Duration::from_secs_f64(self.length_s)
     }
 
-    /// Returns the number of planned changes of the server list, without the changes of a fault.
+    /// Returns the number of planned changes of the endpoint list, without the changes of a fault.
     pub fn planned_list_changes(&self) -> usize {
         planned_count(self.list_changes, self.length_s)
     }
--- a/crates/lab/src/scale/real.rs
+++ b/crates/lab/src/scale/real.rs
@@ -91,7 +91,7 @@
     ) -> Self {
         let (commands, command_receiver) = unbounded_channel();
         let node = Node::new(number, discovery, environment);
-        let task = spawn_local(drive(number, node, command_receiver, events));
+        let task = spawn_local(manage_node(number, node, command_receiver, events));
         Self { commands, task }
     }
 
@@ -122,7 +122,7 @@
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Manages a node until a command ends it or it fails, and then stops its process.
-async fn drive(
+async fn manage_node(
     number: usize,
     mut node: Node,
     mut commands: UnboundedReceiver<Command>,
@@ -155,11 +155,11 @@
                 }
                 Some(Command::Configure) => {
                     configuration += 1;
-                    node.move_discovery()?;
+                    node.switch_discovery()?;
                 }
                 Some(Command::End) | None => return Ok(()),
             },
-            _ = ticks.tick() => if node.has_died() {
+            _ = ticks.tick() => if node.detect_exit() {
                 emit(RealNodeEvent::Failed(RealNodeFailure::Exited));
                 return Ok(());
             },
--- a/crates/lab/src/scale/report.rs
+++ b/crates/lab/src/scale/report.rs
@@ -21,7 +21,7 @@
     /// Duration of the measurement in seconds, from the time at which the whole fleet was first up
     /// to date.
     pub measured_s: f64,
-    /// Nodes without the newest server list and configuration in force at the end.
+    /// Nodes without the newest endpoint list and configuration in force at the end.
     pub behind_at_end: usize,
     /// Counts of messages and bytes. In a step-wise run without watch renewals, the same seed gives
     /// the same counts.
@@ -36,12 +36,12 @@
     pub relays: Vec<RelayTier>,
     /// Resident memory of a worker before it has nodes, in KiB, averaged over the workers.
     pub empty_worker_kib: u64,
-    /// Times from a planned change of the server list until nodes have the change in force.
+    /// Times from a planned change of the endpoint list until nodes have the change in force.
     pub list_change: ChangeTimes,
-    /// Times from a planned configuration until nodes have a server list under that configuration
-    /// in force.
+    /// Times from a planned configuration until nodes have an endpoint list under that
+    /// configuration in force.
     pub configuration: ChangeTimes,
-    /// Times from the start of the whole fleet until nodes have their first server list in force.
+    /// Times from the start of the whole fleet until nodes have their first endpoint list in force.
     pub start: StartTimes,
     /// Effects of the fault, if one was injected.
     #[serde(rename = "trouble")]
@@ -53,7 +53,7 @@
 /// Counts of messages and bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Changes of the server list, including the changes of a fault.
+    /// Changes of the endpoint list, including the changes of a fault.
     pub list_changes: u64,
     /// New configurations applied to the fleet.
     pub configurations: u64,
@@ -84,8 +84,8 @@
     pub callers: ControlCounts,
     /// Control traffic of all relays of the tier with their callers, during the measurement.
     pub callers_measured: ControlCounts,
-    /// Calls of all relays of the tier to which upstream did not respond with a server list, from
-    /// the first start to the end.
+    /// Calls of all relays of the tier to which upstream did not respond with an endpoint list,
+    /// from the first start to the end.
     pub upstream_failed: u64,
     /// Processor time of one relay, in microseconds per second, including the processing of the
     /// run's ten status requests per second.
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -24,12 +24,13 @@
     pub nodes: Vec<usize>,
     /// For `slow`: the slowdown factor. For `discovery_late`: the additional delay in seconds.
     pub by: Option<Factor>,
-    /// For `drain`: seconds from the removal until the server returns, cold; it stays removed if
-    /// absent.
-    pub back_s: Option<Seconds>,
+    /// For `drain`: seconds from the removal until the server returns, cold; without a value the
+    /// server stays removed.
+    #[serde(rename = "back_s")]
+    pub return_delay_s: Option<Seconds>,
     /// Seconds between the starts of the fault at consecutive servers or nodes.
-    #[serde(default = "Fault::no_interval")]
-    pub apart_s: Seconds,
+    #[serde(rename = "apart_s", default = "Fault::no_interval")]
+    pub interval_s: Seconds,
 }
 
 impl Fault {
@@ -69,7 +70,7 @@
     /// A server resets new connections and still serves the open ones.
     Refuse,
     /// Discovery reports a server as draining; after `for_s` the server is removed, and after a
-    /// further `back_s` it returns.
+    /// further `return_delay_s` it returns.
     Drain,
     /// A server leaves the list and a new one, cold and with another id, replaces it.
     Replace,
--- a/crates/lab/src/scenario/fleet.rs
+++ b/crates/lab/src/scenario/fleet.rs
@@ -28,11 +28,13 @@
     pub cold_share: Share,
     /// Seconds over which the capacity of a started server rises linearly to its full value.
     pub warm_s: Seconds,
-    /// A cold server that receives more work than this multiple of its capacity over `fall_s`
-    /// becomes overloaded and stays down.
-    pub fall_times: Factor,
-    /// Span over which `fall_times` is measured, in seconds.
-    pub fall_s: Seconds,
+    /// A cold server that receives more work than this multiple of its capacity over
+    /// `overload_window_s` becomes overloaded and stays down.
+    #[serde(rename = "fall_times")]
+    pub overload_factor: Factor,
+    /// Span over which `overload_factor` is measured, in seconds.
+    #[serde(rename = "fall_s")]
+    pub overload_window_s: Seconds,
     /// Idle time in seconds after which servers close a connection.
     pub idle_close_s: Seconds,
     /// Whether a queued request is dropped when it is cancelled; a running one always continues.
@@ -66,8 +68,8 @@
             memory_kib: 2048,
             cold_share: Bounded(0.31),
             warm_s: Bounded(4.0),
-            fall_times: Bounded(3.0),
-            fall_s: Bounded(1.5),
+            overload_factor: Bounded(3.0),
+            overload_window_s: Bounded(1.5),
             idle_close_s: Bounded(15.0),
             drops_cancelled: true,
             reports: false,
@@ -98,12 +100,16 @@
     pub work_ms: Milliseconds,
     /// Maximum number of queued fetches and writes; further ones fail at once.
     pub queue: usize,
-    /// A database that receives more work than this multiple of its capacity over `fall_s` stops.
-    pub fall_times: Factor,
-    /// Span over which `fall_times` is measured, in seconds.
-    pub fall_s: Seconds,
-    /// Seconds for which a database that has stopped stays down.
-    pub down_s: Seconds,
+    /// A database that receives more work than this multiple of its capacity over
+    /// `overload_window_s` stops.
+    #[serde(rename = "fall_times")]
+    pub overload_factor: Factor,
+    /// Span over which `overload_factor` is measured, in seconds.
+    #[serde(rename = "fall_s")]
+    pub overload_window_s: Seconds,
+    /// Time from a stop of the database to its restart, in seconds.
+    #[serde(rename = "down_s")]
+    pub restart_delay_s: Seconds,
 }
 
 impl Default for Database {
@@ -112,9 +118,9 @@
             workers: 8,
             work_ms: Bounded(20.0),
             queue: 400,
-            fall_times: Bounded(2.5),
-            fall_s: Bounded(3.0),
-            down_s: Bounded(3.0),
+            overload_factor: Bounded(2.5),
+            overload_window_s: Bounded(3.0),
+            restart_delay_s: Bounded(3.0),
         }
     }
 }
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -19,13 +19,13 @@
     #[serde(default = "Load::default_retries")]
     pub retries: u8,
     /// Wait before each further try.
-    #[serde(default = "Load::default_wait")]
+    #[serde(default = "Load::default_retry_wait")]
     pub retry_wait_ms: Milliseconds,
     /// Timeout of a try, as a share of the deadline of its class.
-    #[serde(rename = "patience", default = "Load::default_patience")]
+    #[serde(rename = "patience", default = "Load::default_give_up_share")]
     pub give_up_share: Share,
     /// Share of the clients that honour `Retry-After`.
-    #[serde(rename = "heed", default = "Load::default_heed")]
+    #[serde(rename = "heed", default = "Load::default_honours_retry_after")]
     pub honours_retry_after: Share,
     /// Scheduled changes of the load.
     #[serde(default, rename = "change")]
@@ -42,13 +42,13 @@
     fn default_retries() -> u8 {
         2
     }
-    fn default_wait() -> Milliseconds {
+    fn default_retry_wait() -> Milliseconds {
         Bounded(20.0)
     }
-    fn default_patience() -> Share {
+    fn default_give_up_share() -> Share {
         share(0.5)
     }
-    fn default_heed() -> Share {
+    fn default_honours_retry_after() -> Share {
         share(0.0)
     }
 }
@@ -138,9 +138,9 @@
     #[serde(rename = "effect")]
     pub idempotency: Idempotency,
     /// For a keyed class: seconds for which servers drop repeats.
-    #[serde(rename = "window_s", default = "Class::default_window")]
+    #[serde(rename = "window_s", default = "Class::default_repeat_window")]
     pub repeat_window_s: Seconds,
-    /// Whether its requests are forwarded to the database and invalidate cached copies.
+    /// Whether requests of the class are forwarded to the database and invalidate cached copies.
     #[serde(default)]
     pub write: bool,
     /// Mean work of a request in milliseconds on a standard core.
@@ -156,7 +156,7 @@
 }
 
 impl Class {
-    fn default_window() -> Seconds {
+    fn default_repeat_window() -> Seconds {
         Bounded(4.0)
     }
 }
--- a/crates/lab/tests/rule_checker.rs
+++ b/crates/lab/tests/rule_checker.rs
@@ -160,9 +160,13 @@
          discovery_late_s = 0.01\nqueue = 500\nfall_s = 0.1\nfall_times = 0.2\n{classes}{sections}"
     );
     let scenario = Scenario::parse(&text, Path::new("day.toml")).unwrap();
-    let played = run_scenario(&scenario, &Options::new(node(fault), 1)).unwrap();
-    assert!(!played.record.tries.is_empty());
-    played.breaches.iter().map(|breach| breach.rule).collect()
+    let completed_run = run_scenario(&scenario, &Options::new(node(fault), 1)).unwrap();
+    assert!(!completed_run.record.tries.is_empty());
+    completed_run
+        .breaches
+        .iter()
+        .map(|breach| breach.rule)
+        .collect()
 }
 
 #[test]
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -97,7 +97,7 @@
     LocalSet::new().block_on(&local_runtime, test);
 }
 
-// Guards against a simulated node that only fetches the server list: its decision module must
+// Guards against a simulated node that only fetches the endpoint list: its decision module must
 // handle requests according to the list in force, also after discovery was down.
 #[test]
 fn simulated_node_decides_by_the_server_list_in_force() {
