--- a/crates/lab/src/scale/bounds.rs
+++ b/crates/lab/src/scale/bounds.rs
@@ -1,4 +1,5 @@
-//! Estimates the resources of a run before it starts, and rejects a run that needs too much.
+//! Estimates the resources of a run before it starts, and rejects a run whose estimate exceeds a
+//! limit.
 
 use crate::scale::options::Options;
 use crate::scale::processes::{descriptor_limit, machine_memory_kib};
--- a/crates/lab/src/scale/counts.rs
+++ b/crates/lab/src/scale/counts.rs
@@ -1,4 +1,4 @@
-//! Counters of control-plane messages and bytes, as recorded by the discovery stand-in.
+//! Counters of control-plane messages and bytes, as recorded by the simulated discovery.
 
 use serde::{Deserialize, Serialize};
 use slatelink_node::relay::DownstreamCounts;
--- a/crates/lab/src/scale/discovery.rs
+++ b/crates/lab/src/scale/discovery.rs
@@ -1,7 +1,7 @@
-//! Discovery stand-in: a service on its own thread that processes calls one after another, each at
-//! a configured cost.
+//! Simulated discovery: a service on its own thread that processes calls one after another, each
+//! at a configured cost.
 //!
-//! Every call is queued on arrival, with the cost of the entries that answer it at once. A watch
+//! Every call is queued on arrival, with the cost of the entries of its immediate answer. A watch
 //! that waits for a change does not block the queue; its answer is queued separately. A call that
 //! would be queued for more than 2 s is answered with 503.
 
@@ -102,12 +102,12 @@
     ReportStats(oneshot::Sender<ServiceStats>),
 }
 
-/// The service's thread has ended while the run still needs it.
+/// Error of a command to a service whose thread has ended.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 #[error("the discovery thread has ended")]
 pub struct ServiceStopped;
 
-/// Handle of the running discovery stand-in, which stops when the handle is dropped.
+/// Handle of the running simulated discovery, which stops when the handle is dropped.
 pub struct DiscoveryService {
     commands: UnboundedSender<Command>,
     /// Number of watches that wait for a change.
@@ -173,15 +173,15 @@
         published.await.map_err(|_| ServiceStopped)
     }
 
-    /// Takes the service down, which resets all connections, or brings it back up.
+    /// Starts or ends an outage of the service. An outage resets all connections.
     pub fn set_down(&self, down: bool) -> Result<(), ServiceStopped> {
         self.commands
             .send(Command::SetDown(down))
             .map_err(|_| ServiceStopped)
     }
 
-    /// Starts or ends a partition. Callers beyond it get no answers while it lasts, and their
-    /// connections of that time are reset when it ends.
+    /// Starts or ends a partition. Callers beyond the partition get no answers during it, and their
+    /// open connections are reset at its end.
     pub fn set_partitioned(&self, partitioned: bool) -> Result<(), ServiceStopped> {
         self.commands
             .send(Command::SetPartitioned(partitioned))
@@ -327,8 +327,7 @@
         }
     }
 
-    /// Serves a connection until the peer ends it, a partition cuts it off, or the service goes
-    /// down.
+    /// Serves a connection until the peer ends it, a partition cuts it off, or an outage begins.
     async fn serve_connection(self: Rc<Self>, peer: Peer, mut conn: Conn) {
         self.open.set(self.open.get() + 1);
         self.most_open
--- a/crates/lab/src/scale/endpoint_list.rs
+++ b/crates/lab/src/scale/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Versioned endpoint list of the discovery stand-in: entries, changes and answers to calls. No
+//! Versioned endpoint list of the simulated discovery: entries, changes and answers to calls. No
 //! I/O.
 
 use crate::list_protocol::{Availability, EndpointListMessage, ListedEndpoint};
@@ -51,7 +51,7 @@
     answer: Answer,
 }
 
-/// Endpoint list of the discovery stand-in.
+/// Endpoint list of the simulated discovery.
 #[derive(Debug)]
 pub struct EndpointList {
     version: u64,
--- a/crates/lab/src/scale/error.rs
+++ b/crates/lab/src/scale/error.rs
@@ -24,19 +24,19 @@
     /// The run was stopped, for example by Ctrl-C.
     #[error("stopped")]
     Stopped,
-    /// File, socket or thread of the run itself.
+    /// I/O on a file, socket or thread of the run itself failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// Scenario of the real nodes.
+    /// The scenario of the real nodes is invalid.
     #[error("{0}")]
     Scenario(#[from] ScenarioError),
-    /// Files of the real nodes.
+    /// A file of the nodes cannot be written.
     #[error("{0}")]
     Nodes(#[from] NodeError),
     /// A worker cannot be started or commanded.
     #[error(transparent)]
     Workers(#[from] WorkersError),
-    /// A worker stopped.
+    /// A worker failed or ended.
     #[error("worker {0}: {1}")]
     Worker(usize, WorkerEnd),
     /// A worker did not answer in time.
@@ -48,7 +48,7 @@
     /// A relay cannot be started or does not report its state.
     #[error(transparent)]
     Relay(#[from] RelayProcessError),
-    /// The discovery stand-in stopped.
+    /// The simulated discovery stopped.
     #[error(transparent)]
     Discovery(#[from] ServiceStopped),
     /// Nodes had no list when the start timeout expired.
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -37,7 +37,7 @@
 
 /// Receivers of the events of all members.
 pub struct Inbox {
-    acknowledged: UnboundedReceiver<Acknowledgement>,
+    acknowledgements: UnboundedReceiver<Acknowledgement>,
     real: UnboundedReceiver<(usize, RealNodeEvent)>,
     workers: UnboundedReceiver<(usize, WorkerEvent)>,
 }
@@ -49,7 +49,7 @@
             // The start event of a node must be handled before the calls of that node.
             biased;
             Some((node, event)) = self.real.recv() => FleetEvent::Real(node, event),
-            Some(acknowledged) = self.acknowledged.recv() => FleetEvent::Acknowledged(acknowledged),
+            Some(acknowledgement) = self.acknowledgements.recv() => FleetEvent::Acknowledged(acknowledgement),
             Some((worker, event)) = self.workers.recv() => FleetEvent::Worker(worker, event),
             // The channel of a kind without members is closed, which disables its branch. With
             // all channels closed no event can arrive.
@@ -63,7 +63,7 @@
     /// Options of the run.
     pub options: &'a Options,
     /// Simulated discovery.
-    pub service: DiscoveryService,
+    pub discovery: DiscoveryService,
     /// Relays between discovery and the nodes.
     pub relays: Relays,
     /// Newest version of the endpoint list.
@@ -90,12 +90,16 @@
         let table: AddressTable = Arc::new(RwLock::new(vec![None; options.nodes()]));
         let traffic =
             Traffic::start(table.clone(), options.real, options.requests, options.seed).await?;
-        let (version_sender, acknowledged) = unbounded_channel();
-        let service =
-            DiscoveryService::start(options, traffic.servers, assignment.peers(), version_sender)
-                .await?;
+        let (acknowledgement_sender, acknowledgements) = unbounded_channel();
+        let discovery_service = DiscoveryService::start(
+            options,
+            traffic.servers,
+            assignment.peers(),
+            acknowledgement_sender,
+        )
+        .await?;
         let (real_sender, real_events) = unbounded_channel();
-        let relay_upstream = assignment.relay_addresses(&service.addresses);
+        let relay_upstream = assignment.relay_addresses(&discovery_service.addresses);
         let relays = Relays::start(options, &programs.relay, relay_upstream).await?;
         let environment = NodeEnvironment {
             scenario: &scenario,
@@ -107,7 +111,7 @@
             start: Instant::now(),
             live: Arc::default(),
         };
-        let addresses = &service.addresses;
+        let addresses = &discovery_service.addresses;
         let start_real = |node| {
             let discovery = assignment.real_node_addresses(node, addresses);
             RealNode::start(node, discovery, &environment, real_sender.clone())
@@ -131,13 +135,13 @@
         }
         Ok(Self {
             options,
-            service,
+            discovery: discovery_service,
             relays,
             version: FIRST_VERSION,
             workers,
             state: FleetState::new(options)?,
             inbox: Inbox {
-                acknowledged,
+                acknowledgements,
                 real: real_events,
                 workers: worker_events,
             },
@@ -173,7 +177,7 @@
             .copied()
             .unwrap_or(self.options.nodes());
         self.state.is_up_to_date()
-            && self.service.waiting_watches() >= expected_watches
+            && self.discovery.waiting_watches() >= expected_watches
             && self.relays.are_settled(self.version, self.options)
     }
 
@@ -227,18 +231,18 @@
         changes: Vec<EndpointChange>,
         cause: ChangeCause,
     ) -> Result<(), ScaleError> {
-        let changed = self.service.change(changes).await?;
-        self.version = changed.version;
+        let published = self.discovery.change(changes).await?;
+        self.version = published.version;
         self.state.list_changes += 1;
         self.state.convergence.change_published(
-            Change::List(changed.version),
+            Change::List(published.version),
             cause,
-            changed.at_us,
+            published.at_us,
         );
         Ok(())
     }
 
-    /// Gives all nodes a new configuration.
+    /// Sends a new configuration to all nodes.
     pub async fn configure(&mut self) -> Result<(), ScaleError> {
         let at_us = monotonic_us();
         self.state.configuration += 1;
--- a/crates/lab/src/scale/options.rs
+++ b/crates/lab/src/scale/options.rs
@@ -64,8 +64,8 @@
     /// Number of relays in each tier between discovery and the nodes. Discovery is upstream of the
     /// first tier.
     pub relays: Vec<usize>,
-    /// Lease of the relays in milliseconds: how long a relay serves calls after the last response
-    /// from upstream.
+    /// Lease of the relays in milliseconds: time for which a relay serves calls after the last
+    /// response from upstream.
     pub relay_lease_ms: u64,
     /// Fault to inject.
     #[serde(rename = "trouble")]
@@ -179,7 +179,7 @@
         self.real + self.simulated
     }
 
-    /// Returns the number of worker processes to start: no worker is without nodes.
+    /// Returns the number of worker processes to start, each with at least one node.
     pub fn used_workers(&self) -> usize {
         self.workers.min(self.simulated)
     }
--- a/crates/lab/src/scale/relays.rs
+++ b/crates/lab/src/scale/relays.rs
@@ -55,7 +55,7 @@
     Call(#[from] io::Error),
     /// The response cannot be read.
     #[error("{0}")]
-    Answer(#[from] ReadError),
+    Response(#[from] ReadError),
     /// The body of the response is not a relay status.
     #[error("{0}")]
     Body(#[from] serde_json::Error),
--- a/crates/lab/src/scale/run.rs
+++ b/crates/lab/src/scale/run.rs
@@ -6,7 +6,7 @@
 use crate::scale::options::Options;
 use crate::scale::progress::Progress;
 use crate::scale::report::Report;
-use crate::scale::schedule_runner::Player;
+use crate::scale::schedule_runner::ScheduleRunner;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +17,8 @@
 /// Interval at which the stop flag is checked.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs the measurement until it is complete or `stop` is set. All processes of
-/// the run have ended when this function returns.
+/// Runs the measurement until it is complete or `stop` is set. All processes of the run have ended
+/// when this function returns.
 pub fn run(
     options: &Options,
     programs: &Programs,
@@ -35,7 +35,7 @@
         progress.set_line("starting".to_owned());
         let mut fleet = Fleet::start(options, programs).await?;
         let result = tokio::select! {
-            played = Player::new(&mut fleet, progress).play(estimate, limits) => played,
+            report = ScheduleRunner::new(&mut fleet, progress).run(estimate, limits) => report,
             () = wait_for_stop(stop) => Err(ScaleError::Stopped),
         };
         progress.set_line("ending".to_owned());
--- a/crates/lab/src/scale/sample.rs
+++ b/crates/lab/src/scale/sample.rs
@@ -31,8 +31,8 @@
             let status = relay.status().await?;
             sample.callers = sample.callers + status.downstream.into();
             sample.upstream_failed += status.upstream.failed_calls;
-            // The run's own two connections are excluded: the one that polls the relay's state, and
-            // the one that has just requested it.
+            // The run's own two connections are excluded: the connection that polls the relay's
+            // status, and the connection of the status request above.
             sample.open += status.open_connections.saturating_sub(2);
             let usage = relay.pid().map(Usage::of).transpose()?;
             sample.usage = [sample.usage, usage.unwrap_or_default()].into_iter().sum();
@@ -46,7 +46,7 @@
 pub struct Sample {
     at: Instant,
     /// Counters and resource usage of discovery.
-    pub service: ServiceStats,
+    pub discovery_stats: ServiceStats,
     /// Counters and resource usage of the relays, by tier.
     relays: Vec<TierSample>,
     run: Usage,
@@ -79,7 +79,7 @@
         }
         Ok(Self {
             at: Instant::now(),
-            service: fleet.service.stats().await?,
+            discovery_stats: fleet.discovery.stats().await?,
             relays,
             run: Usage::of(nix::unistd::getpid().as_raw())?,
             real: real.collect::<io::Result<_>>()?,
@@ -96,7 +96,9 @@
     fn simulated(&self) -> ControlCounts {
         self.relays
             .last()
-            .map_or(self.service.simulated, |last_tier| last_tier.callers)
+            .map_or(self.discovery_stats.simulated, |last_tier| {
+                last_tier.callers
+            })
     }
 }
 
@@ -130,18 +132,18 @@
         Counts {
             list_changes,
             configurations,
-            real: after.service.real,
+            real: after.discovery_stats.real,
             simulated: after.simulated(),
-            discovery: after.service.control(),
-            real_measured: after.service.real - before.service.real,
+            discovery: after.discovery_stats.control(),
+            real_measured: after.discovery_stats.real - before.discovery_stats.real,
             simulated_measured: after.simulated() - before.simulated(),
-            discovery_measured: after.service.control() - before.service.control(),
+            discovery_measured: after.discovery_stats.control() - before.discovery_stats.control(),
         }
     }
 
     /// Returns the load of discovery.
     pub fn discovery(&self) -> Discovery {
-        let (before, after) = (&self.before.service, &self.after.service);
+        let (before, after) = (&self.before.discovery_stats, &self.after.discovery_stats);
         let processor = after.processor.saturating_sub(before.processor);
         let busy = after.busy.saturating_sub(before.busy);
         Discovery {
@@ -181,7 +183,7 @@
 
     /// Returns the average load per real node, or `None` if the run has none.
     pub fn real_node(&self) -> Option<Node> {
-        let counts = self.after.service.real - self.before.service.real;
+        let counts = self.after.discovery_stats.real - self.before.discovery_stats.real;
         let processes = self.after.real.len() as f64;
         let total: Usage = self.after.real.values().copied().sum();
         // Only processes that ran at both samples count.
--- a/crates/lab/src/scale/schedule_runner.rs
+++ b/crates/lab/src/scale/schedule_runner.rs
@@ -18,8 +18,8 @@
 
 /// Interval of the checks for due steps.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
-/// Time for the real nodes to start, and then for the whole fleet to get up to date. A fleet that
-/// is not up to date by then never will be.
+/// Time for the real nodes to start, and then for the whole fleet to get up to date. Waiting longer
+/// does not help a fleet that is not up to date by then.
 const FLEET_START_TIMEOUT: Duration = Duration::from_secs(120);
 /// Time for the fleet to get up to date after the end of the planned run.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -27,7 +27,7 @@
 const WORKER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Runs the schedule on a fleet.
-pub struct Player<'a, 'b> {
+pub struct ScheduleRunner<'a, 'b> {
     fleet: &'b mut Fleet<'a>,
     progress: &'b Progress,
     generator: ChangeGenerator,
@@ -35,8 +35,8 @@
     fault: Option<(FaultKind, ControlCounts)>,
 }
 
-impl<'a, 'b> Player<'a, 'b> {
-    /// Returns a player for a fleet whose processes are started.
+impl<'a, 'b> ScheduleRunner<'a, 'b> {
+    /// Creates a runner for a fleet whose processes are started.
     pub fn new(fleet: &'b mut Fleet<'a>, progress: &'b Progress) -> Self {
         let generator = ChangeGenerator::new(fleet.options);
         Self {
@@ -47,9 +47,9 @@
         }
     }
 
-    /// Starts all nodes, runs the schedule and measures. The report lacks the client counts, which
-    /// are known only when the fleet has ended.
-    pub async fn play(mut self, estimate: Estimate, limits: Limits) -> Result<Report, ScaleError> {
+    /// Starts all nodes, runs the schedule and measures. The client counts in the report are zero:
+    /// they are known only when the fleet has ended.
+    pub async fn run(mut self, estimate: Estimate, limits: Limits) -> Result<Report, ScaleError> {
         let empty_workers = self.wait_for_workers().await?;
         let start = self.start_nodes().await?;
         let before = self.sample().await?;
@@ -196,7 +196,7 @@
     async fn execute_fault_step(&mut self, step: FaultStep) -> Result<(), ScaleError> {
         match step {
             FaultStep::Begin(kind) => {
-                let stats = self.fleet.service.stats().await?;
+                let stats = self.fleet.discovery.stats().await?;
                 self.fault = Some((kind, stats.control()));
                 self.begin_fault(kind).await
             }
@@ -206,8 +206,8 @@
 
     async fn begin_fault(&mut self, kind: FaultKind) -> Result<(), ScaleError> {
         match kind {
-            FaultKind::DiscoveryDown => Ok(self.fleet.service.set_down(true)?),
-            FaultKind::Partition => Ok(self.fleet.service.set_partitioned(true)?),
+            FaultKind::DiscoveryDown => Ok(self.fleet.discovery.set_down(true)?),
+            FaultKind::Partition => Ok(self.fleet.discovery.set_partitioned(true)?),
             FaultKind::RestartTenth => {
                 let nodes = self.generator.nodes_to_restart();
                 self.fleet.restart(nodes).await
@@ -226,11 +226,11 @@
     async fn end_fault(&mut self, kind: FaultKind) -> Result<(), ScaleError> {
         let changes = match kind {
             FaultKind::DiscoveryDown => {
-                self.fleet.service.set_down(false)?;
+                self.fleet.discovery.set_down(false)?;
                 self.generator.list_change()
             }
             FaultKind::Partition => {
-                self.fleet.service.set_partitioned(false)?;
+                self.fleet.discovery.set_partitioned(false)?;
                 self.generator.list_change()
             }
             FaultKind::ZoneLost => self.generator.restore_zone(unix_ms()),
@@ -301,7 +301,7 @@
             to_last_node_ms: ms(ChangeCause::FaultBegins),
             recovered_ms: ms(ChangeCause::FaultEnds),
             restarted: (kind == FaultKind::RestartTenth).then_some(restarted),
-            counts: period.after.service.control() - counts_before,
+            counts: period.after.discovery_stats.control() - counts_before,
             failed_calls: period.after.failed_calls - period.before.failed_calls,
         }))
     }
--- a/crates/lab/src/scale/traffic.rs
+++ b/crates/lab/src/scale/traffic.rs
@@ -40,7 +40,7 @@
     pub unanswered: u64,
 }
 
-/// The running servers and clients. They end when this is dropped.
+/// The running servers and clients, which end on drop.
 pub struct Traffic {
     /// Address of all cache servers.
     pub servers: SocketAddr,
@@ -98,7 +98,7 @@
     /// Ends the clients and servers, and returns the counts of the clients.
     pub async fn stop(self) -> TrafficCounts {
         let (reply, counts) = oneshot::channel();
-        // A thread that has ended cannot report its counts: they are zero then.
+        // The counts of a thread that has already ended are unknown and are returned as zero.
         let _ = self.stop.send(reply);
         counts.await.unwrap_or_default()
     }
--- a/crates/lab/src/scale/worker.rs
+++ b/crates/lab/src/scale/worker.rs
@@ -33,16 +33,16 @@
 #[derive(Debug, Error)]
 pub enum WorkerError {
     /// The standard input is not a pipe from a run.
-    #[error("this is for lab scale itself, which starts it with pipes: {0}")]
+    #[error("the standard input is not a pipe from `lab scale`, which starts this worker: {0}")]
     Pipes(io::Error),
-    /// A command cannot be parsed.
-    #[error("an order cannot be read: {0}")]
+    /// A command cannot be parsed, or a message cannot be serialised.
+    #[error("invalid worker command or message: {0}")]
     Command(#[from] serde_json::Error),
-    /// The first command was not a setup, or a later one was.
-    #[error("the first order was not to set up")]
+    /// The first command was not the set-up command, or a later command was.
+    #[error("the set-up command must be the first command and must not be repeated")]
     NotSetUp,
     /// A command names a node that is not assigned to this worker.
-    #[error("node {0} is not one of this worker's")]
+    #[error("node {0} is not assigned to this worker")]
     UnknownNode(usize),
     /// The configuration of the nodes cannot be loaded.
     #[error("{0}")]
--- a/crates/lab/src/scale/workers.rs
+++ b/crates/lab/src/scale/workers.rs
@@ -40,11 +40,11 @@
 pub enum WorkerEvent {
     /// The worker sent a message.
     Message(Message),
-    /// No more messages come from the worker.
+    /// The worker has ended and sends no more messages.
     Ended(WorkerEnd),
 }
 
-/// Reason why no more messages come from a worker.
+/// Reason for which a worker sends no more messages.
 #[derive(Debug, Error)]
 pub enum WorkerEnd {
     /// The worker wrote a line that is not a valid message.
