--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -24,8 +24,8 @@
     Run(Run),
     /// Compare two reports, or two node binaries, run alternately over the same seeds
     Compare(Compare),
-    /// Measure a node's memory and latency with idle client connections, and a burst of requests
-    /// on all of them
+    /// Measure a node's memory and latency with idle client connections, and with a burst of
+    /// requests on all these connections
     Idle(Idle),
     /// Measure the control plane at scale: real and many simulated nodes with one discovery
     Scale(Box<Scale>),
--- a/crates/cli/src/lab/scale.rs
+++ b/crates/cli/src/lab/scale.rs
@@ -27,7 +27,7 @@
 
 #[derive(Args)]
 pub struct Scale {
-    /// Nodes that run in a process of their own
+    /// Real nodes, each in its own process
     #[arg(long, value_name = "N", default_value_t = 1)]
     real: usize,
     /// Simulated nodes, which share a few processes; each runs the discovery client and the
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -11,7 +11,7 @@
 
 use crate::http::Conn;
 use crate::plan::{Arrival, Plan};
-use crate::record::{End, Record, Try, TryId};
+use crate::record::{Record, Try, TryId, TryOutcome};
 use crate::scenario::{Class, Load, Scenario};
 use exchange::Exchange;
 pub use live::{percentiles, LiveCounters};
@@ -121,7 +121,7 @@
         for mut idle_connection in self.idle.take() {
             if idle_connection.connection.conn.stale() == Some(true) {
                 record.tries.push(Try {
-                    end: End::DuplicateResponse,
+                    end: TryOutcome::DuplicateResponse,
                     ..idle_connection.last
                 });
             }
@@ -151,13 +151,13 @@
             };
             let end = self.send_try(id, arrival, class, due, deadline).await;
             match end {
-                End::Served | End::DuplicateResponse | End::UnmatchedBody => {
+                TryOutcome::Served | TryOutcome::DuplicateResponse | TryOutcome::UnmatchedBody => {
                     let latency = first_due.elapsed();
                     let late = latency.as_secs_f64() * 1e3 > class.latency_objective_ms.get();
-                    self.live.served(latency, late);
+                    self.live.record_served(latency, late);
                     return;
                 }
-                End::Refused {
+                TryOutcome::Refused {
                     retry_after: Some(ms),
                 } if arrival.honours_retry_after => {
                     sleep(Duration::from_millis(ms.into())).await;
@@ -180,7 +180,7 @@
         class: &Class,
         due: Instant,
         deadline: Instant,
-    ) -> End {
+    ) -> TryOutcome {
         let try_timeout = class.deadline_ms.get() / 1e3 * self.load.give_up_share.get();
         let try_deadline = (Instant::now() + Duration::from_secs_f64(try_timeout)).min(deadline);
         let exchange = Exchange {
@@ -195,12 +195,12 @@
             let try_record = self.exchange(&exchange, new_connection).await;
             self.record.borrow_mut().tries.push(try_record);
             match try_record.end {
-                End::ConnectionLost { begun: false }
+                TryOutcome::ConnectionLost { begun: false }
                     if !try_record.first_on_connection && !new_connection =>
                 {
                     new_connection = true
                 }
-                End::Refused { .. } => {
+                TryOutcome::Refused { .. } => {
                     self.live.refused.fetch_add(1, Ordering::Relaxed);
                     return try_record.end;
                 }
@@ -225,7 +225,7 @@
                 Some(received_bytes) => {
                     if received_bytes {
                         self.record.borrow_mut().tries.push(Try {
-                            end: End::DuplicateResponse,
+                            end: TryOutcome::DuplicateResponse,
                             ..idle_connection.last
                         });
                     }
@@ -258,7 +258,7 @@
 }
 
 /// Sends one health check to `address` and returns whether the response has status 200.
-pub async fn healthy(address: SocketAddr) -> bool {
+pub async fn is_healthy(address: SocketAddr) -> bool {
     let check = async {
         let mut conn = Conn::new(TcpStream::connect(address).await.ok()?).ok()?;
         conn.write(b"GET /healthz HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n")
--- a/crates/lab/src/client/exchange.rs
+++ b/crates/lab/src/client/exchange.rs
@@ -4,7 +4,7 @@
 use super::{Clients, NodeConnection};
 use crate::http::{ReadError, ReceivedResponse};
 use crate::plan::Arrival;
-use crate::record::{End, Try, TryId};
+use crate::record::{Try, TryId, TryOutcome};
 use crate::scenario::Class;
 use std::time::Instant;
 use tokio::time::timeout_at;
@@ -30,7 +30,7 @@
 
 /// Outcome of the response to a try.
 struct Outcome {
-    end: End,
+    end: TryOutcome,
     /// Whether the connection may carry another request.
     reusable: bool,
 }
@@ -77,27 +77,27 @@
                 reusable: !response.close,
             },
             Err(ReadError::Ended { begun }) => Outcome {
-                end: End::ConnectionLost { begun },
+                end: TryOutcome::ConnectionLost { begun },
                 reusable: false,
             },
             Err(ReadError::Malformed(_) | ReadError::TooLarge) => Outcome {
-                end: End::Failed(0),
+                end: TryOutcome::Failed(0),
                 reusable: false,
             },
         }
     }
 
-    fn end_of(&self, response: &ReceivedResponse) -> End {
+    fn end_of(&self, response: &ReceivedResponse) -> TryOutcome {
         match response.status {
-            200 if self.is_body_for_this_try(&response.body) => End::Served,
-            200 => End::UnmatchedBody,
-            429 | 503 => End::Refused {
+            200 if self.is_body_for_this_try(&response.body) => TryOutcome::Served,
+            200 => TryOutcome::UnmatchedBody,
+            429 | 503 => TryOutcome::Refused {
                 retry_after: response
                     .retry_after
                     .filter(|seconds| (0.0..MAX_RETRY_AFTER_S).contains(seconds))
                     .map(|seconds| (seconds * 1e3) as u32),
             },
-            status => End::Failed(status),
+            status => TryOutcome::Failed(status),
         }
     }
 
@@ -119,7 +119,7 @@
             sent: self.now(),
             ended: 0,
             first_on_connection: true,
-            end: End::NotSent,
+            end: TryOutcome::NotSent,
         };
         let connection = self.connection(&mut try_record, exchange.try_deadline, new_connection);
         let Some(mut connection) = connection.await else {
@@ -128,10 +128,10 @@
         };
         try_record.node = connection.node;
         if connection.conn.write(&exchange.request()).await.is_err() {
-            // The node may have read nothing of the request.
+            // The node may not have read any byte of the request.
             try_record.ended = self.now();
             if !try_record.first_on_connection {
-                try_record.end = End::ConnectionLost { begun: false };
+                try_record.end = TryOutcome::ConnectionLost { begun: false };
             }
             return try_record;
         }
@@ -139,7 +139,7 @@
         let response = timeout_at(exchange.try_deadline.into(), connection.conn.response()).await;
         try_record.ended = self.now();
         let Ok(response) = response else {
-            try_record.end = End::TimedOut;
+            try_record.end = TryOutcome::TimedOut;
             return try_record;
         };
         let Outcome { end, reusable } = exchange.outcome(response);
--- a/crates/lab/src/client/live.rs
+++ b/crates/lab/src/client/live.rs
@@ -43,7 +43,7 @@
     }
 
     /// Counts a request served `latency` after the due time of its first try, in time or late.
-    pub(super) fn served(&self, latency: Duration, late: bool) {
+    pub(super) fn record_served(&self, latency: Duration, late: bool) {
         let count = if late { &self.late } else { &self.in_time };
         count.fetch_add(1, Ordering::Relaxed);
         if let Ok(mut recent_latencies_ms) = self.recent_latencies_ms.write() {
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -90,7 +90,7 @@
         self.stream.write_all(bytes).await
     }
 
-    /// Resets the connection, as the death of a process does.
+    /// Resets the connection, as when a process is killed.
     pub fn reset(self) {
         reset(self.stream);
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -3,8 +3,8 @@
 //! Owns stand-ins for discovery, cache servers, the player database, the front and the clients;
 //! open-loop load generated in advance from a seed; scheduled faults; the rules; the reports. The
 //! models (`model`, `plan`, `rules`, `report`) do no I/O: time is passed as an argument, randomness
-//! as a seed. The verdict never relies on a node's own statements, only on the observations of
-//! stand-ins and clients.
+//! as a seed. The verdict relies only on the observations of stand-ins and clients, never on data
+//! that a node reports about itself.
 #![warn(missing_docs)]
 
 pub mod client;
--- a/crates/lab/src/nodes.rs
+++ b/crates/lab/src/nodes.rs
@@ -4,7 +4,7 @@
 mod log;
 mod program;
 
-use crate::client::{healthy, AddressTable, LiveCounters};
+use crate::client::{is_healthy, AddressTable, LiveCounters};
 use crate::record::{NodeEvent, ProcessEvent};
 use crate::scenario::{Fault, FaultKind, Scenario};
 pub(crate) use config::config;
@@ -217,7 +217,7 @@
 
     async fn wait_until_healthy(&self, address: SocketAddr) -> Result<(), NodeError> {
         let started = Instant::now();
-        while !healthy(address).await {
+        while !is_healthy(address).await {
             if started.elapsed() > READY_TIMEOUT {
                 return Err(self.not_ready(&self.log.text()));
             }
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -32,7 +32,7 @@
 
 /// Outcome of a try at its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum TryOutcome {
     /// Status 200, with a body that a server produced for this try.
     Served,
     /// Status 429 or 503.
@@ -73,7 +73,7 @@
     /// Whether the try was the first on its connection.
     pub first_on_connection: bool,
     /// Outcome.
-    pub end: End,
+    pub end: TryOutcome,
 }
 
 /// Outcome of an attempt at a server.
--- a/crates/lab/src/report/tally.rs
+++ b/crates/lab/src/report/tally.rs
@@ -2,7 +2,7 @@
 
 use super::{Figures, Second, MICROS_PER_SECOND};
 use crate::plan::Plan;
-use crate::record::{End, Record};
+use crate::record::{Record, TryOutcome};
 use crate::scenario::Scenario;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
@@ -11,16 +11,16 @@
 type EndCounts = BTreeMap<&'static str, u64>;
 
 /// Returns the stored name of an outcome.
-fn end_name(end: End) -> &'static str {
+fn end_name(end: TryOutcome) -> &'static str {
     match end {
-        End::Served => "served",
-        End::Refused { .. } => "refused",
-        End::Failed(_) => "failed",
-        End::TimedOut => "timed_out",
-        End::ConnectionLost { .. } => "broke",
-        End::NotSent => "not_sent",
-        End::UnmatchedBody => "foreign",
-        End::DuplicateResponse => "twice",
+        TryOutcome::Served => "served",
+        TryOutcome::Refused { .. } => "refused",
+        TryOutcome::Failed(_) => "failed",
+        TryOutcome::TimedOut => "timed_out",
+        TryOutcome::ConnectionLost { .. } => "broke",
+        TryOutcome::NotSent => "not_sent",
+        TryOutcome::UnmatchedBody => "foreign",
+        TryOutcome::DuplicateResponse => "twice",
     }
 }
 
@@ -140,12 +140,14 @@
     /// index in the plan.
     fn add_tries(&mut self, record: &Record) -> BTreeMap<u32, u64> {
         let mut served = BTreeMap::new();
-        for tried in &record.tries {
-            let name = end_name(tried.end);
+        for try_record in &record.tries {
+            let name = end_name(try_record.end);
             *self.ends.entry(name).or_insert(0) += 1;
-            let second = (tried.due / MICROS_PER_SECOND) as usize;
-            if tried.end == End::Served {
-                served.entry(tried.id.arrival).or_insert(tried.ended);
+            let second = (try_record.due / MICROS_PER_SECOND) as usize;
+            if try_record.end == TryOutcome::Served {
+                served
+                    .entry(try_record.id.arrival)
+                    .or_insert(try_record.ended);
             } else if let Some(second) = self.seconds.get_mut(second) {
                 *second.ends.entry(name).or_insert(0) += 1;
             }
--- a/crates/lab/src/rules.rs
+++ b/crates/lab/src/rules.rs
@@ -1,9 +1,9 @@
 //! Checks a run against the rules, on the observations of the clients and of the simulated servers
-//! and discovery. Nothing is taken from the node under test.
+//! and discovery. Data that the node under test reports about itself is not used.
 
 use crate::record::{
-    Attempt, AttemptOutcome, AvailabilityChange, End, NodeEvent, ProcessEvent, Record, Try, TryId,
-    UnknownRequest,
+    Attempt, AttemptOutcome, AvailabilityChange, NodeEvent, ProcessEvent, Record, Try, TryId,
+    TryOutcome, UnknownRequest,
 };
 use crate::scenario::{Class, Idempotency};
 use serde::Serialize;
@@ -79,12 +79,17 @@
     }
     let attempts_of = |id: TryId| attempts.get(&id).map_or(&[][..], Vec::as_slice);
     let class_by_id = |id| &classes[class_of(id)];
-    for tried in &record.tries {
-        check_responses(record, tried, attempts_of(tried.id), &mut breaches);
+    for try_record in &record.tries {
+        check_responses(
+            record,
+            try_record,
+            attempts_of(try_record.id),
+            &mut breaches,
+        );
         check_refusals(
-            tried,
-            attempts_of(tried.id),
-            class_by_id(tried.id),
+            try_record,
+            attempts_of(try_record.id),
+            class_by_id(try_record.id),
             &mut breaches,
         );
     }
@@ -160,17 +165,17 @@
 /// Checks that a try that a running node has accepted has exactly one final response.
 fn check_responses(
     record: &Record,
-    tried: &Try,
+    try_record: &Try,
     attempts: &[&Attempt],
     breaches: &mut Vec<Breach>,
 ) {
     let mut report_breach = |reason: &str| {
         let what = format!(
             "request {} to node {}, sent at {}, {reason} at {}; attempts: {}",
-            tried.id.text(),
-            tried.node,
-            milliseconds(tried.sent),
-            milliseconds(tried.ended),
+            try_record.id.text(),
+            try_record.node,
+            milliseconds(try_record.sent),
+            milliseconds(try_record.ended),
             describe_attempts(attempts)
         );
         breaches.push(Breach {
@@ -178,18 +183,18 @@
             what,
         });
     };
-    match tried.end {
-        End::UnmatchedBody => report_breach("was served with what no server made for it,"),
-        End::DuplicateResponse => report_breach("had more than one answer,"),
+    match try_record.end {
+        TryOutcome::UnmatchedBody => report_breach("was served with what no server made for it,"),
+        TryOutcome::DuplicateResponse => report_breach("had more than one answer,"),
         // A close before any response bytes is excused for the first request on a connection, which
         // counts as failed and not as lost. On a reused connection the close may have crossed a
         // request that the node had not read; a request that had reached a server was read.
-        End::ConnectionLost { begun } if !explained_by_node_exit(record, tried) => {
+        TryOutcome::ConnectionLost { begun } if !explained_by_node_exit(record, try_record) => {
             if !begun
-                && (tried.first_on_connection
+                && (try_record.first_on_connection
                     || attempts
                         .iter()
-                        .all(|attempt| attempt.first_byte_at > tried.ended))
+                        .all(|attempt| attempt.first_byte_at > try_record.ended))
             {
                 return;
             }
@@ -200,38 +205,44 @@
 }
 
 /// Returns whether the end of the node process explains a lost connection.
-fn explained_by_node_exit(record: &Record, tried: &Try) -> bool {
+fn explained_by_node_exit(record: &Record, try_record: &Try) -> bool {
     record.node_events.iter().any(
         |NodeEvent {
              node, event, at, ..
          }| {
-            *node == tried.node
+            *node == try_record.node
                 && match event {
                     ProcessEvent::Killed => {
-                        *at + CLOCK_TOLERANCE >= tried.sent && *at <= tried.ended + CLOCK_TOLERANCE
+                        *at + CLOCK_TOLERANCE >= try_record.sent
+                            && *at <= try_record.ended + CLOCK_TOLERANCE
                     }
                     // A request sent later than this may be cut off by SIGKILL.
-                    ProcessEvent::Terminating => tried.sent > *at + STOP_GRACE,
-                    ProcessEvent::Died => *at <= tried.ended + CLOCK_TOLERANCE,
+                    ProcessEvent::Terminating => try_record.sent > *at + STOP_GRACE,
+                    ProcessEvent::Died => *at <= try_record.ended + CLOCK_TOLERANCE,
                     ProcessEvent::Ready | ProcessEvent::Exited => false,
                 }
         },
     )
 }
 
-fn check_refusals(tried: &Try, attempts: &[&Attempt], class: &Class, breaches: &mut Vec<Breach>) {
-    let End::Refused { .. } = tried.end else {
+fn check_refusals(
+    try_record: &Try,
+    attempts: &[&Attempt],
+    class: &Class,
+    breaches: &mut Vec<Breach>,
+) {
+    let TryOutcome::Refused { .. } = try_record.end else {
         return;
     };
     let ran = attempts.iter().find(|attempt| {
-        attempt.outcome == AttemptOutcome::Ran && attempt.received_at <= tried.ended
+        attempt.outcome == AttemptOutcome::Ran && attempt.received_at <= try_record.ended
     });
     if let Some(ran) = ran.filter(|_| class.idempotency == Idempotency::NonIdempotent) {
         let what = format!(
             "request {} of class {} was refused at {}, but server {} had it from {} on",
-            tried.id.text(),
+            try_record.id.text(),
             class.name,
-            milliseconds(tried.ended),
+            milliseconds(try_record.ended),
             ran.server,
             milliseconds(ran.received_at)
         );
@@ -263,7 +274,7 @@
             in_order.len()
         ));
     }
-    // A dropped attempt counts as run, since its node cannot know that the server did not run it.
+    // A dropped attempt counts as run, since no message tells the node that the server dropped it.
     let Some(ran) = in_order
         .iter()
         .find(|attempt| attempt.outcome != AttemptOutcome::Declined)
--- a/crates/lab/src/rules/tests.rs
+++ b/crates/lab/src/rules/tests.rs
@@ -7,7 +7,7 @@
     number: 0,
 };
 
-fn client_try(end: End) -> Try {
+fn client_try(end: TryOutcome) -> Try {
     Try {
         id: ID,
         node: 0,
@@ -53,7 +53,7 @@
 #[test]
 fn lost_duplicate_and_unmatched_responses_are_breaches_and_failed_tries_are_not() {
     let ran = || vec![attempt(1, 2_000, AttemptOutcome::Ran)];
-    let connection_lost = |begun| vec![client_try(End::ConnectionLost { begun })];
+    let connection_lost = |begun| vec![client_try(TryOutcome::ConnectionLost { begun })];
     assert_eq!(
         broken_rules(0, connection_lost(false), ran(), vec![]),
         [Rule::OneAnswer]
@@ -68,15 +68,25 @@
         "the close crossed the request"
     );
     assert_eq!(
-        broken_rules(0, vec![client_try(End::DuplicateResponse)], ran(), vec![]),
+        broken_rules(
+            0,
+            vec![client_try(TryOutcome::DuplicateResponse)],
+            ran(),
+            vec![]
+        ),
         [Rule::OneAnswer]
     );
     assert_eq!(
-        broken_rules(0, vec![client_try(End::UnmatchedBody)], ran(), vec![]),
+        broken_rules(
+            0,
+            vec![client_try(TryOutcome::UnmatchedBody)],
+            ran(),
+            vec![]
+        ),
         [Rule::OneAnswer]
     );
     assert_eq!(
-        broken_rules(0, vec![client_try(End::TimedOut)], ran(), vec![]),
+        broken_rules(0, vec![client_try(TryOutcome::TimedOut)], ran(), vec![]),
         []
     );
     let killed = NodeEvent {
@@ -109,7 +119,12 @@
 
 /// Returns the rules broken by a try of `class` that was served after `attempts`.
 fn broken_by_attempts(class: usize, attempts: Vec<Attempt>) -> Vec<Rule> {
-    broken_rules(class, vec![client_try(End::Served)], attempts, vec![])
+    broken_rules(
+        class,
+        vec![client_try(TryOutcome::Served)],
+        attempts,
+        vec![],
+    )
 }
 
 #[test]
@@ -143,7 +158,7 @@
 #[test]
 fn a_non_idempotent_request_that_ran_is_not_shed() {
     let broken_by_refusal = |class, outcome| {
-        let tries = vec![client_try(End::Refused { retry_after: None })];
+        let tries = vec![client_try(TryOutcome::Refused { retry_after: None })];
         broken_rules(class, tries, vec![attempt(1, 2_000, outcome)], vec![])
     };
     assert_eq!(broken_by_refusal(2, AttemptOutcome::Ran), [Rule::Refusals]);
--- a/crates/lab/src/run/nodes.rs
+++ b/crates/lab/src/run/nodes.rs
@@ -154,10 +154,10 @@
     })
 }
 
-/// A node watched by its own task.
+/// A node supervised by its own task.
 struct RunningNode {
     /// Set to end the task, which then stops the node.
-    stop_watching: watch::Sender<bool>,
+    end_supervision: watch::Sender<bool>,
     task: tokio::task::JoinHandle<Result<(), NodeError>>,
 }
 
@@ -176,18 +176,18 @@
             .map(|(fault, _, at)| (at, fault))
             .collect();
         faults.sort_by_key(|(at, _)| *at);
-        let (stop_watching, watch_ended) = watch::channel(false);
-        let watched = watch_node(
+        let (end_supervision, supervision_ended) = watch::channel(false);
+        let supervision = supervise_node(
             node,
             load_start,
             faults,
             commands.clone(),
             stop.clone(),
-            watch_ended,
+            supervision_ended,
         );
         Self {
-            stop_watching,
-            task: tokio::spawn(watched),
+            end_supervision,
+            task: tokio::spawn(supervision),
         }
     }
 }
@@ -196,11 +196,11 @@
 async fn stop_nodes(nodes: Vec<RunningNode>) -> Option<NodeError> {
     let mut first_error = None;
     for RunningNode {
-        stop_watching,
+        end_supervision,
         task,
     } in nodes
     {
-        stop_watching.send_replace(true);
+        end_supervision.send_replace(true);
         if let Ok(Err(error)) = task.await {
             first_error = first_error.or(Some(error));
         }
@@ -221,31 +221,39 @@
     }
 }
 
-/// Watches a node until `watch_ended` is set, then stops it.
-async fn watch_node(
+/// Supervises a node until `supervision_ended` is set, then stops it.
+async fn supervise_node(
     mut node: Node,
     load_start: Instant,
     faults: Vec<(Duration, Fault)>,
     commands: channel::UnboundedSender<Command>,
     stop: Arc<AtomicBool>,
-    watch_ended: watch::Receiver<bool>,
+    supervision_ended: watch::Receiver<bool>,
 ) -> Result<(), NodeError> {
-    let result = apply_faults(&mut node, load_start, faults, commands, stop, watch_ended).await;
+    let result = apply_faults(
+        &mut node,
+        load_start,
+        faults,
+        commands,
+        stop,
+        supervision_ended,
+    )
+    .await;
     node.stop().await;
     result
 }
 
-/// Applies the faults of a node and checks whether its process has died.
+/// Applies the faults of a node and records an unexpected exit of its process.
 async fn apply_faults(
     node: &mut Node,
     load_start: Instant,
     faults: Vec<(Duration, Fault)>,
     commands: channel::UnboundedSender<Command>,
     stop: Arc<AtomicBool>,
-    watch_ended: watch::Receiver<bool>,
+    supervision_ended: watch::Receiver<bool>,
 ) -> Result<(), NodeError> {
     let mut faults = faults.into_iter().peekable();
-    while !*watch_ended.borrow() {
+    while !*supervision_ended.borrow() {
         let next = faults.peek().map(|(at, _)| load_start + *at);
         if next.is_some_and(|at| at <= Instant::now()) && !stop.load(Ordering::Relaxed) {
             if let Some((_, fault)) = faults.next() {
--- a/crates/lab/src/scenario/fault.rs
+++ b/crates/lab/src/scenario/fault.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The process of a server dies: open and new connections are reset. After `for_s` the server
+    /// A server is killed: open and new connections are reset. After `for_s` the server
     /// restarts, cold and with an empty cache.
     Kill,
     /// A server accepts connections and never answers.
--- a/crates/lab/src/scenario/fleet.rs
+++ b/crates/lab/src/scenario/fleet.rs
@@ -51,7 +51,7 @@
     pub memory_mb: u32,
     /// Maximum share of a node's file descriptors that clients use for their connections.
     pub clients: Share,
-    /// Seconds after the death of a node until the front stops sending it connections.
+    /// Seconds after a node is killed until the front stops opening connections to it.
     pub front_late_s: Seconds,
 }
 
--- a/crates/lab/src/scenario/load.rs
+++ b/crates/lab/src/scenario/load.rs
@@ -121,7 +121,7 @@
     Idempotent,
     /// No effect within the repeat window: servers drop duplicates by their key.
     Keyed,
-    /// The request runs again: it must not be repeated.
+    /// The request takes effect again, so it must not be repeated.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
--- a/crates/lab/src/servers.rs
+++ b/crates/lab/src/servers.rs
@@ -42,7 +42,7 @@
     Refuse,
     /// Accepts connections and stays silent.
     Partitioned,
-    /// The process is dead: open and new connections are reset.
+    /// The process is not running: open and new connections are reset.
     Down,
 }
 
@@ -70,7 +70,8 @@
     manual_requests: bool,
     modes: Vec<watch::Sender<ServerMode>>,
     open_connections: Vec<Cell<usize>>,
-    waiting: RefCell<HashMap<JobId, oneshot::Sender<JobResult>>>,
+    /// Sender of the result of each accepted job that a connection waits for.
+    result_senders: RefCell<HashMap<JobId, oneshot::Sender<JobResult>>>,
     next_job: Cell<JobId>,
     job_added: Notify,
     /// Start of the first run of each keyed request, by arrival: repeats within the window are not
@@ -103,7 +104,7 @@
                 .map(|_| watch::Sender::new(ServerMode::Healthy))
                 .collect(),
             open_connections: (0..count).map(|_| Cell::new(0)).collect(),
-            waiting: RefCell::default(),
+            result_senders: RefCell::default(),
             next_job: Cell::new(0),
             job_added: Notify::new(),
             first_runs: RefCell::default(),
@@ -240,9 +241,9 @@
         loop {
             self.cluster.borrow_mut().advance(self.now(), &mut finished);
             for (_, job, result) in finished.drain(..) {
-                if let Some(waiting) = self.waiting.borrow_mut().remove(&job) {
+                if let Some(result_sender) = self.result_senders.borrow_mut().remove(&job) {
                     // The receiver is dropped if the node has disconnected.
-                    let _ = waiting.send(result);
+                    let _ = result_sender.send(result);
                 }
             }
             let next = self.cluster.borrow().next_event();
--- a/crates/lab/src/servers/connection.rs
+++ b/crates/lab/src/servers/connection.rs
@@ -15,7 +15,7 @@
 enum ConnectionEnd {
     /// Closed in order, with all written bytes delivered.
     Close,
-    /// Reset, as when a process dies.
+    /// Reset, as when a process is killed.
     Reset,
 }
 
@@ -102,7 +102,7 @@
     async fn end_if_unreachable(&mut self, mode: ServerMode) -> Result<(), ConnectionEnd> {
         match mode {
             ServerMode::Partitioned => {
-                // Cannot fail: the sender lives as long as the servers.
+                // Cannot fail: the servers own the sender, and the connection holds the servers.
                 let _ = self.mode.changed().await;
                 Err(ConnectionEnd::Reset)
             }
@@ -209,13 +209,13 @@
     ) -> Result<JobResult, ConnectionEnd> {
         let (result_sender, mut result) = oneshot::channel();
         self.servers
-            .waiting
+            .result_senders
             .borrow_mut()
             .insert(job.id, result_sender);
         self.servers.job_added.notify_one();
         loop {
             tokio::select! {
-                // The sender is dropped if the server has died.
+                // The sender is dropped if the server has stopped.
                 result = &mut result => return result.map_err(|_| ConnectionEnd::Reset),
                 () = self.conn.closed_or_readable() => {
                     self.cancel(job, attempt);
@@ -225,7 +225,7 @@
                     let mode = *self.mode.borrow_and_update();
                     let reachable = self.end_if_unreachable(mode).await;
                     if reachable.is_err() {
-                        self.servers.waiting.borrow_mut().remove(&job.id);
+                        self.servers.result_senders.borrow_mut().remove(&job.id);
                     }
                     reachable?;
                 }
@@ -243,7 +243,7 @@
         if dropped {
             self.set_outcome(attempt, AttemptOutcome::Dropped);
         }
-        self.servers.waiting.borrow_mut().remove(&job.id);
+        self.servers.result_senders.borrow_mut().remove(&job.id);
     }
 
     /// Writes the response to a job, altered as the server's mode requires.
