--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -24,14 +24,14 @@
 
 /// Records the events of a simulated node.
 #[derive(Default)]
-struct SeenEvents {
+struct ObservedEvents {
     lists: RefCell<Vec<(u64, bool)>>,
     failed: Cell<usize>,
     handled: Cell<usize>,
     sent: Cell<usize>,
 }
 
-impl ControlObserver for SeenEvents {
+impl ControlObserver for ObservedEvents {
     fn endpoint_list_applied(&self, version: u64, complete: bool) {
         self.lists.borrow_mut().push((version, complete));
     }
@@ -46,7 +46,7 @@
     }
 }
 
-impl SeenEvents {
+impl ObservedEvents {
     async fn wait_until(&self, description: &str, condition: impl Fn(&Self) -> bool) {
         let polling = async {
             while !condition(self) {
@@ -119,7 +119,7 @@
             DiscoveryService::start(&scale_options, unused_address, peers, unbounded_channel().0)
                 .await
                 .unwrap();
-        let seen = Rc::new(SeenEvents::default());
+        let seen = Rc::new(ObservedEvents::default());
         let (options, _address_sender) = options(service.addresses[0], &telemetry);
         let node = spawn_local(run(options, seen.clone()));
 
@@ -162,12 +162,12 @@
             .await;
 
         node.abort();
-        let figures = service.stats().await.unwrap();
+        let stats = service.stats().await.unwrap();
         assert!(
-            figures.simulated.resets > 0 && figures.simulated.whole_answers == 1,
-            "{figures:?}"
+            stats.simulated.resets > 0 && stats.simulated.whole_answers == 1,
+            "{stats:?}"
         );
-        assert_eq!(figures.real, Default::default(), "a real node called");
+        assert_eq!(stats.real, Default::default(), "a real node called");
     });
 }
 
@@ -196,8 +196,8 @@
                 .await
                 .unwrap();
         let (connected, cut_off) = (
-            Rc::new(SeenEvents::default()),
-            Rc::new(SeenEvents::default()),
+            Rc::new(ObservedEvents::default()),
+            Rc::new(ObservedEvents::default()),
         );
         let mut address_senders = Vec::new();
         for (index, seen) in [&connected, &cut_off].into_iter().enumerate() {
