--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -162,12 +162,12 @@
             .await;
 
         node.abort();
-        let stats = service.stats().await.unwrap();
+        let service_stats = service.stats().await.unwrap();
         assert!(
-            stats.simulated.resets > 0 && stats.simulated.whole_answers == 1,
-            "{stats:?}"
+            service_stats.simulated.resets > 0 && service_stats.simulated.whole_answers == 1,
+            "{service_stats:?}"
         );
-        assert_eq!(stats.real, Default::default(), "a real node called");
+        assert_eq!(service_stats.real, Default::default(), "a real node called");
     });
 }
 
