--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -63,7 +63,7 @@
             Self::OtherKind(kind) => {
                 write!(
                     f,
-                    "no free descriptor; {kind:?} connections exceed their reservation by most"
+                    "no free descriptor; {kind:?} connections exceed their reservation by the most"
                 )
             }
         }
--- a/crates/admission/src/connections/timeouts.rs
+++ b/crates/admission/src/connections/timeouts.rs
@@ -15,8 +15,8 @@
 
 impl ConnectionTable {
     /// Closes connections whose timeout has passed and parks idle ones, in at most `max_steps`
-    /// steps (see [`TimerWheel::advance`](crate::TimerWheel::advance)). Appends the connections
-    /// whose owners have to be woken to `woken`.
+    /// steps (see [`TimerWheel::advance`](crate::TimerWheel::advance)). Appends to `woken`
+    /// the connections whose owners have to be woken.
     ///
     /// Returns `false` if work remains for this time; the caller then calls again.
     pub fn advance(
--- a/crates/admission/tests/budget.rs
+++ b/crates/admission/tests/budget.rs
@@ -139,7 +139,7 @@
 // Guards against evicting connections of the requesting kind while another kind exceeds its
 // reservation by more.
 #[test]
-fn lease_error_names_the_kind_that_exceeds_its_reservation_by_most() {
+fn lease_error_names_the_kind_that_exceeds_its_reservation_by_the_most() {
     let quota = |reserved| Quota {
         reserved,
         limit: 12,
--- a/crates/cli/src/lab/scale.rs
+++ b/crates/cli/src/lab/scale.rs
@@ -217,8 +217,8 @@
 /// Prints the error of a run and returns its exit code.
 fn print_failure(error: &ScaleError) -> CommandResult {
     eprintln!("slatelink: {error}");
-    let unusable = matches!(error, ScaleError::Options(_) | ScaleError::Bounds(_));
-    Ok(ExitCode::from(if unusable {
+    let options_unusable = matches!(error, ScaleError::Options(_) | ScaleError::Bounds(_));
+    Ok(ExitCode::from(if options_unusable {
         EXIT_UNUSABLE
     } else {
         EXIT_FAILURE
--- a/crates/cli/tests/node_clients.rs
+++ b/crates/cli/tests/node_clients.rs
@@ -149,7 +149,7 @@
     discovery.wait_until_applied(2);
     let mut client = node.client();
     // The deadline is one hour: any response within the test was not held until the deadline.
-    let shed = client.request(&read_request("read", 1, 3_600_000));
+    let shed = client.request(&api_request("read", 1, 3_600_000));
     assert_eq!(shed.status(), 503);
     let after: f64 = shed
         .header("retry-after")
@@ -171,11 +171,11 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
-    let failed = client.request(&read_request("read", 1, 300));
+    let failed = client.request(&api_request("read", 1, 300));
     assert!(failed.status() >= 400, "{failed:?}");
     // The connection stays open, and its next response belongs to the next request.
     assert_eq!(
-        client.request(&read_request("read", 2, 20_000)).body,
+        client.request(&api_request("read", 2, 20_000)).body,
         b"value"
     );
     // The attempt was abandoned: its connection is closed.
@@ -194,7 +194,7 @@
     let node = Node::ready(&small_config);
     let mut clients: Vec<_> = (0..30).map(|_| node.client()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
-        let text = read_request("read", i as u64, 20_000);
+        let text = api_request("read", i as u64, 20_000);
         // The connection may have been evicted before its first request: reconnect and resend.
         let mut response = client.try_request(&text);
         if response.is_none() {
@@ -222,7 +222,7 @@
     ]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
-    client.send(&read_request("read", 1, 60_000));
+    client.send(&api_request("read", 1, 60_000));
     wait_for("the attempt", || {
         server_a.request_count() + server_b.request_count() == 1
     });
@@ -237,7 +237,7 @@
 
 /// Formats a read request with additional headers and with `after_head` after its head.
 fn read_with(key: u64, headers: &str, after_head: &str) -> String {
-    read_request("read", key, 20_000).replace("\r\n\r\n", &format!("\r\n{headers}\r\n{after_head}"))
+    api_request("read", key, 20_000).replace("\r\n\r\n", &format!("\r\n{headers}\r\n{after_head}"))
 }
 
 // Guards against request smuggling in the body of another request, and against reuse of a
@@ -247,7 +247,7 @@
     let server = CacheServer::serving("value");
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
-    let smuggled = read_request("read", 99, 20_000);
+    let smuggled = api_request("read", 99, 20_000);
     let length = format!("Content-Length: {}\r\n", smuggled.len() + 5);
     let cases = [
         read_with(
@@ -295,7 +295,7 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut first = node.client();
-    first.send(&read_request("read", 1, 20_000));
+    first.send(&api_request("read", 1, 20_000));
     wait_for("the attempt", || server.request_count() == 1);
     let response = node.read("read", 1);
     assert!(
@@ -352,19 +352,17 @@
     let node = Node::ready(&small_config);
     let mut active = node.client();
     assert_eq!(
-        active.request(&read_request("read", 1, 20_000)).status(),
+        active.request(&api_request("read", 1, 20_000)).status(),
         200
     );
     let _flood: Vec<_> = (0..24).map(|_| node.client()).collect();
     let mut new_client = node.client();
     assert_eq!(
-        new_client
-            .request(&read_request("read", 2, 20_000))
-            .status(),
+        new_client.request(&api_request("read", 2, 20_000)).status(),
         200
     );
     assert_eq!(
-        active.request(&read_request("read", 3, 20_000)).status(),
+        active.request(&api_request("read", 3, 20_000)).status(),
         200
     );
     assert_eq!(server.request_count(), 3);
@@ -382,7 +380,7 @@
     let mut early_client = node.client();
     assert_eq!(
         early_client
-            .request(&read_request("read", 0, 20_000))
+            .request(&api_request("read", 0, 20_000))
             .header("connection"),
         None
     );
@@ -392,7 +390,7 @@
         open_clients.push(node.client());
         let response = open_clients
             .last_mut()
-            .and_then(|client| client.try_request(&read_request("read", key, 20_000)));
+            .and_then(|client| client.try_request(&api_request("read", key, 20_000)));
         response.is_some_and(|response| response.header("connection") == Some("close"))
     });
 }
@@ -414,7 +412,7 @@
             "client {key} cannot connect: idle connections hold the reserved third"
         );
         let mut client = node.client();
-        let served = client.request(&read_request("read", key, 20_000));
+        let served = client.request(&api_request("read", key, 20_000));
         assert_eq!(served.status(), 200);
         if served.header("connection") != Some("close") {
             kept_open.push_back(client);
@@ -455,27 +453,27 @@
     {
         assert_eq!(
             client
-                .request(&read_request("read", key as u64, 20_000))
+                .request(&api_request("read", key as u64, 20_000))
                 .status(),
             200
         );
     }
     for key in 10..12 {
         std::thread::sleep(IDLE_TIME);
-        let served = active.request(&read_request("read", key, 20_000));
+        let served = active.request(&api_request("read", key, 20_000));
         assert_eq!((served.status(), served.header("connection")), (200, None));
     }
     // The first part wakes the connection and the second completes the request. Two requests sent
     // at once are both answered.
-    let text = read_request("read", 20, 20_000);
+    let text = api_request("read", 20, 20_000);
     fragmented.send(&text[..10]);
     std::thread::sleep(IDLE_TIME / 2);
     assert_eq!(fragmented.request(&text[10..]).status(), 200);
     std::thread::sleep(IDLE_TIME);
     fragmented.send(
         &[
-            read_request("read", 21, 20_000),
-            read_request("read", 22, 20_000),
+            api_request("read", 21, 20_000),
+            api_request("read", 22, 20_000),
         ]
         .concat(),
     );
--- a/crates/cli/tests/node_common/http.rs
+++ b/crates/cli/tests/node_common/http.rs
@@ -58,7 +58,7 @@
 }
 
 /// Formats a read request of this class; `key` is both the key and the request's id.
-pub fn read_request(class: &str, key: u64, deadline_ms: u64) -> String {
+pub fn api_request(class: &str, key: u64, deadline_ms: u64) -> String {
     format!(
         "GET /api/{key:016x} HTTP/1.1\r\nHost: s\r\nReq-Id: {key:x}\r\nReq-Kind: {class}\r\n\
          Req-Deadline-Ms: {deadline_ms}\r\n\r\n"
--- a/crates/cli/tests/node_common/mod.rs
+++ b/crates/cli/tests/node_common/mod.rs
@@ -14,7 +14,7 @@
 
 pub use cache_server::{endpoint_entry, CacheServer, Reply};
 pub use discovery::Discovery;
-pub use http::{assert_shed, http_response, read_request, Client, Message};
+pub use http::{api_request, assert_shed, http_response, Client, Message};
 pub use node::{command, config, temporary_path, write_temporary_file, Node};
 pub use slow_server::SlowServer;
 pub use waiting::{wait_for, Gate, WAIT_TIMEOUT};
--- a/crates/cli/tests/node_common/node.rs
+++ b/crates/cli/tests/node_common/node.rs
@@ -1,6 +1,6 @@
 //! The node under test: a process of this package's binary, with its configuration and signals.
 
-use super::http::{read_request, Client, Message};
+use super::http::{api_request, Client, Message};
 use super::waiting::{wait_for, WAIT_TIMEOUT};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
@@ -156,7 +156,7 @@
 
     /// Sends one read on a new connection.
     pub fn read(&self, class: &str, key: u64) -> Message {
-        self.client().request(&read_request(class, key, 20_000))
+        self.client().request(&api_request(class, key, 20_000))
     }
 
     pub fn config_path(&self) -> &std::path::Path {
--- a/crates/cli/tests/node_common/waiting.rs
+++ b/crates/cli/tests/node_common/waiting.rs
@@ -7,13 +7,13 @@
 /// Upper bound of a wait, far above the duration of any step: reaching it is a failure.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until `done` returns true; `what` names the awaited state in the failure message.
-pub fn wait_for(what: &str, mut done: impl FnMut() -> bool) {
+/// Waits until `done` returns true; `awaited_state` describes the state in the failure message.
+pub fn wait_for(awaited_state: &str, mut done: impl FnMut() -> bool) {
     let start = Instant::now();
     while !done() {
         assert!(
             start.elapsed() < WAIT_TIMEOUT,
-            "no result within {WAIT_TIMEOUT:?} while waiting for: {what}"
+            "no result within {WAIT_TIMEOUT:?} while waiting for: {awaited_state}"
         );
         thread::sleep(Duration::from_millis(5));
     }
--- a/crates/cli/tests/node_crossings.rs
+++ b/crates/cli/tests/node_crossings.rs
@@ -15,7 +15,7 @@
 /// Sends a read from a client that disconnects at once.
 fn send_read_and_disconnect(node: &Node, key: u64) {
     let mut client = node.client();
-    client.send(&read_request("read", key, 20_000));
+    client.send(&api_request("read", key, 20_000));
     client.shutdown_write();
 }
 
@@ -28,12 +28,12 @@
     let node = Node::ready(&config(discovery.address));
     let mut connected = node.client();
     assert_eq!(
-        connected.request(&read_request("read", 1, 20_000)).status(),
+        connected.request(&api_request("read", 1, 20_000)).status(),
         200
     );
     // While the node is stopped, requests and disconnects queue up in the kernel.
     node.signal("-STOP");
-    connected.send(&read_request("read", 2, 20_000));
+    connected.send(&api_request("read", 2, 20_000));
     connected.shutdown_write();
     (3..20).for_each(|key| send_read_and_disconnect(&node, key));
     node.signal("-CONT");
@@ -55,9 +55,9 @@
     let discovery = Discovery::start(&[endpoint_entry("s-1", slow.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
-    client.send(&read_request("once", 1, 20_000));
+    client.send(&api_request("once", 1, 20_000));
     let mut other = node.client();
-    other.send(&read_request("once", 2, 20_000));
+    other.send(&api_request("once", 2, 20_000));
     wait_for("the attempts", || slow.pending_connections() >= 2);
     client.shutdown_write();
     assert_eq!(
@@ -80,7 +80,7 @@
 #[test]
 fn no_second_attempt_is_made_for_a_client_that_sends_more_bytes_and_disconnects() {
     for further in [
-        read_request("read", 2, 20_000),
+        api_request("read", 2, 20_000),
         "\r\n".into(),
         "x".repeat(300_000),
     ] {
@@ -94,7 +94,7 @@
         ]);
         let node = Node::ready(&config(discovery.address));
         let mut client = node.client();
-        client.send(&read_request("read", 1, 60_000));
+        client.send(&api_request("read", 1, 60_000));
         wait_for("the attempt", || {
             server_a.request_count() + server_b.request_count() == 1
         });
@@ -159,7 +159,7 @@
     let mut clients: Vec<_> = (1..=REQUESTS).map(|key| (key, node.client())).collect();
     clients
         .iter_mut()
-        .for_each(|(key, client)| client.send(&read_request("keyed", *key, 20_000)));
+        .for_each(|(key, client)| client.send(&api_request("keyed", *key, 20_000)));
     // No request can be retried before the gate opens, so each has one first attempt.
     wait_for("all first attempts", || {
         slow.pending_connections() + broken.request_count() >= clients.len()
@@ -213,11 +213,11 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut used, mut fresh, mut idle) = (node.client(), node.client(), node.client());
-    assert_eq!(used.request(&read_request("read", 1, 20_000)).status(), 200);
-    assert_eq!(idle.request(&read_request("read", 2, 20_000)).status(), 200);
+    assert_eq!(used.request(&api_request("read", 1, 20_000)).status(), 200);
+    assert_eq!(idle.request(&api_request("read", 2, 20_000)).status(), 200);
     let (first_text, second_text) = (
-        read_request("read", 3, 20_000),
-        read_request("read", 4, 20_000),
+        api_request("read", 3, 20_000),
+        api_request("read", 4, 20_000),
     );
     used.send(&first_text[..40]);
     fresh.send(&second_text[..40]);
@@ -259,7 +259,7 @@
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let peek_stream = stream.try_clone().unwrap();
     let mut client = Client::from_stream(stream);
-    client.send(&read_request("read", 1, 60_000));
+    client.send(&api_request("read", 1, 60_000));
     wait_for("the attempt", || server.request_count() == 1);
     node.terminate();
     gate.open();
@@ -295,7 +295,7 @@
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
     for key in 1..60 {
-        let served = client.request(&read_request("once", key, 20_000));
+        let served = client.request(&api_request("once", key, 20_000));
         assert_eq!(
             (served.status(), served.body),
             (200, format!("{key:x}").into_bytes())
@@ -306,7 +306,7 @@
     std::thread::sleep(Duration::from_millis(40));
     let connections = server.connections.load(Ordering::SeqCst);
     assert_eq!(
-        client.request(&read_request("once", 60, 20_000)).status(),
+        client.request(&api_request("once", 60, 20_000)).status(),
         200
     );
     assert_eq!(server.connections.load(Ordering::SeqCst), connections);
@@ -428,7 +428,7 @@
     let sent_at = Instant::now();
     let served = node
         .client()
-        .request(&read_request("once", 1, deadline.as_millis() as u64));
+        .request(&api_request("once", 1, deadline.as_millis() as u64));
     assert_eq!(served.status(), status, "{text:?} {continuation:?}");
     if status == 200 {
         assert_eq!(served.body, b"value", "{text:?}");
@@ -454,7 +454,7 @@
     let discovery = Discovery::start(&[endpoint_entry("s-1", slow.address, "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
-    client.send(&read_request("once", 1, 20_000));
+    client.send(&api_request("once", 1, 20_000));
     wait_for("the attempt", || slow.pending_connections() == 1);
     client.shutdown_write();
     assert_eq!(
@@ -470,7 +470,7 @@
         .write_all(http_response("200 OK", "", "stray").as_bytes())
         .unwrap();
     let mut next = node.client();
-    next.send(&read_request("once", 2, 20_000));
+    next.send(&api_request("once", 2, 20_000));
     slow.accept();
     node.signal("-CONT");
     assert_eq!(next.read_response().unwrap().body, b"value");
--- a/crates/cli/tests/node_exhaustion.rs
+++ b/crates/cli/tests/node_exhaustion.rs
@@ -71,12 +71,12 @@
     let (cpu_time, start) = (cpu_seconds(&node), Instant::now());
     // The connection to the endpoint needs a descriptor. The shortage is no failure of the
     // endpoint, and the request is shed at once.
-    assert_shed(&accepted_client.request(&read_request("once", 1, 20_000)));
+    assert_shed(&accepted_client.request(&api_request("once", 1, 20_000)));
     // Without a descriptor to accept them, these connections wait in the kernel's accept queue.
     let mut waiting_clients: Vec<_> = (2..40).map(|key| (key, node.client())).collect();
     waiting_clients
         .iter_mut()
-        .for_each(|(key, client)| client.send(&read_request("read", *key, 50_000)));
+        .for_each(|(key, client)| client.send(&api_request("read", *key, 50_000)));
     sleep(Duration::from_secs(3));
     let (cpu_time, wall_time) = (cpu_seconds(&node) - cpu_time, start.elapsed().as_secs_f64());
     assert!(
@@ -105,7 +105,7 @@
     assert!(served > 10, "{served}");
     assert_eq!(
         accepted_client
-            .try_request(&read_request("once", 1, 20_000))
+            .try_request(&api_request("once", 1, 20_000))
             .unwrap_or_else(|| node.read("once", 1))
             .status(),
         200
@@ -232,7 +232,7 @@
         node.reload("not a configuration");
         assert_eq!(
             client
-                .try_request(&read_request("read", key, 20_000))
+                .try_request(&api_request("read", key, 20_000))
                 .expect("no response during reloads")
                 .status(),
             200
@@ -266,7 +266,7 @@
         node.reload("not a configuration");
         assert_eq!(
             client
-                .try_request(&read_request("read", key, 20_000))
+                .try_request(&api_request("read", key, 20_000))
                 .expect("no response during reloads")
                 .status(),
             200
@@ -352,7 +352,7 @@
     let mut idle_clients: Vec<_> = (0..100).map(|_| node.client()).collect();
     let (cpu_time, start) = (cpu_seconds(&node), Instant::now());
     for (key, client) in idle_clients.iter_mut().enumerate().take(20) {
-        client.try_send(&read_request("read", key as u64, 20_000));
+        client.try_send(&api_request("read", key as u64, 20_000));
     }
     sleep(Duration::from_secs(2));
     let (cpu_time, wall_time) = (cpu_seconds(&node) - cpu_time, start.elapsed().as_secs_f64());
@@ -372,7 +372,7 @@
     let mut late_client = node.client();
     assert_eq!(
         late_client
-            .request(&read_request("once", 1_000, 20_000))
+            .request(&api_request("once", 1_000, 20_000))
             .body,
         b"1"
     );
--- a/crates/cli/tests/node_features/hot_list.rs
+++ b/crates/cli/tests/node_features/hot_list.rs
@@ -1,7 +1,7 @@
 //! The hot list, which the node logs on SIGUSR1.
 
 use crate::node_common::{
-    config, read_request, wait_for, write_temporary_file, CacheServer, Discovery, Node,
+    api_request, config, wait_for, write_temporary_file, CacheServer, Discovery, Node,
 };
 use crate::{log_has_line, run_until_exit};
 use std::collections::HashMap;
@@ -58,7 +58,7 @@
     let mut sent = HashMap::<String, u64>::new();
     for i in 0..REQUESTS {
         let key = if i % 3 == 0 { 7 } else { i * 40_503 % 100 };
-        let text = read_request("read", i, 20_000)
+        let text = api_request("read", i, 20_000)
             .replace(&format!("/api/{i:016x}"), &format!("/api/x/key{key}?v={i}"));
         assert_eq!(client.request(&text).status(), 200);
         *sent.entry(format!("key{key}")).or_default() += 1;
--- a/crates/cli/tests/node_features/metrics_targets.rs
+++ b/crates/cli/tests/node_features/metrics_targets.rs
@@ -2,7 +2,7 @@
 
 use crate::metrics::{counter_sum, metrics_file_settings};
 use crate::node_common::{
-    command, config, read_request, temporary_path, wait_for, write_temporary_file, CacheServer,
+    api_request, command, config, temporary_path, wait_for, write_temporary_file, CacheServer,
     Client, Discovery, Node, WAIT_TIMEOUT,
 };
 use std::fs::File;
@@ -40,7 +40,7 @@
     wait_for("an increasing count of dropped batches", || {
         key += 1;
         assert_eq!(
-            client.request(&read_request("read", key, 20_000)).status(),
+            client.request(&api_request("read", key, 20_000)).status(),
             200
         );
         dropped_batches(&node).len() > 3
@@ -110,7 +110,7 @@
     wait_for("further dropped batches", || {
         key += 1;
         assert_eq!(
-            client.request(&read_request("read", key, 20_000)).status(),
+            client.request(&api_request("read", key, 20_000)).status(),
             200
         );
         last_dropped_total() > reported_drops
@@ -152,7 +152,7 @@
     // The metrics of these requests far exceed the pipe (64 KiB) and the metrics buffer (256 KiB).
     for key in 0..4_000 {
         assert_eq!(
-            client.request(&read_request("read", key, 20_000)).status(),
+            client.request(&api_request("read", key, 20_000)).status(),
             200
         );
     }
--- a/crates/cli/tests/node_front.rs
+++ b/crates/cli/tests/node_front.rs
@@ -27,7 +27,7 @@
         let mut client = node.client();
         let mut response = None;
         wait_for("a connection within the quota", || {
-            response = client.try_request(&read_request("read", key, 20_000));
+            response = client.try_request(&api_request("read", key, 20_000));
             if response.is_none() {
                 client = node.client();
             }
@@ -46,7 +46,7 @@
     // are then in use, and the connection of a fourth client is rejected.
     let held = [0xdead_0001u64, 0xdead_0002].map(|key| {
         let mut client = node.client();
-        client.send(&read_request("read", key, 20_000));
+        client.send(&api_request("read", key, 20_000));
         wait_for("the attempt at the server", || {
             server
                 .received
@@ -58,13 +58,13 @@
         client
     });
     let mut third = node.client();
-    third.send(&read_request("read", 0xdead_0003, 20_000));
+    third.send(&api_request("read", 0xdead_0003, 20_000));
     wait_for("the third attempt at the server", || {
         server.request_count() == 4 + 3
     });
     let mut fourth = node.client();
     assert_eq!(
-        fourth.try_request(&read_request("read", 4, 20_000)),
+        fourth.try_request(&api_request("read", 4, 20_000)),
         None,
         "closed without a response, because no request was read yet"
     );
@@ -94,7 +94,7 @@
     // The limit of the class is 5 % of the clients' third of 120 descriptors: two open requests.
     let held = [0xdead_0001u64, 0xdead_0002].map(|key| {
         let mut client = node.client();
-        client.send(&read_request("once", key, 20_000));
+        client.send(&api_request("once", key, 20_000));
         client
     });
     wait_for("both attempts", || server.request_count() == 2);
@@ -127,7 +127,7 @@
     let mut connections: Vec<_> = (0..200).map(|_| node.client()).collect();
     for round in 0..2 {
         for (i, client) in connections.iter_mut().enumerate() {
-            client.send(&read_request("read", round * 1_000 + i as u64, 20_000));
+            client.send(&api_request("read", round * 1_000 + i as u64, 20_000));
         }
         for client in &mut connections {
             // One server has not enough capacity for all requests at once: the decision module may
@@ -177,7 +177,7 @@
     // Each client sends its request at once: a client that stays silent would be evicted.
     let connect_and_send = |key| {
         let mut client = node.client();
-        client.send(&read_request("read", key, 20_000));
+        client.send(&api_request("read", key, 20_000));
         client
     };
     let mut clients: Vec<_> = (0..11).map(connect_and_send).collect();
--- a/crates/cli/tests/node_leaving.rs
+++ b/crates/cli/tests/node_leaving.rs
@@ -51,7 +51,7 @@
                 while !stop.load(Ordering::SeqCst) {
                     round += 1;
                     for (i, client) in clients.iter_mut().enumerate() {
-                        client.try_send(&read_request(
+                        client.try_send(&api_request(
                             "read",
                             thread << 48 | round << 16 | i as u64,
                             20_000,
@@ -183,7 +183,7 @@
     node.signal("-STOP");
     publish_list();
     for (key, client) in (first_key..).zip(clients.iter_mut()) {
-        client.send(&read_request("read", key, 20_000));
+        client.send(&api_request("read", key, 20_000));
     }
     let continued_at = Instant::now();
     node.signal("-CONT");
@@ -220,7 +220,7 @@
     for (key, client) in (0..).zip(clients.iter_mut().take(200)) {
         // The node may have closed a connection that was idle for long.
         if client
-            .try_request(&read_request("read", key, 20_000))
+            .try_request(&api_request("read", key, 20_000))
             .is_none()
         {
             *client = node.client();
@@ -282,7 +282,7 @@
         let mut clients: Vec<_> = (1..16).map(|key| (key, node.client())).collect();
         clients
             .iter_mut()
-            .for_each(|(key, client)| client.send(&read_request("once", *key, 20_000)));
+            .for_each(|(key, client)| client.send(&api_request("once", *key, 20_000)));
         wait_for("requests at the other server", || other.request_count() > 0);
         wait_for(
             "all other requests on connections to the slow server",
--- a/crates/cli/tests/node_lifecycle.rs
+++ b/crates/cli/tests/node_lifecycle.rs
@@ -16,9 +16,9 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut waiting, mut idle) = (node.client(), node.client());
-    waiting.send(&read_request("read", 1, 60_000));
+    waiting.send(&api_request("read", 1, 60_000));
     wait_for("the first request", || server.request_count() == 1);
-    let served = idle.request(&read_request("read", 2, 20_000));
+    let served = idle.request(&api_request("read", 2, 20_000));
     assert_eq!((served.status(), served.header("connection")), (200, None));
     node.terminate();
     // The idle connection is closed once the node accepts no more clients. The accepted request is
@@ -40,7 +40,7 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut used, mut fresh) = (node.client(), node.client());
-    assert_eq!(used.request(&read_request("read", 1, 20_000)).status(), 200);
+    assert_eq!(used.request(&api_request("read", 1, 20_000)).status(), 200);
     node.terminate();
     assert_eq!(used.read_response(), None);
     assert_eq!(fresh.read_response(), None);
@@ -106,14 +106,14 @@
     let mut client = node.client();
     for (i, new_discovery) in discoveries.iter().enumerate().skip(1) {
         assert_eq!(
-            client.request(&read_request("read", 1, 20_000)).body,
+            client.request(&api_request("read", 1, 20_000)).body,
             (i - 1).to_string().as_bytes()
         );
         node.reload(&config(new_discovery.address).to_string());
         new_discovery.wait_until_applied(1);
         assert_eq!(new_discovery.received.lock().unwrap()[0], "/v1/servers");
         assert_eq!(
-            client.request(&read_request("read", 1, 20_000)).body,
+            client.request(&api_request("read", 1, 20_000)).body,
             i.to_string().as_bytes()
         );
     }
@@ -121,7 +121,7 @@
     discoveries[0].publish(true, &[servers[0].entry("s-1", "ready")]);
     discoveries[2].publish(false, &[]);
     discoveries[2].wait_until_applied(2);
-    assert_eq!(client.request(&read_request("read", 1, 20_000)).body, b"2");
+    assert_eq!(client.request(&api_request("read", 1, 20_000)).body, b"2");
     assert_eq!(
         discoveries.each_ref().map(|watched| watched.call_count()),
         [2, 2, 3]
@@ -218,9 +218,9 @@
     let discovery = Discovery::start(&[server.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let (mut waiting, mut idle) = (node.client(), node.client());
-    waiting.send(&read_request("once", 1, 60_000));
+    waiting.send(&api_request("once", 1, 60_000));
     wait_for("the attempt", || server.request_count() == 1);
-    assert_eq!(idle.request(&read_request("read", 2, 20_000)).status(), 200);
+    assert_eq!(idle.request(&api_request("read", 2, 20_000)).status(), 200);
     node.terminate();
     // Signals are sent while the node still accepts clients, and again when it no longer does.
     let reloads = || {
--- a/crates/cli/tests/node_lists.rs
+++ b/crates/cli/tests/node_lists.rs
@@ -36,7 +36,7 @@
     let discovery = Discovery::start(&[old.entry("s-1", "ready")]);
     let node = Node::ready(&config(discovery.address));
     let mut waiting_client = node.client();
-    waiting_client.send(&read_request("once", 1, 20_000));
+    waiting_client.send(&api_request("once", 1, 20_000));
     wait_for("the attempt", || old.request_count() == 1);
     discovery.publish(false, &[new.entry("s-1", "ready")]);
     discovery.wait_until_applied(2);
@@ -61,7 +61,7 @@
     let discovery = Discovery::start(&[with_start_time(server.entry("s-1", "ready"), 1)]);
     let node = Node::ready(&config(discovery.address));
     let mut waiting_client = node.client();
-    waiting_client.send(&read_request("once", 1, 20_000));
+    waiting_client.send(&api_request("once", 1, 20_000));
     wait_for("the attempt", || server.request_count() == 1);
     assert_eq!(node.read("read", 2).status(), 200);
     assert_eq!(server.connections.load(Ordering::SeqCst), 2);
@@ -106,7 +106,7 @@
                 let (mut connection, mut response_count) = (Client::from_stream(stream), 0);
                 while stop.load(Ordering::SeqCst) == 0 {
                     let key = client << 32 | response_count;
-                    let Some(response) = connection.try_request(&read_request("once", key, 20_000))
+                    let Some(response) = connection.try_request(&api_request("once", key, 20_000))
                     else {
                         break;
                     };
@@ -168,7 +168,7 @@
     let mut clients: Vec<_> = (1..16).map(|key| (key, node.client())).collect();
     clients
         .iter_mut()
-        .for_each(|(key, client)| client.send(&read_request("once", *key, 20_000)));
+        .for_each(|(key, client)| client.send(&api_request("once", *key, 20_000)));
     // Each client has one attempt. Attempts at the other server are answered; attempts at the slow
     // server stay pending.
     wait_for("one attempt per client", || {
@@ -308,7 +308,7 @@
         let before: Vec<_> = servers.iter().map(CacheServer::request_count).collect();
         let mut client = node.client();
         for key in keys.by_ref().take(requests) {
-            let response = client.request(&read_request("read", key, 20_000));
+            let response = client.request(&api_request("read", key, 20_000));
             assert_eq!(response.status(), 200, "{key}");
             if response.header("connection") == Some("close") {
                 client = node.client();
--- a/crates/cli/tests/node_memory.rs
+++ b/crates/cli/tests/node_memory.rs
@@ -33,7 +33,7 @@
     let mut clients: Vec<_> = (0..300u64)
         .map(|key| {
             let mut client = node.client();
-            let head = read_request("keyed", key, 20_000)
+            let head = api_request("keyed", key, 20_000)
                 .replace("GET", "PUT")
                 .replace("\r\n\r\n", "\r\n");
             client.try_send(&format!(
@@ -98,7 +98,7 @@
     let mut senders: Vec<_> = (0..120u64)
         .map(|key| {
             let mut client = node.client();
-            client.send(&read_request("read", key, 60_000));
+            client.send(&api_request("read", key, 60_000));
             client
         })
         .collect();
--- a/crates/cli/tests/node_multiget/bounds.rs
+++ b/crates/cli/tests/node_multiget/bounds.rs
@@ -4,7 +4,7 @@
     all_served, echo_target, multi_get_address, multi_get_command, numbered_keys,
     MULTI_GET_FEATURES,
 };
-use crate::node_common::{config, read_request, wait_for, CacheServer, Discovery, Gate, Node};
+use crate::node_common::{api_request, config, wait_for, CacheServer, Discovery, Gate, Node};
 use serde_json::json;
 use std::process::Stdio;
 
@@ -47,7 +47,7 @@
     let idle_clients: Vec<_> = (0..5)
         .map(|i| {
             let mut client = node.client();
-            let request = read_request("read", 1_000 + i, 20_000);
+            let request = api_request("read", 1_000 + i, 20_000);
             assert_eq!(client.request(&request).status(), 200);
             client
         })
--- a/crates/cli/tests/node_multiget/rejections.rs
+++ b/crates/cli/tests/node_multiget/rejections.rs
@@ -4,7 +4,7 @@
     connect, item, multi_get_address, multi_get_command, numbered_keys, post_request,
     MULTI_GET_FEATURES,
 };
-use crate::node_common::{config, read_request, CacheServer, Discovery, Node};
+use crate::node_common::{api_request, config, CacheServer, Discovery, Node};
 use serde_json::{json, Value};
 use std::io::ErrorKind;
 use std::net::TcpListener;
@@ -83,7 +83,7 @@
         rejected_call(valid.replace("/multi", "/other"), 404),
         rejected_call(valid.replace("POST", "GET"), 405),
         rejected_call(chunked, 411),
-        rejected_call(read_request("read", 1, 900), 404),
+        rejected_call(api_request("read", 1, 900), 404),
     ]
 }
 
--- a/crates/cli/tests/node_rules.rs
+++ b/crates/cli/tests/node_rules.rs
@@ -112,16 +112,16 @@
     format!("s-{server}")
 }
 
-/// Result of a played sequence of steps.
-struct PlaybackResult {
+/// Result of a run of a step sequence against a node.
+struct RunResult {
     /// By request id.
     outcomes: BTreeMap<String, ClientOutcome>,
     received: Vec<ReceivedRequest>,
     exclusions: Vec<ExclusionPeriod>,
 }
 
-/// A node with its servers, discovery and clients, against which steps are played.
-struct Playback {
+/// Run of a step sequence: the node with its servers, discovery and clients.
+struct Run {
     script: Script,
     received: Received,
     servers: Vec<CacheServer>,
@@ -137,7 +137,7 @@
     exclusions: Vec<ExclusionPeriod>,
 }
 
-impl Playback {
+impl Run {
     fn start(steps: &[Step]) -> Self {
         let statuses = steps.iter().filter_map(|step| match step {
             Step::EndAttempt { status, .. } => Some(*status),
@@ -205,7 +205,7 @@
         let stream = std::net::TcpStream::connect(self.node.address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         let handle = stream.try_clone().unwrap();
-        let text = read_request(class, key, deadline.as_millis() as u64)
+        let text = api_request(class, key, deadline.as_millis() as u64)
             .replace(&format!("Req-Id: {key:x}"), &format!("Req-Id: {id}"));
         let at = Instant::now();
         let thread = thread::spawn(move || {
@@ -250,7 +250,7 @@
     }
 
     /// Waits for the clients and checks that the node serves requests afterwards.
-    fn finish(mut self) -> PlaybackResult {
+    fn finish(mut self) -> RunResult {
         let clients = std::mem::take(&mut self.clients);
         let outcomes = clients.into_iter().map(PendingClient::outcome).collect();
         let end = Instant::now();
@@ -271,7 +271,7 @@
             }));
         drop(self.node);
         let received = std::mem::take(&mut *self.received.lock().unwrap());
-        PlaybackResult {
+        RunResult {
             outcomes,
             received,
             exclusions: self.exclusions,
@@ -286,13 +286,13 @@
         .collect()
 }
 
-/// Plays the steps against a node.
-fn play(steps: &[Step]) -> PlaybackResult {
-    let mut playback = Playback::start(steps);
+/// Runs the steps against a node.
+fn run_steps(steps: &[Step]) -> RunResult {
+    let mut run = Run::start(steps);
     for step in steps {
-        playback.apply(step);
+        run.apply(step);
     }
-    playback.finish()
+    run.finish()
 }
 
 fn is_rejected(status: &Status) -> bool {
@@ -365,11 +365,11 @@
 #[test]
 fn a_node_keeps_the_rules_through_any_sequence_of_events() {
     check_without_shrinking(0..6, 120, |_, steps| {
-        let PlaybackResult {
+        let RunResult {
             outcomes,
             received,
             exclusions,
-        } = play(steps);
+        } = run_steps(steps);
         let mut attempts = BTreeMap::<&str, Vec<Status>>::new();
         for request in &received {
             attempts
--- a/crates/cli/tests/node_servers.rs
+++ b/crates/cli/tests/node_servers.rs
@@ -120,7 +120,7 @@
     for key in 10..1_010 {
         sent_at.push(std::time::Instant::now());
         assert_eq!(
-            client.request(&read_request("read", key, 20_000)).status(),
+            client.request(&api_request("read", key, 20_000)).status(),
             200
         );
     }
@@ -257,7 +257,7 @@
     let node = Node::ready(&config(discovery.address));
     let mut client = node.client();
     for key in 1..200_u64 {
-        let served = client.request(&read_request("read", key, 20_000));
+        let served = client.request(&api_request("read", key, 20_000));
         assert_eq!(
             (served.status(), served.body),
             (200, format!("{key:x}").into_bytes())
@@ -328,8 +328,8 @@
     );
     let mut client = node.client();
     let mut send_keyed = |key| {
-        let text = read_request("keyed", key, 20_000)
-            .replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\n\r\n");
+        let text =
+            api_request("keyed", key, 20_000).replace("\r\n\r\n", "\r\nIdempotency-Key: k\r\n\r\n");
         assert_eq!(client.request(&text).status(), 200);
     };
     (0..2).for_each(|_| owned_keys.iter().for_each(|&key| send_keyed(key)));
@@ -359,7 +359,7 @@
         let (mut client, sender) = (node.client(), sender.clone());
         std::thread::spawn(move || {
             sender
-                .send(client.request(&read_request("read", key, 20_000)))
+                .send(client.request(&api_request("read", key, 20_000)))
                 .unwrap()
         });
     }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -273,7 +273,7 @@
     let node = |number| {
         let discovery_pair = assignment.simulated_node_addresses(worker, number, addresses);
         // With relays, both addresses name the same relay. A new configuration then makes the node
-        // call that relay anew.
+        // call the same relay again.
         NodeSetup {
             number,
             discovery: relays
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -343,7 +343,7 @@
         self.end_attempt(id, attempt, status)
     }
 
-    /// Sends a read of `key` whose first attempt ends with `status` and whose retry, if needed,
+    /// Sends a read of `key`. The first attempt ends with `status`; the retry, if needed,
     /// succeeds. Returns the endpoint of the first attempt, if an attempt was sent.
     pub fn read(&mut self, key: u64, status: Status) -> Option<EndpointId> {
         let id = self.request(0, key, ms(400));
